--- a/gatewayd/front.c
+++ b/gatewayd/front.c
@@ -59,7 +59,7 @@
   g_strlcpy (caller->id, request.id, sizeof caller->id);
   request.request = caller->request;
   request.arrived_ms = now_ms;
-  beryl_forward_arrived (front->forward, &request, now_ms);
+  beryl_forward_submit (front->forward, &request, now_ms);
 }
 
 static void
@@ -69,7 +69,7 @@
   const struct caller *caller = h1_exchange_user (ex);
 
   if (!caller->over)
-    beryl_forward_caller_slow (front->forward, caller->request, false);
+    beryl_forward_set_caller_paused (front->forward, caller->request, false);
 }
 
 static void
@@ -82,8 +82,8 @@
   if (!caller->over)
     {
       take (front, caller->request);
-      beryl_forward_caller_gone (front->forward, caller->request,
-                                 loop_now_ms (front->loop));
+      beryl_forward_cancel (front->forward, caller->request,
+                            loop_now_ms (front->loop));
     }
   g_free (caller);
 }
@@ -186,7 +186,7 @@
     return;
   h1_exchange_write (ex, bytes, bytes_count);
   if (h1_exchange_pending_bytes (ex) > SLOW_BYTES)
-    beryl_forward_caller_slow (front->forward, request, true);
+    beryl_forward_set_caller_paused (front->forward, request, true);
 }
 
 void
--- a/gatewayd/gateway.c
+++ b/gatewayd/gateway.c
@@ -234,7 +234,7 @@
           " fingerprint=%s",
           d->id, d->route, d->step, d->outcome,
           d->endpoint != NULL ? d->endpoint->info.id : "-", d->age_ms,
-          d->number, d->first_event_ms, d->longest_gap_ms, d->config_version,
+          d->value, d->first_event_ms, d->longest_gap_ms, d->config_version,
           d->endpoint_revision,
           fingerprint_text (d->fingerprint, fingerprint, sizeof fingerprint));
 }
@@ -255,12 +255,12 @@
   .answer_begin = forward_begin,
   .answer_data = forward_data,
   .answer_end = forward_end,
-  .answer_cut = forward_cut,
+  .answer_abort = forward_cut,
   .refuse = forward_refuse,
   .fingerprint = forward_fingerprint,
-  .quarantined = forward_quarantined,
-  .decided = forward_decided,
-  .learned = forward_learned,
+  .quarantine_changed = forward_quarantined,
+  .log_decision = forward_decided,
+  .log_endpoint_state = forward_learned,
 };
 
 static void
@@ -295,7 +295,7 @@
   if (g->members != NULL)
     members_set_endpoint_revision (g->members,
                                    source_endpoint_revision (g->source));
-  beryl_forward_lives_changed (g->forward, loop_now_ms (g->loop));
+  beryl_forward_endpoints_changed (g->forward, loop_now_ms (g->loop));
 }
 
 static void
@@ -348,8 +348,8 @@
   struct gateway *g = of_directory (owner);
   int64_t now_ms = loop_now_ms (g->loop);
   struct metrics_gauges gauges = {
-    .open = beryl_forward_open (g->forward),
-    .waiting = beryl_forward_waiting (g->forward),
+    .open = beryl_forward_open_count (g->forward),
+    .waiting = beryl_forward_waiting_count (g->forward),
     .connections = h1_server_connections (front_server (g->front)),
     .malformed = h1_server_counts (front_server (g->front))->malformed,
     .nodes = members_count (g->members),
@@ -381,8 +381,9 @@
 {
   struct gateway *g = of_members (owner);
 
-  beryl_forward_set_nodes (g->forward, count);
-  beryl_forward_set_interval (g->forward, members_interval_ms (g->members));
+  beryl_forward_set_node_count (g->forward, count);
+  beryl_forward_set_report_interval (g->forward,
+                                     members_interval_ms (g->members));
   store_set_nodes (g->store, &g->settings, count);
   store_set_watch_wait (g->store, count, members_isolated (g->members));
 }
@@ -397,7 +398,8 @@
   beryl_forward_peer_runs (g->forward, message->from, message->runs,
                            message->run_count, now_ms);
   source_peer_revision (g->source, message->endpoint_revision);
-  beryl_forward_peer_news (g->forward, message->from, &message->news, now_ms);
+  beryl_forward_peer_endpoint_reports (g->forward, message->from,
+                                       &message->news, now_ms);
   beryl_forward_peer_transfers (g->forward, message->from, &message->asks,
                                 &message->loans, now_ms);
   beryl_forward_peer_profiles (g->forward, message->from, &message->profiles);
@@ -423,7 +425,7 @@
 static void
 members_peer_gone (struct members_owner *owner, const char *peer)
 {
-  beryl_forward_peer_gone (of_members (owner)->forward, peer);
+  beryl_forward_remove_peer (of_members (owner)->forward, peer);
 }
 
 static bool
@@ -510,9 +512,9 @@
   message.run_count = beryl_forward_runs (g->forward, message.runs,
                                           BERYL_ENGINE_RUNS_MAX, now_ms);
   planner_changing (g->planner, &message.news.changing);
-  beryl_forward_peer_news (g->forward, g->settings.node, &message.news,
-                           now_ms);
-  beryl_forward_news (g->forward, &message.news, now_ms);
+  beryl_forward_peer_endpoint_reports (g->forward, g->settings.node,
+                                       &message.news, now_ms);
+  beryl_forward_endpoint_reports (g->forward, &message.news, now_ms);
   beryl_forward_repeat_transfers (g->forward, &message.asks, &message.loans,
                                   now_ms);
   if (now_ms - g->profiles_ms >= PROFILES_MS && members_tells_far (g->members))
@@ -556,7 +558,7 @@
 schedule_tick (uv_prepare_t *prepare)
 {
   struct gateway *g = prepare->data;
-  int64_t next_ms = beryl_forward_next_ms (g->forward);
+  int64_t next_ms = beryl_forward_next_tick_ms (g->forward);
   int64_t now_ms;
 
   if (g->tell == NULL && g->members != NULL
@@ -616,7 +618,7 @@
           sizeof settings.data_centre);
   g->lives = beryl_lives_create (g->settings.endpoint_leave_ms);
   g->forward = beryl_forward_create (&settings, g->lives, &g->base);
-  beryl_forward_set_nodes (g->forward, NODES_UNKNOWN);
+  beryl_forward_set_node_count (g->forward, NODES_UNKNOWN);
 }
 
 /* Without the key nothing of the peers is believed, so that this node joins
@@ -718,7 +720,7 @@
 {
   struct gateway *g = user;
   int64_t stopping_ms = loop_now_ms (g->loop) - g->stop_began_ms;
-  bool idle = beryl_forward_open (g->forward) == 0
+  bool idle = beryl_forward_open_count (g->forward) == 0
               && h1_server_open (front_server (g->front)) == 0;
 
   /* Callers may use the address for as long as they keep an answer; after
@@ -729,7 +731,7 @@
       || stopping_ms >= g->settings.stop_ms - STOP_MARGIN_MS)
     {
       g_info ("stopped after_ms=%" G_GINT64_FORMAT " open=%u", stopping_ms,
-              beryl_forward_open (g->forward));
+              beryl_forward_open_count (g->forward));
       loop_quit (g->loop);
     }
 }
@@ -739,7 +741,7 @@
 {
   int64_t now_ms = loop_now_ms (g->loop);
 
-  g_info ("stop asked open=%u", beryl_forward_open (g->forward));
+  g_info ("stop asked open=%u", beryl_forward_open_count (g->forward));
   g->stop_began_ms = now_ms;
   members_leave (g->members);
   if (g->registry != NULL)
@@ -761,8 +763,8 @@
   mine->repeat_slack = settings->repeat_slack;
   mine->repeat_window_ms = settings->repeat_window_ms;
   mine->stop_ms = settings->stop_ms;
-  beryl_forward_set_repeats (g->forward, mine->repeat_ratio,
-                             mine->repeat_slack, mine->repeat_window_ms);
+  beryl_forward_set_repeat_limits (g->forward, mine->repeat_ratio,
+                                   mine->repeat_slack, mine->repeat_window_ms);
   if (mine->address_keep_ms != settings->address_keep_ms)
     {
       mine->address_keep_ms = settings->address_keep_ms;
--- a/gatewayd/outbound.c
+++ b/gatewayd/outbound.c
@@ -50,8 +50,8 @@
   if (call->kind != BERYL_EXCHANGE_RUN)
     return;
   o->wire->impl->read_answer (o->wire, call->endpoint, head, &answer);
-  beryl_forward_head (o->forward, call->exchange, &answer,
-                      loop_now_ms (o->loop));
+  beryl_forward_answer_head (o->forward, call->exchange, &answer,
+                             loop_now_ms (o->loop));
 }
 
 static void
@@ -62,8 +62,8 @@
   struct outbound *o = call->outbound;
 
   if (call->kind == BERYL_EXCHANGE_RUN)
-    beryl_forward_data (o->forward, call->exchange, bytes, bytes_count,
-                        loop_now_ms (o->loop));
+    beryl_forward_answer_data (o->forward, call->exchange, bytes, bytes_count,
+                               loop_now_ms (o->loop));
   else if (call->body->len + bytes_count <= ENGINE_ANSWER_MAX_BYTES)
     g_string_append_len (call->body, bytes, (gssize)bytes_count);
 }
@@ -89,8 +89,8 @@
                                        call->head, call->body->str,
                                        call->body->len, &result);
   call_steal (call);
-  beryl_forward_result (o->forward, call->exchange, &result,
-                        loop_now_ms (o->loop));
+  beryl_forward_exchange_result (o->forward, call->exchange, &result,
+                                 loop_now_ms (o->loop));
   call_free (call);
 }
 
@@ -109,26 +109,26 @@
     }
   /* The forwarder may begin the caller's answer now, which reads the head
      by the exchange's number. */
-  beryl_forward_done (o->forward, exchange, loop_now_ms (o->loop));
+  beryl_forward_answer_done (o->forward, exchange, loop_now_ms (o->loop));
   g_hash_table_remove (o->calls, &exchange);
 }
 
-static enum beryl_break
+static enum beryl_exchange_failure
 break_of (enum h1_failure failure)
 {
   switch (failure)
     {
     case H1_FAILURE_REFUSED:
     case H1_FAILURE_CONNECT:
-      return BERYL_BREAK_CONNECT;
+      return BERYL_FAILURE_CONNECT;
     case H1_FAILURE_RESET:
-      return BERYL_BREAK_RESET;
+      return BERYL_FAILURE_RESET;
     case H1_FAILURE_CLOSED:
-      return BERYL_BREAK_CLOSED;
+      return BERYL_FAILURE_CLOSED;
     case H1_FAILURE_GARBLED:
       break;
     }
-  return BERYL_BREAK_GARBLED;
+  return BERYL_FAILURE_MALFORMED;
 }
 
 static void
@@ -139,8 +139,9 @@
   struct outbound *o = call->outbound;
 
   call_steal (call);
-  beryl_forward_broken (o->forward, call->exchange, break_of (failure), sent,
-                        loop_now_ms (o->loop));
+  beryl_forward_exchange_failed (o->forward, call->exchange,
+                                 break_of (failure), sent,
+                                 loop_now_ms (o->loop));
   call_free (call);
 }
 
--- a/gatewayd/planner.c
+++ b/gatewayd/planner.c
@@ -198,8 +198,8 @@
         .id = live->info.id,
         .stage = pending != NULL ? pending->stage : live->info.stage,
         .changing = pending != NULL,
-        .used_tokens = beryl_forward_engine_used (p->forward, service, live,
-                                                  loop_now_ms (p->loop)),
+        .used_tokens = beryl_forward_engine_used_tokens (
+            p->forward, service, live, loop_now_ms (p->loop)),
       };
 
       if (live->info.stage != BERYL_STAGE_NONE && beryl_live_takes_work (live)
@@ -214,7 +214,8 @@
               struct beryl_stages *stages)
 {
   GArray *engines = engines_of (p, service);
-  struct beryl_generation_mix mix = beryl_forward_mix (p->forward, service);
+  struct beryl_generation_mix mix
+      = beryl_forward_generation_mix (p->forward, service);
   struct beryl_stage_order wanted;
 
   if (beryl_stages_plan (
--- a/gatewayd/survey.c
+++ b/gatewayd/survey.c
@@ -52,9 +52,9 @@
     survey->wire->impl->read_prompts (survey->wire, answer->head, answer->body,
                                       answer->body_bytes, keys);
   for (guint i = 0; i < keys->len; i++)
-    beryl_forward_prompt_kept (survey->forward,
-                               g_array_index (keys, uint32_t, i),
-                               question->engine, loop_now_ms (survey->loop));
+    beryl_forward_prompt_cached (survey->forward,
+                                 g_array_index (keys, uint32_t, i),
+                                 question->engine, loop_now_ms (survey->loop));
   survey->prompts += keys->len;
   g_array_free (keys, TRUE);
   g_ptr_array_remove_fast (survey->questions, question);
--- a/include/beryl/forward.h
+++ b/include/beryl/forward.h
@@ -53,7 +53,7 @@
       output_tokens_hint; /**< caller's estimate of its output; 0 if none */
   uint32_t prompt_key;    /**< equal for equal prompts; 0 if unknown */
   bool resumes;           /**< the caller resumes a stream after LAST_EVENT */
-  uint64_t last_event;
+  uint64_t last_event_id;
 };
 
 /** Kinds of exchanges with endpoints. */
@@ -80,16 +80,16 @@
   enum beryl_exchange_kind kind;
   const struct beryl_live *endpoint;
   int64_t connect_timeout_ms;
-  int64_t left_ms;  /**< RUN, PREFILL: time until the request's deadline; 0 if
-                       it has none */
-  uint32_t tokens;  /**< RESERVE */
-  int64_t lease_ms; /**< RESERVE */
+  int64_t remaining_ms; /**< RUN, PREFILL: time until the request's deadline; 0
+                      if it has none */
+  uint32_t tokens;      /**< RESERVE */
+  int64_t lease_ms;     /**< RESERVE */
   const char *reservation; /**< RUN: reservation to use, or NULL; UNRESERVE */
   const char *kv_handle;   /**< RUN: KV cache to fetch, or NULL; DROP_KV */
   const char *kv_address;  /**< RUN: address of the engine that holds it */
   uint16_t kv_port;
   bool resumes; /**< RUN, PREFILL: resume after LAST_EVENT */
-  uint64_t last_event;
+  uint64_t last_event_id;
   const char *run_id;              /**< MOVE: the request's id */
   const struct beryl_live *target; /**< MOVE: engine to move the run to */
 };
@@ -131,7 +131,7 @@
   int64_t age_ms;                    /**< since the request's arrival */
   int64_t first_event_ms; /**< first event, since the arrival; 0 if none yet */
   int64_t longest_gap_ms; /**< longest time between two events */
-  int64_t number; /**< tokens, bytes or milliseconds, depending on STEP */
+  int64_t value; /**< tokens, bytes or milliseconds, depending on STEP */
   uint64_t fingerprint; /**< of the request's content; 0 if not computed yet */
   uint64_t config_version;
   uint64_t endpoint_revision;
@@ -158,7 +158,7 @@
   /** The answer is complete. */
   void (*answer_end) (struct beryl_forward_owner *owner, uint64_t request);
   /** Terminate an answer that has begun as incomplete. */
-  void (*answer_cut) (struct beryl_forward_owner *owner, uint64_t request);
+  void (*answer_abort) (struct beryl_forward_owner *owner, uint64_t request);
   /** Answer REQUEST with this node's own answer; nothing was sent before. */
   void (*refuse) (struct beryl_forward_owner *owner, uint64_t request,
                   const struct beryl_refusal *refusal);
@@ -169,17 +169,18 @@
                            uint64_t request);
   /** Requests with FINGERPRINT are sent to no endpoint for LEFT_MS; 0 lifts
    * the quarantine. May be NULL. */
-  void (*quarantined) (struct beryl_forward_owner *owner, uint64_t fingerprint,
-                       int64_t left_ms, enum beryl_quarantine_cause cause);
+  void (*quarantine_changed) (struct beryl_forward_owner *owner,
+                              uint64_t fingerprint, int64_t left_ms,
+                              enum beryl_quarantine_cause cause);
   /** Log a step. May be NULL. */
-  void (*decided) (struct beryl_forward_owner *owner,
-                   const struct beryl_decision *decision);
+  void (*log_decision) (struct beryl_forward_owner *owner,
+                        const struct beryl_decision *decision);
   /** Log a change of ENDPOINT's state that the endpoint list does not show
    * yet. WHAT is the new state; FROM is the peer that reported it, or "own
    * call". May be NULL. */
-  void (*learned) (struct beryl_forward_owner *owner,
-                   const struct beryl_live *endpoint, const char *what,
-                   const char *from);
+  void (*log_endpoint_state) (struct beryl_forward_owner *owner,
+                              const struct beryl_live *endpoint,
+                              const char *what, const char *from);
 };
 
 /** The owner; its first member selects the implementation. */
@@ -214,59 +215,63 @@
                                struct beryl_routes *routes);
 
 /** Change the limits on repeats. */
-void beryl_forward_set_repeats (struct beryl_forward *forward,
-                                double repeat_ratio, uint32_t repeat_slack,
-                                int64_t repeat_window_ms);
+void beryl_forward_set_repeat_limits (struct beryl_forward *forward,
+                                      double repeat_ratio,
+                                      uint32_t repeat_slack,
+                                      int64_t repeat_window_ms);
 
 /** Set the number of nodes that share the repeat budget; 0 counts as 1. */
-void beryl_forward_set_nodes (struct beryl_forward *forward, uint32_t nodes);
+void beryl_forward_set_node_count (struct beryl_forward *forward,
+                                   uint32_t nodes);
 
 /** Set the interval at which a live peer reports its runs, even if nothing has
  * changed. */
-void beryl_forward_set_interval (struct beryl_forward *forward,
-                                 int64_t interval_ms);
+void beryl_forward_set_report_interval (struct beryl_forward *forward,
+                                        int64_t interval_ms);
 
 /** Set whether there are live nodes whose reports do not reach this node. */
 void beryl_forward_set_isolated (struct beryl_forward *forward, bool isolated);
 
 /** A caller's request has arrived completely. REQUEST is copied, except HOST
  * and PATH, which are only used during the call. */
-void beryl_forward_arrived (struct beryl_forward *forward,
-                            const struct beryl_forward_request *request,
-                            int64_t now_ms);
+void beryl_forward_submit (struct beryl_forward *forward,
+                           const struct beryl_forward_request *request,
+                           int64_t now_ms);
 
 /** The caller of REQUEST has disconnected: cancel everything that runs for
  * it. */
-void beryl_forward_caller_gone (struct beryl_forward *forward,
-                                uint64_t request, int64_t now_ms);
+void beryl_forward_cancel (struct beryl_forward *forward, uint64_t request,
+                           int64_t now_ms);
 
 /** The caller of REQUEST reads too slowly (PAUSED), or has caught up. */
-void beryl_forward_caller_slow (struct beryl_forward *forward,
-                                uint64_t request, bool paused);
+void beryl_forward_set_caller_paused (struct beryl_forward *forward,
+                                      uint64_t request, bool paused);
 
 /** Head of the answer to an exchange. */
 struct beryl_answer_head
 {
   struct beryl_rate_limit limit;
   unsigned int status;
-  bool not_run;     /**< the endpoint states that it did not run the request */
-  bool events;      /**< the body is a stream of server-sent events */
-  bool misdirected; /**< another endpoint has the address now */
-  bool wrong_stage; /**< the engine does other work now */
+  bool not_run; /**< the endpoint states that it did not run the request */
+  bool event_stream; /**< the body is a stream of server-sent events */
+  bool misdirected;  /**< another endpoint has the address now */
+  bool wrong_stage;  /**< the engine does other work now */
 };
 
 /** The head of the answer to a RUN exchange has arrived. */
-void beryl_forward_head (struct beryl_forward *forward, uint64_t exchange,
-                         const struct beryl_answer_head *head, int64_t now_ms);
+void beryl_forward_answer_head (struct beryl_forward *forward,
+                                uint64_t exchange,
+                                const struct beryl_answer_head *head,
+                                int64_t now_ms);
 
 /** Body bytes of the answer to a RUN exchange have arrived. */
-void beryl_forward_data (struct beryl_forward *forward, uint64_t exchange,
-                         const char *bytes, size_t bytes_count,
-                         int64_t now_ms);
+void beryl_forward_answer_data (struct beryl_forward *forward,
+                                uint64_t exchange, const char *bytes,
+                                size_t bytes_count, int64_t now_ms);
 
 /** The answer to a RUN exchange is complete. */
-void beryl_forward_done (struct beryl_forward *forward, uint64_t exchange,
-                         int64_t now_ms);
+void beryl_forward_answer_done (struct beryl_forward *forward,
+                                uint64_t exchange, int64_t now_ms);
 
 /** Result of an exchange other than RUN. */
 struct beryl_engine_result
@@ -286,23 +291,26 @@
 };
 
 /** An exchange other than RUN was answered. */
-void beryl_forward_result (struct beryl_forward *forward, uint64_t exchange,
-                           const struct beryl_engine_result *result,
-                           int64_t now_ms);
+void beryl_forward_exchange_result (struct beryl_forward *forward,
+                                    uint64_t exchange,
+                                    const struct beryl_engine_result *result,
+                                    int64_t now_ms);
 
 /** How an exchange failed. */
-enum beryl_break
+enum beryl_exchange_failure
 {
-  BERYL_BREAK_CONNECT, /**< no connection; no byte was sent */
-  BERYL_BREAK_RESET,
-  BERYL_BREAK_CLOSED,
-  BERYL_BREAK_GARBLED,
+  BERYL_FAILURE_CONNECT, /**< no connection; no byte was sent */
+  BERYL_FAILURE_RESET,
+  BERYL_FAILURE_CLOSED,
+  BERYL_FAILURE_MALFORMED,
 };
 
 /** An exchange ended without a complete answer. SENT is false only if no byte
  * of the request reached the socket. */
-void beryl_forward_broken (struct beryl_forward *forward, uint64_t exchange,
-                           enum beryl_break how, bool sent, int64_t now_ms);
+void beryl_forward_exchange_failed (struct beryl_forward *forward,
+                                    uint64_t exchange,
+                                    enum beryl_exchange_failure how, bool sent,
+                                    int64_t now_ms);
 
 /** The process will stop at END_MS. Requests that cannot be answered by then
  * are refused as not run, so that their callers retry at another node. */
@@ -325,8 +333,8 @@
 
 /** The set of endpoints has changed: requests that wait for an engine try
  * again. */
-void beryl_forward_lives_changed (struct beryl_forward *forward,
-                                  int64_t now_ms);
+void beryl_forward_endpoints_changed (struct beryl_forward *forward,
+                                      int64_t now_ms);
 
 /** Replace the runs of PEER at engines by the COUNT items of RUNS. */
 void beryl_forward_peer_runs (struct beryl_forward *forward, const char *peer,
@@ -335,11 +343,12 @@
 
 /** Add to NEWS the endpoint states that this node has detected by its own
  * calls; apply those that PEER (or another component of this node) reports. */
-void beryl_forward_news (const struct beryl_forward *forward,
-                         struct beryl_endpoint_news *news, int64_t now_ms);
-void beryl_forward_peer_news (struct beryl_forward *forward, const char *peer,
-                              const struct beryl_endpoint_news *news,
-                              int64_t now_ms);
+void beryl_forward_endpoint_reports (const struct beryl_forward *forward,
+                                     struct beryl_endpoint_news *news,
+                                     int64_t now_ms);
+void beryl_forward_peer_endpoint_reports (
+    struct beryl_forward *forward, const char *peer,
+    const struct beryl_endpoint_news *news, int64_t now_ms);
 
 /** Write this node's profiles of its services' generations; apply those of
  * PEER. */
@@ -365,7 +374,8 @@
                                    int64_t now_ms);
 
 /** PEER has left the fleet; its runs and profiles are dropped. */
-void beryl_forward_peer_gone (struct beryl_forward *forward, const char *peer);
+void beryl_forward_remove_peer (struct beryl_forward *forward,
+                                const char *peer);
 
 /** Return whether this node's runs have changed since beryl_forward_runs was
  * last called. beryl_forward_runs writes up to MOST of them, newest first. */
@@ -375,30 +385,31 @@
                            int64_t now_ms);
 
 /** ENGINE (a beryl_live_number) has the prompt with KEY cached. */
-void beryl_forward_prompt_kept (struct beryl_forward *forward, uint32_t key,
-                                uint32_t engine, int64_t now_ms);
+void beryl_forward_prompt_cached (struct beryl_forward *forward, uint32_t key,
+                                  uint32_t engine, int64_t now_ms);
 
 /** Return the fleet-wide profile of SERVICE's generations. */
-struct beryl_generation_mix beryl_forward_mix (struct beryl_forward *forward,
-                                               const char *service);
+struct beryl_generation_mix
+beryl_forward_generation_mix (struct beryl_forward *forward,
+                              const char *service);
 
 /** Return the tokens of KV memory that the runs of all nodes use at ENGINE of
  * SERVICE. */
-uint64_t beryl_forward_engine_used (struct beryl_forward *forward,
-                                    const char *service,
-                                    const struct beryl_live *engine,
-                                    int64_t now_ms);
+uint64_t beryl_forward_engine_used_tokens (struct beryl_forward *forward,
+                                           const char *service,
+                                           const struct beryl_live *engine,
+                                           int64_t now_ms);
 
 /** Run the timers that are due. */
 void beryl_forward_tick (struct beryl_forward *forward, int64_t now_ms);
 
 /** Return when the next tick is due, or BERYL_NEVER_MS. */
-int64_t beryl_forward_next_ms (const struct beryl_forward *forward);
+int64_t beryl_forward_next_tick_ms (const struct beryl_forward *forward);
 
 /** Return the number of open requests, and of those that wait for engine
  * memory. */
-uint32_t beryl_forward_open (const struct beryl_forward *forward);
-uint32_t beryl_forward_waiting (const struct beryl_forward *forward);
+uint32_t beryl_forward_open_count (const struct beryl_forward *forward);
+uint32_t beryl_forward_waiting_count (const struct beryl_forward *forward);
 
 /** Return the stable name of a refusal reason or an exchange kind. */
 const char *beryl_refusal_name (enum beryl_refusal_reason reason);
--- a/libberyl/forward/answer.c
+++ b/libberyl/forward/answer.c
@@ -5,7 +5,7 @@
 /* Answers up to this size are buffered until they are complete, so that one
    that breaks off can be requested again without the caller seeing it. Plain
    answers have about a kilobyte. */
-#define HELD_MAX_BYTES 65536
+#define BUFFER_MAX_BYTES 65536
 
 /* The endpoint states that it did not run the request. */
 static void
@@ -14,14 +14,14 @@
   struct request *r = x->request;
   bool wrong_stage = x->head.wrong_stage;
 
-  forward_request_decided (f, r, "send", x->live,
-                           wrong_stage ? "wrong_stage" : "not_run",
-                           x->head.status, now_ms);
+  forward_request_log (f, r, "send", x->endpoint,
+                       wrong_stage ? "wrong_stage" : "not_run", x->head.status,
+                       now_ms);
   if (x->head.misdirected)
-    news_replaced (f, x->live, now_ms);
+    endpoint_report_replaced (f, x->endpoint, now_ms);
   forward_exchange_abort (f, x);
   if (forward_request_is_generation (r))
-    generation_not_run (f, r, wrong_stage, now_ms);
+    generation_run_rejected (f, r, wrong_stage, now_ms);
   else
     plain_attempt_failed (f, r, now_ms);
 }
@@ -30,7 +30,7 @@
 static bool
 may_try_another (const struct request *r)
 {
-  return !r->begun && forward_request_repeatable (r)
+  return !r->answer_begun && forward_request_is_repeatable (r)
          && r->endpoints_run < r->route->endpoints_max;
 }
 
@@ -48,12 +48,12 @@
 
 /* Of two concurrent sends the first answer is used; the other is aborted. */
 static void
-drop_others (struct beryl_forward *f, struct request *r,
-             const struct exchange *x)
+abort_other_send (struct beryl_forward *f, struct request *r,
+                  const struct exchange *x)
 {
-  if (r->first == NULL || r->second == NULL)
+  if (r->primary == NULL || r->secondary == NULL)
     return;
-  forward_exchange_abort (f, r->first == x ? r->second : r->first);
+  forward_exchange_abort (f, r->primary == x ? r->secondary : r->primary);
 }
 
 void
@@ -63,22 +63,23 @@
   int64_t took_ms = now_ms - x->started_ms;
   bool error = is_server_error (x->head.status);
 
-  rates_heard (f, x, &x->head.limit, is_success (x->head.status), now_ms);
+  rates_learn (f, x, &x->head.limit, is_success (x->head.status), now_ms);
   if (x->head.not_run)
     {
       attempt_not_run (f, x, now_ms);
       return;
     }
-  seek_end (f, r);
+  relocate_end (f, r);
   forward_request_count_run (r);
   kv_clear (f, &r->kv);
-  beryl_live_learn (x->live, error ? BERYL_LIVE_FAILED : BERYL_LIVE_ANSWERED,
-                    took_ms, now_ms);
+  beryl_live_learn (x->endpoint,
+                    error ? BERYL_LIVE_FAILED : BERYL_LIVE_ANSWERED, took_ms,
+                    now_ms);
   if (!forward_request_is_generation (r))
-    service_learn (r->service, took_ms);
-  forward_request_decided (f, r, "head", x->live, error ? "error" : "answered",
-                           x->head.status, now_ms);
-  if (r->begun && (x->head.status != 200 || !x->head.events))
+    service_learn_answer_time (r->service, took_ms);
+  forward_request_log (f, r, "head", x->endpoint, error ? "error" : "answered",
+                       x->head.status, now_ms);
+  if (r->answer_begun && (x->head.status != 200 || !x->head.event_stream))
     {
       /* The caller already has the head of a stream; a different answer's body
          must not follow it. */
@@ -86,7 +87,7 @@
       generation_broken (f, r, BERYL_EXCHANGE_RUN, true, now_ms);
       return;
     }
-  if (error && r->second != NULL)
+  if (error && r->secondary != NULL)
     {
       /* The other send may still produce a good answer. */
       forward_exchange_abort (f, x);
@@ -98,65 +99,65 @@
       plain_attempt_failed (f, r, now_ms);
       return;
     }
-  drop_others (f, r, x);
-  r->due_ms = r->timeout_ms;
-  r->event_ms = now_ms;
+  abort_other_send (f, r, x);
+  r->timer_ms = r->deadline_ms;
+  r->last_event_ms = now_ms;
   if (forward_request_is_generation (r))
-    generation_due (f, r, now_ms);
+    generation_timer (f, r, now_ms);
 }
 
 static void
-begin (struct beryl_forward *f, struct request *r, struct exchange *x)
+begin_answer (struct beryl_forward *f, struct request *r, struct exchange *x)
 {
-  if (r->begun)
+  if (r->answer_begun)
     return;
-  r->begun = true;
-  f->owner->impl->answer_begin (f->owner, r->facts.request, x->id);
+  r->answer_begun = true;
+  f->owner->impl->answer_begin (f->owner, r->params.request, x->id);
 }
 
 static void
-pass_held (struct beryl_forward *f, struct request *r)
+forward_buffered (struct beryl_forward *f, struct request *r)
 {
-  if (r->held.count == 0)
+  if (r->buffered.count == 0)
     return;
-  f->owner->impl->answer_data (f->owner, r->facts.request, r->held.bytes,
-                               r->held.count);
-  r->held.count = 0;
+  f->owner->impl->answer_data (f->owner, r->params.request, r->buffered.bytes,
+                               r->buffered.count);
+  r->buffered.count = 0;
 }
 
 /* Drops events that were forwarded before: an endpoint that resumes may start
    before the event that it was asked to resume after. */
 static void
-pass_event (struct beryl_forward *f, struct request *r, struct exchange *x,
-            const struct event *event, int64_t now_ms)
+forward_event (struct beryl_forward *f, struct request *r, struct exchange *x,
+               const struct event *event, int64_t now_ms)
 {
-  if (event->has_id && (r->event_count > 0 || r->facts.resumes)
-      && event->id <= r->last_event)
+  if (event->has_id && (r->event_count > 0 || r->params.resumes)
+      && event->id <= r->last_event_id)
     return;
-  begin (f, r, x);
+  begin_answer (f, r, x);
   if (event->has_id)
-    r->last_event = event->id;
+    r->last_event_id = event->id;
   if (r->event_count == 0)
     r->first_event_ms = now_ms;
-  else if (now_ms - r->event_ms > r->longest_gap_ms)
-    r->longest_gap_ms = now_ms - r->event_ms;
+  else if (now_ms - r->last_event_ms > r->longest_gap_ms)
+    r->longest_gap_ms = now_ms - r->last_event_ms;
   r->event_count++;
   r->run_events++;
-  r->event_ms = now_ms;
+  r->last_event_ms = now_ms;
   r->stalled = false;
-  seek_end (f, r);
+  relocate_end (f, r);
   if (forward_request_is_generation (r))
     stream_learn_pace (r, now_ms);
   /* A stall is detected sooner between events than before the first. */
   if (r->run_events == 1 && forward_request_is_generation (r))
-    r->due_ms = stream_due_ms (r);
-  f->owner->impl->answer_data (f->owner, r->facts.request, event->bytes,
+    r->timer_ms = stream_timer_ms (r);
+  f->owner->impl->answer_data (f->owner, r->params.request, event->bytes,
                                event->count);
 }
 
 static void
-pass_events (struct beryl_forward *f, struct request *r, struct exchange *x,
-             const char *bytes, size_t bytes_count, int64_t now_ms)
+forward_events (struct beryl_forward *f, struct request *r, struct exchange *x,
+                const char *bytes, size_t bytes_count, int64_t now_ms)
 {
   struct event event;
 
@@ -166,7 +167,7 @@
       return;
     }
   while (event_splitter_next (&r->events, &event))
-    pass_event (f, r, x, &event, now_ms);
+    forward_event (f, r, x, &event, now_ms);
 }
 
 void
@@ -175,20 +176,20 @@
 {
   struct request *r = x->request;
 
-  if (x->head.events)
+  if (x->head.event_stream)
     {
-      pass_events (f, r, x, bytes, bytes_count, now_ms);
+      forward_events (f, r, x, bytes, bytes_count, now_ms);
       return;
     }
-  if (!buffer_append (&r->held, bytes, bytes_count))
+  if (!buffer_append (&r->buffered, bytes, bytes_count))
     {
       forward_request_fail (f, r, BERYL_REFUSAL_ENDPOINT_FAILED, now_ms);
       return;
     }
-  if (r->begun || r->held.count > HELD_MAX_BYTES)
+  if (r->answer_begun || r->buffered.count > BUFFER_MAX_BYTES)
     {
-      begin (f, r, x);
-      pass_held (f, r);
+      begin_answer (f, r, x);
+      forward_buffered (f, r);
     }
 }
 
@@ -196,7 +197,7 @@
 static bool
 ends_in_event (const struct request *r, const struct exchange *x)
 {
-  return x->head.events && event_splitter_partial (&r->events);
+  return x->head.event_stream && event_splitter_partial (&r->events);
 }
 
 void
@@ -212,30 +213,30 @@
     }
   if (ends_in_event (r, x))
     {
-      answer_broken (f, x, BERYL_BREAK_CLOSED, true, now_ms);
+      answer_broken (f, x, BERYL_FAILURE_CLOSED, true, now_ms);
       return;
     }
   if (is_success (x->head.status))
     crashes_answered (f, r, now_ms);
-  begin (f, r, x);
-  pass_held (f, r);
-  forward_request_decided (f, r, "answer", x->live, "whole",
-                           x->head.events ? (int64_t)r->event_count
-                                          : (int64_t)x->head.status,
-                           now_ms);
+  begin_answer (f, r, x);
+  forward_buffered (f, r);
+  forward_request_log (f, r, "answer", x->endpoint, "whole",
+                       x->head.event_stream ? (int64_t)r->event_count
+                                            : (int64_t)x->head.status,
+                       now_ms);
   forward_exchange_free (f, x);
   if (forward_request_is_generation (r))
     {
-      stream_learn (f, r);
-      generation_run_over (f, r);
+      stream_learn_length (f, r);
+      generation_run_ended (f, r);
     }
-  handle = r->facts.request;
+  handle = r->params.request;
   forward_request_end (f, r, now_ms);
   f->owner->impl->answer_end (f->owner, handle);
 }
 
 static const char *
-break_name (enum beryl_break how)
+failure_name (enum beryl_exchange_failure how)
 {
   static const char *const names[]
       = { "no_connection", "reset", "closed", "garbled" };
@@ -245,25 +246,25 @@
 
 void
 answer_broken (struct beryl_forward *f, struct exchange *x,
-               enum beryl_break how, bool sent, int64_t now_ms)
+               enum beryl_exchange_failure how, bool sent, int64_t now_ms)
 {
   struct request *r = x->request;
-  bool headed = x->headed;
+  bool headed = x->has_head;
 
-  if (sent && (how == BERYL_BREAK_RESET || how == BERYL_BREAK_CLOSED))
-    crashes_run_broke (f, r, x->live, now_ms);
-  forward_request_decided (f, r, "send", x->live, break_name (how), sent,
-                           now_ms);
+  if (sent && (how == BERYL_FAILURE_RESET || how == BERYL_FAILURE_CLOSED))
+    crashes_run_interrupted (f, r, x->endpoint, now_ms);
+  forward_request_log (f, r, "send", x->endpoint, failure_name (how), sent,
+                       now_ms);
   forward_exchange_free (f, x);
   if (sent && !headed)
     forward_request_count_run (r);
-  r->held.count = 0;
+  r->buffered.count = 0;
   event_splitter_reset (&r->events);
-  if (headed && move_takes_end (f, r, now_ms))
+  if (headed && move_stream_ended (f, r, now_ms))
     return;
   if (forward_request_is_generation (r))
     generation_broken (f, r, BERYL_EXCHANGE_RUN, sent, now_ms);
-  else if (r->begun)
+  else if (r->answer_begun)
     forward_request_fail (f, r, BERYL_REFUSAL_ENDPOINT_FAILED, now_ms);
   else
     plain_attempt_failed (f, r, now_ms);
--- a/libberyl/forward/backlog.c
+++ b/libberyl/forward/backlog.c
@@ -9,16 +9,16 @@
 /* Used when no run, and so no rate of completion, is known. */
 #define NO_RUNS_RETRY_MS 2000
 /* Memory that is expected sooner is not worth a new connection. */
-#define RETRY_LEAST_MS 300
+#define RETRY_MIN_MS 300
 /* A retrying caller keeps two thirds of its time for the second attempt. */
-#define RETRY_MOST_PART 3
+#define RETRY_MAX_DIVISOR 3
 /* Callers retry at a random time in this last part of the permitted time:
    their answers are late in any case, a peak that had no memory for them lasts
    for seconds, and a caller that is refused again has no further attempt. */
-#define RETRY_LAST_PART 0.5
+#define RETRY_RANDOM_PART 0.5
 /* Share of the freed places for callers that retry; the rest is for new
    requests. */
-#define RETURN_PART 0.5
+#define RETRY_SHARE 0.5
 
 /* Places freed per second at all engines of R's service: a run lasts as long
    as its output takes to produce. */
@@ -27,7 +27,7 @@
 {
   const struct length_model *lengths = &r->service->lengths;
   double run_ms = r->service->output_tokens * lengths->ms_per_token;
-  uint32_t runs = engine_runs (f, r, now_ms);
+  uint32_t runs = engine_run_count (f, r, now_ms);
 
   return run_ms > 0 ? 1000 * runs / run_ms : 0;
 }
@@ -37,18 +37,19 @@
                  int64_t now_ms)
 {
   return r->service->waiting
-         + book_waiting (&f->book, beryl_engine_number (r->service->name),
-                         now_ms);
+         + run_table_waiting (&f->run_table,
+                              beryl_engine_number (r->service->name), now_ms);
 }
 
 /* Waiting requests ask once per round, and as many new ones arrive as runs
    end. */
 double
-backlog_at_once (struct beryl_forward *f, const struct request *r,
-                 int64_t now_ms)
+backlog_concurrent_choices (struct beryl_forward *f, const struct request *r,
+                            int64_t now_ms)
 {
-  return backlog_waiting (f, r, now_ms) * (double)NEWS_MS / ASK_AGAIN_MS
-         + places_per_s (f, r, now_ms) * NEWS_MS / 1000;
+  return backlog_waiting (f, r, now_ms) * (double)PROPAGATION_MS
+             / ASK_INTERVAL_MS
+         + places_per_s (f, r, now_ms) * PROPAGATION_MS / 1000;
 }
 
 int64_t
@@ -63,11 +64,11 @@
 }
 
 static int64_t
-drawn_ms (struct beryl_forward *f, int64_t most_ms)
+random_retry_ms (struct beryl_forward *f, int64_t max_ms)
 {
-  double part = 1 - RETRY_LAST_PART * random_part (&f->random);
+  double part = 1 - RETRY_RANDOM_PART * random_part (&f->random);
 
-  return (int64_t)(part * (double)most_ms);
+  return (int64_t)(part * (double)max_ms);
 }
 
 /* Spreads the retries of refused callers at the rate at which places are freed
@@ -78,27 +79,27 @@
                         int64_t now_ms)
 {
   struct service *s = r->service;
-  double rate = RETURN_PART * places_per_s (f, r, now_ms) / f->nodes;
+  double rate = RETRY_SHARE * places_per_s (f, r, now_ms) / f->nodes;
   int64_t prefill_ms = engine_prefill_wait_ms (f, r, now_ms);
   int64_t after_ms = backlog_wait_ms (f, r, now_ms);
-  int64_t latest_ms = r->timeout_ms;
+  int64_t latest_ms = r->deadline_ms;
   int64_t slot_ms;
 
   if (latest_ms != BERYL_NEVER_MS)
-    latest_ms = now_ms + (latest_ms - now_ms) / RETRY_MOST_PART;
+    latest_ms = now_ms + (latest_ms - now_ms) / RETRY_MAX_DIVISOR;
   if (after_ms < prefill_ms)
     after_ms = prefill_ms;
   if (rate <= 0)
     return after_ms > NO_RUNS_RETRY_MS ? after_ms : NO_RUNS_RETRY_MS;
-  if (after_ms < RETRY_LEAST_MS)
-    after_ms = RETRY_LEAST_MS;
+  if (after_ms < RETRY_MIN_MS)
+    after_ms = RETRY_MIN_MS;
   if (latest_ms != BERYL_NEVER_MS)
-    after_ms = MAX (after_ms, drawn_ms (f, latest_ms - now_ms));
+    after_ms = MAX (after_ms, random_retry_ms (f, latest_ms - now_ms));
   slot_ms = now_ms + after_ms;
-  if (s->return_ms > slot_ms)
-    slot_ms = s->return_ms;
+  if (s->next_retry_ms > slot_ms)
+    slot_ms = s->next_retry_ms;
   if (slot_ms > latest_ms)
     slot_ms = latest_ms;
-  s->return_ms = slot_ms + (int64_t)(1000 / rate);
+  s->next_retry_ms = slot_ms + (int64_t)(1000 / rate);
   return slot_ms - now_ms;
 }
--- a/libberyl/forward/balance.c
+++ b/libberyl/forward/balance.c
@@ -4,7 +4,7 @@
    by a few hundredths of its memory. */
 #define BALANCE_MS 100
 /* How far ahead an engine must have free memory. */
-#define AHEAD_MS BOOK_STEP_MS
+#define LOOKAHEAD_MS FORECAST_STEP_MS
 /* Part of an engine's memory from which on it counts as full: the forecast
    lags behind the runs that other nodes have just started. */
 #define FULL_PART 0.96
@@ -13,30 +13,32 @@
 static bool
 may_move (const struct request *r)
 {
-  return r->phase == PHASE_RUNNING && r->reservation.live != NULL
-         && r->move_to == NULL && r->event_count > 0 && r->first != NULL
-         && r->first->headed && !r->stalled && forward_request_movable (r);
+  return r->phase == PHASE_RUNNING && r->reservation.endpoint != NULL
+         && r->move_target == NULL && r->event_count > 0 && r->primary != NULL
+         && r->primary->has_head && !r->stalled
+         && forward_request_is_movable (r);
 }
 
 /* A leaving engine may stop before its runs end; each would need another
    prefill elsewhere, or be lost if it may run only once. */
 static bool
-engine_leaves (const struct request *r)
+engine_is_leaving (const struct request *r)
 {
-  return !beryl_live_takes_work (r->reservation.live);
+  return !beryl_live_takes_work (r->reservation.endpoint);
 }
 
 /* Returns whether R is the run that its engine would preempt next for lack of
    memory. */
 static bool
-runs_out (struct beryl_forward *f, const struct request *r, int64_t now_ms)
+will_be_preempted (struct beryl_forward *f, const struct request *r,
+                   int64_t now_ms)
 {
-  struct book_curve curve;
+  struct memory_forecast forecast;
 
-  engine_curve (f, r->service, r->reservation.live, now_ms, &curve);
-  return book_peak (&curve, AHEAD_MS, 0)
-             >= FULL_PART * (double)r->terms->engine.kv_tokens
-         && engine_newest (f, r, now_ms);
+  engine_forecast (f, r->service, r->reservation.endpoint, now_ms, &forecast);
+  return memory_forecast_peak (&forecast, LOOKAHEAD_MS, 0)
+             >= FULL_PART * (double)r->config->engine.kv_tokens
+         && engine_is_newest_run (f, r, now_ms);
 }
 
 static void
@@ -44,14 +46,14 @@
 {
   struct beryl_live *target;
 
-  if (!engine_leaves (r) && !runs_out (f, r, now_ms))
+  if (!engine_is_leaving (r) && !will_be_preempted (f, r, now_ms))
     return;
   target = engine_choose_target (f, r, now_ms);
   if (target != NULL)
     move_start (f, r, target, now_ms);
   else
-    forward_request_decided (f, r, "move", r->reservation.live, "no_target", 0,
-                             now_ms);
+    forward_request_log (f, r, "move", r->reservation.endpoint, "no_target", 0,
+                         now_ms);
 }
 
 /* An engine that runs out of memory preempts its newest run in the middle of
@@ -65,9 +67,9 @@
 {
   struct request *r, *next;
 
-  if (now_ms < f->balance_ms)
+  if (now_ms < f->next_balance_ms)
     return;
-  f->balance_ms = now_ms + BALANCE_MS;
+  f->next_balance_ms = now_ms + BALANCE_MS;
   for (r = TAILQ_FIRST (&f->requests); r != NULL; r = next)
     {
       next = TAILQ_NEXT (r, entry);
--- a/libberyl/forward/call_times.h
+++ b/libberyl/forward/call_times.h
@@ -14,13 +14,13 @@
 struct call_times
 {
   int64_t recent_ms[CALL_TIMES_RECENT];
-  uint32_t seen;
+  uint32_t count;
 };
 
 /** Record a call that took TOOK_MS. */
 void call_times_learn (struct call_times *calls, int64_t took_ms);
 
 /** Return the shortest of the recent calls, in milliseconds; 0 before any. */
-int64_t call_times_least_ms (const struct call_times *calls);
+int64_t call_times_min_ms (const struct call_times *calls);
 
 #endif
--- a/libberyl/forward/crashes.c
+++ b/libberyl/forward/crashes.c
@@ -7,9 +7,9 @@
 
 /* A suspect that has run for this long no longer counts as a risk to the other
    runs at its engine. */
-#define WATCH_MS 1000
+#define SUSPECT_RUN_MS 1000
 /* How long a suspect without a deadline is tracked. */
-#define WATCHED_MOST_MS 60000
+#define SUSPECT_MAX_MS 60000
 
 static void
 quarantine_changed (struct beryl_quarantine_owner *owner, uint64_t fingerprint,
@@ -24,9 +24,9 @@
   /* This may be called while a request is being processed, so the check of
      open requests is left to the next tick. */
   if (left_ms > 0)
-    f->sweep_ms = now_ms;
-  if (f->owner->impl->quarantined != NULL)
-    f->owner->impl->quarantined (f->owner, fingerprint, left_ms, cause);
+    f->quarantine_check_ms = now_ms;
+  if (f->owner->impl->quarantine_changed != NULL)
+    f->owner->impl->quarantine_changed (f->owner, fingerprint, left_ms, cause);
 }
 
 static const struct beryl_quarantine_owner_impl quarantine_impl
@@ -37,7 +37,7 @@
 {
   f->quarantine_owner.impl = &quarantine_impl;
   f->quarantine = beryl_quarantine_create (&f->quarantine_owner);
-  f->sweep_ms = BERYL_NEVER_MS;
+  f->quarantine_check_ms = BERYL_NEVER_MS;
 }
 
 struct beryl_quarantine *
@@ -47,64 +47,68 @@
 }
 
 static bool
-is_dialled (const struct beryl_forward *f, const struct beryl_live *live)
+is_dialled (const struct beryl_forward *f, const struct beryl_live *endpoint)
 {
   const struct exchange *x = NULL;
 
   TAILQ_FOREACH (x, &f->exchanges, entry)
-  if (x->live == live && x->kind == BERYL_EXCHANGE_DIAL)
+  if (x->endpoint == endpoint && x->kind == BERYL_EXCHANGE_DIAL)
     return true;
   return false;
 }
 
 void
-crashes_suspect (struct beryl_forward *f, struct request *r, int64_t now_ms)
+crashes_mark_suspect (struct beryl_forward *f, struct request *r,
+                      int64_t now_ms)
 {
-  int64_t until_ms = r->timeout_ms;
+  int64_t until_ms = r->deadline_ms;
 
   if (until_ms == BERYL_NEVER_MS)
-    until_ms = now_ms + WATCHED_MOST_MS;
+    until_ms = now_ms + SUSPECT_MAX_MS;
   r->suspect = true;
-  if (until_ms > f->watch_ms)
-    f->watch_ms = until_ms;
+  if (until_ms > f->suspects_until_ms)
+    f->suspects_until_ms = until_ms;
 }
 
 bool
-crashes_watching (const struct beryl_forward *f, int64_t now_ms)
+crashes_any_suspect (const struct beryl_forward *f, int64_t now_ms)
 {
-  return now_ms < f->watch_ms
-         || (f->book.suspect_ms != 0
-             && now_ms - f->book.suspect_ms < book_silent_ms (&f->book));
+  return now_ms < f->suspects_until_ms
+         || (f->run_table.suspect_reported_ms != 0
+             && now_ms - f->run_table.suspect_reported_ms
+                    < run_table_peer_timeout_ms (&f->run_table));
 }
 
 /* A broken connection does not prove that the endpoint has crashed. Only a
    process that has ended refuses connections, so the endpoint is dialled; its
    entry stays listed for seconds. */
 void
-crashes_run_broke (struct beryl_forward *f, struct request *r,
-                   struct beryl_live *live, int64_t now_ms)
+crashes_run_interrupted (struct beryl_forward *f, struct request *r,
+                         struct beryl_live *endpoint, int64_t now_ms)
 {
   struct beryl_exchange_start dial = { .kind = BERYL_EXCHANGE_DIAL };
   uint64_t fingerprint = forward_request_fingerprint (f, r);
 
   if (fingerprint == 0)
     return;
-  crashes_suspect (f, r, now_ms);
-  beryl_quarantine_broke (f->quarantine, fingerprint, beryl_live_number (live),
-                          now_ms);
-  if (live->replaced_ms != 0)
-    crashes_ended (f, live, now_ms);
-  else if (!is_dialled (f, live))
-    forward_start (f, NULL, &dial, live, now_ms);
+  crashes_mark_suspect (f, r, now_ms);
+  beryl_quarantine_broke (f->quarantine, fingerprint,
+                          beryl_live_number (endpoint), now_ms);
+  if (endpoint->replaced_ms != 0)
+    crashes_endpoint_ended (f, endpoint, now_ms);
+  else if (!is_dialled (f, endpoint))
+    forward_exchange_start (f, NULL, &dial, endpoint, now_ms);
 }
 
 void
-crashes_ended (struct beryl_forward *f, const struct beryl_live *live,
-               int64_t now_ms)
+crashes_endpoint_ended (struct beryl_forward *f,
+                        const struct beryl_live *endpoint, int64_t now_ms)
 {
-  if (beryl_quarantine_ended (f->quarantine, beryl_live_number (live), now_ms)
-      && f->owner->impl->learned != NULL)
-    f->owner->impl->learned (f->owner, live, "crashed", "own call");
+  if (beryl_quarantine_ended (f->quarantine, beryl_live_number (endpoint),
+                              now_ms)
+      && f->owner->impl->log_endpoint_state != NULL)
+    f->owner->impl->log_endpoint_state (f->owner, endpoint, "crashed",
+                                        "own call");
 }
 
 void
@@ -117,7 +121,7 @@
 }
 
 static int64_t
-left_ms (struct beryl_forward *f, struct request *r, int64_t now_ms)
+quarantine_left_ms (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
   if (beryl_quarantine_count (f->quarantine) == 0)
     return 0;
@@ -126,16 +130,16 @@
 }
 
 bool
-crashes_quarantined (struct beryl_forward *f, struct request *r,
-                     int64_t now_ms)
+crashes_is_quarantined (struct beryl_forward *f, struct request *r,
+                        int64_t now_ms)
 {
-  return left_ms (f, r, now_ms) > 0;
+  return quarantine_left_ms (f, r, now_ms) > 0;
 }
 
 bool
 crashes_refuse (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
-  int64_t after_ms = left_ms (f, r, now_ms);
+  int64_t after_ms = quarantine_left_ms (f, r, now_ms);
 
   if (after_ms == 0)
     return false;
@@ -145,35 +149,37 @@
 }
 
 bool
-crashes_watches (const struct request *r, int64_t now_ms)
+crashes_is_suspect (const struct request *r, int64_t now_ms)
 {
   return r->suspect
-         && (r->phase != PHASE_RUNNING || now_ms - r->run_ms < WATCH_MS);
+         && (r->phase != PHASE_RUNNING || now_ms - r->run_ms < SUSPECT_RUN_MS);
 }
 
 bool
-crashes_shares (const struct beryl_forward *f, const struct request *r,
-                const struct beryl_live *live, int64_t now_ms)
+crashes_suspect_at (const struct beryl_forward *f, const struct request *r,
+                    const struct beryl_live *endpoint, int64_t now_ms)
 {
   const struct request *other = NULL;
 
-  if (!crashes_watching (f, now_ms))
+  if (!crashes_any_suspect (f, now_ms))
     return false;
   TAILQ_FOREACH (other, &f->requests, entry)
   {
-    bool is_there = other->reservation.live == live
-                    || (other->first != NULL && other->first->live == live);
+    bool is_there
+        = other->reservation.endpoint == endpoint
+          || (other->primary != NULL && other->primary->endpoint == endpoint);
 
-    if (other != r && is_there && crashes_watches (other, now_ms))
+    if (other != r && is_there && crashes_is_suspect (other, now_ms))
       return true;
   }
-  return book_has_suspect (&f->book, beryl_live_number (live), now_ms);
+  return run_table_has_suspect (&f->run_table, beryl_live_number (endpoint),
+                                now_ms);
 }
 
 static bool
 is_at_endpoint (const struct request *r)
 {
-  return r->phase == PHASE_RUNNING && r->first != NULL;
+  return r->phase == PHASE_RUNNING && r->primary != NULL;
 }
 
 void
@@ -182,9 +188,9 @@
   struct request *r, *next;
 
   beryl_quarantine_expire (f->quarantine, now_ms);
-  if (now_ms < f->sweep_ms)
+  if (now_ms < f->quarantine_check_ms)
     return;
-  f->sweep_ms = BERYL_NEVER_MS;
+  f->quarantine_check_ms = BERYL_NEVER_MS;
   for (r = TAILQ_FIRST (&f->requests); r != NULL; r = next)
     {
       next = TAILQ_NEXT (r, entry);
--- /dev/null
+++ b/libberyl/forward/endpoint_reports.c
@@ -0,0 +1,127 @@
+#include "private.h"
+
+#include <string.h>
+
+/* Reports between nodes of endpoint states that the endpoint list does not
+   show yet. Entries of dead endpoints stay listed for seconds, and with many
+   nodes each calls an endpoint rarely: without reports every node would lose a
+   connection timeout, or one of its few repeats, to each dead endpoint. */
+
+/* How long a replaced endpoint is reported: until one of the datagrams, some
+   of which may be lost, has arrived and its entry has lapsed. */
+#define REPLACED_REPORT_MS 3000
+/* How long an unreachable endpoint is reported; it may be back after that. */
+#define UNREACHABLE_REPORT_MS 1000
+/* How long an engine that was reported to change its stage is avoided; the
+   report is repeated while the change lasts. */
+#define CHANGING_AVOID_MS 2000
+/* A peer that cannot reach more than one in this many of all endpoints is cut
+   off itself, and its reports of unreachable endpoints are ignored. */
+#define UNREACHABLE_SHARE 3
+
+void
+beryl_endpoint_set_add (struct beryl_endpoint_set *set, uint32_t number)
+{
+  if (set->count < BERYL_ENDPOINT_SET_MAX)
+    set->numbers[set->count++] = number;
+}
+
+static void
+log_state (struct beryl_forward *f, const struct beryl_live *endpoint,
+           const char *what, const char *from)
+{
+  if (f->owner->impl->log_endpoint_state != NULL)
+    f->owner->impl->log_endpoint_state (f->owner, endpoint, what, from);
+}
+
+void
+endpoint_report_replaced (struct beryl_forward *f, struct beryl_live *endpoint,
+                          int64_t now_ms)
+{
+  if (endpoint->replaced_ms != 0)
+    return;
+  beryl_live_replaced (endpoint, now_ms);
+  crashes_endpoint_ended (f, endpoint, now_ms);
+  f->runs_changed = true;
+  log_state (f, endpoint, "replaced", "own call");
+}
+
+void
+endpoint_report_unreachable (struct beryl_forward *f,
+                             struct beryl_live *endpoint, int64_t now_ms)
+{
+  beryl_live_unreachable (endpoint, now_ms);
+  f->runs_changed = true;
+}
+
+void
+beryl_forward_endpoint_reports (const struct beryl_forward *f,
+                                struct beryl_endpoint_news *reports,
+                                int64_t now_ms)
+{
+  for (size_t i = 0; i < beryl_lives_count (f->endpoints); i++)
+    {
+      const struct beryl_live *endpoint = beryl_lives_get (f->endpoints, i);
+      uint32_t number;
+
+      if (endpoint->replaced_ms == 0 && endpoint->unreachable_ms == 0)
+        continue;
+      number = beryl_live_number (endpoint);
+      if (endpoint->replaced_ms != 0)
+        {
+          if (now_ms - endpoint->replaced_ms < REPLACED_REPORT_MS)
+            beryl_endpoint_set_add (&reports->replaced, number);
+        }
+      else if (now_ms - endpoint->unreachable_ms < UNREACHABLE_REPORT_MS)
+        beryl_endpoint_set_add (&reports->unreachable, number);
+    }
+}
+
+static bool
+set_has (const struct beryl_endpoint_set *set, uint32_t number)
+{
+  for (size_t i = 0; i < set->count; i++)
+    if (set->numbers[i] == number)
+      return true;
+  return false;
+}
+
+static void
+apply_report (struct beryl_forward *f, const char *peer, uint32_t peer_number,
+              const struct beryl_endpoint_news *reports,
+              struct beryl_live *endpoint, int64_t now_ms)
+{
+  uint32_t number = beryl_live_number (endpoint);
+
+  if (set_has (&reports->changing, number))
+    endpoint->changing_until_ms = now_ms + CHANGING_AVOID_MS;
+  if (set_has (&reports->replaced, number) && endpoint->replaced_ms == 0)
+    {
+      beryl_live_replaced (endpoint, now_ms);
+      crashes_endpoint_ended (f, endpoint, now_ms);
+      log_state (f, endpoint, "replaced", peer);
+    }
+  if (set_has (&reports->unreachable, number)
+      && beryl_live_doubt (endpoint, peer_number, now_ms))
+    log_state (f, endpoint, "unreachable", peer);
+}
+
+void
+beryl_forward_peer_endpoint_reports (struct beryl_forward *f, const char *peer,
+                                     const struct beryl_endpoint_news *reports,
+                                     int64_t now_ms)
+{
+  size_t count = beryl_lives_count (f->endpoints);
+  uint32_t peer_number = beryl_engine_number (peer);
+  struct beryl_endpoint_news accepted = *reports;
+
+  if (reports->unreachable.count * UNREACHABLE_SHARE > count)
+    accepted.unreachable.count = 0;
+  if (accepted.changing.count + accepted.replaced.count
+          + accepted.unreachable.count
+      == 0)
+    return;
+  for (size_t i = 0; i < count; i++)
+    apply_report (f, peer, peer_number, &accepted,
+                  beryl_lives_get (f->endpoints, i), now_ms);
+}
--- a/libberyl/forward/engines.c
+++ b/libberyl/forward/engines.c
@@ -15,190 +15,195 @@
    fill this additional part of its memory, or would prefill the prompt this
    much later: KV caches take longer to transfer there, and traffic between
    data centres is charged. */
-#define FAR_PART 0.15
-#define FAR_WAIT_MS 50
+#define REMOTE_COST_PART 0.15
+#define REMOTE_WAIT_MS 50
 /* Time constant by which the estimate of memory used by unknown runs
    decays. */
-#define HIDDEN_FADE_MS 2000.0
+#define HIDDEN_DECAY_MS 2000.0
 
 static bool
-serves (const struct beryl_live *live, const struct request *r,
+serves (const struct beryl_live *endpoint, const struct request *r,
         enum beryl_stage stage, int64_t now_ms)
 {
-  return live->info.stage == stage && beryl_live_takes_work (live)
-         && !beryl_live_changing (live, now_ms)
-         && strcmp (live->info.service, r->service->name) == 0;
+  return endpoint->info.stage == stage && beryl_live_takes_work (endpoint)
+         && !beryl_live_changing (endpoint, now_ms)
+         && strcmp (endpoint->info.service, r->service->name) == 0;
 }
 
 static uint32_t
 made_tokens (const struct request *r, int64_t now_ms)
 {
-  uint64_t made = r->event_count * r->terms->engine.event_tokens;
+  uint64_t made = r->event_count * r->config->engine.event_tokens;
 
   if (r->phase != PHASE_RUNNING)
     return 0;
-  if (r->event_ms > 0 && now_ms > r->event_ms)
-    made += (uint64_t)fmin ((double)(now_ms - r->event_ms)
+  if (r->last_event_ms > 0 && now_ms > r->last_event_ms)
+    made += (uint64_t)fmin ((double)(now_ms - r->last_event_ms)
                                 / r->service->lengths.ms_per_token,
-                            r->terms->engine.event_tokens);
-  return made < r->facts.output_tokens_max ? (uint32_t)made
-                                           : r->facts.output_tokens_max;
+                            r->config->engine.event_tokens);
+  return made < r->params.output_tokens_max ? (uint32_t)made
+                                            : r->params.output_tokens_max;
 }
 
 void
 engine_describe_run (const struct request *r, int64_t now_ms,
                      struct beryl_engine_run *run)
 {
-  const struct beryl_live *live = r->reservation.live;
+  const struct beryl_live *endpoint = r->reservation.endpoint;
 
   *run = (struct beryl_engine_run){
-    .engine = live != NULL ? beryl_live_number (live) : 0,
-    .prompt_tokens = r->facts.prompt_tokens,
+    .engine = endpoint != NULL ? beryl_live_number (endpoint) : 0,
+    .prompt_tokens = r->params.prompt_tokens,
     .expected_tokens = r->expected_tokens,
     .made_tokens = made_tokens (r, now_ms),
     .started = r->phase == PHASE_RUNNING,
-    .suspect = crashes_watches (r, now_ms),
+    .suspect = crashes_is_suspect (r, now_ms),
   };
-  run->prompt_key = r->facts.prompt_key;
-  if (live == NULL)
+  run->prompt_key = r->params.prompt_key;
+  if (endpoint == NULL)
     run->service = beryl_engine_number (r->service->name);
-  if (r->reads_alone && r->run_events == 0)
+  if (r->local_prefill && r->run_events == 0)
     run->prefill_engine = run->engine;
-  if (r->phase == PHASE_PREFILLING && r->first != NULL)
-    run->prefill_engine = beryl_live_number (r->first->live);
+  if (r->phase == PHASE_PREFILLING && r->primary != NULL)
+    run->prefill_engine = beryl_live_number (r->primary->endpoint);
 }
 
 /* Returns the memory that unknown runs are expected to use AHEAD_MS from now;
    it decays as they end. */
 static double
-hidden_at (const struct beryl_live *live, int64_t now_ms, int64_t ahead_ms)
+hidden_at (const struct beryl_live *endpoint, int64_t now_ms, int64_t ahead_ms)
 {
-  double age_ms = (double)(now_ms - live->hidden_ms + ahead_ms);
+  double age_ms = (double)(now_ms - endpoint->hidden_ms + ahead_ms);
 
-  return live->hidden_tokens > 0
-             ? live->hidden_tokens * exp (-age_ms / HIDDEN_FADE_MS)
+  return endpoint->hidden_tokens > 0
+             ? endpoint->hidden_tokens * exp (-age_ms / HIDDEN_DECAY_MS)
              : 0;
 }
 
 static void
-hidden_add (const struct beryl_live *live, int64_t now_ms,
-            struct book_curve *curve)
+hidden_add (const struct beryl_live *endpoint, int64_t now_ms,
+            struct memory_forecast *forecast)
 {
-  for (int i = 0; i < BOOK_STEPS; i++)
+  for (int i = 0; i < FORECAST_STEPS; i++)
     {
-      double hidden = hidden_at (live, now_ms, i * BOOK_STEP_MS);
+      double hidden = hidden_at (endpoint, now_ms, i * FORECAST_STEP_MS);
 
-      curve->tokens[i] += hidden;
-      curve->most[i] += hidden;
+      forecast->tokens[i] += hidden;
+      forecast->upper_bound[i] += hidden;
     }
 }
 
 void
-engine_curve (struct beryl_forward *f, const struct service *s,
-              const struct beryl_live *live, int64_t now_ms,
-              struct book_curve *curve)
+engine_forecast (struct beryl_forward *f, const struct service *s,
+                 const struct beryl_live *endpoint, int64_t now_ms,
+                 struct memory_forecast *forecast)
 {
   const struct request *r = NULL;
 
-  *curve = (struct book_curve){ 0 };
+  *forecast = (struct memory_forecast){ 0 };
   TAILQ_FOREACH (r, &f->requests, entry)
   {
     struct beryl_engine_run run;
 
-    if (r->reservation.live != live)
+    if (r->reservation.endpoint != endpoint)
       continue;
     engine_describe_run (r, now_ms, &run);
-    book_add (curve, &s->lengths, &run, 0, true);
+    memory_forecast_add (forecast, &s->lengths, &run, 0, true);
   }
-  book_add_peers (&f->book, curve, &s->lengths, beryl_live_number (live),
-                  now_ms);
-  hidden_add (live, now_ms, curve);
+  run_table_forecast (&f->run_table, forecast, &s->lengths,
+                      beryl_live_number (endpoint), now_ms);
+  hidden_add (endpoint, now_ms, forecast);
 }
 
 /* Runs of unreachable nodes use engine memory too. It is estimated from what
    an engine grants or refuses: the use that the known runs do not explain. */
 void
-engine_learn_room (struct beryl_forward *f, const struct request *r,
-                   struct beryl_live *live, uint32_t tokens, bool granted,
-                   int64_t now_ms)
+engine_learn_capacity (struct beryl_forward *f, const struct request *r,
+                       struct beryl_live *endpoint, uint32_t tokens,
+                       bool granted, int64_t now_ms)
 {
-  struct book_curve curve;
-  double room = (double)r->terms->engine.kv_tokens - tokens;
+  struct memory_forecast forecast;
+  double room = (double)r->config->engine.kv_tokens - tokens;
   double known;
 
-  live->hidden_tokens = hidden_at (live, now_ms, 0);
-  live->hidden_ms = now_ms;
-  engine_curve (f, r->service, live, now_ms, &curve);
-  known = curve.tokens[0] - live->hidden_tokens;
+  endpoint->hidden_tokens = hidden_at (endpoint, now_ms, 0);
+  endpoint->hidden_ms = now_ms;
+  engine_forecast (f, r->service, endpoint, now_ms, &forecast);
+  known = forecast.tokens[0] - endpoint->hidden_tokens;
   if (granted)
-    live->hidden_tokens = fmin (live->hidden_tokens, fmax (room - known, 0));
+    endpoint->hidden_tokens
+        = fmin (endpoint->hidden_tokens, fmax (room - known, 0));
   else
-    live->hidden_tokens = fmax (live->hidden_tokens, fmax (room - known, 0));
+    endpoint->hidden_tokens
+        = fmax (endpoint->hidden_tokens, fmax (room - known, 0));
 }
 
 double
 engine_peak_with (struct beryl_forward *f, const struct request *r,
-                  const struct beryl_live *live, double deviations,
+                  const struct beryl_live *endpoint, double deviations,
                   int64_t now_ms)
 {
   struct beryl_engine_run run;
-  struct book_curve curve;
+  struct memory_forecast forecast;
 
-  engine_curve (f, r->service, live, now_ms, &curve);
+  engine_forecast (f, r->service, endpoint, now_ms, &forecast);
   engine_describe_run (r, now_ms, &run);
-  book_add (&curve, &r->service->lengths, &run, 0, true);
-  return book_peak (&curve, BOOK_STEPS * BOOK_STEP_MS, deviations);
+  memory_forecast_add (&forecast, &r->service->lengths, &run, 0, true);
+  return memory_forecast_peak (&forecast, FORECAST_STEPS * FORECAST_STEP_MS,
+                               deviations);
 }
 
 /* An engine that failed recently is avoided except for occasional trials; a
    reservation call risks only the time of one connection. */
 static bool
-worth_asking (const struct beryl_live *live, int64_t now_ms)
+worth_asking (const struct beryl_live *endpoint, int64_t now_ms)
 {
-  return !beryl_live_avoided (live, now_ms)
-         || beryl_live_trial_due (live, now_ms);
+  return !beryl_live_avoided (endpoint, now_ms)
+         || beryl_live_trial_due (endpoint, now_ms);
 }
 
 bool
-engine_is_warm_for (const struct request *r, const struct beryl_live *live)
+engine_has_prompt_cached (const struct request *r,
+                          const struct beryl_live *endpoint)
 {
-  return r->warm_engine != 0 && beryl_live_number (live) == r->warm_engine;
+  return r->warm_engine != 0 && beryl_live_number (endpoint) == r->warm_engine;
 }
 
-/* Chooses an engine from SAMPLE for R; engines outside the data centre HOME
-   cost FAR_COST more. */
+/* Chooses an engine from SAMPLE for R; engines outside the data centre
+   PREFERRED cost REMOTE_COST more. */
 static struct beryl_live *
 choose (struct beryl_forward *f, const struct request *r,
-        struct sample *sample, const char *home, double far_cost,
+        struct sample *sample, const char *preferred, double remote_cost,
         int64_t now_ms, double *cost)
 {
-  struct sample_terms terms = {
-    .at_once = backlog_at_once (f, r, now_ms),
-    .home = home,
-    .far_cost = far_cost,
+  struct sample_options options = {
+    .concurrent_choices = backlog_concurrent_choices (f, r, now_ms),
+    .data_centre = preferred,
+    .remote_cost = remote_cost,
     .random = &f->random,
   };
 
-  return sample_best (sample, &terms, cost);
+  return sample_choose (sample, &options, cost);
 }
 
-/* Returns whether LIVE may be asked to run R. */
+/* Returns whether ENDPOINT may be asked to run R. */
 static bool
-may_be_asked (const struct request *r, const struct beryl_live *live,
+may_be_asked (const struct request *r, const struct beryl_live *endpoint,
               int64_t now_ms)
 {
-  return serves (live, r, BERYL_STAGE_DECODE, now_ms)
-         && now_ms >= live->full_until_ms && !forward_request_tried (r, live)
-         && worth_asking (live, now_ms);
+  return serves (endpoint, r, BERYL_STAGE_DECODE, now_ms)
+         && now_ms >= endpoint->full_until_ms
+         && !forward_request_was_tried (r, endpoint)
+         && worth_asking (endpoint, now_ms);
 }
 
-/* Extrapolates OUTLOOK from SAMPLE, whose costs are set, to all engines that
+/* Extrapolates CAPACITY from SAMPLE, whose costs are set, to all engines that
    it was drawn from. */
 static void
-foresee (const struct request *r, const struct sample *sample, double room,
-         struct engine_outlook *outlook)
+estimate_capacity (const struct request *r, const struct sample *sample,
+                   double room, struct engine_capacity *capacity)
 {
-  double need = r->facts.prompt_tokens + r->expected_tokens;
+  double need = r->params.prompt_tokens + r->expected_tokens;
   double least = 0;
 
   for (size_t i = 0; i < sample_count (sample); i++)
@@ -209,65 +214,65 @@
         least = cost;
       /* An engine of unknown memory size counts as one place. */
       if (cost <= room || room <= 0)
-        outlook->places += 1 + fmax (room - cost, 0) / fmax (need, 1);
+        capacity->free_places += 1 + fmax (room - cost, 0) / fmax (need, 1);
     }
-  if (sample->seen > SAMPLE_MAX)
-    outlook->places *= (double)sample->seen / SAMPLE_MAX;
-  outlook->lowest = room > 0 ? FILL_PART * least / room : 0;
+  if (sample->offered > SAMPLE_MAX)
+    capacity->free_places *= (double)sample->offered / SAMPLE_MAX;
+  capacity->min_fill = room > 0 ? FILL_PART * least / room : 0;
 }
 
 /* Chooses among the engines that run no suspect (APART), or among all. */
 static struct beryl_live *
 choose_decode (struct beryl_forward *f, const struct request *r, bool apart,
-               struct engine_outlook *outlook, int64_t now_ms)
+               struct engine_capacity *capacity, int64_t now_ms)
 {
   struct sample sample;
   struct beryl_live *best = NULL, *warm = NULL;
-  double room = FILL_PART * (double)r->terms->engine.kv_tokens;
+  double room = FILL_PART * (double)r->config->engine.kv_tokens;
   double cost;
 
   sample_init (&sample);
-  for (size_t i = 0; i < beryl_lives_count (f->lives); i++)
+  for (size_t i = 0; i < beryl_lives_count (f->endpoints); i++)
     {
-      struct beryl_live *live = beryl_lives_get (f->lives, i);
+      struct beryl_live *endpoint = beryl_lives_get (f->endpoints, i);
 
-      if (!may_be_asked (r, live, now_ms)
-          || !rates_allow (f, r->service, live, now_ms)
-          || (apart && crashes_shares (f, r, live, now_ms)))
+      if (!may_be_asked (r, endpoint, now_ms)
+          || !rates_allows (f, r->service, endpoint, now_ms)
+          || (apart && crashes_suspect_at (f, r, endpoint, now_ms)))
         continue;
-      if (engine_is_warm_for (r, live))
-        warm = live;
-      sample_add (&sample, live, &f->random);
+      if (engine_has_prompt_cached (r, endpoint))
+        warm = endpoint;
+      sample_add (&sample, endpoint, &f->random);
     }
   for (size_t i = 0; i < sample_count (&sample); i++)
-    sample.items[i].cost = engine_peak_with (f, r, sample.items[i].live,
+    sample.items[i].cost = engine_peak_with (f, r, sample.items[i].endpoint,
                                              FILL_DEVIATIONS, now_ms);
-  foresee (r, &sample, room, outlook);
+  estimate_capacity (r, &sample, room, capacity);
   if (room > 0)
-    sample_limit (&sample, room);
+    sample_drop_above (&sample, room);
   if (warm != NULL
       && (room <= 0
           || engine_peak_with (f, r, warm, FILL_DEVIATIONS, now_ms) <= room))
     best = warm;
   else
-    best = choose (f, r, &sample, f->settings.data_centre, FAR_PART * room,
-                   now_ms, &cost);
+    best = choose (f, r, &sample, f->settings.data_centre,
+                   REMOTE_COST_PART * room, now_ms, &cost);
   return best;
 }
 
 /* This is an estimate; the engine itself counts exactly and decides. */
 struct beryl_live *
 engine_choose_decode (struct beryl_forward *f, const struct request *r,
-                      struct engine_outlook *outlook, int64_t now_ms)
+                      struct engine_capacity *capacity, int64_t now_ms)
 {
   struct beryl_live *best = NULL;
 
-  if (crashes_watching (f, now_ms))
-    best = choose_decode (f, r, true, outlook, now_ms);
+  if (crashes_any_suspect (f, now_ms))
+    best = choose_decode (f, r, true, capacity, now_ms);
   if (best == NULL)
     {
-      *outlook = (struct engine_outlook){ 0 };
-      best = choose_decode (f, r, false, outlook, now_ms);
+      *capacity = (struct engine_capacity){ 0 };
+      best = choose_decode (f, r, false, capacity, now_ms);
     }
   if (best != NULL && beryl_live_avoided (best, now_ms))
     best->trial_ms = now_ms;
@@ -279,61 +284,63 @@
                       int64_t now_ms)
 {
   struct sample sample;
-  double room = FILL_PART * (double)r->terms->engine.kv_tokens;
+  double room = FILL_PART * (double)r->config->engine.kv_tokens;
   double cost;
 
   sample_init (&sample);
-  for (size_t i = 0; i < beryl_lives_count (f->lives); i++)
+  for (size_t i = 0; i < beryl_lives_count (f->endpoints); i++)
     {
-      struct beryl_live *live = beryl_lives_get (f->lives, i);
-
-      if (serves (live, r, BERYL_STAGE_DECODE, now_ms)
-          && live != r->reservation.live && now_ms >= live->full_until_ms
-          && !beryl_live_avoided (live, now_ms) && !rates_limited (f, live))
-        sample_add (&sample, live, &f->random);
+      struct beryl_live *endpoint = beryl_lives_get (f->endpoints, i);
+
+      if (serves (endpoint, r, BERYL_STAGE_DECODE, now_ms)
+          && endpoint != r->reservation.endpoint
+          && now_ms >= endpoint->full_until_ms
+          && !beryl_live_avoided (endpoint, now_ms)
+          && !rates_is_limited (f, endpoint))
+        sample_add (&sample, endpoint, &f->random);
     }
   for (size_t i = 0; i < sample_count (&sample); i++)
-    sample.items[i].cost = engine_peak_with (f, r, sample.items[i].live,
+    sample.items[i].cost = engine_peak_with (f, r, sample.items[i].endpoint,
                                              TARGET_DEVIATIONS, now_ms);
-  sample_limit (&sample, room);
-  return choose (f, r, &sample, r->reservation.live->info.data_centre,
-                 FAR_PART * room, now_ms, &cost);
+  sample_drop_above (&sample, room);
+  return choose (f, r, &sample, r->reservation.endpoint->info.data_centre,
+                 REMOTE_COST_PART * room, now_ms, &cost);
 }
 
 bool
-engine_newest (struct beryl_forward *f, const struct request *r,
-               int64_t now_ms)
+engine_is_newest_run (struct beryl_forward *f, const struct request *r,
+                      int64_t now_ms)
 {
   const struct request *other;
   uint32_t made = made_tokens (r, now_ms);
 
   TAILQ_FOREACH (other, &f->requests, entry)
-  if (other != r && other->reservation.live == r->reservation.live
+  if (other != r && other->reservation.endpoint == r->reservation.endpoint
       && made_tokens (other, now_ms) < made)
     return false;
-  return !book_has_newer (&f->book, &r->service->lengths,
-                          beryl_live_number (r->reservation.live), made,
-                          now_ms);
+  return !run_table_has_newer (&f->run_table, &r->service->lengths,
+                               beryl_live_number (r->reservation.endpoint),
+                               made, now_ms);
 }
 
 static bool
-reads_prompts (const struct beryl_live *live, const struct request *r,
-               int64_t now_ms)
+is_usable_prefill (const struct beryl_live *endpoint, const struct request *r,
+                   int64_t now_ms)
 {
-  return serves (live, r, BERYL_STAGE_PREFILL, now_ms)
-         && now_ms >= live->full_until_ms
-         && !beryl_live_avoided (live, now_ms);
+  return serves (endpoint, r, BERYL_STAGE_PREFILL, now_ms)
+         && now_ms >= endpoint->full_until_ms
+         && !beryl_live_avoided (endpoint, now_ms);
 }
 
-/* Returns the prompt tokens queued at LIVE by all nodes. */
+/* Returns the prompt tokens queued at ENDPOINT by all nodes. */
 static double
-queued_tokens (const struct beryl_forward *f, const struct beryl_live *live,
-               int64_t now_ms)
+queued_tokens (const struct beryl_forward *f,
+               const struct beryl_live *endpoint, int64_t now_ms)
 {
-  uint32_t number = beryl_live_number (live);
+  uint32_t number = beryl_live_number (endpoint);
 
-  return (double)(live->prefill_tokens
-                  + book_prefilling (&f->book, number, now_ms));
+  return (double)(endpoint->prefill_tokens
+                  + run_table_prefill_tokens (&f->run_table, number, now_ms));
 }
 
 struct beryl_live *
@@ -345,29 +352,29 @@
   double waiting_tokens = 0;
 
   sample_init (&sample);
-  for (size_t i = 0; i < beryl_lives_count (f->lives); i++)
+  for (size_t i = 0; i < beryl_lives_count (f->endpoints); i++)
     {
-      struct beryl_live *live = beryl_lives_get (f->lives, i);
+      struct beryl_live *endpoint = beryl_lives_get (f->endpoints, i);
 
-      if (reads_prompts (live, r, now_ms)
-          && rates_allow (f, r->service, live, now_ms))
-        sample_add (&sample, live, &f->random);
+      if (is_usable_prefill (endpoint, r, now_ms)
+          && rates_allows (f, r->service, endpoint, now_ms))
+        sample_add (&sample, endpoint, &f->random);
     }
   for (size_t i = 0; i < sample_count (&sample); i++)
-    sample.items[i].cost = queued_tokens (f, sample.items[i].live, now_ms);
-  best = choose (f, r, &sample, r->reservation.live->info.data_centre,
-                 FAR_WAIT_MS / r->service->prefill_ms_per_token, now_ms,
+    sample.items[i].cost = queued_tokens (f, sample.items[i].endpoint, now_ms);
+  best = choose (f, r, &sample, r->reservation.endpoint->info.data_centre,
+                 REMOTE_WAIT_MS / r->service->prefill_ms_per_token, now_ms,
                  &waiting_tokens);
   *wait_ms = (int64_t)(waiting_tokens * r->service->prefill_ms_per_token);
   return best;
 }
 
 bool
-engine_may_prefill (struct beryl_forward *f, const struct request *r,
+engine_has_prefill (struct beryl_forward *f, const struct request *r,
                     int64_t now_ms)
 {
-  for (size_t i = 0; i < beryl_lives_count (f->lives); i++)
-    if (reads_prompts (beryl_lives_get (f->lives, i), r, now_ms))
+  for (size_t i = 0; i < beryl_lives_count (f->endpoints); i++)
+    if (is_usable_prefill (beryl_lives_get (f->endpoints, i), r, now_ms))
       return true;
   return false;
 }
@@ -378,14 +385,14 @@
 {
   double least_tokens = -1;
 
-  for (size_t i = 0; i < beryl_lives_count (f->lives); i++)
+  for (size_t i = 0; i < beryl_lives_count (f->endpoints); i++)
     {
-      struct beryl_live *live = beryl_lives_get (f->lives, i);
+      struct beryl_live *endpoint = beryl_lives_get (f->endpoints, i);
       double tokens;
 
-      if (!reads_prompts (live, r, now_ms))
+      if (!is_usable_prefill (endpoint, r, now_ms))
         continue;
-      tokens = queued_tokens (f, live, now_ms);
+      tokens = queued_tokens (f, endpoint, now_ms);
       if (least_tokens < 0 || tokens < least_tokens)
         least_tokens = tokens;
     }
@@ -393,21 +400,23 @@
 }
 
 uint32_t
-engine_runs (struct beryl_forward *f, const struct request *r, int64_t now_ms)
+engine_run_count (struct beryl_forward *f, const struct request *r,
+                  int64_t now_ms)
 {
   const struct request *other = NULL;
   uint32_t runs = 0;
 
-  for (size_t i = 0; i < beryl_lives_count (f->lives); i++)
+  for (size_t i = 0; i < beryl_lives_count (f->endpoints); i++)
     {
-      const struct beryl_live *live = beryl_lives_get (f->lives, i);
+      const struct beryl_live *endpoint = beryl_lives_get (f->endpoints, i);
 
-      if (live->info.stage == BERYL_STAGE_DECODE
-          && strcmp (live->info.service, r->service->name) == 0)
-        runs += book_runs (&f->book, beryl_live_number (live), now_ms);
+      if (endpoint->info.stage == BERYL_STAGE_DECODE
+          && strcmp (endpoint->info.service, r->service->name) == 0)
+        runs += run_table_runs (&f->run_table, beryl_live_number (endpoint),
+                                now_ms);
     }
   TAILQ_FOREACH (other, &f->requests, entry)
-  runs += other->service == r->service && other->reservation.live != NULL;
+  runs += other->service == r->service && other->reservation.endpoint != NULL;
   return runs;
 }
 
@@ -416,24 +425,25 @@
                          const struct beryl_engine_run *runs, size_t count,
                          int64_t now_ms)
 {
-  book_told (&f->book, peer, runs, count, now_ms);
+  run_table_update (&f->run_table, peer, runs, count, now_ms);
   for (size_t i = 0; i < count; i++)
     if (runs[i].started)
-      prompts_note (&f->prompts, runs[i].prompt_key, runs[i].engine, now_ms);
+      prompt_locations_record (&f->prompt_locations, runs[i].prompt_key,
+                               runs[i].engine, now_ms);
 }
 
 void
-beryl_forward_prompt_kept (struct beryl_forward *f, uint32_t key,
-                           uint32_t engine, int64_t now_ms)
+beryl_forward_prompt_cached (struct beryl_forward *f, uint32_t key,
+                             uint32_t engine, int64_t now_ms)
 {
-  prompts_note (&f->prompts, key, engine, now_ms);
+  prompt_locations_record (&f->prompt_locations, key, engine, now_ms);
 }
 
 void
-beryl_forward_peer_gone (struct beryl_forward *f, const char *peer)
+beryl_forward_remove_peer (struct beryl_forward *f, const char *peer)
 {
-  book_forget (&f->book, peer);
-  profile_forget (f, peer);
+  run_table_remove_peer (&f->run_table, peer);
+  profile_remove_peer (f, peer);
 }
 
 static size_t
@@ -445,8 +455,8 @@
 
   TAILQ_FOREACH_REVERSE (r, &f->requests, request_list, entry)
   if (count < most
-      && (placed ? r->reservation.live != NULL
-                 : r->waiting && r->reservation.live == NULL))
+      && (placed ? r->reservation.endpoint != NULL
+                 : r->waiting && r->reservation.endpoint == NULL))
     engine_describe_run (r, now_ms, &runs[count++]);
   return count;
 }
@@ -465,13 +475,14 @@
 }
 
 uint64_t
-beryl_forward_engine_used (struct beryl_forward *f, const char *service,
-                           const struct beryl_live *engine, int64_t now_ms)
+beryl_forward_engine_used_tokens (struct beryl_forward *f, const char *service,
+                                  const struct beryl_live *engine,
+                                  int64_t now_ms)
 {
-  struct book_curve curve;
+  struct memory_forecast forecast;
 
-  engine_curve (f, forward_service (f, service), engine, now_ms, &curve);
-  return (uint64_t)curve.tokens[0];
+  engine_forecast (f, forward_service (f, service), engine, now_ms, &forecast);
+  return (uint64_t)forecast.tokens[0];
 }
 
 bool
--- a/libberyl/forward/events.c
+++ b/libberyl/forward/events.c
@@ -82,12 +82,12 @@
   size_t length;
 
   *event = (struct event){ 0 };
-  if (s->taken > 0)
+  if (s->consumed > 0)
     {
-      memmove (s->pending.bytes, s->pending.bytes + s->taken,
-               s->pending.count - s->taken);
-      s->pending.count -= s->taken;
-      s->taken = 0;
+      memmove (s->pending.bytes, s->pending.bytes + s->consumed,
+               s->pending.count - s->consumed);
+      s->pending.count -= s->consumed;
+      s->consumed = 0;
       s->scanned = 0;
     }
   length = event_length (s);
@@ -95,7 +95,7 @@
     return false;
   event->bytes = s->pending.bytes;
   event->count = length;
-  s->taken = length;
+  s->consumed = length;
   read_id (event);
   return true;
 }
@@ -103,7 +103,7 @@
 bool
 event_splitter_partial (const struct event_splitter *s)
 {
-  return s->pending.count > s->taken;
+  return s->pending.count > s->consumed;
 }
 
 void
@@ -111,7 +111,7 @@
 {
   s->pending.count = 0;
   s->scanned = 0;
-  s->taken = 0;
+  s->consumed = 0;
 }
 
 void
--- a/libberyl/forward/events.h
+++ b/libberyl/forward/events.h
@@ -20,8 +20,8 @@
 struct event_splitter
 {
   struct buffer pending; /**< bytes of events not returned yet */
-  size_t scanned; /**< bytes searched without finding the end of an event */
-  size_t taken;   /**< bytes of the event returned last */
+  size_t scanned;  /**< bytes searched without finding the end of an event */
+  size_t consumed; /**< bytes of the event returned last */
 };
 
 /** One event, including the empty line that ends it. */
--- a/libberyl/forward/forward.c
+++ b/libberyl/forward/forward.c
@@ -45,11 +45,11 @@
   struct beryl_forward *f = calloc (1, sizeof *f);
 
   f->settings = *settings;
-  f->lives = lives;
+  f->endpoints = lives;
   f->owner = owner;
   f->nodes = 1;
   f->random = settings->seed;
-  f->end_ms = BERYL_NEVER_MS;
+  f->stop_ms = BERYL_NEVER_MS;
   TAILQ_INIT (&f->requests);
   TAILQ_INIT (&f->exchanges);
   crashes_init (f);
@@ -74,13 +74,13 @@
     forward_request_free (f, r);
   for (size_t i = 0; i < f->service_count; i++)
     {
-      profile_clear (&f->services[i]->peers);
+      profile_clear (&f->services[i]->peer_profiles);
       free (f->services[i]);
     }
   free (f->services);
   map_clear (&f->requests_by_handle);
   map_clear (&f->exchanges_by_id);
-  book_clear (&f->book);
+  run_table_clear (&f->run_table);
   beryl_quarantine_destroy (f->quarantine);
   beryl_limits_destroy (f->limits);
   beryl_routes_unref (f->routes);
@@ -100,8 +100,8 @@
   length_model_init (&s->lengths);
   s->prompt_tokens = PRIOR_PROMPT_TOKENS;
   s->output_tokens = s->lengths.tokens_mean;
-  pace_init (&s->prefill);
-  s->prefill_ms_per_token = s->prefill.ms_per_token;
+  pace_init (&s->prefill_pace);
+  s->prefill_ms_per_token = s->prefill_pace.ms_per_token;
   f->services
       = realloc (f->services, (f->service_count + 1) * sizeof (void *));
   f->services[f->service_count++] = s;
@@ -109,7 +109,7 @@
 }
 
 struct service *
-forward_service_numbered (const struct beryl_forward *f, uint32_t number)
+forward_service_by_number (const struct beryl_forward *f, uint32_t number)
 {
   for (size_t i = 0; i < f->service_count; i++)
     if (beryl_engine_number (f->services[i]->name) == number)
@@ -118,7 +118,7 @@
 }
 
 static void
-note_engines (struct beryl_forward *f, const struct beryl_routes *routes)
+update_kv_sizes (struct beryl_forward *f, const struct beryl_routes *routes)
 {
   for (size_t i = 0; i < routes->service_count; i++)
     if (routes->services[i].engines)
@@ -129,15 +129,16 @@
 void
 beryl_forward_set_routes (struct beryl_forward *f, struct beryl_routes *routes)
 {
-  note_engines (f, routes);
+  update_kv_sizes (f, routes);
   beryl_routes_ref (routes);
   beryl_routes_unref (f->routes);
   f->routes = routes;
 }
 
 void
-beryl_forward_set_repeats (struct beryl_forward *f, double repeat_ratio,
-                           uint32_t repeat_slack, int64_t repeat_window_ms)
+beryl_forward_set_repeat_limits (struct beryl_forward *f, double repeat_ratio,
+                                 uint32_t repeat_slack,
+                                 int64_t repeat_window_ms)
 {
   f->settings.repeat_ratio = repeat_ratio;
   f->settings.repeat_slack = repeat_slack;
@@ -145,15 +146,16 @@
 }
 
 void
-beryl_forward_set_nodes (struct beryl_forward *f, uint32_t nodes)
+beryl_forward_set_node_count (struct beryl_forward *f, uint32_t nodes)
 {
   f->nodes = nodes > 0 ? nodes : 1;
 }
 
 void
-beryl_forward_set_interval (struct beryl_forward *f, int64_t interval_ms)
+beryl_forward_set_report_interval (struct beryl_forward *f,
+                                   int64_t interval_ms)
 {
-  f->book.interval_ms = interval_ms;
+  f->run_table.report_interval_ms = interval_ms;
 }
 
 void
@@ -163,33 +165,33 @@
 }
 
 struct exchange *
-forward_start (struct beryl_forward *f, struct request *r,
-               struct beryl_exchange_start *start, struct beryl_live *live,
-               int64_t now_ms)
+forward_exchange_start (struct beryl_forward *f, struct request *r,
+                        struct beryl_exchange_start *start,
+                        struct beryl_live *endpoint, int64_t now_ms)
 {
   struct exchange *x = calloc (1, sizeof *x);
 
-  x->id = ++f->last_exchange;
+  x->id = ++f->last_exchange_id;
   x->request = r;
   x->kind = start->kind;
-  x->live = live;
+  x->endpoint = endpoint;
   x->started_ms = now_ms;
   x->tokens = start->tokens;
   TAILQ_INSERT_TAIL (&f->exchanges, x, entry);
   map_put (&f->exchanges_by_id, map_key_number (x->id), x);
-  beryl_live_open (live);
+  beryl_live_open (endpoint);
   if (x->kind == BERYL_EXCHANGE_PREFILL)
     {
-      live->prefills++;
-      live->prefill_tokens += x->tokens;
+      endpoint->prefills++;
+      endpoint->prefill_tokens += x->tokens;
     }
   start->exchange = x->id;
-  start->request = r != NULL ? r->facts.request : 0;
-  start->endpoint = live;
+  start->request = r != NULL ? r->params.request : 0;
+  start->endpoint = endpoint;
   start->connect_timeout_ms = CONNECT_TIMEOUT_MS;
   if (r != NULL)
-    start->left_ms
-        = r->timeout_ms == BERYL_NEVER_MS ? 0 : r->timeout_ms - now_ms;
+    start->remaining_ms
+        = r->deadline_ms == BERYL_NEVER_MS ? 0 : r->deadline_ms - now_ms;
   f->owner->impl->start (f->owner, start);
   return x;
 }
@@ -199,21 +201,21 @@
 {
   struct request *r = x->request;
 
-  if (r != NULL && r->first == x)
+  if (r != NULL && r->primary == x)
     {
-      r->first = r->second;
-      r->second = NULL;
+      r->primary = r->secondary;
+      r->secondary = NULL;
     }
-  else if (r != NULL && r->second == x)
-    r->second = NULL;
+  else if (r != NULL && r->secondary == x)
+    r->secondary = NULL;
   TAILQ_REMOVE (&f->exchanges, x, entry);
   map_remove (&f->exchanges_by_id, map_key_number (x->id));
   if (x->kind == BERYL_EXCHANGE_PREFILL)
     {
-      x->live->prefills--;
-      x->live->prefill_tokens -= x->tokens;
+      x->endpoint->prefills--;
+      x->endpoint->prefill_tokens -= x->tokens;
     }
-  beryl_live_close (f->lives, x->live);
+  beryl_live_close (f->endpoints, x->endpoint);
   free (x);
 }
 
@@ -225,12 +227,12 @@
 }
 
 void
-forward_exchange_disown (struct beryl_forward *f, struct request *r,
+forward_exchange_detach (struct beryl_forward *f, struct request *r,
                          struct exchange *x)
 {
-  if (r->first == x)
-    r->first = r->second;
-  r->second = NULL;
+  if (r->primary == x)
+    r->primary = r->secondary;
+  r->secondary = NULL;
   x->request = NULL;
   if (x->kind != BERYL_EXCHANGE_RESERVE)
     forward_exchange_abort (f, x);
@@ -239,8 +241,8 @@
 /* Refuses a request without storing it. */
 static void
 refuse_at_once (struct beryl_forward *f,
-                const struct beryl_forward_request *facts, unsigned int status,
-                enum beryl_refusal_reason reason)
+                const struct beryl_forward_request *params,
+                unsigned int status, enum beryl_refusal_reason reason)
 {
   struct beryl_refusal refusal = {
     .status = status,
@@ -251,62 +253,62 @@
   struct beryl_decision decision = {
     .step = "refuse",
     .final = true,
-    .id = facts->id,
+    .id = params->id,
     .route = "",
     .service = "",
     .outcome = beryl_refusal_name (reason),
     .config_version = f->routes != NULL ? f->routes->version : 0,
   };
 
-  if (f->owner->impl->decided != NULL)
-    f->owner->impl->decided (f->owner, &decision);
-  f->owner->impl->refuse (f->owner, facts->request, &refusal);
+  if (f->owner->impl->log_decision != NULL)
+    f->owner->impl->log_decision (f->owner, &decision);
+  f->owner->impl->refuse (f->owner, params->request, &refusal);
 }
 
 /* Returns whether R can be answered before the process stops. */
 static bool
-ends_in_time (const struct beryl_forward *f, const struct request *r,
-              int64_t now_ms)
+can_end_in_time (const struct beryl_forward *f, const struct request *r,
+                 int64_t now_ms)
 {
   int64_t needed_ms = PLAIN_MS;
 
-  if (f->end_ms == BERYL_NEVER_MS)
+  if (f->stop_ms == BERYL_NEVER_MS)
     return true;
   if (forward_request_is_generation (r))
     needed_ms = GENERATION_MS
-                + (int64_t)(r->facts.output_tokens_max
+                + (int64_t)(r->params.output_tokens_max
                             * r->service->lengths.ms_per_token);
-  return now_ms + needed_ms <= f->end_ms;
+  return now_ms + needed_ms <= f->stop_ms;
 }
 
 void
-beryl_forward_arrived (struct beryl_forward *f,
-                       const struct beryl_forward_request *facts,
-                       int64_t now_ms)
+beryl_forward_submit (struct beryl_forward *f,
+                      const struct beryl_forward_request *params,
+                      int64_t now_ms)
 {
   const struct beryl_route *route;
   struct request *r;
 
   if (f->routes == NULL)
     {
-      refuse_at_once (f, facts, 503, BERYL_REFUSAL_NO_CONFIGURATION);
+      refuse_at_once (f, params, 503, BERYL_REFUSAL_NO_CONFIGURATION);
       return;
     }
-  route = beryl_routes_find (f->routes, facts->host, facts->path);
+  route = beryl_routes_find (f->routes, params->host, params->path);
   if (route == NULL || route->target_count == 0)
     {
-      refuse_at_once (f, facts, 404, BERYL_REFUSAL_NO_ROUTE);
+      refuse_at_once (f, params, 404, BERYL_REFUSAL_NO_ROUTE);
       return;
     }
-  r = forward_request_new (f, facts, route);
+  r = forward_request_new (f, params, route);
   if (!beryl_quarantine_empty (f->quarantine)
       && beryl_quarantine_suspects (f->quarantine,
                                     forward_request_fingerprint (f, r)))
-    crashes_suspect (f, r, now_ms);
-  forward_request_count (f, r->service, now_ms);
-  if (r->timeout_ms <= now_ms)
+    crashes_mark_suspect (f, r, now_ms);
+  forward_request_count_arrival (f, r->service, now_ms);
+  if (r->deadline_ms <= now_ms)
     forward_request_fail (f, r, BERYL_REFUSAL_DEADLINE, now_ms);
-  else if (!ends_in_time (f, r, now_ms))
+  else if (!can_end_in_time (f, r, now_ms))
     forward_request_refuse (f, r, 503, BERYL_REFUSAL_STOPPING,
                             STOPPING_RETRY_AFTER_MS, now_ms);
   else if (crashes_refuse (f, r, now_ms))
@@ -322,11 +324,11 @@
 {
   struct request *r, *next;
 
-  f->end_ms = end_ms;
+  f->stop_ms = end_ms;
   for (r = TAILQ_FIRST (&f->requests); r != NULL; r = next)
     {
       next = TAILQ_NEXT (r, entry);
-      if (r->waiting && !ends_in_time (f, r, now_ms))
+      if (r->waiting && !can_end_in_time (f, r, now_ms))
         forward_request_refuse (f, r, 503, BERYL_REFUSAL_STOPPING,
                                 STOPPING_RETRY_AFTER_MS, now_ms);
     }
@@ -345,49 +347,50 @@
 }
 
 void
-beryl_forward_caller_gone (struct beryl_forward *f, uint64_t handle,
-                           int64_t now_ms)
+beryl_forward_cancel (struct beryl_forward *f, uint64_t handle, int64_t now_ms)
 {
   struct request *r = request_find (f, handle);
 
   if (r == NULL)
     return;
-  forward_request_decided (f, r, "caller_gone", NULL, "cancelled",
-                           (int64_t)r->event_count, now_ms);
+  forward_request_log (f, r, "caller_gone", NULL, "cancelled",
+                       (int64_t)r->event_count, now_ms);
   forward_request_end (f, r, now_ms);
 }
 
 void
-beryl_forward_caller_slow (struct beryl_forward *f, uint64_t handle,
-                           bool paused)
+beryl_forward_set_caller_paused (struct beryl_forward *f, uint64_t handle,
+                                 bool paused)
 {
   struct request *r = request_find (f, handle);
 
   if (r == NULL || r->caller_slow == paused)
     return;
   r->caller_slow = paused;
-  if (r->first == NULL || r->first->paused == paused)
+  if (r->primary == NULL || r->primary->paused == paused)
     return;
-  r->first->paused = paused;
-  f->owner->impl->pause (f->owner, r->first->id, paused);
+  r->primary->paused = paused;
+  f->owner->impl->pause (f->owner, r->primary->id, paused);
 }
 
 void
-beryl_forward_head (struct beryl_forward *f, uint64_t id,
-                    const struct beryl_answer_head *head, int64_t now_ms)
+beryl_forward_answer_head (struct beryl_forward *f, uint64_t id,
+                           const struct beryl_answer_head *head,
+                           int64_t now_ms)
 {
   struct exchange *x = exchange_find (f, id);
 
   if (x == NULL || x->request == NULL)
     return;
-  x->headed = true;
+  x->has_head = true;
   x->head = *head;
   answer_head (f, x, now_ms);
 }
 
 void
-beryl_forward_data (struct beryl_forward *f, uint64_t id, const char *bytes,
-                    size_t bytes_count, int64_t now_ms)
+beryl_forward_answer_data (struct beryl_forward *f, uint64_t id,
+                           const char *bytes, size_t bytes_count,
+                           int64_t now_ms)
 {
   struct exchange *x = exchange_find (f, id);
 
@@ -396,7 +399,8 @@
 }
 
 void
-beryl_forward_done (struct beryl_forward *f, uint64_t id, int64_t now_ms)
+beryl_forward_answer_done (struct beryl_forward *f, uint64_t id,
+                           int64_t now_ms)
 {
   struct exchange *x = exchange_find (f, id);
 
@@ -406,8 +410,9 @@
 }
 
 void
-beryl_forward_result (struct beryl_forward *f, uint64_t id,
-                      const struct beryl_engine_result *result, int64_t now_ms)
+beryl_forward_exchange_result (struct beryl_forward *f, uint64_t id,
+                               const struct beryl_engine_result *result,
+                               int64_t now_ms)
 {
   struct exchange *x = exchange_find (f, id);
 
@@ -417,8 +422,9 @@
 }
 
 void
-beryl_forward_broken (struct beryl_forward *f, uint64_t id,
-                      enum beryl_break how, bool sent, int64_t now_ms)
+beryl_forward_exchange_failed (struct beryl_forward *f, uint64_t id,
+                               enum beryl_exchange_failure how, bool sent,
+                               int64_t now_ms)
 {
   struct exchange *x = exchange_find (f, id);
   struct request *r;
@@ -426,14 +432,14 @@
 
   if (x == NULL)
     return;
-  if (how == BERYL_BREAK_CONNECT)
+  if (how == BERYL_FAILURE_CONNECT)
     {
-      news_unreachable (f, x->live, now_ms);
-      crashes_ended (f, x->live, now_ms);
+      endpoint_report_unreachable (f, x->endpoint, now_ms);
+      crashes_endpoint_ended (f, x->endpoint, now_ms);
     }
-  beryl_live_learn (x->live,
-                    how == BERYL_BREAK_CONNECT ? BERYL_LIVE_SILENT
-                                               : BERYL_LIVE_BROKE,
+  beryl_live_learn (x->endpoint,
+                    how == BERYL_FAILURE_CONNECT ? BERYL_LIVE_SILENT
+                                                 : BERYL_LIVE_BROKE,
                     now_ms - x->started_ms, now_ms);
   r = x->request;
   kind = x->kind;
@@ -443,33 +449,34 @@
     answer_broken (f, x, how, sent, now_ms);
   else
     {
-      forward_request_decided (f, r, beryl_exchange_name (kind), x->live,
-                               "broken", (int64_t)how, now_ms);
+      forward_request_log (f, r, beryl_exchange_name (kind), x->endpoint,
+                           "broken", (int64_t)how, now_ms);
       forward_exchange_free (f, x);
       generation_broken (f, r, kind, sent, now_ms);
     }
 }
 
 void
-beryl_forward_lives_changed (struct beryl_forward *f, int64_t now_ms)
+beryl_forward_endpoints_changed (struct beryl_forward *f, int64_t now_ms)
 {
-  place_look_again (f, now_ms);
+  placement_wake_all (f, now_ms);
 }
 
 static void
 request_tick (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
-  if (now_ms >= r->timeout_ms)
+  if (now_ms >= r->deadline_ms)
     {
-      if (r->phase == PHASE_RUNNING && r->first != NULL && !r->first->headed)
-        beryl_live_learn (r->first->live, BERYL_LIVE_SILENT,
-                          now_ms - r->first->started_ms, now_ms);
+      if (r->phase == PHASE_RUNNING && r->primary != NULL
+          && !r->primary->has_head)
+        beryl_live_learn (r->primary->endpoint, BERYL_LIVE_SILENT,
+                          now_ms - r->primary->started_ms, now_ms);
       forward_request_fail (f, r, BERYL_REFUSAL_DEADLINE, now_ms);
     }
   else if (forward_request_is_generation (r))
-    generation_due (f, r, now_ms);
+    generation_timer (f, r, now_ms);
   else
-    plain_due (f, r, now_ms);
+    plain_timer (f, r, now_ms);
 }
 
 void
@@ -480,7 +487,7 @@
   for (r = TAILQ_FIRST (&f->requests); r != NULL; r = next)
     {
       next = TAILQ_NEXT (r, entry);
-      if (r->due_ms <= now_ms)
+      if (r->timer_ms <= now_ms)
         request_tick (f, r, now_ms);
     }
   generation_balance (f, now_ms);
@@ -488,29 +495,29 @@
 }
 
 int64_t
-beryl_forward_next_ms (const struct beryl_forward *f)
+beryl_forward_next_tick_ms (const struct beryl_forward *f)
 {
-  int64_t next_ms = f->sweep_ms;
+  int64_t next_ms = f->quarantine_check_ms;
   const struct request *r = NULL;
 
   TAILQ_FOREACH (r, &f->requests, entry)
   {
-    if (r->due_ms < next_ms)
-      next_ms = r->due_ms;
-    if (r->reservation.live != NULL && f->balance_ms < next_ms)
-      next_ms = f->balance_ms;
+    if (r->timer_ms < next_ms)
+      next_ms = r->timer_ms;
+    if (r->reservation.endpoint != NULL && f->next_balance_ms < next_ms)
+      next_ms = f->next_balance_ms;
   }
   return next_ms;
 }
 
 uint32_t
-beryl_forward_open (const struct beryl_forward *f)
+beryl_forward_open_count (const struct beryl_forward *f)
 {
-  return f->open;
+  return f->open_count;
 }
 
 uint32_t
-beryl_forward_waiting (const struct beryl_forward *f)
+beryl_forward_waiting_count (const struct beryl_forward *f)
 {
   return f->waiting_count;
 }
--- a/libberyl/forward/generation.c
+++ b/libberyl/forward/generation.c
@@ -5,32 +5,32 @@
 
 /* An engine that rejects a run for which it has granted a reservation is
    changing its stage or stopping; it is not asked for this long. */
-#define REJECTED_MS 1000
+#define REJECTED_BACKOFF_MS 1000
 /* A KV cache that expires sooner is not used. */
-#define KV_LEFT_MS 50
+#define KV_MIN_LEFT_MS 50
 /* How often one KV cache may be handed to an engine: a second time after the
    first engine has rejected the run, since the cache may have been the
    reason. */
-#define KV_TRIES_MAX 2
+#define KV_USES_MAX 2
 /* Weight of the newest request in the means, once enough were seen that this
    exceeds its weight in a plain mean. */
-#define MIX_WEIGHT 0.05
+#define MEAN_WEIGHT_MIN 0.05
 
 /* Updates the means from a request's arrival, when its size is known. Learning
    from the runs that have ended would be biased to short ones in the first
    seconds and after a shift to longer ones, which would leave too few engines
    for decode; with an assumed length there would be too few for prefill. */
 static void
-note_mix (struct service *s, const struct request *r)
+update_means (struct service *s, const struct request *r)
 {
-  double output = length_model_mean (&s->lengths, r->facts.output_tokens_hint,
-                                     r->facts.output_tokens_max);
+  double output = length_model_mean (&s->lengths, r->params.output_tokens_hint,
+                                     r->params.output_tokens_max);
   double weight;
 
-  s->seen++;
-  weight = fmax (MIX_WEIGHT, 1.0 / s->seen);
+  s->arrived++;
+  weight = fmax (MEAN_WEIGHT_MIN, 1.0 / s->arrived);
   s->prompt_tokens
-      += weight * ((double)r->facts.prompt_tokens - s->prompt_tokens);
+      += weight * ((double)r->params.prompt_tokens - s->prompt_tokens);
   s->output_tokens += weight * (output - s->output_tokens);
 }
 
@@ -39,31 +39,33 @@
 {
   struct service *s = r->service;
 
-  note_mix (s, r);
-  r->warm_engine = prompts_engine (&f->prompts, r->facts.prompt_key, now_ms);
+  update_means (s, r);
+  r->warm_engine = prompt_locations_find (&f->prompt_locations,
+                                          r->params.prompt_key, now_ms);
   /* The caller retries, so the run that another node reported for this prompt
      has ended. */
   if (r->warm_engine != 0)
-    book_drop_prompt (&f->book, r->facts.prompt_key);
+    run_table_drop_prompt (&f->run_table, r->params.prompt_key);
   r->expected_tokens = length_model_median (
-      &s->lengths, r->facts.output_tokens_hint, r->facts.output_tokens_max);
-  place_wait (f, r, now_ms);
+      &s->lengths, r->params.output_tokens_hint, r->params.output_tokens_max);
+  placement_start (f, r, now_ms);
 }
 
 void
 kv_clear (struct beryl_forward *f, struct kv_cache *kv)
 {
-  if (kv->live == NULL)
+  if (kv->endpoint == NULL)
     return;
-  beryl_live_close (f->lives, kv->live);
+  beryl_live_close (f->endpoints, kv->endpoint);
   *kv = (struct kv_cache){ 0 };
 }
 
 static bool
 kv_usable (const struct request *r, int64_t now_ms)
 {
-  return r->kv.live != NULL && r->kv.live->replaced_ms == 0
-         && r->kv.tries < KV_TRIES_MAX && now_ms + KV_LEFT_MS < r->kv.until_ms;
+  return r->kv.endpoint != NULL && r->kv.endpoint->replaced_ms == 0
+         && r->kv.uses < KV_USES_MAX
+         && now_ms + KV_MIN_LEFT_MS < r->kv.expires_ms;
 }
 
 void
@@ -73,21 +75,21 @@
       = { .kind = BERYL_EXCHANGE_DROP_KV, .kv_handle = r->kv.handle };
 
   move_clear (f, r);
-  place_release (f, &r->reservation, now_ms);
-  if (r->kv.live != NULL && r->kv.live->replaced_ms == 0
-      && now_ms < r->kv.until_ms)
-    forward_start (f, NULL, &drop, r->kv.live, now_ms);
+  reservation_release (f, &r->reservation, now_ms);
+  if (r->kv.endpoint != NULL && r->kv.endpoint->replaced_ms == 0
+      && now_ms < r->kv.expires_ms)
+    forward_exchange_start (f, NULL, &drop, r->kv.endpoint, now_ms);
   kv_clear (f, &r->kv);
 }
 
 void
-generation_exchange (struct beryl_forward *f, struct request *r,
-                     struct beryl_exchange_start *start,
-                     struct beryl_live *live, int64_t now_ms)
+generation_start_exchange (struct beryl_forward *f, struct request *r,
+                           struct beryl_exchange_start *start,
+                           struct beryl_live *endpoint, int64_t now_ms)
 {
   start->resumes = r->event_count > 0;
-  start->last_event = r->last_event;
-  r->first = forward_start (f, r, start, live, now_ms);
+  start->last_event_id = r->last_event_id;
+  r->primary = forward_exchange_start (f, r, start, endpoint, now_ms);
 }
 
 /* The first run of a request is its one arrival at the service, and a moved
@@ -95,10 +97,10 @@
 static bool
 run_allowed (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
-  bool paid = r->run_paid;
+  bool paid = r->run_repeat_taken;
 
-  r->run_paid = false;
-  return r->runs == 0 || r->same_run || paid
+  r->run_repeat_taken = false;
+  return r->runs == 0 || r->continues_run || paid
          || forward_request_take_repeat (f, r, now_ms);
 }
 
@@ -110,35 +112,35 @@
 engine_has_left (const struct beryl_forward *f, const struct request *r,
                  int64_t now_ms)
 {
-  const struct beryl_live *live = r->reservation.live;
+  const struct beryl_live *endpoint = r->reservation.endpoint;
 
-  if (r->same_run)
-    return !beryl_lives_may_return (f->lives, live, now_ms);
-  return !beryl_live_takes_work (live);
+  if (r->continues_run)
+    return !beryl_lives_may_return (f->endpoints, endpoint, now_ms);
+  return !beryl_live_takes_work (endpoint);
 }
 
 /* Handles that the engine with R's reservation does not run it. */
 static void
-place_lost (struct beryl_forward *f, struct request *r, int64_t now_ms)
+reservation_lost (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
-  seek_end (f, r);
-  if (r->same_run && move_return (f, r, now_ms))
+  relocate_end (f, r);
+  if (r->continues_run && move_back (f, r, now_ms))
     return;
   move_clear (f, r);
-  place_release (f, &r->reservation, now_ms);
-  generation_start_over (f, r, now_ms);
+  reservation_release (f, &r->reservation, now_ms);
+  generation_restart (f, r, now_ms);
 }
 
 void
 generation_run (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
   struct beryl_exchange_start start = { .kind = BERYL_EXCHANGE_RUN };
-  struct beryl_live *live = r->reservation.live;
+  struct beryl_live *endpoint = r->reservation.endpoint;
 
   if (engine_has_left (f, r, now_ms))
     {
-      forward_request_decided (f, r, "decode", live, "left", 0, now_ms);
-      place_lost (f, r, now_ms);
+      forward_request_log (f, r, "decode", endpoint, "left", 0, now_ms);
+      reservation_lost (f, r, now_ms);
       return;
     }
   if (!run_allowed (f, r, now_ms))
@@ -148,36 +150,37 @@
     }
   if (r->reservation.handle[0] != '\0')
     start.reservation = r->reservation.handle;
-  if (r->kv.live != NULL)
+  if (r->kv.endpoint != NULL)
     {
       start.kv_handle = r->kv.handle;
-      start.kv_address = r->kv.live->info.address;
-      start.kv_port = r->kv.live->info.port;
-      r->kv.tries++;
+      start.kv_address = r->kv.endpoint->info.address;
+      start.kv_port = r->kv.endpoint->info.port;
+      r->kv.uses++;
     }
   r->phase = PHASE_RUNNING;
   r->runs++;
-  r->event_ms = now_ms;
+  r->last_event_ms = now_ms;
   r->run_ms = now_ms;
   r->run_events = 0;
   r->stalled = false;
   f->runs_changed = true;
-  r->due_ms = stream_due_ms (r);
-  generation_exchange (f, r, &start, live, now_ms);
-  forward_request_decided (f, r, "decode", live,
-                           r->kv.live != NULL             ? "kv_taken"
-                           : engine_is_warm_for (r, live) ? "warm"
-                                                          : "alone",
-                           r->reservation.tokens, now_ms);
+  r->timer_ms = stream_timer_ms (r);
+  generation_start_exchange (f, r, &start, endpoint, now_ms);
+  forward_request_log (f, r, "decode", endpoint,
+                       r->kv.endpoint != NULL                   ? "kv_taken"
+                       : engine_has_prompt_cached (r, endpoint) ? "warm"
+                                                                : "alone",
+                       r->reservation.tokens, now_ms);
   r->warm_engine = 0;
   /* The reservation is used up: its memory now belongs to the run. */
   r->reservation.handle[0] = '\0';
 }
 
 void
-generation_placed (struct beryl_forward *f, struct request *r, int64_t now_ms)
+generation_reserved (struct beryl_forward *f, struct request *r,
+                     int64_t now_ms)
 {
-  if (kv_usable (r, now_ms) || prefill_is_needless (f, r, now_ms))
+  if (kv_usable (r, now_ms) || prefill_is_cached (f, r, now_ms))
     generation_run (f, r, now_ms);
   else
     prefill_start (f, r, now_ms);
@@ -196,33 +199,32 @@
 /* Plans R again after a failure; its KV cache is used again if it is still
    valid. */
 void
-generation_start_over (struct beryl_forward *f, struct request *r,
-                       int64_t now_ms)
+generation_restart (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
   if (!kv_usable (r, now_ms))
     generation_release (f, r, now_ms);
-  if (now_ms >= r->timeout_ms)
+  if (now_ms >= r->deadline_ms)
     forward_request_fail (f, r, BERYL_REFUSAL_DEADLINE, now_ms);
   else if (!may_run_again (r))
     forward_request_fail (f, r, BERYL_REFUSAL_ENDPOINT_FAILED, now_ms);
   else if (!crashes_refuse (f, r, now_ms))
-    place_wait (f, r, now_ms);
+    placement_start (f, r, now_ms);
 }
 
 /* The endpoint list shows a change of stage late, and not at all to a node
    that is cut off from it; the engine itself knows its stage. */
 void
-generation_learn_stage (struct beryl_live *live)
+generation_switch_stage (struct beryl_live *endpoint)
 {
-  live->info.stage = live->info.stage == BERYL_STAGE_PREFILL
-                         ? BERYL_STAGE_DECODE
-                         : BERYL_STAGE_PREFILL;
+  endpoint->info.stage = endpoint->info.stage == BERYL_STAGE_PREFILL
+                             ? BERYL_STAGE_DECODE
+                             : BERYL_STAGE_PREFILL;
 }
 
 void
-generation_rejected (struct beryl_live *live, int64_t now_ms)
+generation_back_off (struct beryl_live *endpoint, int64_t now_ms)
 {
-  live->full_until_ms = now_ms + REJECTED_MS;
+  endpoint->full_until_ms = now_ms + REJECTED_BACKOFF_MS;
 }
 
 void
@@ -232,23 +234,23 @@
   struct request *r = x->request;
 
   if (result->misdirected)
-    news_replaced (f, x->live, now_ms);
+    endpoint_report_replaced (f, x->endpoint, now_ms);
   if (x->kind == BERYL_EXCHANGE_RESERVE && r != NULL)
-    call_times_learn (&r->service->calls, now_ms - x->started_ms);
+    call_times_learn (&r->service->reservation_times, now_ms - x->started_ms);
   if (x->kind == BERYL_EXCHANGE_PREFILL)
-    rates_heard (f, x, &result->limit, result->ok, now_ms);
+    rates_learn (f, x, &result->limit, result->ok, now_ms);
   if (r == NULL)
     {
       if (x->kind == BERYL_EXCHANGE_RESERVE && result->ok)
-        place_give_back (f, x->live, result->handle, now_ms);
+        reservation_cancel (f, x->endpoint, result->handle, now_ms);
       forward_exchange_free (f, x);
     }
   else if (x->kind == BERYL_EXCHANGE_MOVE)
     move_result (f, x, result, now_ms);
   else if (x->kind == BERYL_EXCHANGE_RESERVE && result->ok)
-    place_granted (f, x, result, now_ms);
+    placement_granted (f, x, result, now_ms);
   else if (x->kind == BERYL_EXCHANGE_RESERVE)
-    place_refused (f, x, now_ms);
+    placement_refused (f, x, now_ms);
   else if (result->ok)
     prefill_done (f, r, x, result, now_ms);
   else
@@ -256,13 +258,13 @@
 }
 
 static void
-run_broken (struct beryl_forward *f, struct request *r, int64_t now_ms)
+run_failed (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
-  seek_end (f, r);
-  r->same_run = false;
-  generation_run_over (f, r);
+  relocate_end (f, r);
+  r->continues_run = false;
+  generation_run_ended (f, r);
   kv_clear (f, &r->kv);
-  generation_start_over (f, r, now_ms);
+  generation_restart (f, r, now_ms);
 }
 
 void
@@ -275,16 +277,16 @@
       move_broken (f, r, sent, now_ms);
       return;
     case BERYL_EXCHANGE_RESERVE:
-      place_no_answer (f, r, now_ms);
+      placement_no_answer (f, r, now_ms);
       return;
     case BERYL_EXCHANGE_RUN:
-      run_broken (f, r, now_ms);
+      run_failed (f, r, now_ms);
       return;
     default:
       /* A prefill whose answer is lost may have been accepted; the next one
          then counts as a repeat. */
       r->prefilled = r->prefilled || sent;
-      generation_start_over (f, r, now_ms);
+      generation_restart (f, r, now_ms);
     }
 }
 
@@ -292,49 +294,49 @@
    was gone. A second engine that rejects the same cache shows that it is the
    cache. */
 static void
-blame (struct request *r, int64_t now_ms)
+back_off_cause (struct request *r, int64_t now_ms)
 {
-  struct beryl_live *engine = r->reservation.live;
+  struct beryl_live *engine = r->reservation.endpoint;
 
-  if (r->kv.live != NULL && r->kv.tries >= KV_TRIES_MAX)
-    engine = r->kv.live;
+  if (r->kv.endpoint != NULL && r->kv.uses >= KV_USES_MAX)
+    engine = r->kv.endpoint;
   if (engine != NULL)
-    generation_rejected (engine, now_ms);
+    generation_back_off (engine, now_ms);
 }
 
 void
-generation_not_run (struct beryl_forward *f, struct request *r,
-                    bool wrong_stage, int64_t now_ms)
+generation_run_rejected (struct beryl_forward *f, struct request *r,
+                         bool wrong_stage, int64_t now_ms)
 {
-  if (wrong_stage && r->reservation.live != NULL)
-    generation_learn_stage (r->reservation.live);
-  blame (r, now_ms);
-  place_lost (f, r, now_ms);
+  if (wrong_stage && r->reservation.endpoint != NULL)
+    generation_switch_stage (r->reservation.endpoint);
+  back_off_cause (r, now_ms);
+  reservation_lost (f, r, now_ms);
 }
 
 void
-generation_run_over (struct beryl_forward *f, struct request *r)
+generation_run_ended (struct beryl_forward *f, struct request *r)
 {
-  if (r->reservation.live != NULL)
-    r->reservation.live->full_until_ms = 0;
+  if (r->reservation.endpoint != NULL)
+    r->reservation.endpoint->full_until_ms = 0;
   move_clear (f, r);
-  place_clear (f, &r->reservation);
+  reservation_clear (f, &r->reservation);
 }
 
 void
-generation_due (struct beryl_forward *f, struct request *r, int64_t now_ms)
+generation_timer (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
   switch (r->phase)
     {
     case PHASE_WAITING:
-      place_due (f, r, now_ms);
+      placement_timer (f, r, now_ms);
       return;
     case PHASE_RUNNING:
-      stream_due (f, r, now_ms);
+      stream_timer (f, r, now_ms);
       return;
     case PHASE_RESERVING:
     case PHASE_PREFILLING:
-      r->due_ms = r->timeout_ms;
+      r->timer_ms = r->deadline_ms;
       return;
     }
 }
--- a/libberyl/forward/live.c
+++ b/libberyl/forward/live.c
@@ -13,8 +13,8 @@
    failure rate on. One in five is more than overload or a caller's own bad
    requests cause, and a broken endpoint reaches it within half a dozen
    calls. */
-#define FAULTS_AVOID 2
-#define FAIL_RATE_AVOID 0.2
+#define AVOID_FAULTS 2
+#define AVOID_FAIL_RATE 0.2
 /* How long it is avoided; doubled at most three times, to eight times as long,
    while trials fail. */
 #define AVOID_MS 500
@@ -22,21 +22,21 @@
 /* Interval of trials while an endpoint is avoided or its last call failed.
    Without trials an endpoint that failed once would get no requests while the
    others are not busy, and its recovery would go unnoticed. */
-#define TRIAL_MS 500
+#define TRIAL_INTERVAL_MS 500
 
 /* How long a peer's report that it cannot reach an endpoint counts, and how
    long an answer to this node overrides such reports. */
-#define DOUBT_MS 1000
+#define UNREACHABLE_REPORT_MS 1000
 
 /* The list is confirmed about every two seconds; after a longer silence the
    list, or this node, was disconnected. */
-#define AWAY_MS 3000
+#define LIST_OUTAGE_MS 3000
 /* Lapsed entries of healthy endpoints are back within this time after the
    list's return. */
-#define LAPSE_MS 2500
+#define RELIST_MS 2500
 /* Part of the time in which a leaving endpoint may get work that is used here;
    the rest allows for late updates of the list. */
-#define KEEP_PART 0.7
+#define KEEP_SHARE 0.7
 
 struct beryl_lives
 {
@@ -54,7 +54,7 @@
 static int64_t
 keep_ms (const struct beryl_lives *lives)
 {
-  return (int64_t)(KEEP_PART * (double)lives->leave_ms);
+  return (int64_t)(KEEP_SHARE * (double)lives->leave_ms);
 }
 
 static struct map_key
@@ -66,11 +66,12 @@
 }
 
 uint32_t
-beryl_live_number (const struct beryl_live *live)
+beryl_live_number (const struct beryl_live *endpoint)
 {
-  const char *id = live->info.id;
+  const char *id = endpoint->info.id;
 
-  return (uint32_t)XXH3_64bits_withSeed (id, strlen (id), live->info.born_ms);
+  return (uint32_t)XXH3_64bits_withSeed (id, strlen (id),
+                                         endpoint->info.born_ms);
 }
 
 struct beryl_lives *
@@ -103,7 +104,7 @@
 static struct beryl_live *
 lives_add (struct beryl_lives *lives, const char *id)
 {
-  struct beryl_live *live = calloc (1, sizeof *live);
+  struct beryl_live *endpoint = calloc (1, sizeof *endpoint);
 
   if (lives->count == lives->capacity)
     {
@@ -111,50 +112,50 @@
       lives->items = realloc (lives->items,
                               lives->capacity * sizeof (struct beryl_live *));
     }
-  lives->items[lives->count++] = live;
-  map_put (&lives->by_id, id_key (id), live);
-  return live;
+  lives->items[lives->count++] = endpoint;
+  map_put (&lives->by_id, id_key (id), endpoint);
+  return endpoint;
 }
 
 static void
-lives_release (struct beryl_lives *lives, struct beryl_live *live)
+lives_release (struct beryl_lives *lives, struct beryl_live *endpoint)
 {
   for (size_t i = 0; i < lives->count; i++)
-    if (lives->items[i] == live)
+    if (lives->items[i] == endpoint)
       {
         lives->items[i] = lives->items[--lives->count];
         break;
       }
   /* The id may already belong to a later incarnation. */
-  if (beryl_lives_find (lives, live->info.id) == live)
-    map_remove (&lives->by_id, id_key (live->info.id));
-  free (live);
+  if (beryl_lives_find (lives, endpoint->info.id) == endpoint)
+    map_remove (&lives->by_id, id_key (endpoint->info.id));
+  free (endpoint);
 }
 
 static void
-live_gone (struct beryl_lives *lives, struct beryl_live *live)
+mark_gone (struct beryl_lives *lives, struct beryl_live *endpoint)
 {
-  live->gone = true;
-  live->lapsed_until_ms = 0;
-  if (live->open == 0)
-    lives_release (lives, live);
+  endpoint->gone = true;
+  endpoint->lapsed_until_ms = 0;
+  if (endpoint->open == 0)
+    lives_release (lives, endpoint);
 }
 
 static bool
-was_former (const struct beryl_live *live, uint64_t born_ms)
+is_former_incarnation (const struct beryl_live *endpoint, uint64_t born_ms)
 {
   for (size_t i = 0; i < BERYL_LIVE_FORMER_MAX; i++)
-    if (born_ms != 0 && live->former[i] == born_ms)
+    if (born_ms != 0 && endpoint->former[i] == born_ms)
       return true;
   return false;
 }
 
 static bool
-starts_again (const struct beryl_live *live,
-              const struct beryl_live_info *info)
+has_restarted (const struct beryl_live *endpoint,
+               const struct beryl_live_info *info)
 {
-  return live->info.born_ms != 0 && info->born_ms != 0
-         && live->info.born_ms != info->born_ms;
+  return endpoint->info.born_ms != 0 && info->born_ms != 0
+         && endpoint->info.born_ms != info->born_ms;
 }
 
 /* An endpoint that has restarted under its id has lost all earlier state:
@@ -163,17 +164,17 @@
    object invalidates them all. Otherwise requests would be sent with handles
    that the new incarnation may have given to other requests. */
 static struct beryl_live *
-live_succeed (struct beryl_lives *lives, struct beryl_live *live,
-              int64_t now_ms)
+replace_incarnation (struct beryl_lives *lives, struct beryl_live *endpoint,
+                     int64_t now_ms)
 {
-  struct beryl_live *next = lives_add (lives, live->info.id);
+  struct beryl_live *next = lives_add (lives, endpoint->info.id);
 
-  next->former[0] = live->info.born_ms;
-  memcpy (&next->former[1], live->former,
-          sizeof live->former - sizeof live->former[0]);
-  beryl_live_replaced (live, now_ms);
-  live->left_ms = now_ms;
-  live_gone (lives, live);
+  next->former[0] = endpoint->info.born_ms;
+  memcpy (&next->former[1], endpoint->former,
+          sizeof endpoint->former - sizeof endpoint->former[0]);
+  beryl_live_replaced (endpoint, now_ms);
+  endpoint->left_ms = now_ms;
+  mark_gone (lives, endpoint);
   return next;
 }
 
@@ -181,27 +182,27 @@
 beryl_lives_put (struct beryl_lives *lives, const struct beryl_live_info *info,
                  int64_t now_ms)
 {
-  struct beryl_live *live = beryl_lives_find (lives, info->id);
+  struct beryl_live *endpoint = beryl_lives_find (lives, info->id);
   uint64_t born_ms = info->born_ms;
 
-  if (live == NULL)
-    live = lives_add (lives, info->id);
-  else if (info->revision < live->info.revision
-           || was_former (live, info->born_ms))
-    return live;
-  else if (starts_again (live, info))
-    live = live_succeed (lives, live, now_ms);
+  if (endpoint == NULL)
+    endpoint = lives_add (lives, info->id);
+  else if (info->revision < endpoint->info.revision
+           || is_former_incarnation (endpoint, info->born_ms))
+    return endpoint;
+  else if (has_restarted (endpoint, info))
+    endpoint = replace_incarnation (lives, endpoint, now_ms);
   else if (born_ms == 0)
-    born_ms = live->info.born_ms;
-  live->info = *info;
-  live->info.born_ms = born_ms;
-  live->gone = false;
-  live->lapsed_until_ms = 0;
+    born_ms = endpoint->info.born_ms;
+  endpoint->info = *info;
+  endpoint->info.born_ms = born_ms;
+  endpoint->gone = false;
+  endpoint->lapsed_until_ms = 0;
   if (!info->leaving)
-    live->left_ms = 0;
-  else if (live->left_ms == 0)
-    live->left_ms = now_ms;
-  return live;
+    endpoint->left_ms = 0;
+  else if (endpoint->left_ms == 0)
+    endpoint->left_ms = now_ms;
+  return endpoint;
 }
 
 /* Updates arrive before the list is confirmed, so the first update after an
@@ -209,37 +210,37 @@
 static void
 note_return (struct beryl_lives *lives, int64_t now_ms)
 {
-  if (lives->synced_ms != 0 && now_ms - lives->synced_ms >= AWAY_MS)
+  if (lives->synced_ms != 0 && now_ms - lives->synced_ms >= LIST_OUTAGE_MS)
     lives->returned_ms = now_ms;
 }
 
 void
 beryl_lives_remove (struct beryl_lives *lives, const char *id, int64_t now_ms)
 {
-  struct beryl_live *live = beryl_lives_find (lives, id);
+  struct beryl_live *endpoint = beryl_lives_find (lives, id);
 
-  if (live == NULL || live->gone)
+  if (endpoint == NULL || endpoint->gone)
     return;
   note_return (lives, now_ms);
-  if (live->left_ms == 0)
-    live->left_ms = now_ms;
-  if (lives->returned_ms != 0 && now_ms < lives->returned_ms + LAPSE_MS
-      && !live->info.leaving)
-    live->lapsed_until_ms = now_ms + keep_ms (lives);
+  if (endpoint->left_ms == 0)
+    endpoint->left_ms = now_ms;
+  if (lives->returned_ms != 0 && now_ms < lives->returned_ms + RELIST_MS
+      && !endpoint->info.leaving)
+    endpoint->lapsed_until_ms = now_ms + keep_ms (lives);
   else
-    live_gone (lives, live);
+    mark_gone (lives, endpoint);
 }
 
 void
 beryl_lives_reject (struct beryl_lives *lives, const char *id, int64_t now_ms)
 {
-  struct beryl_live *live = beryl_lives_find (lives, id);
+  struct beryl_live *endpoint = beryl_lives_find (lives, id);
 
-  if (live == NULL || live->gone)
+  if (endpoint == NULL || endpoint->gone)
     return;
-  if (live->left_ms == 0)
-    live->left_ms = now_ms;
-  live_gone (lives, live);
+  if (endpoint->left_ms == 0)
+    endpoint->left_ms = now_ms;
+  mark_gone (lives, endpoint);
 }
 
 void
@@ -262,11 +263,11 @@
 
   for (size_t i = lives->count; i > 0; i--)
     {
-      struct beryl_live *live = lives->items[i - 1];
+      struct beryl_live *endpoint = lives->items[i - 1];
 
-      if (live->lapsed_until_ms == 0 || now_ms < live->lapsed_until_ms)
+      if (endpoint->lapsed_until_ms == 0 || now_ms < endpoint->lapsed_until_ms)
         continue;
-      live_gone (lives, live);
+      mark_gone (lives, endpoint);
       any = true;
     }
   return any;
@@ -285,45 +286,46 @@
 }
 
 bool
-beryl_live_takes_work (const struct beryl_live *live)
+beryl_live_takes_work (const struct beryl_live *endpoint)
 {
-  return !live->gone && !live->info.leaving && live->replaced_ms == 0;
+  return !endpoint->gone && !endpoint->info.leaving
+         && endpoint->replaced_ms == 0;
 }
 
 bool
 beryl_lives_may_return (const struct beryl_lives *lives,
-                        const struct beryl_live *live, int64_t now_ms)
+                        const struct beryl_live *endpoint, int64_t now_ms)
 {
-  return beryl_live_takes_work (live)
-         || (live->left_ms != 0 && live->replaced_ms == 0
-             && now_ms < live->left_ms + keep_ms (lives));
+  return beryl_live_takes_work (endpoint)
+         || (endpoint->left_ms != 0 && endpoint->replaced_ms == 0
+             && now_ms < endpoint->left_ms + keep_ms (lives));
 }
 
 bool
-beryl_live_changing (const struct beryl_live *live, int64_t now_ms)
+beryl_live_changing (const struct beryl_live *endpoint, int64_t now_ms)
 {
-  return now_ms < live->changing_until_ms;
+  return now_ms < endpoint->changing_until_ms;
 }
 
 void
-beryl_live_open (struct beryl_live *live)
+beryl_live_open (struct beryl_live *endpoint)
 {
-  live->open++;
+  endpoint->open++;
 }
 
 void
-beryl_live_close (struct beryl_lives *lives, struct beryl_live *live)
+beryl_live_close (struct beryl_lives *lives, struct beryl_live *endpoint)
 {
-  live->open--;
-  if (live->gone && live->open == 0)
-    lives_release (lives, live);
+  endpoint->open--;
+  if (endpoint->gone && endpoint->open == 0)
+    lives_release (lives, endpoint);
 }
 
 static int64_t
-avoid_ms (const struct beryl_live *live)
+avoid_ms (const struct beryl_live *endpoint)
 {
   uint32_t doublings
-      = live->faults > FAULTS_AVOID ? live->faults - FAULTS_AVOID : 0;
+      = endpoint->faults > AVOID_FAULTS ? endpoint->faults - AVOID_FAULTS : 0;
 
   if (doublings > AVOID_DOUBLINGS_MAX)
     doublings = AVOID_DOUBLINGS_MAX;
@@ -331,43 +333,45 @@
 }
 
 void
-beryl_live_learn (struct beryl_live *live, enum beryl_live_outcome outcome,
+beryl_live_learn (struct beryl_live *endpoint, enum beryl_live_outcome outcome,
                   int64_t took_ms, int64_t now_ms)
 {
   bool failed = outcome != BERYL_LIVE_ANSWERED;
 
-  live->fail_rate += FAIL_WEIGHT * ((failed ? 1.0 : 0.0) - live->fail_rate);
+  endpoint->fail_rate
+      += FAIL_WEIGHT * ((failed ? 1.0 : 0.0) - endpoint->fail_rate);
   if (!failed)
     {
-      live->faults = 0;
-      live->fault_ms = 0;
-      live->unreachable_ms = 0;
-      live->answered_ms = now_ms;
-      if (live->answer_ms == 0)
-        live->answer_ms = (double)took_ms;
-      live->answer_ms += TIME_WEIGHT * ((double)took_ms - live->answer_ms);
-      if (live->fail_rate < FAIL_RATE_AVOID)
-        live->avoid_until_ms = 0;
+      endpoint->faults = 0;
+      endpoint->fault_ms = 0;
+      endpoint->unreachable_ms = 0;
+      endpoint->answered_ms = now_ms;
+      if (endpoint->answer_ms == 0)
+        endpoint->answer_ms = (double)took_ms;
+      endpoint->answer_ms
+          += TIME_WEIGHT * ((double)took_ms - endpoint->answer_ms);
+      if (endpoint->fail_rate < AVOID_FAIL_RATE)
+        endpoint->avoid_until_ms = 0;
       return;
     }
-  live->faults++;
-  live->fault_ms = now_ms;
-  if (outcome == BERYL_LIVE_SILENT || live->faults >= FAULTS_AVOID
-      || live->fail_rate >= FAIL_RATE_AVOID)
-    live->avoid_until_ms = now_ms + avoid_ms (live);
+  endpoint->faults++;
+  endpoint->fault_ms = now_ms;
+  if (outcome == BERYL_LIVE_SILENT || endpoint->faults >= AVOID_FAULTS
+      || endpoint->fail_rate >= AVOID_FAIL_RATE)
+    endpoint->avoid_until_ms = now_ms + avoid_ms (endpoint);
 }
 
 void
-beryl_live_replaced (struct beryl_live *live, int64_t now_ms)
+beryl_live_replaced (struct beryl_live *endpoint, int64_t now_ms)
 {
-  if (live->replaced_ms == 0)
-    live->replaced_ms = now_ms;
+  if (endpoint->replaced_ms == 0)
+    endpoint->replaced_ms = now_ms;
 }
 
 void
-beryl_live_unreachable (struct beryl_live *live, int64_t now_ms)
+beryl_live_unreachable (struct beryl_live *endpoint, int64_t now_ms)
 {
-  live->unreachable_ms = now_ms;
+  endpoint->unreachable_ms = now_ms;
 }
 
 /* With many nodes each calls an endpoint rarely, and would notice that it is
@@ -375,21 +379,22 @@
    endpoint that others reach, so reports of two peers are needed, and this
    node's own recent answers override them. */
 bool
-beryl_live_doubt (struct beryl_live *live, uint32_t by, int64_t now_ms)
+beryl_live_doubt (struct beryl_live *endpoint, uint32_t by, int64_t now_ms)
 {
-  bool again = live->doubted_ms != 0 && live->doubted_by != by
-               && now_ms - live->doubted_ms < DOUBT_MS;
-  bool was_avoided = beryl_live_avoided (live, now_ms);
+  bool again = endpoint->doubted_ms != 0 && endpoint->doubted_by != by
+               && now_ms - endpoint->doubted_ms < UNREACHABLE_REPORT_MS;
+  bool was_avoided = beryl_live_avoided (endpoint, now_ms);
 
-  if (live->answered_ms != 0 && now_ms - live->answered_ms < DOUBT_MS)
+  if (endpoint->answered_ms != 0
+      && now_ms - endpoint->answered_ms < UNREACHABLE_REPORT_MS)
     return false;
-  live->doubted_by = by;
-  live->doubted_ms = now_ms;
+  endpoint->doubted_by = by;
+  endpoint->doubted_ms = now_ms;
   if (!again)
     return false;
-  if (live->avoid_until_ms < now_ms + AVOID_MS)
-    live->avoid_until_ms = now_ms + AVOID_MS;
-  live->trial_ms = now_ms;
+  if (endpoint->avoid_until_ms < now_ms + AVOID_MS)
+    endpoint->avoid_until_ms = now_ms + AVOID_MS;
+  endpoint->trial_ms = now_ms;
   return !was_avoided;
 }
 
@@ -398,24 +403,24 @@
    a peak, two such engines that were asked again and again took half of the
    time that requests had to get memory while the other engines were full. */
 static bool
-lapsed_and_failed (const struct beryl_live *live)
+lapsed_and_failed (const struct beryl_live *endpoint)
 {
-  return live->lapsed_until_ms != 0 && live->fault_ms != 0;
+  return endpoint->lapsed_until_ms != 0 && endpoint->fault_ms != 0;
 }
 
 bool
-beryl_live_avoided (const struct beryl_live *live, int64_t now_ms)
+beryl_live_avoided (const struct beryl_live *endpoint, int64_t now_ms)
 {
-  return now_ms < live->avoid_until_ms || lapsed_and_failed (live);
+  return now_ms < endpoint->avoid_until_ms || lapsed_and_failed (endpoint);
 }
 
 bool
-beryl_live_trial_due (const struct beryl_live *live, int64_t now_ms)
+beryl_live_trial_due (const struct beryl_live *endpoint, int64_t now_ms)
 {
-  return !lapsed_and_failed (live)
-         && (beryl_live_avoided (live, now_ms) || live->fault_ms != 0)
-         && now_ms - live->trial_ms >= TRIAL_MS
-         && now_ms - live->fault_ms >= TRIAL_MS;
+  return !lapsed_and_failed (endpoint)
+         && (beryl_live_avoided (endpoint, now_ms) || endpoint->fault_ms != 0)
+         && now_ms - endpoint->trial_ms >= TRIAL_INTERVAL_MS
+         && now_ms - endpoint->fault_ms >= TRIAL_INTERVAL_MS;
 }
 
 const char *
--- a/libberyl/forward/loans.c
+++ b/libberyl/forward/loans.c
@@ -6,70 +6,72 @@
 
 /* With fewer repeats left a loan is requested, before the next request needs
    it: a stream that continues at another engine takes two. */
-#define LOW 2
+#define LOW_WATERMARK 2
 /* Most repeats of one loan. */
-#define LOAN_MOST 4
+#define LOAN_MAX 4
 /* A request for a loan that is not answered is sent to another node after this
    time; an answer takes twice the 30 ms after which reports are sent, plus the
    network. */
-#define ASK_AGAIN_AFTER_MS 150
+#define LOAN_REQUEST_TIMEOUT_MS 150
 
 void
-loans_check (struct beryl_forward *f, struct service *s, int64_t now_ms)
+loans_request_if_low (struct beryl_forward *f, struct service *s,
+                      int64_t now_ms)
 {
-  struct repeat_terms terms = forward_repeat_terms (f);
+  struct repeat_limits limits = forward_repeat_limits (f);
 
-  if (repeat_budget_left (&s->budget, &terms, now_ms) < LOW
-      && now_ms - s->asked_ms >= ASK_AGAIN_AFTER_MS)
+  if (repeat_budget_left (&s->budget, &limits, now_ms) < LOW_WATERMARK
+      && now_ms - s->loan_requested_ms >= LOAN_REQUEST_TIMEOUT_MS)
     f->runs_changed = true;
 }
 
 /* Returns a random live peer; NULL if there is none. */
-static const struct book_peer *
-draw_peer (struct beryl_forward *f, int64_t now_ms)
+static const struct peer_runs *
+random_peer (struct beryl_forward *f, int64_t now_ms)
 {
-  const struct book_peer *drawn = NULL;
+  const struct peer_runs *chosen = NULL;
   uint64_t seen = 0;
 
-  for (size_t i = 0; i < f->book.count; i++)
+  for (size_t i = 0; i < f->run_table.count; i++)
     {
-      const struct book_peer *peer = f->book.peers[i];
+      const struct peer_runs *peer = f->run_table.peers[i];
 
-      if (now_ms - peer->told_ms < book_silent_ms (&f->book)
+      if (now_ms - peer->reported_ms
+              < run_table_peer_timeout_ms (&f->run_table)
           && random_next (&f->random) % ++seen == 0)
-        drawn = peer;
+        chosen = peer;
     }
-  return drawn;
+  return chosen;
 }
 
 static void
-add (struct beryl_repeat_transfers *transfers,
-     struct beryl_repeat_transfer transfer)
+add_transfer (struct beryl_repeat_transfers *transfers,
+              struct beryl_repeat_transfer transfer)
 {
   if (transfers->count < BERYL_REPEAT_TRANSFERS_MAX)
     transfers->items[transfers->count++] = transfer;
 }
 
 static void
-ask (struct beryl_forward *f, struct service *s,
-     struct beryl_repeat_transfers *asks, int64_t now_ms)
+request_loan (struct beryl_forward *f, struct service *s,
+              struct beryl_repeat_transfers *asks, int64_t now_ms)
 {
-  struct repeat_terms terms = forward_repeat_terms (f);
-  const struct book_peer *peer;
+  struct repeat_limits limits = forward_repeat_limits (f);
+  const struct peer_runs *peer;
 
-  if (repeat_budget_left (&s->budget, &terms, now_ms) >= LOW
-      || now_ms - s->asked_ms < ASK_AGAIN_AFTER_MS)
+  if (repeat_budget_left (&s->budget, &limits, now_ms) >= LOW_WATERMARK
+      || now_ms - s->loan_requested_ms < LOAN_REQUEST_TIMEOUT_MS)
     return;
-  peer = draw_peer (f, now_ms);
+  peer = random_peer (f, now_ms);
   if (peer == NULL)
     return;
-  s->asked_ms = now_ms;
-  s->asked_serial = ++f->last_serial;
-  add (asks, (struct beryl_repeat_transfer){
-                 .node = beryl_engine_number (peer->name),
-                 .service = beryl_engine_number (s->name),
-                 .count = LOAN_MOST,
-                 .serial = s->asked_serial });
+  s->loan_requested_ms = now_ms;
+  s->loan_serial = ++f->last_loan_serial;
+  add_transfer (asks, (struct beryl_repeat_transfer){
+                          .node = beryl_engine_number (peer->name),
+                          .service = beryl_engine_number (s->name),
+                          .count = LOAN_MAX,
+                          .serial = s->loan_serial });
 }
 
 void
@@ -80,30 +82,30 @@
 {
   asks->count = 0;
   for (size_t i = 0; i < f->service_count; i++)
-    ask (f, f->services[i], asks, now_ms);
-  *loans = f->loans;
-  f->loans.count = 0;
+    request_loan (f, f->services[i], asks, now_ms);
+  *loans = f->pending_loans;
+  f->pending_loans.count = 0;
 }
 
 static void
 lend (struct beryl_forward *f, const char *peer,
-      const struct beryl_repeat_transfer *asked, int64_t now_ms)
+      const struct beryl_repeat_transfer *request, int64_t now_ms)
 {
-  struct repeat_terms terms = forward_repeat_terms (f);
-  struct service *s = forward_service_numbered (f, asked->service);
-  uint32_t most = asked->count < LOAN_MOST ? asked->count : LOAN_MOST;
+  struct repeat_limits limits = forward_repeat_limits (f);
+  struct service *s = forward_service_by_number (f, request->service);
+  uint32_t most = request->count < LOAN_MAX ? request->count : LOAN_MAX;
   uint32_t count;
 
-  if (s == NULL || f->loans.count == BERYL_REPEAT_TRANSFERS_MAX)
+  if (s == NULL || f->pending_loans.count == BERYL_REPEAT_TRANSFERS_MAX)
     return;
-  count = repeat_budget_lend (&s->budget, &terms, most, now_ms);
+  count = repeat_budget_lend (&s->budget, &limits, most, now_ms);
   if (count == 0)
     return;
-  add (&f->loans,
-       (struct beryl_repeat_transfer){ .node = beryl_engine_number (peer),
-                                       .service = asked->service,
+  add_transfer (&f->pending_loans, (struct beryl_repeat_transfer){
+                                       .node = beryl_engine_number (peer),
+                                       .service = request->service,
                                        .count = count,
-                                       .serial = asked->serial });
+                                       .serial = request->serial });
   f->runs_changed = true;
 }
 
@@ -112,12 +114,12 @@
 borrow (struct beryl_forward *f, const struct beryl_repeat_transfer *lent,
         int64_t now_ms)
 {
-  struct service *s = forward_service_numbered (f, lent->service);
+  struct service *s = forward_service_by_number (f, lent->service);
 
-  if (s == NULL || lent->serial == 0 || lent->serial != s->asked_serial)
+  if (s == NULL || lent->serial == 0 || lent->serial != s->loan_serial)
     return;
-  s->asked_serial = 0;
-  repeat_budget_borrow (&s->budget, lent->count, s->asked_ms, now_ms);
+  s->loan_serial = 0;
+  repeat_budget_borrow (&s->budget, lent->count, s->loan_requested_ms, now_ms);
 }
 
 void
--- a/libberyl/forward/pace.c
+++ b/libberyl/forward/pace.c
@@ -24,7 +24,7 @@
 static double
 recent_low (const struct pace *pace)
 {
-  size_t count = pace->seen < PACE_RECENT ? pace->seen : PACE_RECENT;
+  size_t count = pace->samples < PACE_RECENT ? pace->samples : PACE_RECENT;
   double least = INFINITY, second = INFINITY;
 
   for (size_t i = 0; i < count; i++)
@@ -50,14 +50,14 @@
   if (tokens == 0)
     return;
   sample = (double)took_ms / (double)tokens;
-  pace->recent[pace->seen % PACE_RECENT] = sample;
-  pace->seen++;
-  if (pace->seen == 1)
+  pace->recent[pace->samples % PACE_RECENT] = sample;
+  pace->samples++;
+  if (pace->samples == 1)
     {
       pace->ms_per_token = sample;
       return;
     }
-  step = pace->ms_per_token * fmax (STEP, 1.0 / pace->seen);
+  step = pace->ms_per_token * fmax (STEP, 1.0 / pace->samples);
   if (sample < pace->ms_per_token)
     pace->ms_per_token
         = fmax (sample, pace->ms_per_token - step * (1 - QUANTILE));
--- a/libberyl/forward/pace.h
+++ b/libberyl/forward/pace.h
@@ -13,7 +13,7 @@
 struct pace
 {
   double ms_per_token;
-  uint32_t seen;              /**< number of prefills it was learned from */
+  uint32_t samples;           /**< number of prefills it was learned from */
   double recent[PACE_RECENT]; /**< most recent samples, in ms per token */
 };
 
--- /dev/null
+++ b/libberyl/forward/placement.c
@@ -0,0 +1,340 @@
+#include "private.h"
+
+#include <string.h>
+
+/* Reserves memory for a generation at a decode engine, before its prompt is
+   prefilled. */
+
+/* Engines that are asked for a reservation in one round. */
+#define ASKS_PER_ROUND 4
+/* An engine that refused a reservation is not asked again by this node for
+   this long; a run ends there every few hundred milliseconds. */
+#define FULL_BACKOFF_MS 60
+/* Minimum time from a reservation to the first event; a request with less time
+   left to its objective is already late. */
+#define SERVICE_MIN_MS 300
+/* How long a request that can no longer meet its objective waits for
+   memory. */
+#define LATE_WAIT_MS 600
+/* How long an interrupted stream, whose caller has part of it already, waits
+   for memory if its route does not state when such callers leave. Given up
+   sooner, the stream would be cut off although memory may still become
+   free. */
+#define RESUME_WAIT_MS 2000
+/* A request with a smaller chance of getting memory in time is refused at
+   once. */
+#define CHANCE_MIN 0.4
+/* Lease of a reservation if the service does not state one. */
+#define DEFAULT_LEASE_MS 2000
+
+static int64_t
+lease_ms (const struct request *r)
+{
+  int64_t stated_ms = r->config->engine.reservation_ms;
+
+  return stated_ms > 0 ? stated_ms : DEFAULT_LEASE_MS;
+}
+
+void
+placement_wait_end (struct beryl_forward *f, struct request *r)
+{
+  if (!r->waiting)
+    return;
+  r->waiting = false;
+  f->waiting_count--;
+  r->service->waiting--;
+  f->runs_changed = true;
+}
+
+/* Returns when R needs a reservation to meet its objective. */
+static int64_t
+latest_start_ms (const struct request *r)
+{
+  return r->params.arrived_ms + r->route->objective_ms - SERVICE_MIN_MS;
+}
+
+/* Returns when R is refused unless it has a reservation. */
+static int64_t
+give_up_ms (const struct request *r)
+{
+  if (r->answer_begun)
+    return r->last_event_ms
+           + (r->route->patience_ms > 0 ? r->route->patience_ms
+                                        : RESUME_WAIT_MS);
+  if (latest_start_ms (r) > r->waiting_since_ms)
+    return latest_start_ms (r);
+  return r->waiting_since_ms + LATE_WAIT_MS;
+}
+
+static void
+wait_begin (struct beryl_forward *f, struct request *r)
+{
+  if (r->waiting)
+    return;
+  r->waiting = true;
+  f->waiting_count++;
+  r->service->waiting++;
+  f->runs_changed = true;
+}
+
+void
+placement_start (struct beryl_forward *f, struct request *r, int64_t now_ms)
+{
+  if (!r->waiting)
+    {
+      r->wait_reason = NULL;
+      r->waiting_since_ms = now_ms;
+    }
+  wait_begin (f, r);
+  r->phase = PHASE_WAITING;
+  r->refusals = 0;
+  r->tried_count = 0;
+  placement_ask (f, r, now_ms);
+}
+
+static void
+refuse_no_room (struct beryl_forward *f, struct request *r, int64_t now_ms)
+{
+  forward_request_refuse (f, r, 503, BERYL_REFUSAL_NO_ROOM,
+                          backlog_retry_after_ms (f, r, now_ms), now_ms);
+}
+
+/* Returns whether R will most likely not get memory before it is given up: its
+   caller is then told at once, and when to retry. Waiting requests are not
+   served in order, so the chance is the time left divided by the time that the
+   backlog takes. */
+static bool
+is_unlikely_in_time (struct beryl_forward *f, const struct request *r,
+                     int64_t now_ms)
+{
+  int64_t left_ms = give_up_ms (r) - now_ms;
+
+  return !r->answer_begun && !r->may_have_run && r->waiting_since_ms == now_ms
+         && left_ms < CHANCE_MIN * (double)backlog_wait_ms (f, r, now_ms);
+}
+
+/* Logs WHY R waits, with NUMBER, if the reason has changed. */
+static void
+log_wait (struct beryl_forward *f, struct request *r, const char *why,
+          int64_t number, int64_t now_ms)
+{
+  if (r->wait_reason == NULL || strcmp (r->wait_reason, why) != 0)
+    forward_request_log (f, r, "wait", NULL, why, number, now_ms);
+  r->wait_reason = why;
+}
+
+/* No engine has memory: waits until the next round, or gives up. */
+static void
+wait_round (struct beryl_forward *f, struct request *r, int64_t now_ms)
+{
+  int64_t end_ms = give_up_ms (r);
+
+  if (is_unlikely_in_time (f, r, now_ms))
+    {
+      refuse_no_room (f, r, now_ms);
+      return;
+    }
+  r->phase = PHASE_WAITING;
+  r->refusals = 0;
+  r->tried_count = 0;
+  r->timer_ms = now_ms + ASK_INTERVAL_MS;
+  if (end_ms < r->timer_ms)
+    r->timer_ms = end_ms;
+}
+
+/* An isolated node cannot forecast the memory that other nodes will use, and
+   reserves all that the run may need at once. */
+static uint32_t
+tokens_to_reserve (const struct beryl_forward *f, const struct request *r)
+{
+  if (f->isolated)
+    return r->params.prompt_tokens + r->expected_tokens;
+  return reservation_tokens (r->params.prompt_tokens, r->expected_tokens);
+}
+
+/* Requests that wait at many nodes see free memory at the same moment. If all
+   asked for it, an engine would grant it several times before any node knew of
+   the others' choices, and would preempt running requests for lack of memory.
+   On average only as many ask as there are places. */
+static bool
+leaves_to_others (struct beryl_forward *f, const struct request *r,
+                  double free_places, int64_t now_ms)
+{
+  double at_once = (double)backlog_waiting (f, r, now_ms) * PROPAGATION_MS
+                   / ASK_INTERVAL_MS;
+  double chance = random_part (&f->random);
+
+  return at_once > free_places && chance * at_once > free_places;
+}
+
+struct exchange *
+placement_reserve (struct beryl_forward *f, struct request *r,
+                   struct beryl_live *endpoint, int64_t now_ms)
+{
+  struct beryl_exchange_start start = { .kind = BERYL_EXCHANGE_RESERVE };
+
+  start.tokens = tokens_to_reserve (f, r);
+  start.lease_ms = lease_ms (r);
+  forward_request_mark_tried (r, endpoint);
+  return forward_exchange_start (f, r, &start, endpoint, now_ms);
+}
+
+void
+placement_ask (struct beryl_forward *f, struct request *r, int64_t now_ms)
+{
+  struct beryl_live *endpoint = NULL;
+  struct engine_capacity capacity = { 0 };
+
+  if (prefill_would_be_late (f, r, now_ms))
+    {
+      placement_defer (f, r, now_ms);
+      return;
+    }
+  if (r->refusals < ASKS_PER_ROUND)
+    endpoint = engine_choose_decode (f, r, &capacity, now_ms);
+  if (endpoint == NULL
+      || leaves_to_others (f, r, capacity.free_places, now_ms))
+    {
+      log_wait (f, r,
+                r->refusals > 0         ? "engines_refuse"
+                : capacity.min_fill > 0 ? "engines_full"
+                                        : "no_engine",
+                (int64_t)(100 * capacity.min_fill), now_ms);
+      wait_round (f, r, now_ms);
+      return;
+    }
+  r->phase = PHASE_RESERVING;
+  r->timer_ms = r->deadline_ms;
+  r->primary = placement_reserve (f, r, endpoint, now_ms);
+}
+
+/* The prefill engines' queue will be no shorter after it has been worked off
+   once: a request that could still be in time is told at once that it will not
+   be. One that is late anyway waits for a gap. */
+void
+placement_defer (struct beryl_forward *f, struct request *r, int64_t now_ms)
+{
+  wait_begin (f, r);
+  log_wait (f, r, "prefill_behind", engine_prefill_wait_ms (f, r, now_ms),
+            now_ms);
+  if (now_ms < latest_start_ms (r))
+    refuse_no_room (f, r, now_ms);
+  else
+    wait_round (f, r, now_ms);
+}
+
+void
+placement_wake_all (struct beryl_forward *f, int64_t now_ms)
+{
+  struct request *r = NULL;
+
+  TAILQ_FOREACH (r, &f->requests, entry)
+  if (r->waiting && r->phase == PHASE_WAITING && r->timer_ms > now_ms)
+    r->timer_ms = now_ms;
+}
+
+void
+placement_timer (struct beryl_forward *f, struct request *r, int64_t now_ms)
+{
+  if (now_ms < give_up_ms (r))
+    placement_ask (f, r, now_ms);
+  else if (r->answer_begun || r->may_have_run)
+    forward_request_fail (f, r, BERYL_REFUSAL_NO_ROOM, now_ms);
+  else
+    refuse_no_room (f, r, now_ms);
+}
+
+void
+placement_accept (struct beryl_forward *f, struct exchange *x,
+                  const struct beryl_engine_result *result, int64_t now_ms)
+{
+  struct request *r = x->request;
+  struct reservation *place = &r->reservation;
+
+  engine_learn_capacity (f, r, x->endpoint, x->tokens, true, now_ms);
+  rates_count_sent (f, r->service, x->endpoint, now_ms);
+  place->endpoint = x->endpoint;
+  place->tokens = x->tokens;
+  place->expires_ms = x->started_ms + lease_ms (r);
+  memcpy (place->handle, result->handle, sizeof place->handle);
+  beryl_live_open (place->endpoint);
+  f->runs_changed = true;
+  forward_request_log (f, r, "reserve", x->endpoint, "granted", x->tokens,
+                       now_ms);
+  forward_exchange_free (f, x);
+}
+
+void
+placement_granted (struct beryl_forward *f, struct exchange *x,
+                   const struct beryl_engine_result *result, int64_t now_ms)
+{
+  struct request *r = x->request;
+
+  if (r->relocating)
+    {
+      relocate_granted (f, x, result, now_ms);
+      return;
+    }
+  placement_wait_end (f, r);
+  placement_accept (f, x, result, now_ms);
+  generation_reserved (f, r, now_ms);
+}
+
+void
+placement_no_answer (struct beryl_forward *f, struct request *r,
+                     int64_t now_ms)
+{
+  if (r->relocating)
+    {
+      relocate_refused (f, r, now_ms);
+      return;
+    }
+  r->refusals++;
+  placement_ask (f, r, now_ms);
+}
+
+void
+placement_refused (struct beryl_forward *f, struct exchange *x, int64_t now_ms)
+{
+  struct request *r = x->request;
+
+  forward_request_log (f, r, "reserve", x->endpoint, "full", x->tokens,
+                       now_ms);
+  x->endpoint->full_until_ms = now_ms + FULL_BACKOFF_MS;
+  engine_learn_capacity (f, r, x->endpoint, x->tokens, false, now_ms);
+  forward_exchange_free (f, x);
+  placement_no_answer (f, r, now_ms);
+}
+
+void
+reservation_clear (struct beryl_forward *f, struct reservation *place)
+{
+  if (place->endpoint == NULL)
+    return;
+  f->runs_changed = true;
+  beryl_live_close (f->endpoints, place->endpoint);
+  *place = (struct reservation){ 0 };
+}
+
+void
+reservation_release (struct beryl_forward *f, struct reservation *place,
+                     int64_t now_ms)
+{
+  if (place->endpoint != NULL && place->handle[0] != '\0'
+      && now_ms < place->expires_ms)
+    reservation_cancel (f, place->endpoint, place->handle, now_ms);
+  reservation_clear (f, place);
+}
+
+void
+reservation_cancel (struct beryl_forward *f, struct beryl_live *endpoint,
+                    const char *handle, int64_t now_ms)
+{
+  struct beryl_exchange_start start
+      = { .kind = BERYL_EXCHANGE_UNRESERVE, .reservation = handle };
+
+  /* The next incarnation may have given the handle to another request. */
+  if (endpoint->replaced_ms != 0)
+    return;
+  forward_exchange_start (f, NULL, &start, endpoint, now_ms);
+}
--- a/libberyl/forward/plain.c
+++ b/libberyl/forward/plain.c
@@ -5,12 +5,12 @@
 
 /* Cost of an endpoint in another data centre, in open requests; the hop adds
    about a millisecond to some tens. */
-#define OTHER_DATA_CENTRE 0.5
+#define REMOTE_COST 0.5
 /* Weights of the newest time to an answer; the same as in TCP's retransmission
    timer, which estimates the same quantity. */
 #define TIME_WEIGHT 0.125
 #define DEVIATION_WEIGHT 0.25
-#define DEVIATIONS 4
+#define LATE_DEVIATIONS 4
 /* Hedging delay before anything is known of a service, and its minimum. */
 #define LATE_UNKNOWN_MS 200
 #define LATE_MIN_MS 30
@@ -21,66 +21,70 @@
 #define FULL_RETRY_AFTER_MS 500
 
 void
-service_learn (struct service *s, int64_t took_ms)
+service_learn_answer_time (struct service *s, int64_t took_ms)
 {
   double took = (double)took_ms;
 
-  if (s->answer_ms == 0)
+  if (s->answer_mean_ms == 0)
     {
-      s->answer_ms = took;
-      s->deviation_ms = took / 2;
+      s->answer_mean_ms = took;
+      s->answer_deviation_ms = took / 2;
       return;
     }
-  s->deviation_ms
-      += DEVIATION_WEIGHT * (fabs (took - s->answer_ms) - s->deviation_ms);
-  s->answer_ms += TIME_WEIGHT * (took - s->answer_ms);
+  s->answer_deviation_ms
+      += DEVIATION_WEIGHT
+         * (fabs (took - s->answer_mean_ms) - s->answer_deviation_ms);
+  s->answer_mean_ms += TIME_WEIGHT * (took - s->answer_mean_ms);
 }
 
 int64_t
-service_late_ms (const struct service *s)
+service_hedge_delay_ms (const struct service *s)
 {
-  double late_ms = s->answer_ms + DEVIATIONS * s->deviation_ms;
+  double late_ms
+      = s->answer_mean_ms + LATE_DEVIATIONS * s->answer_deviation_ms;
 
-  if (s->answer_ms == 0)
+  if (s->answer_mean_ms == 0)
     return LATE_UNKNOWN_MS;
   return late_ms > LATE_MIN_MS ? (int64_t)late_ms : LATE_MIN_MS;
 }
 
-/* Returns how many requests of this node wait at LIVE for longer than usual.
-   An endpoint that has stopped responding is first seen by these. */
+/* Returns how many requests of this node wait at ENDPOINT for longer than
+   usual. An endpoint that has stopped responding is first seen by these. */
 static uint32_t
-stalled_at (const struct beryl_forward *f, const struct beryl_live *live,
+stalled_at (const struct beryl_forward *f, const struct beryl_live *endpoint,
             int64_t late_ms, int64_t now_ms)
 {
   const struct exchange *x;
   uint32_t count = 0;
 
-  if (live->open == 0)
+  if (endpoint->open == 0)
     return 0;
   TAILQ_FOREACH (x, &f->exchanges, entry)
-  count += x->live == live && x->kind == BERYL_EXCHANGE_RUN && !x->headed
-           && now_ms - x->started_ms > late_ms;
+  count += x->endpoint == endpoint && x->kind == BERYL_EXCHANGE_RUN
+           && !x->has_head && now_ms - x->started_ms > late_ms;
   return count;
 }
 
-/* Returns the cost of sending R to LIVE. A stalled request or a history of
+/* Returns the cost of sending R to ENDPOINT. A stalled request or a history of
    failures outweighs any number of open requests, but never excludes an
    endpoint. */
 static double
-cost_of (struct beryl_forward *f, const struct request *r,
-         struct beryl_live *live, int64_t now_ms)
+endpoint_cost (struct beryl_forward *f, const struct request *r,
+               struct beryl_live *endpoint, int64_t now_ms)
 {
-  double cost = live->open;
+  double cost = endpoint->open;
 
-  if (strcmp (live->info.data_centre, f->settings.data_centre) != 0)
-    cost += OTHER_DATA_CENTRE;
-  cost *= 1 + live->answer_ms / 100;
-  cost += 20 * live->fail_rate;
-  if (beryl_live_avoided (live, now_ms))
+  if (strcmp (endpoint->info.data_centre, f->settings.data_centre) != 0)
+    cost += REMOTE_COST;
+  cost *= 1 + endpoint->answer_ms / 100;
+  cost += 20 * endpoint->fail_rate;
+  if (beryl_live_avoided (endpoint, now_ms))
     cost += 1000;
-  if (crashes_shares (f, r, live, now_ms))
+  if (crashes_suspect_at (f, r, endpoint, now_ms))
     cost += SUSPECT_COST;
-  cost += 100 * stalled_at (f, live, service_late_ms (r->service) * 2, now_ms);
+  cost += 100
+          * stalled_at (f, endpoint, service_hedge_delay_ms (r->service) * 2,
+                        now_ms);
   return cost;
 }
 
@@ -89,27 +93,28 @@
 {
   struct beryl_live *best = NULL;
   double best_cost = 0;
-  size_t count = beryl_lives_count (f->lives);
+  size_t count = beryl_lives_count (f->endpoints);
   size_t start = count > 0 ? random_next (&f->random) % count : 0;
 
   for (size_t i = 0; i < count; i++)
     {
-      struct beryl_live *live
-          = beryl_lives_get (f->lives, (start + i) % count);
+      struct beryl_live *endpoint
+          = beryl_lives_get (f->endpoints, (start + i) % count);
       double cost;
 
-      if (strcmp (live->info.service, r->service->name) != 0
-          || !beryl_live_takes_work (live) || forward_request_tried (r, live)
-          || !rates_allow (f, r->service, live, now_ms))
+      if (strcmp (endpoint->info.service, r->service->name) != 0
+          || !beryl_live_takes_work (endpoint)
+          || forward_request_was_tried (r, endpoint)
+          || !rates_allows (f, r->service, endpoint, now_ms))
         continue;
-      cost = cost_of (f, r, live, now_ms);
+      cost = endpoint_cost (f, r, endpoint, now_ms);
       /* Only an idempotent request is used for a trial. */
-      if (forward_request_repeatable (r) && r->sends == 0
-          && beryl_live_trial_due (live, now_ms))
+      if (forward_request_is_repeatable (r) && r->sends == 0
+          && beryl_live_trial_due (endpoint, now_ms))
         cost = -1;
       if (best == NULL || cost < best_cost)
         {
-          best = live;
+          best = endpoint;
           best_cost = cost;
         }
     }
@@ -120,45 +125,45 @@
 
 static void
 plain_send (struct beryl_forward *f, struct request *r,
-            struct beryl_live *live, int64_t now_ms)
+            struct beryl_live *endpoint, int64_t now_ms)
 {
   struct beryl_exchange_start start = { .kind = BERYL_EXCHANGE_RUN };
   struct exchange *x;
 
-  forward_request_note_tried (r, live);
-  rates_sent (f, r->service, live, now_ms);
+  forward_request_mark_tried (r, endpoint);
+  rates_count_sent (f, r->service, endpoint, now_ms);
   r->sends++;
   r->phase = PHASE_RUNNING;
   r->run_ms = now_ms;
-  x = forward_start (f, r, &start, live, now_ms);
-  if (r->first == NULL)
-    r->first = x;
+  x = forward_exchange_start (f, r, &start, endpoint, now_ms);
+  if (r->primary == NULL)
+    r->primary = x;
   else
-    r->second = x;
-  forward_request_decided (f, r, "send", live, "sent", r->sends, now_ms);
-  r->due_ms = r->timeout_ms;
+    r->secondary = x;
+  forward_request_log (f, r, "send", endpoint, "sent", r->sends, now_ms);
+  r->timer_ms = r->deadline_ms;
   /* Hedging: if the answer to an idempotent request is unusually late, a
      second endpoint is tried, and the first complete answer is used. A dead
      endpoint then costs some tens of milliseconds. */
-  if (forward_request_repeatable (r) && r->second == NULL
+  if (forward_request_is_repeatable (r) && r->secondary == NULL
       && r->sends < r->route->endpoints_max)
     {
-      int64_t late_ms = now_ms + service_late_ms (r->service);
+      int64_t late_ms = now_ms + service_hedge_delay_ms (r->service);
 
-      if (late_ms < r->due_ms)
-        r->due_ms = late_ms;
+      if (late_ms < r->timer_ms)
+        r->timer_ms = late_ms;
     }
 }
 
 void
 plain_start (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
-  struct beryl_live *live = plain_choose (f, r, now_ms);
+  struct beryl_live *endpoint = plain_choose (f, r, now_ms);
   int64_t after_ms;
 
-  if (live != NULL)
+  if (endpoint != NULL)
     {
-      plain_send (f, r, live, now_ms);
+      plain_send (f, r, endpoint, now_ms);
       return;
     }
   after_ms = rates_retry_after_ms (f, r->service, now_ms);
@@ -173,22 +178,22 @@
 plain_attempt_failed (struct beryl_forward *f, struct request *r,
                       int64_t now_ms)
 {
-  struct beryl_live *live;
+  struct beryl_live *endpoint;
 
-  if (r->first != NULL) /* another send is still open */
+  if (r->primary != NULL) /* another send is still open */
     return;
   if (crashes_refuse (f, r, now_ms))
     return;
   if (r->may_have_run
-      && (!forward_request_repeatable (r)
+      && (!forward_request_is_repeatable (r)
           || r->endpoints_run >= r->route->endpoints_max))
     {
       forward_request_fail (f, r, BERYL_REFUSAL_ENDPOINT_FAILED, now_ms);
       return;
     }
-  live = plain_choose (f, r, now_ms);
-  if (live != NULL && forward_request_take_repeat (f, r, now_ms))
-    plain_send (f, r, live, now_ms);
+  endpoint = plain_choose (f, r, now_ms);
+  if (endpoint != NULL && forward_request_take_repeat (f, r, now_ms))
+    plain_send (f, r, endpoint, now_ms);
   else if (r->may_have_run)
     forward_request_fail (f, r, BERYL_REFUSAL_ENDPOINT_FAILED, now_ms);
   else
@@ -197,19 +202,19 @@
 }
 
 void
-plain_due (struct beryl_forward *f, struct request *r, int64_t now_ms)
+plain_timer (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
-  struct beryl_live *live;
+  struct beryl_live *endpoint;
 
-  r->due_ms = r->timeout_ms;
-  if (r->first == NULL || r->first->headed || r->second != NULL
-      || crashes_quarantined (f, r, now_ms))
+  r->timer_ms = r->deadline_ms;
+  if (r->primary == NULL || r->primary->has_head || r->secondary != NULL
+      || crashes_is_quarantined (f, r, now_ms))
     return;
-  live = plain_choose (f, r, now_ms);
-  if (live == NULL || beryl_live_avoided (live, now_ms)
+  endpoint = plain_choose (f, r, now_ms);
+  if (endpoint == NULL || beryl_live_avoided (endpoint, now_ms)
       || !forward_request_take_repeat (f, r, now_ms))
     return;
-  beryl_live_learn (r->first->live, BERYL_LIVE_SILENT,
-                    now_ms - r->first->started_ms, now_ms);
-  plain_send (f, r, live, now_ms);
+  beryl_live_learn (r->primary->endpoint, BERYL_LIVE_SILENT,
+                    now_ms - r->primary->started_ms, now_ms);
+  plain_send (f, r, endpoint, now_ms);
 }
--- a/libberyl/forward/prefill.c
+++ b/libberyl/forward/prefill.c
@@ -9,8 +9,8 @@
 #define KV_HANDLE_MS 500
 /* How much longer a prefill takes at a decode engine, and the minimum time
    between two of them at one engine. */
-#define ALONE_FACTOR 2.0
-#define ALONE_SPACING_MS 1000
+#define LOCAL_FACTOR 2.0
+#define LOCAL_SPACING_MS 1000
 /* Time from the end of the prefill to the first event: the KV cache is
    transferred, and one event is produced. */
 #define FIRST_EVENT_MS 100
@@ -25,7 +25,7 @@
   if (forward_request_repeats_left (f, r, now_ms) < needed)
     return false;
   forward_request_take_repeats (f, r, needed, now_ms);
-  r->run_paid = r->runs > 0;
+  r->run_repeat_taken = r->runs > 0;
   return true;
 }
 
@@ -35,74 +35,76 @@
 stream_pause_ms (const struct request *r, int64_t busy_ms)
 {
   return busy_ms
-         + (int64_t)(2 * r->terms->engine.event_tokens
+         + (int64_t)(2 * r->config->engine.event_tokens
                      * r->service->lengths.ms_per_token);
 }
 
-/* Returns whether LIVE, a decode engine, prefills or has just prefilled a
+/* Returns whether ENDPOINT, a decode engine, prefills or has just prefilled a
    prompt for any node: two in a row make its streams pause for too long. */
 static bool
-engine_reads (struct beryl_forward *f, const struct beryl_live *live,
-              int64_t now_ms)
+engine_is_prefilling (struct beryl_forward *f,
+                      const struct beryl_live *endpoint, int64_t now_ms)
 {
-  return now_ms - live->alone_ms < ALONE_SPACING_MS
-         || book_prefilling (&f->book, beryl_live_number (live), now_ms) > 0;
+  return now_ms - endpoint->alone_ms < LOCAL_SPACING_MS
+         || run_table_prefill_tokens (&f->run_table,
+                                      beryl_live_number (endpoint), now_ms)
+                > 0;
 }
 
 /* Returns the time from sending R's prompt to an idle prefill engine until its
    answer has arrived. */
 static double
-read_ms (const struct request *r)
+prefill_ms (const struct request *r)
 {
-  return r->facts.prompt_tokens * r->service->prefill_ms_per_token
-         + (double)call_times_least_ms (&r->service->calls);
+  return r->params.prompt_tokens * r->service->prefill_ms_per_token
+         + (double)call_times_min_ms (&r->service->reservation_times);
 }
 
 static int64_t
-alone_ms (const struct request *r, double tokens)
+local_prefill_ms (const struct request *r, double tokens)
 {
-  return (int64_t)(ALONE_FACTOR * tokens * r->service->prefill_ms_per_token);
+  return (int64_t)(LOCAL_FACTOR * tokens * r->service->prefill_ms_per_token);
 }
 
 /* Decides whether the decode engine prefills R's prompt. It takes twice as
    long as a prefill engine, and its other runs nearly stop meanwhile. That is
    worth it only if the prefill engines' queue would make the request late. */
 static bool
-reads_alone (struct beryl_forward *f, const struct request *r, int64_t wait_ms,
-             int64_t now_ms)
+should_prefill_locally (struct beryl_forward *f, const struct request *r,
+                        int64_t wait_ms, int64_t now_ms)
 {
-  int64_t left_ms = r->facts.arrived_ms + r->route->objective_ms - now_ms;
-  int64_t apart_ms = wait_ms + (int64_t)read_ms (r);
-  int64_t busy_ms = alone_ms (r, r->facts.prompt_tokens);
-  struct beryl_live *live = r->reservation.live;
+  int64_t left_ms = r->params.arrived_ms + r->route->objective_ms - now_ms;
+  int64_t remote_ms = wait_ms + (int64_t)prefill_ms (r);
+  int64_t busy_ms = local_prefill_ms (r, r->params.prompt_tokens);
+  struct beryl_live *endpoint = r->reservation.endpoint;
 
-  if (apart_ms < left_ms || busy_ms >= left_ms
-      || engine_reads (f, live, now_ms)
+  if (remote_ms < left_ms || busy_ms >= left_ms
+      || engine_is_prefilling (f, endpoint, now_ms)
       || stream_pause_ms (r, busy_ms) > r->route->gap_objective_ms)
     return false;
-  live->alone_ms = now_ms;
+  endpoint->alone_ms = now_ms;
   return true;
 }
 
 /* An engine that has the prompt cached still has to prefill the part of the
    answer that the caller already has. */
 bool
-prefill_is_needless (struct beryl_forward *f, struct request *r,
-                     int64_t now_ms)
+prefill_is_cached (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
-  struct beryl_live *live = r->reservation.live;
-  double resumed = (double)r->facts.last_event * r->terms->engine.event_tokens;
+  struct beryl_live *endpoint = r->reservation.endpoint;
+  double resumed
+      = (double)r->params.last_event_id * r->config->engine.event_tokens;
 
-  if (!engine_is_warm_for (r, live))
+  if (!engine_has_prompt_cached (r, endpoint))
     return false;
   if (resumed == 0)
     return true;
-  if (engine_reads (f, live, now_ms)
-      || stream_pause_ms (r, alone_ms (r, resumed))
+  if (engine_is_prefilling (f, endpoint, now_ms)
+      || stream_pause_ms (r, local_prefill_ms (r, resumed))
              > r->route->gap_objective_ms)
     return false;
-  live->alone_ms = now_ms;
-  r->reads_alone = true;
+  endpoint->alone_ms = now_ms;
+  r->local_prefill = true;
   return true;
 }
 
@@ -111,46 +113,47 @@
    short queue leaves. Without this limit the queue of an overloaded pool would
    grow until every answer is late, while memory stays reserved. */
 static bool
-is_behind (const struct request *r, int64_t wait_ms, int64_t now_ms)
+makes_late (const struct request *r, int64_t wait_ms, int64_t now_ms)
 {
-  double spare_ms = (double)(r->facts.arrived_ms + r->route->objective_ms
+  double spare_ms = (double)(r->params.arrived_ms + r->route->objective_ms
                              - now_ms - FIRST_EVENT_MS)
-                    - read_ms (r);
+                    - prefill_ms (r);
 
-  return !r->begun && !r->may_have_run && wait_ms > 0
-         && (double)wait_ms > fmax (spare_ms, read_ms (r));
+  return !r->answer_begun && !r->may_have_run && wait_ms > 0
+         && (double)wait_ms > fmax (spare_ms, prefill_ms (r));
 }
 
 /* Considers both the prefill engines and a prefill by the decode engine. */
 bool
-prefill_is_behind (struct beryl_forward *f, const struct request *r,
-                   int64_t now_ms)
+prefill_would_be_late (struct beryl_forward *f, const struct request *r,
+                       int64_t now_ms)
 {
-  int64_t busy_ms = alone_ms (r, r->facts.prompt_tokens);
-  int64_t left_ms = r->facts.arrived_ms + r->route->objective_ms - now_ms;
+  int64_t busy_ms = local_prefill_ms (r, r->params.prompt_tokens);
+  int64_t left_ms = r->params.arrived_ms + r->route->objective_ms - now_ms;
   int64_t wait_ms;
 
-  if (r->kv.live != NULL || r->warm_engine != 0
+  if (r->kv.endpoint != NULL || r->warm_engine != 0
       || (busy_ms < left_ms
           && stream_pause_ms (r, busy_ms) <= r->route->gap_objective_ms))
     return false;
   wait_ms = engine_prefill_wait_ms (f, r, now_ms);
-  return is_behind (r, wait_ms, now_ms);
+  return makes_late (r, wait_ms, now_ms);
 }
 
 /* Releases R's reservation, since its prompt would be prefilled too late. Its
    wait continues from its first start. */
 static void
-put_off (struct beryl_forward *f, struct request *r, int64_t now_ms)
+give_up_reservation (struct beryl_forward *f, struct request *r,
+                     int64_t now_ms)
 {
-  place_release (f, &r->reservation, now_ms);
-  place_put_off (f, r, now_ms);
+  reservation_release (f, &r->reservation, now_ms);
+  placement_defer (f, r, now_ms);
 }
 
 /* The first accepted prefill does not count as a repeat, later ones do. */
 static void
-send (struct beryl_forward *f, struct request *r, struct beryl_live *live,
-      int64_t now_ms)
+send_prefill (struct beryl_forward *f, struct request *r,
+              struct beryl_live *endpoint, int64_t now_ms)
 {
   struct beryl_exchange_start start = { .kind = BERYL_EXCHANGE_PREFILL };
 
@@ -159,38 +162,39 @@
       forward_request_fail (f, r, BERYL_REFUSAL_ENDPOINT_FAILED, now_ms);
       return;
     }
-  rates_sent (f, r->service, live, now_ms);
+  rates_count_sent (f, r->service, endpoint, now_ms);
   r->phase = PHASE_PREFILLING;
-  r->due_ms = r->reservation.until_ms;
-  start.tokens = r->facts.prompt_tokens;
-  generation_exchange (f, r, &start, live, now_ms);
+  r->timer_ms = r->reservation.expires_ms;
+  start.tokens = r->params.prompt_tokens;
+  generation_start_exchange (f, r, &start, endpoint, now_ms);
   f->runs_changed = true;
-  forward_request_decided (f, r, "prefill", live, "sent", start.tokens,
-                           now_ms);
+  forward_request_log (f, r, "prefill", endpoint, "sent", start.tokens,
+                       now_ms);
 }
 
 void
 prefill_start (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
   int64_t wait_ms;
-  struct beryl_live *live = engine_choose_prefill (f, r, &wait_ms, now_ms);
+  struct beryl_live *endpoint = engine_choose_prefill (f, r, &wait_ms, now_ms);
 
   kv_clear (f, &r->kv);
-  if (live == NULL && engine_may_prefill (f, r, now_ms))
+  if (endpoint == NULL && engine_has_prefill (f, r, now_ms))
     {
-      put_off (f, r, now_ms);
+      give_up_reservation (f, r, now_ms);
       return;
     }
-  r->reads_alone = live == NULL || reads_alone (f, r, wait_ms, now_ms);
-  if (r->reads_alone)
+  r->local_prefill
+      = endpoint == NULL || should_prefill_locally (f, r, wait_ms, now_ms);
+  if (r->local_prefill)
     {
       f->runs_changed = true;
       generation_run (f, r, now_ms);
     }
-  else if (is_behind (r, wait_ms, now_ms))
-    put_off (f, r, now_ms);
+  else if (makes_late (r, wait_ms, now_ms))
+    give_up_reservation (f, r, now_ms);
   else
-    send (f, r, live, now_ms);
+    send_prefill (f, r, endpoint, now_ms);
 }
 
 /* A prefill that took no longer than a call without work says nothing about
@@ -198,7 +202,7 @@
 static void
 learn_pace (struct service *s, uint32_t tokens, int64_t took_ms)
 {
-  int64_t busy_ms = took_ms - call_times_least_ms (&s->calls);
+  int64_t busy_ms = took_ms - call_times_min_ms (&s->reservation_times);
 
   if (busy_ms > 0)
     profile_learn_prefill (s, tokens, busy_ms);
@@ -209,14 +213,14 @@
               const struct beryl_engine_result *result, int64_t now_ms)
 {
   int64_t took_ms = now_ms - x->started_ms;
-  int64_t stated_ms = r->terms->engine.kv_handle_ms;
+  int64_t stated_ms = r->config->engine.kv_handle_ms;
 
-  r->kv.live = x->live;
-  r->kv.until_ms = now_ms + (stated_ms > 0 ? stated_ms : KV_HANDLE_MS);
+  r->kv.endpoint = x->endpoint;
+  r->kv.expires_ms = now_ms + (stated_ms > 0 ? stated_ms : KV_HANDLE_MS);
   memcpy (r->kv.handle, result->handle, sizeof r->kv.handle);
-  beryl_live_open (x->live);
-  forward_request_decided (f, r, "prefill", x->live, "done", took_ms, now_ms);
-  beryl_live_learn (x->live, BERYL_LIVE_ANSWERED, took_ms, now_ms);
+  beryl_live_open (x->endpoint);
+  forward_request_log (f, r, "prefill", x->endpoint, "done", took_ms, now_ms);
+  beryl_live_learn (x->endpoint, BERYL_LIVE_ANSWERED, took_ms, now_ms);
   if (!r->prefilled)
     learn_pace (r->service, x->tokens, took_ms);
   r->prefilled = true;
@@ -231,15 +235,15 @@
 {
   bool allowed = forward_request_take_repeat (f, r, now_ms);
 
-  forward_request_decided (f, r, "prefill", x->live,
-                           result->wrong_stage ? "wrong_stage" : "refused",
-                           result->status, now_ms);
-  generation_rejected (x->live, now_ms);
+  forward_request_log (f, r, "prefill", x->endpoint,
+                       result->wrong_stage ? "wrong_stage" : "refused",
+                       result->status, now_ms);
+  generation_back_off (x->endpoint, now_ms);
   if (result->wrong_stage)
-    generation_learn_stage (x->live);
+    generation_switch_stage (x->endpoint);
   forward_exchange_free (f, x);
   if (allowed)
-    generation_start_over (f, r, now_ms);
+    generation_restart (f, r, now_ms);
   else
     forward_request_fail (f, r, BERYL_REFUSAL_ENDPOINT_FAILED, now_ms);
 }
