--- a/libberyl/forward/private.h
+++ b/libberyl/forward/private.h
@@ -12,11 +12,11 @@
 #include "../base/random.h"
 #include "beryl/clock.h"
 #include "beryl/forward.h"
-#include "book.h"
+#include "run_table.h"
 #include "call_times.h"
 #include "events.h"
 #include "pace.h"
-#include "prompts.h"
+#include "prompt_locations.h"
 #include "repeat_budget.h"
 
 /** Retry-After for a request that finds no endpoint. */
@@ -29,7 +29,7 @@
 {
   struct peer_profile *items;
   size_t count;
-  size_t changed; /**< received since the fleet's paces were last merged */
+  size_t unmerged; /**< received since the fleet's paces were last merged */
 };
 
 /** State of a service. */
@@ -37,27 +37,27 @@
 {
   char name[BERYL_NAME_BYTES];
   struct repeat_budget budget;
-  uint32_t asked_serial; /**< of the last request for a loan of repeats; 0 if
+  uint32_t loan_serial; /**< of the last request for a loan of repeats; 0 if
                             none is open */
-  int64_t asked_ms;      /**< when the last loan was requested */
-  double
-      answer_ms; /**< smoothed time to the head of an answer; 0 if unknown */
-  double deviation_ms;         /**< mean deviation of it */
+  int64_t loan_requested_ms;  /**< when the last loan was requested */
+  double answer_mean_ms;      /**< smoothed time to the head of an answer; 0 if
+                                 unknown */
+  double answer_deviation_ms; /**< mean deviation of it */
   struct length_model lengths; /**< output lengths of its generations */
   double prompt_tokens;        /**< mean prompt length of its generations */
   double output_tokens;        /**< mean expected output of its generations */
-  uint32_t seen;               /**< number of generations that arrived */
-  struct pace prefill; /**< speed of its prefill engines, from this node's own
-                          prefills */
+  uint32_t arrived;            /**< number of generations that arrived */
+  struct pace prefill_pace; /**< speed of its prefill engines, from this node's
+                          own prefills */
   double prefill_ms_per_token; /**< prefill speed used in estimates; may be the
                                   fleet's median */
   struct call_times
-      calls; /**< durations of reservation calls to its engines */
-  struct peer_profiles peers;
+      reservation_times; /**< durations of reservation calls to its engines */
+  struct peer_profiles peer_profiles;
   uint64_t kv_tokens; /**< KV memory of one engine; 0 if unknown */
   uint32_t
       waiting; /**< generations of this node that wait for engine memory */
-  int64_t return_ms; /**< retry time to give to the next refused caller */
+  int64_t next_retry_ms; /**< retry time to give to the next refused caller */
 };
 
 struct request;
@@ -69,9 +69,9 @@
   uint64_t id;
   struct request *request; /**< NULL if its request has ended */
   enum beryl_exchange_kind kind;
-  struct beryl_live *live;
+  struct beryl_live *endpoint;
   int64_t started_ms;
-  bool headed;
+  bool has_head;
   bool paused;
   struct beryl_answer_head head;
   uint32_t tokens;
@@ -90,78 +90,81 @@
 /** A generation's memory at a decode engine. */
 struct reservation
 {
-  struct beryl_live *live; /**< NULL if none; its open count includes this */
+  struct beryl_live
+      *endpoint; /**< NULL if none; its open count includes this */
   char handle[BERYL_ENGINE_HANDLE_BYTES];
   uint32_t tokens;
-  int64_t until_ms;
+  int64_t expires_ms;
 };
 
 /** The KV cache of a prompt that was prefilled. */
 struct kv_cache
 {
-  struct beryl_live *live; /**< NULL if none; its open count includes this */
+  struct beryl_live
+      *endpoint; /**< NULL if none; its open count includes this */
   char handle[BERYL_ENGINE_HANDLE_BYTES];
-  int64_t until_ms;
-  uint32_t tries; /**< runs it was handed to */
+  int64_t expires_ms;
+  uint32_t uses; /**< runs it was handed to */
 };
 
 /** One request of a caller. */
 struct request
 {
   TAILQ_ENTRY (request) entry;
-  struct beryl_forward_request facts; /**< host and path are NULL */
+  struct beryl_forward_request params; /**< host and path are NULL */
   struct beryl_routes *routes;
   const struct beryl_route *route;
-  const struct beryl_route_service *terms;
+  const struct beryl_route_service *config;
   struct service *service;
   enum phase phase;
-  bool waiting;            /**< it waits for memory at an engine */
-  int64_t timeout_ms;      /**< absolute; the final answer is due by then */
-  int64_t due_ms;          /**< when its timer fires */
-  struct exchange *first;  /**< open exchange, or NULL */
-  struct exchange *second; /**< concurrent exchange: a hedged send, a move or a
-                              reservation */
-  uint32_t sends;          /**< number of times it was sent to an endpoint */
-  uint32_t endpoints_run;  /**< endpoints that may have run it */
+  bool waiting;               /**< it waits for memory at an engine */
+  int64_t deadline_ms;        /**< absolute; the final answer is due by then */
+  int64_t timer_ms;           /**< when its timer fires */
+  struct exchange *primary;   /**< open exchange, or NULL */
+  struct exchange *secondary; /**< concurrent exchange: a hedged send, a move
+                              or a reservation */
+  uint32_t sends;         /**< number of times it was sent to an endpoint */
+  uint32_t endpoints_run; /**< endpoints that may have run it */
   bool may_have_run;
   uint64_t fingerprint;      /**< of its content; 0 if not computed yet */
   uint64_t tried[TRIED_MAX]; /**< hashes of endpoint ids */
   uint32_t tried_count;
   /* The answer. */
-  bool begun;
+  bool answer_begun;
   bool caller_slow;
-  struct buffer held; /**< body bytes not forwarded yet */
+  struct buffer buffered; /**< body bytes not forwarded yet */
   struct event_splitter events;
   uint64_t event_count; /**< events forwarded to the caller */
   uint64_t run_events;  /**< those of the current run */
-  uint64_t last_event;
-  int64_t event_ms; /**< time of the last event, of the answer's head or of the
-                       start of the run */
+  uint64_t last_event_id;
+  int64_t last_event_ms; /**< time of the last event, of the answer's head or
+                       of the start of the run */
   /* Generations. */
   struct reservation reservation;
   struct kv_cache kv;
   uint32_t expected_tokens; /**< estimated output: the median */
   int64_t first_event_ms;
   int64_t longest_gap_ms;
-  struct beryl_live *move_to; /**< target of the move in progress, or NULL; its
-                                 open count includes this */
-  bool moved;    /**< the engine has stopped the run for the move */
+  struct beryl_live *move_target; /**< target of the move in progress, or NULL;
+                                 its open count includes this */
+  bool move_stopped; /**< the engine has stopped the run for the move */
   uint32_t runs; /**< number of times the request itself was sent to engines */
-  bool prefilled; /**< a prefill engine has accepted its prompt */
-  bool
-      run_paid; /**< the next run's repeat was already taken from the budget */
-  bool reads_alone;     /**< its decode engine prefills the prompt itself */
+  bool prefilled;        /**< a prefill engine has accepted its prompt */
+  bool run_repeat_taken; /**< the next run's repeat was already taken from the
+                            budget */
+  bool local_prefill;    /**< its decode engine prefills the prompt itself */
   uint32_t warm_engine; /**< number of the engine that has its prompt cached; 0
                            if none */
-  bool same_run; /**< the next run continues a moved run with its memory */
-  bool stalled;  /**< its stream has produced no event for too long */
-  bool seeks;    /**< looks for another engine while its run is still open */
-  bool stream_over;  /**< the stream of a move's source engine has ended */
+  bool
+      continues_run; /**< the next run continues a moved run with its memory */
+  bool stalled;      /**< its stream has produced no event for too long */
+  bool relocating; /**< looks for another engine while its run is still open */
+  bool stream_ended; /**< the stream of a move's source engine has ended */
   uint32_t refusals; /**< refusals by engines in the current round */
   bool suspect;      /**< an endpoint may have crashed while running it */
   int64_t run_ms;    /**< when its current run was sent */
   int64_t waiting_since_ms;
-  const char *wait_told; /**< last logged reason to wait; NULL if none */
+  const char *wait_reason; /**< last logged reason to wait; NULL if none */
 };
 
 TAILQ_HEAD (request_list, request);
@@ -169,7 +172,7 @@
 struct beryl_forward
 {
   struct beryl_forward_settings settings;
-  struct beryl_lives *lives;
+  struct beryl_lives *endpoints;
   struct beryl_forward_owner *owner;
   struct beryl_routes *routes; /**< NULL before the first configuration */
   uint32_t nodes;
@@ -180,99 +183,108 @@
   struct exchange_list exchanges;
   struct service **services;
   size_t service_count;
-  uint32_t open;
+  uint32_t open_count;
   uint32_t waiting_count;
-  uint64_t last_exchange;
+  uint64_t last_exchange_id;
   uint64_t random;
-  int64_t balance_ms; /**< next check of the engines' memory */
-  int64_t end_ms; /**< when the process stops; BERYL_NEVER_MS if not planned */
-  struct book book;       /**< runs of the other nodes at engines */
-  struct prompts prompts; /**< engines that recently ran a prompt */
-  struct beryl_repeat_transfers loans; /**< granted, not sent yet */
-  uint32_t last_serial;
+  int64_t next_balance_ms; /**< next check of the engines' memory */
+  int64_t
+      stop_ms; /**< when the process stops; BERYL_NEVER_MS if not planned */
+  struct run_table run_table; /**< runs of the other nodes at engines */
+  struct prompt_locations
+      prompt_locations; /**< engines that recently ran a prompt */
+  struct beryl_repeat_transfers pending_loans; /**< granted, not sent yet */
+  uint32_t last_loan_serial;
   bool runs_changed; /**< this node's runs have changed since they were
                         reported */
   struct beryl_limits *limits;
-  uint32_t heard;   /**< nodes whose reports arrive, this one included */
-  int64_t heard_ms; /**< when they were last counted */
+  uint32_t
+      reachable_nodes; /**< nodes whose reports arrive, this one included */
+  int64_t reachable_counted_ms; /**< when they were last counted */
   struct beryl_quarantine_owner quarantine_owner;
   struct beryl_quarantine *quarantine;
-  int64_t watch_ms; /**< until when a request of this node may be a suspect */
-  int64_t sweep_ms; /**< when to check open requests for newly quarantined
-                       ones; BERYL_NEVER_MS if none */
+  int64_t suspects_until_ms;   /**< until when a request of this node may be a
+                                  suspect */
+  int64_t quarantine_check_ms; /**< when to check open requests for newly
+                       quarantined ones; BERYL_NEVER_MS if none */
 };
 
 /* forward.c */
 struct service *forward_service (struct beryl_forward *f, const char *name);
 /** Return the service whose name hashes to NUMBER (beryl_engine_number), or
  * NULL. */
-struct service *forward_service_numbered (const struct beryl_forward *f,
-                                          uint32_t number);
-/** Start an exchange with LIVE for R; R is NULL for clean-up. */
-struct exchange *forward_start (struct beryl_forward *f, struct request *r,
-                                struct beryl_exchange_start *start,
-                                struct beryl_live *live, int64_t now_ms);
+struct service *forward_service_by_number (const struct beryl_forward *f,
+                                           uint32_t number);
+/** Start an exchange with ENDPOINT for R; R is NULL for clean-up. */
+struct exchange *forward_exchange_start (struct beryl_forward *f,
+                                         struct request *r,
+                                         struct beryl_exchange_start *start,
+                                         struct beryl_live *endpoint,
+                                         int64_t now_ms);
 /** Free an exchange whose connection is closed. */
 void forward_exchange_free (struct beryl_forward *f, struct exchange *x);
 /** Close the connection of X and free it. */
 void forward_exchange_abort (struct beryl_forward *f, struct exchange *x);
 /** Detach X from R. A pending RESERVE is left to complete, so that the
  * reservation can be released; any other exchange is aborted. */
-void forward_exchange_disown (struct beryl_forward *f, struct request *r,
+void forward_exchange_detach (struct beryl_forward *f, struct request *r,
                               struct exchange *x);
 
 /* news.c */
-/** An answer shows that another process now has LIVE's address. */
-void news_replaced (struct beryl_forward *f, struct beryl_live *live,
-                    int64_t now_ms);
-/** LIVE did not accept a connection. */
-void news_unreachable (struct beryl_forward *f, struct beryl_live *live,
-                       int64_t now_ms);
+/** An answer shows that another process now has ENDPOINT's address. */
+void endpoint_report_replaced (struct beryl_forward *f,
+                               struct beryl_live *endpoint, int64_t now_ms);
+/** ENDPOINT did not accept a connection. */
+void endpoint_report_unreachable (struct beryl_forward *f,
+                                  struct beryl_live *endpoint, int64_t now_ms);
 
 /* crashes.c */
 void crashes_init (struct beryl_forward *f);
-/** R's run at LIVE ended in a reset or closed connection. */
-void crashes_run_broke (struct beryl_forward *f, struct request *r,
-                        struct beryl_live *live, int64_t now_ms);
-/** LIVE accepts no connections, or its address belongs to another process. */
-void crashes_ended (struct beryl_forward *f, const struct beryl_live *live,
-                    int64_t now_ms);
+/** R's run at ENDPOINT ended in a reset or closed connection. */
+void crashes_run_interrupted (struct beryl_forward *f, struct request *r,
+                              struct beryl_live *endpoint, int64_t now_ms);
+/** ENDPOINT accepts no connections, or its address belongs to another process.
+ */
+void crashes_endpoint_ended (struct beryl_forward *f,
+                             const struct beryl_live *endpoint,
+                             int64_t now_ms);
 /** R was answered completely. */
 void crashes_answered (struct beryl_forward *f, struct request *r,
                        int64_t now_ms);
 /** Return whether R is quarantined: it may be sent to no endpoint. */
-bool crashes_quarantined (struct beryl_forward *f, struct request *r,
-                          int64_t now_ms);
+bool crashes_is_quarantined (struct beryl_forward *f, struct request *r,
+                             int64_t now_ms);
 /** If R is quarantined, refuse it and return true. */
 bool crashes_refuse (struct beryl_forward *f, struct request *r,
                      int64_t now_ms);
 /** Mark R as a suspect: it may crash, or has crashed, an endpoint. */
-void crashes_suspect (struct beryl_forward *f, struct request *r,
-                      int64_t now_ms);
+void crashes_mark_suspect (struct beryl_forward *f, struct request *r,
+                           int64_t now_ms);
 /** Return whether this node or a peer may have an open suspect. */
-bool crashes_watching (const struct beryl_forward *f, int64_t now_ms);
+bool crashes_any_suspect (const struct beryl_forward *f, int64_t now_ms);
 /** Return whether R is a suspect that may still crash its endpoint. */
-bool crashes_watches (const struct request *r, int64_t now_ms);
-/** Return whether a suspect other than R runs at LIVE. */
-bool crashes_shares (const struct beryl_forward *f, const struct request *r,
-                     const struct beryl_live *live, int64_t now_ms);
+bool crashes_is_suspect (const struct request *r, int64_t now_ms);
+/** Return whether a suspect other than R runs at ENDPOINT. */
+bool crashes_suspect_at (const struct beryl_forward *f,
+                         const struct request *r,
+                         const struct beryl_live *endpoint, int64_t now_ms);
 void crashes_tick (struct beryl_forward *f, int64_t now_ms);
 
 /* rates.c */
 /** The answer to X stated LIMIT; SERVED tells whether the request was
  * served. */
-void rates_heard (struct beryl_forward *f, const struct exchange *x,
+void rates_learn (struct beryl_forward *f, const struct exchange *x,
                   const struct beryl_rate_limit *limit, bool served,
                   int64_t now_ms);
-/** Return whether LIVE has stated a rate limit. */
-bool rates_limited (const struct beryl_forward *f,
-                    const struct beryl_live *live);
-/** Return whether LIVE's rate limit allows a request of S now. */
-bool rates_allow (struct beryl_forward *f, struct service *s,
-                  const struct beryl_live *live, int64_t now_ms);
-/** Count a request of S that is sent to LIVE. */
-void rates_sent (struct beryl_forward *f, struct service *s,
-                 const struct beryl_live *live, int64_t now_ms);
+/** Return whether ENDPOINT has stated a rate limit. */
+bool rates_is_limited (const struct beryl_forward *f,
+                       const struct beryl_live *endpoint);
+/** Return whether ENDPOINT's rate limit allows a request of S now. */
+bool rates_allows (struct beryl_forward *f, struct service *s,
+                   const struct beryl_live *endpoint, int64_t now_ms);
+/** Count a request of S that is sent to ENDPOINT. */
+void rates_count_sent (struct beryl_forward *f, struct service *s,
+                       const struct beryl_live *endpoint, int64_t now_ms);
 /** Return the Retry-After for a request of S that no rate limit allows; 0 if
  * no endpoint of S has a limit. */
 int64_t rates_retry_after_ms (struct beryl_forward *f, struct service *s,
@@ -287,35 +299,36 @@
 void profile_learn_stream (struct service *s, uint32_t tokens,
                            int64_t took_ms);
 /** Drop the profiles of PEER, which has left the fleet. */
-void profile_forget (struct beryl_forward *f, const char *peer);
+void profile_remove_peer (struct beryl_forward *f, const char *peer);
 
 /* loans.c */
 /** Called when a repeat of S was sent or denied; requests a loan from a peer
  * if few repeats are left. */
-void loans_check (struct beryl_forward *f, struct service *s, int64_t now_ms);
+void loans_request_if_low (struct beryl_forward *f, struct service *s,
+                           int64_t now_ms);
 
 /* request.c */
-/** Create a request from FACTS, which are copied, and choose one of ROUTE's
+/** Create a request from PARAMS, which are copied, and choose one of ROUTE's
  * services for it. */
-struct request *forward_request_new (struct beryl_forward *f,
-                                     const struct beryl_forward_request *facts,
-                                     const struct beryl_route *route);
+struct request *
+forward_request_new (struct beryl_forward *f,
+                     const struct beryl_forward_request *params,
+                     const struct beryl_route *route);
 /** Free R, which must have no open exchange. */
 void forward_request_free (struct beryl_forward *f, struct request *r);
 /** Return the limits on repeats, which are the same for all services. */
-struct repeat_terms forward_repeat_terms (const struct beryl_forward *f);
+struct repeat_limits forward_repeat_limits (const struct beryl_forward *f);
 /** Count the arrival of a request at S; the repeat budget grows with it. */
-void forward_request_count (struct beryl_forward *f, struct service *s,
-                            int64_t now_ms);
+void forward_request_count_arrival (struct beryl_forward *f, struct service *s,
+                                    int64_t now_ms);
 /** Return the fingerprint of R's content; 0 if the owner does not know it. */
 uint64_t forward_request_fingerprint (struct beryl_forward *f,
                                       struct request *r);
 /** Log one step of R. NUMBER is tokens, bytes or milliseconds, depending on
  * STEP. */
-void forward_request_decided (struct beryl_forward *f, const struct request *r,
-                              const char *step, const struct beryl_live *live,
-                              const char *outcome, int64_t number,
-                              int64_t now_ms);
+void forward_request_log (struct beryl_forward *f, const struct request *r,
+                          const char *step, const struct beryl_live *endpoint,
+                          const char *outcome, int64_t number, int64_t now_ms);
 /** End R: abort its open exchanges, free its memory at engines, free it. */
 void forward_request_end (struct beryl_forward *f, struct request *r,
                           int64_t now_ms);
@@ -330,10 +343,10 @@
 /** Return whether R is a generation, which is planned at model engines. */
 bool forward_request_is_generation (const struct request *r);
 /** Return whether R's run can be moved to another engine. */
-bool forward_request_movable (const struct request *r);
+bool forward_request_is_movable (const struct request *r);
 /** Return whether R is idempotent: it may be sent again although it may have
  * run. */
-bool forward_request_repeatable (const struct request *r);
+bool forward_request_is_repeatable (const struct request *r);
 /** Count that the endpoint R was sent to runs it, or may run it. */
 void forward_request_count_run (struct request *r);
 /** Take one repeat from the budget of R's service; false if none is left. */
@@ -346,73 +359,79 @@
                                        int64_t now_ms);
 void forward_request_take_repeats (struct beryl_forward *f, struct request *r,
                                    uint32_t count, int64_t now_ms);
-void forward_request_note_tried (struct request *r,
-                                 const struct beryl_live *live);
-bool forward_request_tried (const struct request *r,
-                            const struct beryl_live *live);
+void forward_request_mark_tried (struct request *r,
+                                 const struct beryl_live *endpoint);
+bool forward_request_was_tried (const struct request *r,
+                                const struct beryl_live *endpoint);
 
 /* plain.c */
 void plain_start (struct beryl_forward *f, struct request *r, int64_t now_ms);
 /** An exchange of R ended without an answer that can be forwarded. */
 void plain_attempt_failed (struct beryl_forward *f, struct request *r,
                            int64_t now_ms);
-void plain_due (struct beryl_forward *f, struct request *r, int64_t now_ms);
+void plain_timer (struct beryl_forward *f, struct request *r, int64_t now_ms);
 /** Learn from the time to the head of an answer. */
-void service_learn (struct service *s, int64_t took_ms);
+void service_learn_answer_time (struct service *s, int64_t took_ms);
 /** Return after how long an answer is unusually late, so that a hedged send is
  * worthwhile. */
-int64_t service_late_ms (const struct service *s);
+int64_t service_hedge_delay_ms (const struct service *s);
 
 /* place.c */
 /** Queue R for memory at a decode engine, and try to reserve some. */
-void place_wait (struct beryl_forward *f, struct request *r, int64_t now_ms);
+void placement_start (struct beryl_forward *f, struct request *r,
+                      int64_t now_ms);
 /** R gave up its reservation, or did not ask for one, since its prompt cannot
  * be prefilled in time: refuse it or let it wait on. */
-void place_put_off (struct beryl_forward *f, struct request *r,
-                    int64_t now_ms);
+void placement_defer (struct beryl_forward *f, struct request *r,
+                      int64_t now_ms);
 /** End R's wait for memory. */
-void place_wait_end (struct beryl_forward *f, struct request *r);
+void placement_wait_end (struct beryl_forward *f, struct request *r);
 /** Ask the next engine for memory. */
-void place_ask (struct beryl_forward *f, struct request *r, int64_t now_ms);
+void placement_ask (struct beryl_forward *f, struct request *r,
+                    int64_t now_ms);
 /** Handle R's timer while it waits: ask again, or give up. */
-void place_due (struct beryl_forward *f, struct request *r, int64_t now_ms);
+void placement_timer (struct beryl_forward *f, struct request *r,
+                      int64_t now_ms);
 /** The engine of X granted or refused a reservation. */
-void place_granted (struct beryl_forward *f, struct exchange *x,
-                    const struct beryl_engine_result *result, int64_t now_ms);
-void place_refused (struct beryl_forward *f, struct exchange *x,
-                    int64_t now_ms);
+void placement_granted (struct beryl_forward *f, struct exchange *x,
+                        const struct beryl_engine_result *result,
+                        int64_t now_ms);
+void placement_refused (struct beryl_forward *f, struct exchange *x,
+                        int64_t now_ms);
 /** An engine that R asked for a reservation did not answer. */
-void place_no_answer (struct beryl_forward *f, struct request *r,
-                      int64_t now_ms);
+void placement_no_answer (struct beryl_forward *f, struct request *r,
+                          int64_t now_ms);
 /** Engines were added or removed: waiting requests ask again at the next
  * tick. */
-void place_look_again (struct beryl_forward *f, int64_t now_ms);
-/** Ask LIVE to reserve the memory that R needs. */
-struct exchange *place_reserve (struct beryl_forward *f, struct request *r,
-                                struct beryl_live *live, int64_t now_ms);
+void placement_wake_all (struct beryl_forward *f, int64_t now_ms);
+/** Ask ENDPOINT to reserve the memory that R needs. */
+struct exchange *placement_reserve (struct beryl_forward *f, struct request *r,
+                                    struct beryl_live *endpoint,
+                                    int64_t now_ms);
 /** Record the reservation that the engine of X has granted to R; frees X. */
-void place_take (struct beryl_forward *f, struct exchange *x,
-                 const struct beryl_engine_result *result, int64_t now_ms);
+void placement_accept (struct beryl_forward *f, struct exchange *x,
+                       const struct beryl_engine_result *result,
+                       int64_t now_ms);
 /** Release the reservation PLACE at its engine if it is still held, and clear
  * it. */
-void place_release (struct beryl_forward *f, struct reservation *place,
-                    int64_t now_ms);
+void reservation_release (struct beryl_forward *f, struct reservation *place,
+                          int64_t now_ms);
 /** Clear PLACE without calling the engine. */
-void place_clear (struct beryl_forward *f, struct reservation *place);
-/** Ask LIVE to release the reservation HANDLE. */
-void place_give_back (struct beryl_forward *f, struct beryl_live *live,
-                      const char *handle, int64_t now_ms);
+void reservation_clear (struct beryl_forward *f, struct reservation *place);
+/** Ask ENDPOINT to release the reservation HANDLE. */
+void reservation_cancel (struct beryl_forward *f, struct beryl_live *endpoint,
+                         const char *handle, int64_t now_ms);
 
 /* generation.c */
 void generation_start (struct beryl_forward *f, struct request *r,
                        int64_t now_ms);
-/** Start an exchange of R with LIVE. */
-void generation_exchange (struct beryl_forward *f, struct request *r,
-                          struct beryl_exchange_start *start,
-                          struct beryl_live *live, int64_t now_ms);
+/** Start an exchange of R with ENDPOINT. */
+void generation_start_exchange (struct beryl_forward *f, struct request *r,
+                                struct beryl_exchange_start *start,
+                                struct beryl_live *endpoint, int64_t now_ms);
 /** R has a reservation: prefill its prompt, or run it. */
-void generation_placed (struct beryl_forward *f, struct request *r,
-                        int64_t now_ms);
+void generation_reserved (struct beryl_forward *f, struct request *r,
+                          int64_t now_ms);
 /** Send R to the engine that has its reservation, with its KV cache if there
  * is one. */
 void generation_run (struct beryl_forward *f, struct request *r,
@@ -420,42 +439,44 @@
 void generation_result (struct beryl_forward *f, struct exchange *x,
                         const struct beryl_engine_result *result,
                         int64_t now_ms);
-/** An exchange of R of KIND failed; SENT as in beryl_forward_broken. */
+/** An exchange of R of KIND failed; SENT as in beryl_forward_exchange_failed.
+ */
 void generation_broken (struct beryl_forward *f, struct request *r,
                         enum beryl_exchange_kind kind, bool sent,
                         int64_t now_ms);
 /** The engine states that it did not run R; WRONG_STAGE: because it now has
  * another stage. */
-void generation_not_run (struct beryl_forward *f, struct request *r,
-                         bool wrong_stage, int64_t now_ms);
-void generation_due (struct beryl_forward *f, struct request *r,
-                     int64_t now_ms);
+void generation_run_rejected (struct beryl_forward *f, struct request *r,
+                              bool wrong_stage, int64_t now_ms);
+void generation_timer (struct beryl_forward *f, struct request *r,
+                       int64_t now_ms);
 /** Release R's reservation and KV cache at their engines. */
 void generation_release (struct beryl_forward *f, struct request *r,
                          int64_t now_ms);
 /** R's run at its decode engine has ended. */
-void generation_run_over (struct beryl_forward *f, struct request *r);
+void generation_run_ended (struct beryl_forward *f, struct request *r);
 /** Clear KV without calling the engine. */
 void kv_clear (struct beryl_forward *f, struct kv_cache *kv);
 
 /** Plan R again after a failure; its KV cache is used again if it is still
  * valid. */
-void generation_start_over (struct beryl_forward *f, struct request *r,
-                            int64_t now_ms);
-/** LIVE has reported that it now has the other stage. */
-void generation_learn_stage (struct beryl_live *live);
-/** LIVE rejected work that it had memory for: back off from it for a while. */
-void generation_rejected (struct beryl_live *live, int64_t now_ms);
+void generation_restart (struct beryl_forward *f, struct request *r,
+                         int64_t now_ms);
+/** ENDPOINT has reported that it now has the other stage. */
+void generation_switch_stage (struct beryl_live *endpoint);
+/** ENDPOINT rejected work that it had memory for: back off from it for a
+ * while. */
+void generation_back_off (struct beryl_live *endpoint, int64_t now_ms);
 
 /* prefill.c */
 /** Return whether R, which has no reservation yet, could not have its prompt
  * prefilled in time. */
-bool prefill_is_behind (struct beryl_forward *f, const struct request *r,
-                        int64_t now_ms);
+bool prefill_would_be_late (struct beryl_forward *f, const struct request *r,
+                            int64_t now_ms);
 /** Return whether R needs no prefill because its decode engine has the prompt
  * cached. */
-bool prefill_is_needless (struct beryl_forward *f, struct request *r,
-                          int64_t now_ms);
+bool prefill_is_cached (struct beryl_forward *f, struct request *r,
+                        int64_t now_ms);
 /** Have the prompt of R, which has a reservation, prefilled. */
 void prefill_start (struct beryl_forward *f, struct request *r,
                     int64_t now_ms);
@@ -471,32 +492,35 @@
 
 /* stream.c */
 /** Return when R's stream is to be checked for a stall. */
-int64_t stream_due_ms (const struct request *r);
-void stream_due (struct beryl_forward *f, struct request *r, int64_t now_ms);
+int64_t stream_timer_ms (const struct request *r);
+void stream_timer (struct beryl_forward *f, struct request *r, int64_t now_ms);
 /** Return whether R's stream may continue at another engine by its route and
  * the repeat budget. */
-bool stream_may_go_on (struct beryl_forward *f, struct request *r,
-                       int64_t now_ms);
+bool stream_may_relocate (struct beryl_forward *f, struct request *r,
+                          int64_t now_ms);
 /** R's stream has produced one more event: learn its speed. */
 void stream_learn_pace (const struct request *r, int64_t now_ms);
 /** R's answer is complete: learn from its length. */
-void stream_learn (struct beryl_forward *f, const struct request *r);
+void stream_learn_length (struct beryl_forward *f, const struct request *r);
 
 /* seek.c */
 /** Start to look for another engine for R's stream, which its own engine does
  * not continue. WHY is for the log. Does nothing if the route does not allow
  * it. */
-void seek_start (struct beryl_forward *f, struct request *r, const char *why,
-                 int64_t now_ms);
+void relocate_start (struct beryl_forward *f, struct request *r,
+                     const char *why, int64_t now_ms);
 /** Handle R's timer while it looks for another engine. */
-void seek_due (struct beryl_forward *f, struct request *r, int64_t now_ms);
+void relocate_timer (struct beryl_forward *f, struct request *r,
+                     int64_t now_ms);
 /** An engine has no memory for R, or did not answer. */
-void seek_refused (struct beryl_forward *f, struct request *r, int64_t now_ms);
+void relocate_refused (struct beryl_forward *f, struct request *r,
+                       int64_t now_ms);
 /** The engine of X has granted a reservation: R continues there. */
-void seek_granted (struct beryl_forward *f, struct exchange *x,
-                   const struct beryl_engine_result *result, int64_t now_ms);
+void relocate_granted (struct beryl_forward *f, struct exchange *x,
+                       const struct beryl_engine_result *result,
+                       int64_t now_ms);
 /** R's stream continues or has ended: stop looking for another engine. */
-void seek_end (struct beryl_forward *f, struct request *r);
+void relocate_end (struct beryl_forward *f, struct request *r);
 
 /* balance.c */
 /** Move runs away from engines that are about to run out of memory. */
@@ -508,7 +532,8 @@
                   const char *bytes, size_t bytes_count, int64_t now_ms);
 void answer_done (struct beryl_forward *f, struct exchange *x, int64_t now_ms);
 void answer_broken (struct beryl_forward *f, struct exchange *x,
-                    enum beryl_break how, bool sent, int64_t now_ms);
+                    enum beryl_exchange_failure how, bool sent,
+                    int64_t now_ms);
 
 /* move.c */
 /** Start to move R's run to TARGET. */
@@ -517,29 +542,29 @@
 /** The engine answered X, a MOVE. */
 void move_result (struct beryl_forward *f, struct exchange *x,
                   const struct beryl_engine_result *result, int64_t now_ms);
-/** A MOVE of R failed; SENT as in beryl_forward_broken. */
+/** A MOVE of R failed; SENT as in beryl_forward_exchange_failed. */
 void move_broken (struct beryl_forward *f, struct request *r, bool sent,
                   int64_t now_ms);
 /** R's stream ended early; return true if that is part of a move. */
-bool move_takes_end (struct beryl_forward *f, struct request *r,
-                     int64_t now_ms);
+bool move_stream_ended (struct beryl_forward *f, struct request *r,
+                        int64_t now_ms);
 /** The target engine of R's move rejected the run: continue at the source
  * engine. Return false if that was tried already. */
-bool move_return (struct beryl_forward *f, struct request *r, int64_t now_ms);
+bool move_back (struct beryl_forward *f, struct request *r, int64_t now_ms);
 /** Clear the state of R's move. */
 void move_clear (struct beryl_forward *f, struct request *r);
 
 /* backlog.c */
 /** Interval at which a waiting request asks for memory again. If much shorter,
  * engines answer little else; if much longer, freed memory stays unused. */
-#define ASK_AGAIN_MS 120
+#define ASK_INTERVAL_MS 120
 /** Time until other nodes have received a choice; it is sent to them after 30
  * ms. */
-#define NEWS_MS 50
-/** Return how many requests of R's service choose engines within NEWS_MS, so
- * that they cannot know of each other's choices. */
-double backlog_at_once (struct beryl_forward *f, const struct request *r,
-                        int64_t now_ms);
+#define PROPAGATION_MS 50
+/** Return how many requests of R's service choose engines within
+ * PROPAGATION_MS, so that they cannot know of each other's choices. */
+double backlog_concurrent_choices (struct beryl_forward *f,
+                                   const struct request *r, int64_t now_ms);
 /** Return how many generations of R's service wait for memory at all nodes. */
 uint32_t backlog_waiting (const struct beryl_forward *f,
                           const struct request *r, int64_t now_ms);
@@ -553,42 +578,42 @@
 
 /* engines.c */
 /** Return the number of runs at all decode engines of R's service. */
-uint32_t engine_runs (struct beryl_forward *f, const struct request *r,
-                      int64_t now_ms);
-/** Return the highest expected use of LIVE's memory, in tokens, if R ran there
- * too. DEVIATIONS standard deviations are added. */
+uint32_t engine_run_count (struct beryl_forward *f, const struct request *r,
+                           int64_t now_ms);
+/** Return the highest expected use of ENDPOINT's memory, in tokens, if R ran
+ * there too. DEVIATIONS standard deviations are added. */
 double engine_peak_with (struct beryl_forward *f, const struct request *r,
-                         const struct beryl_live *live, double deviations,
+                         const struct beryl_live *endpoint, double deviations,
                          int64_t now_ms);
-/** LIVE granted or refused a reservation of TOKENS: estimate from that what
- * runs of unknown nodes use there. */
-void engine_learn_room (struct beryl_forward *f, const struct request *r,
-                        struct beryl_live *live, uint32_t tokens, bool granted,
-                        int64_t now_ms);
+/** ENDPOINT granted or refused a reservation of TOKENS: estimate from that
+ * what runs of unknown nodes use there. */
+void engine_learn_capacity (struct beryl_forward *f, const struct request *r,
+                            struct beryl_live *endpoint, uint32_t tokens,
+                            bool granted, int64_t now_ms);
 /** Choose an engine to move R's run to; NULL if none has enough memory. */
 struct beryl_live *engine_choose_target (struct beryl_forward *f,
                                          const struct request *r,
                                          int64_t now_ms);
 /** Return whether R's run is the newest at its engine. */
-bool engine_newest (struct beryl_forward *f, const struct request *r,
-                    int64_t now_ms);
-/** Return whether LIVE has R's prompt cached. */
-bool engine_is_warm_for (const struct request *r,
-                         const struct beryl_live *live);
+bool engine_is_newest_run (struct beryl_forward *f, const struct request *r,
+                           int64_t now_ms);
+/** Return whether ENDPOINT has R's prompt cached. */
+bool engine_has_prompt_cached (const struct request *r,
+                               const struct beryl_live *endpoint);
 /** Estimated free capacity of a service's decode engines. */
-struct engine_outlook
+struct engine_capacity
 {
   /** Part of its memory that the emptiest engine would fill with one more
    * request; 0 if there is no engine to ask. */
-  double lowest;
-  double places; /**< requests of that size that would fit */
+  double min_fill;
+  double free_places; /**< requests of that size that would fit */
 };
 
 /** Choose a decode engine to ask for a reservation; NULL if there is none.
- * *OUTLOOK must be zero-initialised. */
+ * *CAPACITY must be zero-initialised. */
 struct beryl_live *engine_choose_decode (struct beryl_forward *f,
                                          const struct request *r,
-                                         struct engine_outlook *outlook,
+                                         struct engine_capacity *capacity,
                                          int64_t now_ms);
 /** Choose an engine to prefill R's prompt; NULL if there is none. *WAIT_MS is
  * set to the duration of its queue. */
@@ -596,7 +621,7 @@
                                           const struct request *r,
                                           int64_t *wait_ms, int64_t now_ms);
 /** Return whether there is a usable prefill engine, rate limits apart. */
-bool engine_may_prefill (struct beryl_forward *f, const struct request *r,
+bool engine_has_prefill (struct beryl_forward *f, const struct request *r,
                          int64_t now_ms);
 /** Return the duration of the shortest queue of a prefill engine; 0 if there
  * is no engine. */
@@ -605,9 +630,9 @@
 /** Describe R's run at its engine, for the report to other nodes. */
 void engine_describe_run (const struct request *r, int64_t now_ms,
                           struct beryl_engine_run *run);
-/** Forecast the memory of LIVE. */
-void engine_curve (struct beryl_forward *f, const struct service *s,
-                   const struct beryl_live *live, int64_t now_ms,
-                   struct book_curve *curve);
+/** Forecast the memory of ENDPOINT. */
+void engine_forecast (struct beryl_forward *f, const struct service *s,
+                      const struct beryl_live *endpoint, int64_t now_ms,
+                      struct memory_forecast *forecast);
 
 #endif
--- a/libberyl/forward/profile.c
+++ b/libberyl/forward/profile.c
@@ -9,17 +9,17 @@
 
 /* Number of its own observations up to which a node's means are weighted; more
    have no more weight, so that a shift is followed. */
-#define ARRIVED_MOST 20
-#define PREFILLS_MOST 8
-#define STREAMS_MOST 8
+#define ARRIVED_WEIGHT_MAX 20
+#define PREFILLS_WEIGHT_MAX 8
+#define STREAMS_WEIGHT_MAX 8
 /* Observations of all nodes from which on a profile is used to assign
    engines. */
-#define KNOWN_PREFILLS 8
-#define KNOWN_STREAMS 4
+#define MEASURED_PREFILLS_MIN 8
+#define MEASURED_STREAMS_MIN 4
 #define NS_PER_MS 1e6
 /* The fleet's paces are merged again once one in this many of the peers has
    sent a profile. */
-#define CHANGED_PART 8
+#define MERGE_SHARE 8
 
 struct peer_profile
 {
@@ -43,17 +43,18 @@
 static struct beryl_generation_profile
 own_profile (const struct service *s)
 {
-  double decode_ms = s->lengths.paces > 0 ? s->lengths.seen_ms_per_token
-                                          : s->lengths.ms_per_token;
+  double decode_ms = s->lengths.pace_samples > 0 ? s->lengths.own_ms_per_token
+                                                 : s->lengths.ms_per_token;
 
   return (struct beryl_generation_profile){
     .service = beryl_engine_number (s->name),
-    .arrived = at_most (s->seen, ARRIVED_MOST),
+    .arrived = at_most (s->arrived, ARRIVED_WEIGHT_MAX),
     .prompt_tokens = (uint32_t)s->prompt_tokens,
     .output_tokens = (uint32_t)s->output_tokens,
-    .prefills = at_most (s->prefill.seen, PREFILLS_MOST),
-    .prefill_ns_per_token = (uint32_t)(s->prefill.ms_per_token * NS_PER_MS),
-    .streams = at_most (s->lengths.paces, STREAMS_MOST),
+    .prefills = at_most (s->prefill_pace.samples, PREFILLS_WEIGHT_MAX),
+    .prefill_ns_per_token
+    = (uint32_t)(s->prefill_pace.ms_per_token * NS_PER_MS),
+    .streams = at_most (s->lengths.pace_samples, STREAMS_WEIGHT_MAX),
     .decode_ns_per_token = (uint32_t)(decode_ms * NS_PER_MS),
   };
 }
@@ -66,7 +67,7 @@
   for (size_t i = 0;
        i < f->service_count && profiles->count < BERYL_GENERATION_PROFILES_MAX;
        i++)
-    if (f->services[i]->seen > 0)
+    if (f->services[i]->arrived > 0)
       profiles->items[profiles->count++] = own_profile (f->services[i]);
 }
 
@@ -100,9 +101,9 @@
 }
 
 static double
-mean_of (double sum, double count, double otherwise)
+mean_of (double sum, double count, double fallback)
 {
-  return count > 0 ? sum / count : otherwise;
+  return count > 0 ? sum / count : fallback;
 }
 
 static void
@@ -130,11 +131,11 @@
   return (left > right) - (left < right);
 }
 
-/* Sorts PACES and returns the median of the observations; OTHERWISE if there
+/* Sorts PACES and returns the median of the observations; FALLBACK if there
    are none. In a mean one node that was paused during its first prefill would
    outweigh many others. */
 static double
-paces_median (struct node_paces *paces, double otherwise)
+paces_median (struct node_paces *paces, double fallback)
 {
   uint64_t below = 0;
 
@@ -145,7 +146,7 @@
       if (2 * below >= paces->observations)
         return paces->items[i].ms_per_token;
     }
-  return otherwise;
+  return fallback;
 }
 
 /* Merged profiles of all nodes. */
@@ -166,8 +167,8 @@
 }
 
 static void
-note_prefills (struct beryl_generation_mix *mix,
-               const struct node_paces *prefills)
+set_prefill_range (struct beryl_generation_mix *mix,
+                   const struct node_paces *prefills)
 {
   if (prefills->count == 0)
     return;
@@ -178,44 +179,44 @@
 }
 
 static struct beryl_generation_mix
-mix_of (const struct service *s)
+merge_profiles (const struct service *s)
 {
   struct beryl_generation_profile own = own_profile (s);
   struct beryl_generation_mix mix;
   struct fleet fleet = { 0 };
   const struct sums *sums = &fleet.sums;
 
-  paces_init (&fleet.prefills, s->peers.count + 1);
-  paces_init (&fleet.streams, s->peers.count + 1);
+  paces_init (&fleet.prefills, s->peer_profiles.count + 1);
+  paces_init (&fleet.streams, s->peer_profiles.count + 1);
   fleet_add (&fleet, &own);
-  for (size_t i = 0; i < s->peers.count; i++)
-    fleet_add (&fleet, &s->peers.items[i].profile);
+  for (size_t i = 0; i < s->peer_profiles.count; i++)
+    fleet_add (&fleet, &s->peer_profiles.items[i].profile);
   mix = (struct beryl_generation_mix){
     .prompt_tokens = mean_of (sums->prompt, sums->arrived, s->prompt_tokens),
     .output_tokens = mean_of (sums->output, sums->arrived, s->output_tokens),
     .prefill_ms_per_token
-    = paces_median (&fleet.prefills, s->prefill.ms_per_token),
+    = paces_median (&fleet.prefills, s->prefill_pace.ms_per_token),
     .decode_ms_per_token
-    = paces_median (&fleet.streams, s->lengths.seen_ms_per_token),
+    = paces_median (&fleet.streams, s->lengths.own_ms_per_token),
     .kv_tokens = s->kv_tokens,
-    .measured = fleet.prefills.observations >= KNOWN_PREFILLS
-                && fleet.streams.observations >= KNOWN_STREAMS,
+    .measured = fleet.prefills.observations >= MEASURED_PREFILLS_MIN
+                && fleet.streams.observations >= MEASURED_STREAMS_MIN,
   };
-  note_prefills (&mix, &fleet.prefills);
+  set_prefill_range (&mix, &fleet.prefills);
   free (fleet.prefills.items);
   free (fleet.streams.items);
   return mix;
 }
 
 struct beryl_generation_mix
-beryl_forward_mix (struct beryl_forward *f, const char *name)
+beryl_forward_generation_mix (struct beryl_forward *f, const char *name)
 {
-  return mix_of (forward_service (f, name));
+  return merge_profiles (forward_service (f, name));
 }
 
 static void
-keep (struct peer_profiles *peers, uint32_t peer,
-      const struct beryl_generation_profile *profile)
+store_profile (struct peer_profiles *peers, uint32_t peer,
+               const struct beryl_generation_profile *profile)
 {
   size_t i = 0;
 
@@ -233,17 +234,17 @@
 /* Sets the paces used in estimates: the fleet's until this node has enough
    observations of its own. */
 static void
-take_paces (struct service *s)
+update_paces (struct service *s)
 {
-  bool prefills_known = s->prefill.seen >= PREFILLS_MOST;
-  bool streams_known = s->lengths.paces >= STREAMS_MOST;
+  bool prefills_known = s->prefill_pace.samples >= PREFILLS_WEIGHT_MAX;
+  bool streams_known = s->lengths.pace_samples >= STREAMS_WEIGHT_MAX;
   struct beryl_generation_mix mix;
 
-  s->peers.changed = 0;
-  s->prefill_ms_per_token = s->prefill.ms_per_token;
+  s->peer_profiles.unmerged = 0;
+  s->prefill_ms_per_token = s->prefill_pace.ms_per_token;
   if (prefills_known && streams_known)
     return;
-  mix = mix_of (s);
+  mix = merge_profiles (s);
   if (!prefills_known)
     s->prefill_ms_per_token = mix.prefill_ms_per_token;
   if (!streams_known)
@@ -253,15 +254,15 @@
 void
 profile_learn_prefill (struct service *s, uint32_t tokens, int64_t took_ms)
 {
-  pace_learn (&s->prefill, tokens, took_ms);
-  take_paces (s);
+  pace_learn (&s->prefill_pace, tokens, took_ms);
+  update_paces (s);
 }
 
 void
 profile_learn_stream (struct service *s, uint32_t tokens, int64_t took_ms)
 {
   length_model_learn_pace (&s->lengths, tokens, took_ms);
-  take_paces (s);
+  update_paces (s);
 }
 
 void
@@ -271,24 +272,25 @@
   for (size_t i = 0; i < profiles->count; i++)
     {
       struct service *s
-          = forward_service_numbered (f, profiles->items[i].service);
+          = forward_service_by_number (f, profiles->items[i].service);
 
       if (s == NULL)
         continue;
-      keep (&s->peers, beryl_engine_number (peer), &profiles->items[i]);
-      if (++s->peers.changed > s->peers.count / CHANGED_PART)
-        take_paces (s);
+      store_profile (&s->peer_profiles, beryl_engine_number (peer),
+                     &profiles->items[i]);
+      if (++s->peer_profiles.unmerged > s->peer_profiles.count / MERGE_SHARE)
+        update_paces (s);
     }
 }
 
 void
-profile_forget (struct beryl_forward *f, const char *peer)
+profile_remove_peer (struct beryl_forward *f, const char *peer)
 {
   uint32_t number = beryl_engine_number (peer);
 
   for (size_t i = 0; i < f->service_count; i++)
     {
-      struct peer_profiles *peers = &f->services[i]->peers;
+      struct peer_profiles *peers = &f->services[i]->peer_profiles;
 
       for (size_t k = peers->count; k > 0; k--)
         if (peers->items[k - 1].peer == number)
--- a/libberyl/forward/prompts.h
+++ b/libberyl/forward/prompt_locations.h
@@ -5,14 +5,14 @@
  *
  * A cache of fixed size: a new prompt replaces an older one in the same slot.
  */
-#ifndef FORWARD_PROMPTS_H
-#define FORWARD_PROMPTS_H
+#ifndef FORWARD_PROMPT_LOCATIONS_H
+#define FORWARD_PROMPT_LOCATIONS_H
 
 #include <stdint.h>
 
 #define PROMPT_SLOTS 2048
 
-struct prompt_place
+struct prompt_location
 {
   uint32_t key; /**< 0: empty */
   uint32_t engine;
@@ -20,18 +20,18 @@
 };
 
 /** Zero-initialise. */
-struct prompts
+struct prompt_locations
 {
-  struct prompt_place slots[PROMPT_SLOTS];
+  struct prompt_location slots[PROMPT_SLOTS];
 };
 
 /** Record that the prompt KEY (0 if unknown, which is ignored) runs at
  * ENGINE. */
-void prompts_note (struct prompts *prompts, uint32_t key, uint32_t engine,
-                   int64_t now_ms);
+void prompt_locations_record (struct prompt_locations *prompts, uint32_t key,
+                              uint32_t engine, int64_t now_ms);
 
 /** Return the engine that recently ran KEY; 0 if none. */
-uint32_t prompts_engine (const struct prompts *prompts, uint32_t key,
-                         int64_t now_ms);
+uint32_t prompt_locations_find (const struct prompt_locations *prompts,
+                                uint32_t key, int64_t now_ms);
 
 #endif
--- a/libberyl/forward/rates.c
+++ b/libberyl/forward/rates.c
@@ -8,106 +8,110 @@
 
 /* Time until peers know of a send: reports are batched and cross the
    network. */
-#define TOLD_MS 50
+#define REPORT_DELAY_MS 50
 /* Interval at which the reachable peers are counted. */
-#define COUNT_MS 200
+#define COUNT_INTERVAL_MS 200
 /* Minimum Retry-After if a service is rate limited. */
-#define RETRY_LEAST_MS 500
+#define RETRY_MIN_MS 500
 
 static uint32_t
-count_heard (const struct beryl_forward *f, int64_t now_ms)
+count_reachable (const struct beryl_forward *f, int64_t now_ms)
 {
   uint32_t count = 1;
 
-  for (size_t i = 0; i < f->book.count; i++)
-    count += now_ms - f->book.peers[i]->told_ms < book_silent_ms (&f->book);
+  for (size_t i = 0; i < f->run_table.count; i++)
+    count += now_ms - f->run_table.peers[i]->reported_ms
+             < run_table_peer_timeout_ms (&f->run_table);
   return count;
 }
 
 /* Returns the share of nodes whose reports arrive. The other nodes may be
    running, and send requests as well. */
 static double
-heard_part (struct beryl_forward *f, int64_t now_ms)
+reachable_share (struct beryl_forward *f, int64_t now_ms)
 {
-  if (now_ms - f->heard_ms >= COUNT_MS)
+  if (now_ms - f->reachable_counted_ms >= COUNT_INTERVAL_MS)
     {
-      f->heard_ms = now_ms;
-      f->heard = count_heard (f, now_ms);
+      f->reachable_counted_ms = now_ms;
+      f->reachable_nodes = count_reachable (f, now_ms);
     }
-  return f->heard < f->nodes ? (double)f->heard / f->nodes : 1;
+  return f->reachable_nodes < f->nodes ? (double)f->reachable_nodes / f->nodes
+                                       : 1;
 }
 
 static struct beryl_limit_terms
-terms_of (struct beryl_forward *f, struct service *s, int64_t now_ms)
+limit_terms (struct beryl_forward *f, struct service *s, int64_t now_ms)
 {
-  struct repeat_terms repeats = forward_repeat_terms (f);
+  struct repeat_limits repeats = forward_repeat_limits (f);
   double requests = repeat_budget_requests (&s->budget, &repeats, now_ms);
 
   return (struct beryl_limit_terms){
-    .part = heard_part (f, now_ms),
-    .at_once = requests * f->nodes * TOLD_MS / (double)repeats.window_ms,
+    .part = reachable_share (f, now_ms),
+    .at_once
+    = requests * f->nodes * REPORT_DELAY_MS / (double)repeats.window_ms,
   };
 }
 
 static void
-log_limit (struct beryl_forward *f, const struct beryl_live *live,
+log_limit (struct beryl_forward *f, const struct beryl_live *endpoint,
            const char *from)
 {
   struct beryl_rate_limit limit
-      = beryl_limits_get (f->limits, beryl_live_number (live));
+      = beryl_limits_get (f->limits, beryl_live_number (endpoint));
   char what[40];
 
-  if (f->owner->impl->learned == NULL)
+  if (f->owner->impl->log_endpoint_state == NULL)
     return;
   if (limit.named)
     snprintf (what, sizeof what, "limited milli_per_s=%u", limit.milli_per_s);
   else
     snprintf (what, sizeof what, "unlimited");
-  f->owner->impl->learned (f->owner, live, what, from);
+  f->owner->impl->log_endpoint_state (f->owner, endpoint, what, from);
 }
 
 /* Only an answer to a served request shows that there is no limit any more. */
 void
-rates_heard (struct beryl_forward *f, const struct exchange *x,
+rates_learn (struct beryl_forward *f, const struct exchange *x,
              const struct beryl_rate_limit *limit, bool served, int64_t now_ms)
 {
   if ((limit->named || served)
-      && beryl_limits_heard (f->limits, beryl_live_number (x->live),
+      && beryl_limits_heard (f->limits, beryl_live_number (x->endpoint),
                              1 + (uint32_t)x->kind, limit, x->started_ms,
                              now_ms))
-    log_limit (f, x->live, "own call");
+    log_limit (f, x->endpoint, "own call");
 }
 
 bool
-rates_limited (const struct beryl_forward *f, const struct beryl_live *live)
+rates_is_limited (const struct beryl_forward *f,
+                  const struct beryl_live *endpoint)
 {
   return beryl_limits_count (f->limits) > 0
-         && beryl_limits_get (f->limits, beryl_live_number (live)).named;
+         && beryl_limits_get (f->limits, beryl_live_number (endpoint)).named;
 }
 
 bool
-rates_allow (struct beryl_forward *f, struct service *s,
-             const struct beryl_live *live, int64_t now_ms)
+rates_allows (struct beryl_forward *f, struct service *s,
+              const struct beryl_live *endpoint, int64_t now_ms)
 {
   struct beryl_limit_terms terms;
 
-  if (!rates_limited (f, live))
+  if (!rates_is_limited (f, endpoint))
     return true;
-  terms = terms_of (f, s, now_ms);
-  return beryl_limits_allow (f->limits, beryl_live_number (live), &terms,
+  terms = limit_terms (f, s, now_ms);
+  return beryl_limits_allow (f->limits, beryl_live_number (endpoint), &terms,
                              random_part (&f->random), now_ms);
 }
 
 void
-rates_sent (struct beryl_forward *f, struct service *s,
-            const struct beryl_live *live, int64_t now_ms)
+rates_count_sent (struct beryl_forward *f, struct service *s,
+                  const struct beryl_live *endpoint, int64_t now_ms)
 {
   struct beryl_limit_terms terms;
 
-  if (!rates_limited (f, live))
+  if (!rates_is_limited (f, endpoint))
     return;
-  terms = terms_of (f, s, now_ms);
-  beryl_limits_sent (f->limits, beryl_live_number (live), &terms, now_ms);
+  terms = limit_terms (f, s, now_ms);
+  beryl_limits_sent (f->limits, beryl_live_number (endpoint), &terms, now_ms);
 }
 
 /* Spreads the retries of callers that all nodes refuse. */
@@ -115,27 +119,28 @@
 rates_retry_after_ms (struct beryl_forward *f, struct service *s,
                       int64_t now_ms)
 {
-  struct beryl_limit_terms terms = terms_of (f, s, now_ms);
-  int64_t least_ms = BERYL_NEVER_MS;
+  struct beryl_limit_terms terms = limit_terms (f, s, now_ms);
+  int64_t min_wait_ms = BERYL_NEVER_MS;
 
-  for (size_t i = 0; i < beryl_lives_count (f->lives); i++)
+  for (size_t i = 0; i < beryl_lives_count (f->endpoints); i++)
     {
-      const struct beryl_live *live = beryl_lives_get (f->lives, i);
+      const struct beryl_live *endpoint = beryl_lives_get (f->endpoints, i);
       int64_t wait_ms;
 
-      if (strcmp (live->info.service, s->name) != 0
-          || !beryl_live_takes_work (live) || !rates_limited (f, live))
+      if (strcmp (endpoint->info.service, s->name) != 0
+          || !beryl_live_takes_work (endpoint)
+          || !rates_is_limited (f, endpoint))
         continue;
-      wait_ms = beryl_limits_wait_ms (f->limits, beryl_live_number (live),
+      wait_ms = beryl_limits_wait_ms (f->limits, beryl_live_number (endpoint),
                                       &terms, now_ms);
-      if (wait_ms < least_ms)
-        least_ms = wait_ms;
+      if (wait_ms < min_wait_ms)
+        min_wait_ms = wait_ms;
     }
-  if (least_ms == BERYL_NEVER_MS)
+  if (min_wait_ms == BERYL_NEVER_MS)
     return 0;
-  if (least_ms < RETRY_LEAST_MS)
-    least_ms = RETRY_LEAST_MS;
-  return (int64_t)((1 + random_part (&f->random)) * (double)least_ms);
+  if (min_wait_ms < RETRY_MIN_MS)
+    min_wait_ms = RETRY_MIN_MS;
+  return (int64_t)((1 + random_part (&f->random)) * (double)min_wait_ms);
 }
 
 struct beryl_limits *
@@ -145,33 +150,33 @@
 }
 
 static const struct beryl_live *
-live_numbered (const struct beryl_forward *f, uint32_t number)
+find_endpoint (const struct beryl_forward *f, uint32_t number)
 {
-  for (size_t i = 0; i < beryl_lives_count (f->lives); i++)
-    if (beryl_live_number (beryl_lives_get (f->lives, i)) == number)
-      return beryl_lives_get (f->lives, i);
+  for (size_t i = 0; i < beryl_lives_count (f->endpoints); i++)
+    if (beryl_live_number (beryl_lives_get (f->endpoints, i)) == number)
+      return beryl_lives_get (f->endpoints, i);
   return NULL;
 }
 
 static void
-take_one (struct beryl_forward *f, uint32_t node,
-          const struct beryl_limit_news *item,
-          const struct beryl_limit_terms *terms, int64_t now_ms)
+apply_limit (struct beryl_forward *f, uint32_t node,
+             const struct beryl_limit_news *item,
+             const struct beryl_limit_terms *terms, int64_t now_ms)
 {
   struct beryl_limits_news news
       = { .node = node, .items = { *item }, .count = 1 };
   struct beryl_rate_limit before
       = beryl_limits_get (f->limits, item->endpoint);
   struct beryl_rate_limit after;
-  const struct beryl_live *live;
+  const struct beryl_live *endpoint;
 
   beryl_limits_take (f->limits, &news, terms, now_ms);
   after = beryl_limits_get (f->limits, item->endpoint);
   if (before.named == after.named)
     return;
-  live = live_numbered (f, item->endpoint);
-  if (live != NULL)
-    log_limit (f, live, "peer");
+  endpoint = find_endpoint (f, item->endpoint);
+  if (endpoint != NULL)
+    log_limit (f, endpoint, "peer");
 }
 
 void
@@ -179,8 +184,8 @@
                            const struct beryl_limits_news *news,
                            int64_t now_ms)
 {
-  struct beryl_limit_terms terms = { .part = heard_part (f, now_ms) };
+  struct beryl_limit_terms terms = { .part = reachable_share (f, now_ms) };
 
   for (size_t i = 0; i < news->count; i++)
-    take_one (f, news->node, &news->items[i], &terms, now_ms);
+    apply_limit (f, news->node, &news->items[i], &terms, now_ms);
 }
--- a/libberyl/forward/repeat_budget.c
+++ b/libberyl/forward/repeat_budget.c
@@ -4,13 +4,13 @@
 
 /* Part of the allowance that is used: an endpoint may receive a send later
    than it was made, so sends of two windows can fall into one. */
-#define USED_PART 0.8
+#define USED_SHARE 0.8
 
 static void
-advance (struct repeat_budget *b, const struct repeat_terms *terms,
+advance (struct repeat_budget *b, const struct repeat_limits *limits,
          int64_t now_ms)
 {
-  int64_t piece_ms = terms->window_ms / (REPEAT_BUCKETS - 1);
+  int64_t piece_ms = limits->window_ms / (REPEAT_BUCKETS - 1);
   int64_t bucket = now_ms / (piece_ms > 0 ? piece_ms : 1);
 
   if (bucket - b->bucket >= REPEAT_BUCKETS)
@@ -38,76 +38,78 @@
 }
 
 void
-repeat_budget_request (struct repeat_budget *b,
-                       const struct repeat_terms *terms, int64_t now_ms)
+repeat_budget_count_request (struct repeat_budget *b,
+                             const struct repeat_limits *limits,
+                             int64_t now_ms)
 {
-  advance (b, terms, now_ms);
+  advance (b, limits, now_ms);
   b->requests[b->bucket % REPEAT_BUCKETS]++;
 }
 
 uint32_t
 repeat_budget_requests (struct repeat_budget *b,
-                        const struct repeat_terms *terms, int64_t now_ms)
+                        const struct repeat_limits *limits, int64_t now_ms)
 {
-  advance (b, terms, now_ms);
+  advance (b, limits, now_ms);
   return sum (b->requests);
 }
 
 static uint32_t
-lent_out (const struct repeat_budget *b, int64_t now_ms)
+lent_count (const struct repeat_budget *b, int64_t now_ms)
 {
   uint32_t count = 0;
 
   for (int i = 0; i < REPEAT_LOANS_MAX; i++)
-    if (now_ms < b->lent[i].until_ms)
+    if (now_ms < b->lent[i].expires_ms)
       count += b->lent[i].count;
   return count;
 }
 
 /* Returns what is left of this node's own share. */
 static uint32_t
-own_left (struct repeat_budget *b, const struct repeat_terms *terms,
+own_left (struct repeat_budget *b, const struct repeat_limits *limits,
           int64_t now_ms)
 {
-  uint32_t nodes = terms->nodes > 0 ? terms->nodes : 1;
+  uint32_t nodes = limits->nodes > 0 ? limits->nodes : 1;
   uint32_t spent;
   double allowed;
 
-  advance (b, terms, now_ms);
-  spent = sum (b->repeats) + lent_out (b, now_ms);
-  allowed = USED_PART
-            * (terms->ratio * sum (b->requests)
-               + (double)terms->slack / (double)nodes);
+  advance (b, limits, now_ms);
+  spent = sum (b->repeats) + lent_count (b, now_ms);
+  allowed = USED_SHARE
+            * (limits->ratio * sum (b->requests)
+               + (double)limits->slack / (double)nodes);
   return allowed > spent ? (uint32_t)(allowed - spent) : 0;
 }
 
 static uint32_t
 borrowed_left (const struct repeat_budget *b, int64_t now_ms)
 {
-  return now_ms < b->borrowed.until_ms ? b->borrowed.count : 0;
+  return now_ms < b->borrowed.expires_ms ? b->borrowed.count : 0;
 }
 
 uint32_t
-repeat_budget_left (struct repeat_budget *b, const struct repeat_terms *terms,
-                    int64_t now_ms)
+repeat_budget_left (struct repeat_budget *b,
+                    const struct repeat_limits *limits, int64_t now_ms)
 {
-  return own_left (b, terms, now_ms) + borrowed_left (b, now_ms);
+  return own_left (b, limits, now_ms) + borrowed_left (b, now_ms);
 }
 
 uint32_t
-repeat_budget_lend (struct repeat_budget *b, const struct repeat_terms *terms,
-                    uint32_t most, int64_t now_ms)
+repeat_budget_lend (struct repeat_budget *b,
+                    const struct repeat_limits *limits, uint32_t most,
+                    int64_t now_ms)
 {
-  uint32_t count = own_left (b, terms, now_ms) / 2;
+  uint32_t count = own_left (b, limits, now_ms) / 2;
 
   if (count > most)
     count = most;
   for (int i = 0; i < REPEAT_LOANS_MAX && count > 0; i++)
-    if (now_ms >= b->lent[i].until_ms)
+    if (now_ms >= b->lent[i].expires_ms)
       {
         b->lent[i] = (struct repeat_loan){
           .count = count,
-          .until_ms = now_ms + terms->window_ms + REPEAT_LOAN_MS,
+          .expires_ms = now_ms + limits->window_ms + REPEAT_LOAN_MS,
         };
         return count;
       }
@@ -122,17 +124,17 @@
 
   /* The rest of an older loan expires with the earlier of the two. */
   b->borrowed.count = borrowed_left (b, now_ms) + count;
-  if (b->borrowed.count == count || until_ms < b->borrowed.until_ms)
-    b->borrowed.until_ms = until_ms;
+  if (b->borrowed.count == count || until_ms < b->borrowed.expires_ms)
+    b->borrowed.expires_ms = until_ms;
 }
 
 /* Borrowed repeats are used first: they expire sooner, and the lender counts
    them. */
 void
-repeat_budget_spend (struct repeat_budget *b, const struct repeat_terms *terms,
-                     int64_t now_ms)
+repeat_budget_spend (struct repeat_budget *b,
+                     const struct repeat_limits *limits, int64_t now_ms)
 {
-  advance (b, terms, now_ms);
+  advance (b, limits, now_ms);
   if (borrowed_left (b, now_ms) > 0)
     b->borrowed.count--;
   else
--- a/libberyl/forward/repeat_budget.h
+++ b/libberyl/forward/repeat_budget.h
@@ -36,7 +36,7 @@
 struct repeat_loan
 {
   uint32_t count;
-  int64_t until_ms; /**< end of its validity */
+  int64_t expires_ms; /**< end of its validity */
 };
 
 /** Counters of the last window; zero-initialise. */
@@ -50,7 +50,7 @@
 };
 
 /** Fleet-wide limits. */
-struct repeat_terms
+struct repeat_limits
 {
   double ratio;
   uint32_t slack;
@@ -59,22 +59,24 @@
 };
 
 /** Count the arrival of a request. */
-void repeat_budget_request (struct repeat_budget *b,
-                            const struct repeat_terms *terms, int64_t now_ms);
+void repeat_budget_count_request (struct repeat_budget *b,
+                                  const struct repeat_limits *limits,
+                                  int64_t now_ms);
 
 /** Return the number of requests in the window that ends now. */
 uint32_t repeat_budget_requests (struct repeat_budget *b,
-                                 const struct repeat_terms *terms,
+                                 const struct repeat_limits *limits,
                                  int64_t now_ms);
 
 /** Return how many repeats may be sent now. */
 uint32_t repeat_budget_left (struct repeat_budget *b,
-                             const struct repeat_terms *terms, int64_t now_ms);
+                             const struct repeat_limits *limits,
+                             int64_t now_ms);
 
 /** Lend at most MOST and at most half of what is left; returns the number
  * lent. */
 uint32_t repeat_budget_lend (struct repeat_budget *b,
-                             const struct repeat_terms *terms, uint32_t most,
+                             const struct repeat_limits *limits, uint32_t most,
                              int64_t now_ms);
 
 /** Add a loan of COUNT repeats that this node requested at ASKED_MS. */
@@ -83,6 +85,6 @@
 
 /** Count a repeat. */
 void repeat_budget_spend (struct repeat_budget *b,
-                          const struct repeat_terms *terms, int64_t now_ms);
+                          const struct repeat_limits *limits, int64_t now_ms);
 
 #endif
--- a/libberyl/forward/request.c
+++ b/libberyl/forward/request.c
@@ -10,9 +10,9 @@
 forward_request_free (struct beryl_forward *f, struct request *r)
 {
   TAILQ_REMOVE (&f->requests, r, entry);
-  map_remove (&f->requests_by_handle, map_key_number (r->facts.request));
+  map_remove (&f->requests_by_handle, map_key_number (r->params.request));
   beryl_routes_unref (r->routes);
-  buffer_clear (&r->held);
+  buffer_clear (&r->buffered);
   event_splitter_clear (&r->events);
   free (r);
 }
@@ -33,49 +33,50 @@
 forward_request_fingerprint (struct beryl_forward *f, struct request *r)
 {
   if (r->fingerprint == 0 && f->owner->impl->fingerprint != NULL)
-    r->fingerprint = f->owner->impl->fingerprint (f->owner, r->facts.request);
+    r->fingerprint = f->owner->impl->fingerprint (f->owner, r->params.request);
   return r->fingerprint;
 }
 
 void
-forward_request_decided (struct beryl_forward *f, const struct request *r,
-                         const char *step, const struct beryl_live *live,
-                         const char *outcome, int64_t number, int64_t now_ms)
+forward_request_log (struct beryl_forward *f, const struct request *r,
+                     const char *step, const struct beryl_live *endpoint,
+                     const char *outcome, int64_t number, int64_t now_ms)
 {
   struct beryl_decision decision = {
     .step = step,
     .final = is_final (step),
-    .id = r->facts.id,
+    .id = r->params.id,
     .route = r->route->name,
     .service = r->service->name,
-    .endpoint = live,
+    .endpoint = endpoint,
     .outcome = outcome,
-    .age_ms = now_ms - r->facts.arrived_ms,
+    .age_ms = now_ms - r->params.arrived_ms,
     .first_event_ms
-    = r->first_event_ms > 0 ? r->first_event_ms - r->facts.arrived_ms : 0,
+    = r->first_event_ms > 0 ? r->first_event_ms - r->params.arrived_ms : 0,
     .longest_gap_ms = r->longest_gap_ms,
-    .number = number,
+    .value = number,
     .fingerprint = r->fingerprint,
     .config_version = r->routes->version,
-    .endpoint_revision = live != NULL ? live->info.revision : 0,
+    .endpoint_revision = endpoint != NULL ? endpoint->info.revision : 0,
   };
 
-  if (f->owner->impl->decided != NULL)
-    f->owner->impl->decided (f->owner, &decision);
+  if (f->owner->impl->log_decision != NULL)
+    f->owner->impl->log_decision (f->owner, &decision);
 }
 
 void
 forward_request_end (struct beryl_forward *f, struct request *r,
                      int64_t now_ms)
 {
-  if (r->reservation.live != NULL && r->event_count > 0)
-    prompts_note (&f->prompts, r->facts.prompt_key,
-                  beryl_live_number (r->reservation.live), now_ms);
-  while (r->first != NULL)
-    forward_exchange_disown (f, r, r->first);
+  if (r->reservation.endpoint != NULL && r->event_count > 0)
+    prompt_locations_record (&f->prompt_locations, r->params.prompt_key,
+                             beryl_live_number (r->reservation.endpoint),
+                             now_ms);
+  while (r->primary != NULL)
+    forward_exchange_detach (f, r, r->primary);
   generation_release (f, r, now_ms);
-  f->open--;
-  place_wait_end (f, r);
+  f->open_count--;
+  placement_wait_end (f, r);
   forward_request_free (f, r);
 }
 
@@ -85,8 +86,8 @@
 may_have_run (const struct request *r)
 {
   return r->may_have_run
-         || (r->first != NULL && r->first->kind == BERYL_EXCHANGE_RUN)
-         || (r->second != NULL && r->second->kind == BERYL_EXCHANGE_RUN);
+         || (r->primary != NULL && r->primary->kind == BERYL_EXCHANGE_RUN)
+         || (r->secondary != NULL && r->secondary->kind == BERYL_EXCHANGE_RUN);
 }
 
 static bool
@@ -96,15 +97,15 @@
 }
 
 static void
-request_cut (struct beryl_forward *f, struct request *r,
-             enum beryl_refusal_reason reason, int64_t now_ms)
+request_abort (struct beryl_forward *f, struct request *r,
+               enum beryl_refusal_reason reason, int64_t now_ms)
 {
-  uint64_t handle = r->facts.request;
+  uint64_t handle = r->params.request;
 
-  forward_request_decided (f, r, "cut", NULL, beryl_refusal_name (reason),
-                           (int64_t)r->event_count, now_ms);
+  forward_request_log (f, r, "cut", NULL, beryl_refusal_name (reason),
+                       (int64_t)r->event_count, now_ms);
   forward_request_end (f, r, now_ms);
-  f->owner->impl->answer_cut (f->owner, handle);
+  f->owner->impl->answer_abort (f->owner, handle);
 }
 
 /* Two rules hold for all refusals: an answer that has begun is only
@@ -118,11 +119,11 @@
   struct beryl_refusal refusal = { .status = status,
                                    .reason = reason,
                                    .retry_after_ms = retry_after_ms };
-  uint64_t handle = r->facts.request;
+  uint64_t handle = r->params.request;
 
-  if (r->begun)
+  if (r->answer_begun)
     {
-      request_cut (f, r, reason, now_ms);
+      request_abort (f, r, reason, now_ms);
       return;
     }
   if (promises_not_run (status) && may_have_run (r))
@@ -131,8 +132,8 @@
       refusal.retry_after_ms = 0;
     }
   refusal.not_run = promises_not_run (refusal.status);
-  forward_request_decided (f, r, "refuse", NULL, beryl_refusal_name (reason),
-                           refusal.retry_after_ms, now_ms);
+  forward_request_log (f, r, "refuse", NULL, beryl_refusal_name (reason),
+                       refusal.retry_after_ms, now_ms);
   /* Open exchanges are closed first, so that "not run" stays true. */
   forward_request_end (f, r, now_ms);
   f->owner->impl->refuse (f->owner, handle, &refusal);
@@ -152,17 +153,17 @@
 bool
 forward_request_is_generation (const struct request *r)
 {
-  return r->route->generation && r->terms->engines;
+  return r->route->generation && r->config->engines;
 }
 
 bool
-forward_request_movable (const struct request *r)
+forward_request_is_movable (const struct request *r)
 {
-  return r->terms->engine.moves && r->facts.id_exact;
+  return r->config->engine.moves && r->params.id_exact;
 }
 
 bool
-forward_request_repeatable (const struct request *r)
+forward_request_is_repeatable (const struct request *r)
 {
   return r->route->repeat == BERYL_REPEAT_IDEMPOTENT;
 }
@@ -172,15 +173,15 @@
 {
   r->may_have_run = true;
   /* A moved run continues; it is no new run. */
-  if (!r->same_run)
+  if (!r->continues_run)
     r->endpoints_run++;
-  r->same_run = false;
+  r->continues_run = false;
 }
 
-struct repeat_terms
-forward_repeat_terms (const struct beryl_forward *f)
+struct repeat_limits
+forward_repeat_limits (const struct beryl_forward *f)
 {
-  return (struct repeat_terms){
+  return (struct repeat_limits){
     .ratio = f->settings.repeat_ratio,
     .slack = f->settings.repeat_slack,
     .window_ms = f->settings.repeat_window_ms,
@@ -192,21 +193,21 @@
 forward_request_repeats_left (struct beryl_forward *f, const struct request *r,
                               int64_t now_ms)
 {
-  struct repeat_terms terms = forward_repeat_terms (f);
+  struct repeat_limits limits = forward_repeat_limits (f);
 
-  return repeat_budget_left (&r->service->budget, &terms, now_ms);
+  return repeat_budget_left (&r->service->budget, &limits, now_ms);
 }
 
 void
 forward_request_take_repeats (struct beryl_forward *f, struct request *r,
                               uint32_t count, int64_t now_ms)
 {
-  struct repeat_terms terms = forward_repeat_terms (f);
+  struct repeat_limits limits = forward_repeat_limits (f);
 
   for (uint32_t i = 0; i < count; i++)
-    repeat_budget_spend (&r->service->budget, &terms, now_ms);
+    repeat_budget_spend (&r->service->budget, &limits, now_ms);
   if (count > 0)
-    loans_check (f, r->service, now_ms);
+    loans_request_if_low (f, r->service, now_ms);
 }
 
 bool
@@ -215,7 +216,7 @@
 {
   if (forward_request_repeats_left (f, r, now_ms) == 0)
     {
-      loans_check (f, r->service, now_ms);
+      loans_request_if_low (f, r->service, now_ms);
       return false;
     }
   forward_request_take_repeats (f, r, 1, now_ms);
@@ -223,32 +224,34 @@
 }
 
 void
-forward_request_count (struct beryl_forward *f, struct service *s,
-                       int64_t now_ms)
+forward_request_count_arrival (struct beryl_forward *f, struct service *s,
+                               int64_t now_ms)
 {
-  struct repeat_terms terms = forward_repeat_terms (f);
+  struct repeat_limits limits = forward_repeat_limits (f);
 
-  repeat_budget_request (&s->budget, &terms, now_ms);
+  repeat_budget_count_request (&s->budget, &limits, now_ms);
 }
 
 static uint64_t
-id_hash (const struct beryl_live *live)
+id_hash (const struct beryl_live *endpoint)
 {
-  return XXH3_64bits (live->info.id, strlen (live->info.id));
+  return XXH3_64bits (endpoint->info.id, strlen (endpoint->info.id));
 }
 
 void
-forward_request_note_tried (struct request *r, const struct beryl_live *live)
+forward_request_mark_tried (struct request *r,
+                            const struct beryl_live *endpoint)
 {
-  r->tried[r->tried_count % TRIED_MAX] = id_hash (live);
+  r->tried[r->tried_count % TRIED_MAX] = id_hash (endpoint);
   r->tried_count++;
 }
 
 bool
-forward_request_tried (const struct request *r, const struct beryl_live *live)
+forward_request_was_tried (const struct request *r,
+                           const struct beryl_live *endpoint)
 {
   uint32_t count = r->tried_count < TRIED_MAX ? r->tried_count : TRIED_MAX;
-  uint64_t hash = id_hash (live);
+  uint64_t hash = id_hash (endpoint);
 
   for (uint32_t i = 0; i < count; i++)
     if (r->tried[i] == hash)
@@ -258,27 +261,27 @@
 
 struct request *
 forward_request_new (struct beryl_forward *f,
-                     const struct beryl_forward_request *facts,
+                     const struct beryl_forward_request *params,
                      const struct beryl_route *route)
 {
   struct request *r = calloc (1, sizeof *r);
   double point = random_part (&f->random);
 
-  r->facts = *facts;
-  r->facts.host = NULL;
-  r->facts.path = NULL;
+  r->params = *params;
+  r->params.host = NULL;
+  r->params.path = NULL;
   r->routes = beryl_routes_ref (f->routes);
   r->route = route;
-  r->terms = beryl_routes_choose (f->routes, route, point);
-  r->service = forward_service (f, r->terms->name);
-  r->timeout_ms = facts->deadline_ms;
+  r->config = beryl_routes_choose (f->routes, route, point);
+  r->service = forward_service (f, r->config->name);
+  r->deadline_ms = params->deadline_ms;
   if (route->timeout_ms > 0
-      && facts->arrived_ms + route->timeout_ms < r->timeout_ms)
-    r->timeout_ms = facts->arrived_ms + route->timeout_ms;
-  r->due_ms = r->timeout_ms;
-  r->last_event = facts->last_event;
+      && params->arrived_ms + route->timeout_ms < r->deadline_ms)
+    r->deadline_ms = params->arrived_ms + route->timeout_ms;
+  r->timer_ms = r->deadline_ms;
+  r->last_event_id = params->last_event_id;
   TAILQ_INSERT_TAIL (&f->requests, r, entry);
-  map_put (&f->requests_by_handle, map_key_number (facts->request), r);
-  f->open++;
+  map_put (&f->requests_by_handle, map_key_number (params->request), r);
+  f->open_count++;
   return r;
 }
--- a/libberyl/forward/run_index.c
+++ b/libberyl/forward/run_index.c
@@ -25,7 +25,7 @@
 
 void
 run_index_add (struct run_index *index, uint32_t number,
-               const struct book_peer *peer, uint32_t at)
+               const struct peer_runs *peer, uint32_t at)
 {
   struct run_list *list = list_of (index, number);
 
@@ -50,14 +50,14 @@
 
 void
 run_index_remove (struct run_index *index, uint32_t number,
-                  const struct book_peer *peer, uint32_t at)
+                  const struct peer_runs *peer, uint32_t at)
 {
   struct run_list *list = map_get (&index->lists, map_key_number (number));
 
   if (list == NULL)
     return;
   for (size_t i = 0; i < list->count; i++)
-    if (list->items[i].peer == peer && list->items[i].at == at)
+    if (list->items[i].peer == peer && list->items[i].index == at)
       {
         list->items[i] = list->items[--list->count];
         break;
--- a/libberyl/forward/run_index.h
+++ b/libberyl/forward/run_index.h
@@ -10,13 +10,13 @@
 
 #include "../base/map.h"
 
-struct book_peer;
+struct peer_runs;
 
 /** A run of a peer. */
 struct run_ref
 {
-  const struct book_peer *peer;
-  uint32_t at; /**< index among the peer's runs */
+  const struct peer_runs *peer;
+  uint32_t index; /**< index among the peer's runs */
 };
 
 /** Runs with the same number. */
@@ -35,11 +35,11 @@
 
 /** Add the run of PEER at index AT under NUMBER. */
 void run_index_add (struct run_index *index, uint32_t number,
-                    const struct book_peer *peer, uint32_t at);
+                    const struct peer_runs *peer, uint32_t at);
 
 /** Remove the run of PEER at index AT from NUMBER. */
 void run_index_remove (struct run_index *index, uint32_t number,
-                       const struct book_peer *peer, uint32_t at);
+                       const struct peer_runs *peer, uint32_t at);
 
 /** Return the runs under NUMBER; NULL if there are none. */
 const struct run_list *run_index_find (const struct run_index *index,
--- a/libberyl/forward/book.h
+++ b/libberyl/forward/run_table.h
@@ -6,8 +6,8 @@
  * known only as a distribution around the caller's estimate, whose spread is
  * learned from the runs that have ended.
  */
-#ifndef FORWARD_BOOK_H
-#define FORWARD_BOOK_H
+#ifndef FORWARD_RUN_TABLE_H
+#define FORWARD_RUN_TABLE_H
 
 #include <stdbool.h>
 #include <stddef.h>
@@ -19,16 +19,16 @@
 
 /** Points in time of a forecast: now, and as many steps ahead as the longest
  * runs last. */
-#define BOOK_STEPS 14
-#define BOOK_STEP_MS 300
+#define FORECAST_STEPS 14
+#define FORECAST_STEP_MS 300
 
 /** Forecast of an engine's memory: the expected tokens at each point in time,
  * their variance, and the tokens if no run ended. */
-struct book_curve
+struct memory_forecast
 {
-  double tokens[BOOK_STEPS];
-  double variance[BOOK_STEPS];
-  double most[BOOK_STEPS];
+  double tokens[FORECAST_STEPS];
+  double variance[FORECAST_STEPS];
+  double upper_bound[FORECAST_STEPS];
 };
 
 /** How output lengths relate to callers' estimates, and how fast outputs are
@@ -41,13 +41,13 @@
   double tokens_mean; /**< mean output, for runs without an estimate */
   double
       ms_per_token; /**< pace used in forecasts; may be the fleet's median */
-  double seen_ms_per_token; /**< mean pace of the node's own streams */
-  uint32_t paces; /**< number of streams seen_ms_per_token is learned from */
+  double own_ms_per_token; /**< mean pace of the node's own streams */
+  uint32_t
+      pace_samples; /**< number of streams seen_ms_per_token is learned from */
 };
 
 /** Return the tokens to reserve for a run before it begins. */
-uint32_t book_reserved_tokens (uint32_t prompt_tokens,
-                               uint32_t expected_tokens);
+uint32_t reservation_tokens (uint32_t prompt_tokens, uint32_t expected_tokens);
 
 /** Initialise MODEL with the values assumed before any run has ended. */
 void length_model_init (struct length_model *model);
@@ -69,80 +69,87 @@
 uint32_t length_model_median (const struct length_model *model, uint32_t hint,
                               uint32_t most);
 
-/** Add the expected memory of RUN, reported AGE_MS ago, to CURVE. Without
+/** Add the expected memory of RUN, reported AGE_MS ago, to FORECAST. Without
  * recent reports of its node (HEARD is false) the run is only known to have
  * existed at that time. */
-void book_add (struct book_curve *curve, const struct length_model *model,
-               const struct beryl_engine_run *run, int64_t age_ms, bool heard);
+void memory_forecast_add (struct memory_forecast *forecast,
+                          const struct length_model *model,
+                          const struct beryl_engine_run *run, int64_t age_ms,
+                          bool heard);
 
-/** Return the highest point of CURVE up to UNTIL_MS, with DEVIATIONS standard
- * deviations added, but at most the tokens if no run ended. */
-double book_peak (const struct book_curve *curve, int64_t until_ms,
-                  double deviations);
+/** Return the highest point of FORECAST up to UNTIL_MS, with DEVIATIONS
+ * standard deviations added, but at most the tokens if no run ended. */
+double memory_forecast_peak (const struct memory_forecast *forecast,
+                             int64_t until_ms, double deviations);
 
 /** Runs of another node. */
-struct book_peer
+struct peer_runs
 {
   char name[BERYL_NAME_BYTES];
   struct beryl_engine_run runs[BERYL_ENGINE_RUNS_MAX];
   size_t count;
-  int64_t told_ms;
+  int64_t reported_ms;
 };
 
 /** Runs of all peers; zero-initialise. */
-struct book
+struct run_table
 {
-  struct book_peer **peers;
+  struct peer_runs **peers;
   size_t count;
-  struct run_index at_engine; /**< runs with a reservation, by engine */
+  struct run_index by_engine; /**< runs with a reservation, by engine */
+  struct run_index by_prefill_engine; /**< runs that are being prefilled, by
+                                         prefill engine */
   struct run_index
-      prefilled; /**< runs that are being prefilled, by prefill engine */
-  struct run_index waiting; /**< runs that wait for memory, by service */
-  int64_t suspect_ms; /**< when a suspect run was last reported; 0 if never */
-  int64_t
-      interval_ms; /**< interval of live peers' reports; 0 for the default */
+      waiting_by_service;      /**< runs that wait for memory, by service */
+  int64_t suspect_reported_ms; /**< when a suspect run was last reported; 0 if
+                                  never */
+  int64_t report_interval_ms;  /**< interval of live peers' reports; 0 for the
+                                  default */
 };
 
 /** Return after how long without a report a peer counts as unreachable. */
-int64_t book_silent_ms (const struct book *book);
+int64_t run_table_peer_timeout_ms (const struct run_table *table);
 
-void book_clear (struct book *book);
+void run_table_clear (struct run_table *table);
 
 /** Replace the runs of PEER. */
-void book_told (struct book *book, const char *peer,
-                const struct beryl_engine_run *runs, size_t count,
-                int64_t now_ms);
+void run_table_update (struct run_table *table, const char *peer,
+                       const struct beryl_engine_run *runs, size_t count,
+                       int64_t now_ms);
 
 /** Drop the runs with PROMPT_KEY, which have ended although their peers did
  * not report it. */
-void book_drop_prompt (struct book *book, uint32_t prompt_key);
+void run_table_drop_prompt (struct run_table *table, uint32_t prompt_key);
 
 /** Drop the runs of PEER, which has left the fleet. */
-void book_forget (struct book *book, const char *peer);
+void run_table_remove_peer (struct run_table *table, const char *peer);
 
-/** Add the runs of all peers at ENGINE to CURVE; returns their number. */
-uint32_t book_add_peers (const struct book *book, struct book_curve *curve,
-                         const struct length_model *model, uint32_t engine,
-                         int64_t now_ms);
+/** Add the runs of all peers at ENGINE to FORECAST; returns their number. */
+uint32_t run_table_forecast (const struct run_table *table,
+                             struct memory_forecast *forecast,
+                             const struct length_model *model, uint32_t engine,
+                             int64_t now_ms);
 
 /** Return whether a peer has a run at ENGINE that has produced fewer than MADE
  * tokens. */
-bool book_has_newer (const struct book *book, const struct length_model *model,
-                     uint32_t engine, uint32_t made, int64_t now_ms);
+bool run_table_has_newer (const struct run_table *table,
+                          const struct length_model *model, uint32_t engine,
+                          uint32_t made, int64_t now_ms);
 
 /** Return the prompt tokens that peers have queued at prefill engine
  * ENGINE. */
-uint64_t book_prefilling (const struct book *book, uint32_t engine,
-                          int64_t now_ms);
+uint64_t run_table_prefill_tokens (const struct run_table *table,
+                                   uint32_t engine, int64_t now_ms);
 
 /** Return how many runs of peers wait for memory at the service with the
  * number SERVICE. */
-uint32_t book_waiting (const struct book *book, uint32_t service,
-                       int64_t now_ms);
+uint32_t run_table_waiting (const struct run_table *table, uint32_t service,
+                            int64_t now_ms);
 /** Return whether a peer has a run at ENGINE that may crash it. */
-bool book_has_suspect (const struct book *book, uint32_t engine,
-                       int64_t now_ms);
+bool run_table_has_suspect (const struct run_table *table, uint32_t engine,
+                            int64_t now_ms);
 /** Return the number of runs of peers at ENGINE. */
-uint32_t book_runs (const struct book *book, uint32_t engine, int64_t now_ms);
+uint32_t run_table_runs (const struct run_table *table, uint32_t engine,
+                         int64_t now_ms);
 
 #endif
--- a/libberyl/forward/sample.c
+++ b/libberyl/forward/sample.c
@@ -7,10 +7,10 @@
 
 /* Minimum number of engines drawn: the better of two is far better than a
    single random one. */
-#define DRAWN_LEAST 2
+#define DRAWN_MIN 2
 /* Another node chooses the same engine with a probability of one in this
    many. */
-#define MEETING_PART 4
+#define COLLISION_PART 4
 
 void
 sample_init (struct sample *sample)
@@ -21,31 +21,32 @@
 size_t
 sample_count (const struct sample *sample)
 {
-  return sample->seen < SAMPLE_MAX ? sample->seen : SAMPLE_MAX;
+  return sample->offered < SAMPLE_MAX ? sample->offered : SAMPLE_MAX;
 }
 
 /* Reservoir sampling. */
 void
-sample_add (struct sample *sample, struct beryl_live *live, uint64_t *random)
+sample_add (struct sample *sample, struct beryl_live *endpoint,
+            uint64_t *random)
 {
-  size_t at = sample->seen++;
+  size_t at = sample->offered++;
 
   if (at >= SAMPLE_MAX)
-    at = random_next (random) % sample->seen;
+    at = random_next (random) % sample->offered;
   if (at >= SAMPLE_MAX)
     return;
-  sample->items[at] = (struct candidate){ .live = live };
+  sample->items[at] = (struct candidate){ .endpoint = endpoint };
 }
 
 void
-sample_limit (struct sample *sample, double most)
+sample_drop_above (struct sample *sample, double most)
 {
   size_t kept = 0;
 
   for (size_t i = 0; i < sample_count (sample); i++)
     if (sample->items[i].cost <= most)
       sample->items[kept++] = sample->items[i];
-  sample->seen = kept;
+  sample->offered = kept;
 }
 
 static void
@@ -58,34 +59,35 @@
 }
 
 static bool
-is_near (const struct candidate *one, const char *home)
+is_local (const struct candidate *one, const char *preferred)
 {
-  const char *data_centre = one->live->info.data_centre;
+  const char *data_centre = one->endpoint->info.data_centre;
 
-  return home[0] == '\0' || data_centre[0] == '\0'
-         || strcmp (data_centre, home) == 0;
+  return preferred[0] == '\0' || data_centre[0] == '\0'
+         || strcmp (data_centre, preferred) == 0;
 }
 
-/* Moves those in HOME to the front; returns their number. */
+/* Moves those in PREFERRED to the front; returns their number. */
 static size_t
-near_first (struct candidate *items, size_t count, const char *home)
+local_first (struct candidate *items, size_t count, const char *preferred)
 {
-  size_t near = 0;
+  size_t local = 0;
 
   for (size_t i = 0; i < count; i++)
-    if (is_near (&items[i], home))
-      swap (&items[i], &items[near++]);
-  return near;
+    if (is_local (&items[i], preferred))
+      swap (&items[i], &items[local++]);
+  return local;
 }
 
-/* Returns the cheapest of some of ITEMS, drawn at random, among which AT_ONCE
-   choices are made at the same time. */
+/* Returns the cheapest of some of ITEMS, drawn at random, among which
+   CONCURRENT_CHOICES choices are made at the same time. */
 static const struct candidate *
-best_of_drawn (struct candidate *items, size_t count, double at_once,
-               uint64_t *random)
+best_of_drawn (struct candidate *items, size_t count,
+               double concurrent_choices, uint64_t *random)
 {
   double drawn
-      = fmax ((double)count / fmax (MEETING_PART * at_once, 1), DRAWN_LEAST);
+      = fmax ((double)count / fmax (COLLISION_PART * concurrent_choices, 1),
+              DRAWN_MIN);
   size_t best = 0;
 
   if (count == 0)
@@ -100,25 +102,26 @@
 }
 
 struct beryl_live *
-sample_best (struct sample *sample, const struct sample_terms *terms,
-             double *cost)
+sample_choose (struct sample *sample, const struct sample_options *options,
+               double *cost)
 {
   size_t count = sample_count (sample);
-  size_t near = near_first (sample->items, count, terms->home);
+  size_t local = local_first (sample->items, count, options->data_centre);
   /* Other nodes prefer their own data centre too, so the number of concurrent
      choices here is in proportion to the engines here. */
-  double per_engine = terms->at_once / (double)(count > 0 ? count : 1);
+  double per_engine
+      = options->concurrent_choices / (double)(count > 0 ? count : 1);
   const struct candidate *best = best_of_drawn (
-      sample->items, near, per_engine * (double)near, terms->random);
-  const struct candidate *far
-      = best_of_drawn (sample->items + near, count - near,
-                       per_engine * (double)(count - near), terms->random);
+      sample->items, local, per_engine * (double)local, options->random);
+  const struct candidate *remote
+      = best_of_drawn (sample->items + local, count - local,
+                       per_engine * (double)(count - local), options->random);
 
   if (best == NULL
-      || (far != NULL && far->cost + terms->far_cost < best->cost))
-    best = far;
+      || (remote != NULL && remote->cost + options->remote_cost < best->cost))
+    best = remote;
   if (best == NULL)
     return NULL;
   *cost = best->cost;
-  return best->live;
+  return best->endpoint;
 }
--- a/libberyl/forward/sample.h
+++ b/libberyl/forward/sample.h
@@ -25,7 +25,7 @@
 /** An engine and the cost of choosing it. */
 struct candidate
 {
-  struct beryl_live *live;
+  struct beryl_live *endpoint;
   double cost;
 };
 
@@ -33,17 +33,17 @@
 struct sample
 {
   struct candidate items[SAMPLE_MAX];
-  size_t seen; /**< number of engines offered */
+  size_t offered; /**< number of engines offered */
 };
 
-/** Options of sample_best. */
-struct sample_terms
+/** Options of sample_choose. */
+struct sample_options
 {
-  double at_once;   /**< choices that the nodes make before they learn of each
-                       other's */
-  const char *home; /**< preferred data centre; "" for any */
-  double far_cost;  /**< extra cost of an engine in another data centre */
-  uint64_t *random; /**< state of random_next */
+  double concurrent_choices; /**< choices that the nodes make before they learn
+                     of each other's */
+  const char *data_centre;   /**< preferred data centre; "" for any */
+  double remote_cost; /**< extra cost of an engine in another data centre */
+  uint64_t *random;   /**< state of random_next */
 };
 
 /** Initialise SAMPLE as empty. */
@@ -52,18 +52,19 @@
 /** Return the number of engines in SAMPLE. */
 size_t sample_count (const struct sample *sample);
 
-/** Offer LIVE; each engine offered is equally likely to be in the sample. */
-void sample_add (struct sample *sample, struct beryl_live *live,
+/** Offer ENDPOINT; each engine offered is equally likely to be in the sample.
+ */
+void sample_add (struct sample *sample, struct beryl_live *endpoint,
                  uint64_t *random);
 
 /** Remove the engines that cost more than MOST. */
-void sample_limit (struct sample *sample, double most);
+void sample_drop_above (struct sample *sample, double most);
 
 /** Return the cheapest of a random part of SAMPLE, which is smaller the more
  * choices are made at once, and set *COST; NULL if SAMPLE is empty. Reorders
  * SAMPLE. */
-struct beryl_live *sample_best (struct sample *sample,
-                                const struct sample_terms *terms,
-                                double *cost);
+struct beryl_live *sample_choose (struct sample *sample,
+                                  const struct sample_options *options,
+                                  double *cost);
 
 #endif
--- a/libberyl/forward/stream.c
+++ b/libberyl/forward/stream.c
@@ -6,7 +6,7 @@
    has preempted the run for lack of memory. With a shorter minimum network
    jitter would count as a stall. */
 #define STALL_EVENTS 3
-#define STALL_LEAST_MS 120
+#define STALL_MIN_MS 120
 /* Time before the first event, which includes a KV cache transfer and a
    queue. */
 #define FIRST_EVENT_MS 400
@@ -14,10 +14,10 @@
    preempted the run needs a few hundred milliseconds to prefill its prompt
    again; after that it is taken for dead. Before the first event engines are
    given longer, since links may be slow. */
-#define DEAD_MS 1000
-#define FIRST_DEAD_MS 2500
+#define DEAD_AFTER_MS 1000
+#define FIRST_DEAD_AFTER_MS 2500
 /* An engine that is this full may have preempted a run for lack of memory. */
-#define STALL_FULL_PART 0.85
+#define FULL_PART 0.85
 /* Events of a run after which its pace is learned: enough that a single pause
    for the prefill of another prompt does not dominate. */
 #define PACE_EVENTS 8
@@ -28,29 +28,29 @@
 stall_after_ms (const struct request *r)
 {
   double event_ms
-      = r->terms->engine.event_tokens * r->service->lengths.ms_per_token;
+      = r->config->engine.event_tokens * r->service->lengths.ms_per_token;
 
   if (r->run_events == 0)
     return FIRST_EVENT_MS;
-  return (int64_t)fmax (STALL_EVENTS * event_ms, STALL_LEAST_MS);
+  return (int64_t)fmax (STALL_EVENTS * event_ms, STALL_MIN_MS);
 }
 
 static int64_t
 dead_after_ms (const struct request *r)
 {
-  int64_t least_ms = r->run_events == 0 ? FIRST_DEAD_MS : DEAD_MS;
+  int64_t least_ms = r->run_events == 0 ? FIRST_DEAD_AFTER_MS : DEAD_AFTER_MS;
   int64_t stall_ms = 2 * stall_after_ms (r);
 
   return stall_ms > least_ms ? stall_ms : least_ms;
 }
 
 int64_t
-stream_due_ms (const struct request *r)
+stream_timer_ms (const struct request *r)
 {
-  int64_t due_ms
-      = r->event_ms + (r->stalled ? dead_after_ms (r) : stall_after_ms (r));
+  int64_t due_ms = r->last_event_ms
+                   + (r->stalled ? dead_after_ms (r) : stall_after_ms (r));
 
-  return due_ms < r->timeout_ms ? due_ms : r->timeout_ms;
+  return due_ms < r->deadline_ms ? due_ms : r->deadline_ms;
 }
 
 /* Returns the endpoints that may have run R, including one that has not
@@ -58,26 +58,27 @@
 static uint32_t
 endpoints_run (const struct request *r)
 {
-  return r->endpoints_run + (r->first != NULL && !r->first->headed ? 1 : 0);
+  return r->endpoints_run
+         + (r->primary != NULL && !r->primary->has_head ? 1 : 0);
 }
 
 bool
-stream_may_go_on (struct beryl_forward *f, struct request *r, int64_t now_ms)
+stream_may_relocate (struct beryl_forward *f, struct request *r,
+                     int64_t now_ms)
 {
   return r->route->resumable && endpoints_run (r) < r->route->endpoints_max
          && forward_request_repeats_left (f, r, now_ms) >= REPEATS_NEEDED
-         && !crashes_quarantined (f, r, now_ms);
+         && !crashes_is_quarantined (f, r, now_ms);
 }
 
 static bool
 engine_is_full (struct beryl_forward *f, const struct request *r,
                 int64_t now_ms)
 {
-  struct book_curve curve;
+  struct memory_forecast forecast;
 
-  engine_curve (f, r->service, r->first->live, now_ms, &curve);
-  return curve.tokens[0]
-         >= STALL_FULL_PART * (double)r->terms->engine.kv_tokens;
+  engine_forecast (f, r->service, r->primary->endpoint, now_ms, &forecast);
+  return forecast.tokens[0] >= FULL_PART * (double)r->config->engine.kv_tokens;
 }
 
 /* If the engine is short of memory, asking it to move the run shows the run's
@@ -85,14 +86,14 @@
    stall sooner than waiting. Otherwise the engine only pauses for a prefill,
    or is dead. */
 static void
-stalled (struct beryl_forward *f, struct request *r, int64_t now_ms)
+handle_stall (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
   struct beryl_live *target = NULL;
 
   r->stalled = true;
-  forward_request_decided (f, r, "stall", r->first->live, "seen",
-                           now_ms - r->event_ms, now_ms);
-  if (r->run_events > 0 && forward_request_movable (r)
+  forward_request_log (f, r, "stall", r->primary->endpoint, "seen",
+                       now_ms - r->last_event_ms, now_ms);
+  if (r->run_events > 0 && forward_request_is_movable (r)
       && engine_is_full (f, r, now_ms))
     target = engine_choose_target (f, r, now_ms);
   if (target != NULL)
@@ -100,27 +101,28 @@
 }
 
 void
-stream_due (struct beryl_forward *f, struct request *r, int64_t now_ms)
+stream_timer (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
-  int64_t silent_ms = now_ms - r->event_ms;
+  int64_t silent_ms = now_ms - r->last_event_ms;
 
-  r->due_ms = r->timeout_ms;
-  if (r->first == NULL || r->move_to != NULL || r->caller_slow)
+  r->timer_ms = r->deadline_ms;
+  if (r->primary == NULL || r->move_target != NULL || r->caller_slow)
     return;
-  if (r->seeks)
+  if (r->relocating)
     {
-      seek_due (f, r, now_ms);
+      relocate_timer (f, r, now_ms);
       return;
     }
   if (silent_ms >= stall_after_ms (r) && !r->stalled)
-    stalled (f, r, now_ms);
+    handle_stall (f, r, now_ms);
   if (silent_ms < dead_after_ms (r))
     {
-      r->due_ms = stream_due_ms (r);
+      r->timer_ms = stream_timer_ms (r);
       return;
     }
-  beryl_live_learn (r->first->live, BERYL_LIVE_SILENT, silent_ms, now_ms);
-  seek_start (f, r, "engine_silent", now_ms);
+  beryl_live_learn (r->primary->endpoint, BERYL_LIVE_SILENT, silent_ms,
+                    now_ms);
+  relocate_start (f, r, "engine_silent", now_ms);
 }
 
 /* A token takes the same time whatever else runs, so the pace can be learned
@@ -133,14 +135,14 @@
 
   if (r->run_events == PACE_EVENTS && r->event_count == r->run_events)
     profile_learn_stream (
-        r->service, (uint32_t)after_first * r->terms->engine.event_tokens,
+        r->service, (uint32_t)after_first * r->config->engine.event_tokens,
         now_ms - r->first_event_ms);
 }
 
 void
-stream_learn (struct beryl_forward *f, const struct request *r)
+stream_learn_length (struct beryl_forward *f, const struct request *r)
 {
-  length_model_learn (&r->service->lengths, r->facts.output_tokens_hint,
+  length_model_learn (&r->service->lengths, r->params.output_tokens_hint,
                       (uint32_t)r->event_count
-                          * r->terms->engine.event_tokens);
+                          * r->config->engine.event_tokens);
 }
--- a/load/bench/place.c
+++ b/load/bench/place.c
@@ -206,9 +206,9 @@
           .output_tokens_max = 4 * EXPECTED_TOKENS };
   int64_t began_ns = now_ns ();
 
-  beryl_forward_arrived (forward, &facts, now_ms);
+  beryl_forward_submit (forward, &facts, now_ms);
   *took_ns = now_ns () - began_ns;
-  beryl_forward_caller_gone (forward, request, now_ms);
+  beryl_forward_cancel (forward, request, now_ms);
 }
 
 static json_t *
@@ -228,7 +228,7 @@
 
   add_engines (lives, engines);
   set_routes (forward);
-  beryl_forward_set_nodes (forward, nodes);
+  beryl_forward_set_node_count (forward, nodes);
   for (uint32_t step = 0; step < warm; step++)
     tell_some (forward, nodes, engines, step, m);
   for (uint32_t i = 0; i < ARRIVALS; i++)
--- a/tests/forward/fixture.c
+++ b/tests/forward/fixture.c
@@ -42,7 +42,7 @@
   x->kind = start->kind;
   x->tokens = start->tokens;
   x->resumes = start->resumes;
-  x->last_event = start->last_event;
+  x->last_event = start->last_event_id;
   x->open = true;
   x->started_ms = fx->now_ms;
   copy (x->endpoint, sizeof x->endpoint, start->endpoint->info.id);
@@ -164,10 +164,10 @@
   .answer_begin = owner_begin,
   .answer_data = owner_data,
   .answer_end = owner_end,
-  .answer_cut = owner_cut,
+  .answer_abort = owner_cut,
   .refuse = owner_refuse,
   .fingerprint = owner_fingerprint,
-  .decided = owner_decided,
+  .log_decision = owner_decided,
 };
 
 struct fx_terms
@@ -280,7 +280,7 @@
 
   g_strlcpy (info.id, id, sizeof info.id);
   beryl_lives_put (fx->lives, &info, fx->now_ms);
-  beryl_forward_lives_changed (fx->forward, fx->now_ms);
+  beryl_forward_endpoints_changed (fx->forward, fx->now_ms);
 }
 
 void
@@ -299,7 +299,7 @@
 fx_remove (struct fx *fx, const char *id)
 {
   beryl_lives_remove (fx->lives, id, fx->now_ms);
-  beryl_forward_lives_changed (fx->forward, fx->now_ms);
+  beryl_forward_endpoints_changed (fx->forward, fx->now_ms);
 }
 
 struct beryl_forward_request
@@ -326,7 +326,7 @@
 {
   struct beryl_forward_request facts = fx_facts (fx, number);
 
-  beryl_forward_arrived (fx->forward, &facts, fx->now_ms);
+  beryl_forward_submit (fx->forward, &facts, fx->now_ms);
 }
 
 void
@@ -336,7 +336,7 @@
 
   for (;;)
     {
-      int64_t next_ms = beryl_forward_next_ms (fx->forward);
+      int64_t next_ms = beryl_forward_next_tick_ms (fx->forward);
 
       if (next_ms > end_ms)
         break;
@@ -407,16 +407,16 @@
   struct beryl_answer_head head = { .status = status };
 
   ck_assert (x->open);
-  beryl_forward_head (fx->forward, x->id, &head, fx->now_ms);
+  beryl_forward_answer_head (fx->forward, x->id, &head, fx->now_ms);
 }
 
 void
 fx_stream (struct fx *fx, struct fx_exchange *x)
 {
-  struct beryl_answer_head head = { .status = 200, .events = true };
+  struct beryl_answer_head head = { .status = 200, .event_stream = true };
 
   ck_assert (x->open);
-  beryl_forward_head (fx->forward, x->id, &head, fx->now_ms);
+  beryl_forward_answer_head (fx->forward, x->id, &head, fx->now_ms);
 }
 
 void
@@ -425,14 +425,15 @@
   struct beryl_answer_head head = { .status = status, .not_run = true };
 
   ck_assert (x->open);
-  beryl_forward_head (fx->forward, x->id, &head, fx->now_ms);
+  beryl_forward_answer_head (fx->forward, x->id, &head, fx->now_ms);
 }
 
 void
 fx_data (struct fx *fx, struct fx_exchange *x, const char *text)
 {
   ck_assert (x->open);
-  beryl_forward_data (fx->forward, x->id, text, strlen (text), fx->now_ms);
+  beryl_forward_answer_data (fx->forward, x->id, text, strlen (text),
+                             fx->now_ms);
 }
 
 void
@@ -451,7 +452,7 @@
 {
   ck_assert (x->open);
   x->open = false;
-  beryl_forward_done (fx->forward, x->id, fx->now_ms);
+  beryl_forward_answer_done (fx->forward, x->id, fx->now_ms);
 }
 
 void
@@ -466,12 +467,12 @@
 }
 
 void
-fx_broken (struct fx *fx, struct fx_exchange *x, enum beryl_break how,
-           bool sent)
+fx_broken (struct fx *fx, struct fx_exchange *x,
+           enum beryl_exchange_failure how, bool sent)
 {
   ck_assert (x->open);
   x->open = false;
-  beryl_forward_broken (fx->forward, x->id, how, sent, fx->now_ms);
+  beryl_forward_exchange_failed (fx->forward, x->id, how, sent, fx->now_ms);
 }
 
 void
@@ -480,7 +481,7 @@
 {
   ck_assert (x->open);
   x->open = false;
-  beryl_forward_result (fx->forward, x->id, result, fx->now_ms);
+  beryl_forward_exchange_result (fx->forward, x->id, result, fx->now_ms);
 }
 
 void
--- a/tests/forward/fixture.h
+++ b/tests/forward/fixture.h
@@ -115,8 +115,8 @@
 /** A whole answer with STATUS. */
 void fx_answer (struct fx *fx, struct fx_exchange *x, unsigned int status,
                 const char *text);
-void fx_broken (struct fx *fx, struct fx_exchange *x, enum beryl_break how,
-                bool sent);
+void fx_broken (struct fx *fx, struct fx_exchange *x,
+                enum beryl_exchange_failure how, bool sent);
 /** An engine says yes, with HANDLE, or no. */
 void fx_ok (struct fx *fx, struct fx_exchange *x, const char *handle);
 void fx_refused (struct fx *fx, struct fx_exchange *x);
--- a/tests/forward/test_book.c
+++ b/tests/forward/test_book.c
@@ -4,7 +4,7 @@
 
 #include <glib.h>
 
-#include "../../libberyl/forward/book.h"
+#include "../../libberyl/forward/run_table.h"
 #include "../suite.h"
 
 /* Outputs are twice what callers say: the model learns so, and foresees a run
@@ -37,7 +37,7 @@
 START_TEST (test_peak_is_no_more_than_all)
 {
   struct length_model model;
-  struct book_curve curve = { 0 };
+  struct memory_forecast curve = { 0 };
   struct beryl_engine_run run = {
     .engine = 1, .prompt_tokens = 3200, .expected_tokens = 800, .started = true
   };
@@ -48,39 +48,44 @@
   for (int i = 0; i < 6; i++)
     {
       run.made_tokens = 100 * (uint32_t)i;
-      book_add (&curve, &model, &run, 0, true);
-      all += 3200 + run.made_tokens + BOOK_STEPS * BOOK_STEP_MS / 4.8;
+      memory_forecast_add (&curve, &model, &run, 0, true);
+      all += 3200 + run.made_tokens + FORECAST_STEPS * FORECAST_STEP_MS / 4.8;
     }
-  for (int i = 0; i < BOOK_STEPS; i++)
+  for (int i = 0; i < FORECAST_STEPS; i++)
     spread_out
         = fmax (spread_out, curve.tokens[i] + 2 * sqrt (curve.variance[i]));
   ck_assert (spread_out > SIX_RUNS_TOKENS);
-  ck_assert (book_peak (&curve, BOOK_STEPS * BOOK_STEP_MS, 2)
-             <= SIX_RUNS_TOKENS);
-  ck_assert (book_peak (&curve, BOOK_STEPS * BOOK_STEP_MS, 100) <= all);
+  ck_assert (
+      memory_forecast_peak (&curve, FORECAST_STEPS * FORECAST_STEP_MS, 2)
+      <= SIX_RUNS_TOKENS);
+  ck_assert (
+      memory_forecast_peak (&curve, FORECAST_STEPS * FORECAST_STEP_MS, 100)
+      <= all);
   /* Runs do end: with one deviation it is less. */
-  ck_assert (book_peak (&curve, BOOK_STEPS * BOOK_STEP_MS, 1)
-             < book_peak (&curve, BOOK_STEPS * BOOK_STEP_MS, 100));
+  ck_assert (
+      memory_forecast_peak (&curve, FORECAST_STEPS * FORECAST_STEP_MS, 1)
+      < memory_forecast_peak (&curve, FORECAST_STEPS * FORECAST_STEP_MS, 100));
   /* Now, with all of them there, nothing is uncertain. */
-  ck_assert (fabs (book_peak (&curve, 0, 2) - curve.tokens[0]) < 1);
+  ck_assert (fabs (memory_forecast_peak (&curve, 0, 2) - curve.tokens[0]) < 1);
 }
 END_TEST
 
 START_TEST (test_curve_grows_and_ends)
 {
   struct length_model model;
-  struct book_curve curve = { 0 };
+  struct memory_forecast curve = { 0 };
   struct beryl_engine_run run = { .engine = 1,
                                   .prompt_tokens = 1000,
                                   .expected_tokens = 1000,
                                   .started = true };
 
   length_model_init (&model);
-  book_add (&curve, &model, &run, 0, true);
+  memory_forecast_add (&curve, &model, &run, 0, true);
   ck_assert (fabs (curve.tokens[0] - 1000) < 1);
   ck_assert (curve.tokens[1] > 1200 && curve.tokens[1] < 1301);
-  ck_assert (curve.tokens[BOOK_STEPS - 1] < 500);
-  ck_assert (book_peak (&curve, 4000, 2) > book_peak (&curve, 4000, 0));
+  ck_assert (curve.tokens[FORECAST_STEPS - 1] < 500);
+  ck_assert (memory_forecast_peak (&curve, 4000, 2)
+             > memory_forecast_peak (&curve, 4000, 0));
 }
 END_TEST
 
@@ -88,26 +93,26 @@
  * filling engines for ever. */
 START_TEST (test_silent_peer_fades)
 {
-  struct book book = { 0 };
+  struct run_table book = { 0 };
   struct length_model model;
-  struct book_curve curve = { 0 };
+  struct memory_forecast curve = { 0 };
   struct beryl_engine_run run = {
     .engine = 1, .prompt_tokens = 1000, .expected_tokens = 500, .started = true
   };
 
   length_model_init (&model);
-  book_told (&book, "peer", &run, 1, 1000);
-  book_add_peers (&book, &curve, &model, 1, 1000);
+  run_table_update (&book, "peer", &run, 1, 1000);
+  run_table_forecast (&book, &curve, &model, 1, 1000);
   ck_assert (curve.tokens[0] >= 1000);
-  curve = (struct book_curve){ 0 };
-  book_add_peers (&book, &curve, &model, 1, 4000);
+  curve = (struct memory_forecast){ 0 };
+  run_table_forecast (&book, &curve, &model, 1, 4000);
   ck_assert (curve.tokens[0] < 500);
-  curve = (struct book_curve){ 0 };
-  ck_assert_uint_eq (book_add_peers (&book, &curve, &model, 1, 7000), 0);
-  book_told (&book, "peer", &run, 1, 8000);
-  book_forget (&book, "peer");
-  ck_assert_uint_eq (book_add_peers (&book, &curve, &model, 1, 8000), 0);
-  book_clear (&book);
+  curve = (struct memory_forecast){ 0 };
+  ck_assert_uint_eq (run_table_forecast (&book, &curve, &model, 1, 7000), 0);
+  run_table_update (&book, "peer", &run, 1, 8000);
+  run_table_remove_peer (&book, "peer");
+  ck_assert_uint_eq (run_table_forecast (&book, &curve, &model, 1, 8000), 0);
+  run_table_clear (&book);
 }
 END_TEST
 
@@ -115,22 +120,22 @@
  * peers that tell seldom are heard all the same. */
 START_TEST (test_slow_teller_is_heard)
 {
-  struct book book = { .interval_ms = 2000 };
+  struct run_table book = { .report_interval_ms = 2000 };
   struct length_model model;
-  struct book_curve curve = { 0 };
+  struct memory_forecast curve = { 0 };
   struct beryl_engine_run run = { .engine = 1,
                                   .prompt_tokens = 1000,
                                   .expected_tokens = 2000,
                                   .started = true };
 
   length_model_init (&model);
-  book_told (&book, "peer", &run, 1, 1000);
-  book_add_peers (&book, &curve, &model, 1, 3500);
+  run_table_update (&book, "peer", &run, 1, 1000);
+  run_table_forecast (&book, &curve, &model, 1, 3500);
   ck_assert (curve.tokens[0] >= 3400);
-  curve = (struct book_curve){ 0 };
-  book_add_peers (&book, &curve, &model, 1, 5500);
+  curve = (struct memory_forecast){ 0 };
+  run_table_forecast (&book, &curve, &model, 1, 5500);
   ck_assert (curve.tokens[0] < 1000);
-  book_clear (&book);
+  run_table_clear (&book);
 }
 END_TEST
 
@@ -142,10 +147,11 @@
 };
 
 static void
-check_sums (const struct book *book, const struct told *told, uint32_t number)
+check_sums (const struct run_table *book, const struct told *told,
+            uint32_t number)
 {
   struct length_model model;
-  struct book_curve curve = { 0 };
+  struct memory_forecast curve = { 0 };
   uint32_t at_engine = 0, waiting = 0;
   uint64_t prefilling = 0;
 
@@ -160,11 +166,11 @@
         if (run->prefill_engine == number)
           prefilling += run->prompt_tokens;
       }
-  ck_assert_uint_eq (book_runs (book, number, 0), at_engine);
-  ck_assert_uint_eq (book_add_peers (book, &curve, &model, number, 0),
+  ck_assert_uint_eq (run_table_runs (book, number, 0), at_engine);
+  ck_assert_uint_eq (run_table_forecast (book, &curve, &model, number, 0),
                      at_engine);
-  ck_assert_uint_eq (book_waiting (book, number, 0), waiting);
-  ck_assert_uint_eq (book_prefilling (book, number, 0), prefilling);
+  ck_assert_uint_eq (run_table_waiting (book, number, 0), waiting);
+  ck_assert_uint_eq (run_table_prefill_tokens (book, number, 0), prefilling);
 }
 
 static void
@@ -201,7 +207,7 @@
 {
   static const char *const names[] = { "a", "b", "c", "d" };
   struct told told = { 0 };
-  struct book book = { 0 };
+  struct run_table book = { 0 };
   GRand *random = g_rand_new_with_seed ((guint32)_i);
 
   for (int step = 0; step < 200; step++)
@@ -213,21 +219,21 @@
         {
         case 0:
           drop_prompt (&told, key);
-          book_drop_prompt (&book, key);
+          run_table_drop_prompt (&book, key);
           break;
         case 1:
           told.counts[peer] = 0;
-          book_forget (&book, names[peer]);
+          run_table_remove_peer (&book, names[peer]);
           break;
         default:
           told_at_random (&told, peer, random);
-          book_told (&book, names[peer], told.runs[peer], told.counts[peer],
-                     0);
+          run_table_update (&book, names[peer], told.runs[peer],
+                            told.counts[peer], 0);
         }
       for (uint32_t number = 1; number < 6; number++)
         check_sums (&book, &told, number);
     }
-  book_clear (&book);
+  run_table_clear (&book);
   g_rand_free (random);
 }
 END_TEST
--- a/tests/forward/test_choice.c
+++ b/tests/forward/test_choice.c
@@ -245,7 +245,7 @@
 
   facts.output_tokens_hint = 4000;
   facts.output_tokens_max = 4000;
-  beryl_forward_arrived (fx->forward, &facts, fx->now_ms);
+  beryl_forward_submit (fx->forward, &facts, fx->now_ms);
 }
 
 /* A peak: eight runs of some four seconds each, and fifty requests before this
--- a/tests/forward/test_crashes.c
+++ b/tests/forward/test_crashes.c
@@ -28,10 +28,10 @@
 {
   struct fx_exchange *dial;
 
-  fx_broken (&fx, x, BERYL_BREAK_CLOSED, true);
+  fx_broken (&fx, x, BERYL_FAILURE_CLOSED, true);
   dial = open_of (0, BERYL_EXCHANGE_DIAL);
   ck_assert_str_eq (dial->endpoint, x->endpoint);
-  fx_broken (&fx, dial, BERYL_BREAK_CONNECT, false);
+  fx_broken (&fx, dial, BERYL_FAILURE_CONNECT, false);
 }
 
 /* The culprit arrives as REQUEST and runs until it is refused; returns how
@@ -139,9 +139,9 @@
   for (uint64_t i = 0; i < 4; i++)
     {
       fx_arrive (&fx, CULPRIT + i);
-      fx_broken (&fx, fx_to_run (&fx, CULPRIT + i), BERYL_BREAK_RESET, true);
+      fx_broken (&fx, fx_to_run (&fx, CULPRIT + i), BERYL_FAILURE_RESET, true);
       fx_ok (&fx, open_of (0, BERYL_EXCHANGE_DIAL), "");
-      beryl_forward_caller_gone (fx.forward, CULPRIT + i, fx.now_ms);
+      beryl_forward_cancel (fx.forward, CULPRIT + i, fx.now_ms);
       fx_pass (&fx, 100);
     }
   ck_assert_uint_eq (
@@ -166,7 +166,7 @@
     }
   more_engines (6);
   for (int i = 0; i < 3; i++)
-    fx_broken (&fx, runs[i], BERYL_BREAK_CLOSED, true);
+    fx_broken (&fx, runs[i], BERYL_FAILURE_CLOSED, true);
   for (uint64_t i = 0; i < 3; i++)
     asked[i] = open_of (i + 1, BERYL_EXCHANGE_RESERVE);
   for (int i = 0; i < 3; i++)
@@ -195,7 +195,7 @@
     {
       fx_arrive (&fx, i);
       ck_assert_str_ne (open_of (i, BERYL_EXCHANGE_RESERVE)->endpoint, "d0");
-      beryl_forward_caller_gone (fx.forward, i, fx.now_ms);
+      beryl_forward_cancel (fx.forward, i, fx.now_ms);
     }
 }
 END_TEST
@@ -243,7 +243,7 @@
       ck_assert_str_eq (culprit->endpoint, engine);
       fx_remove (&fx, engine);
       more_engines (i == 0 ? 1 : 3);
-      fx_broken (&fx, neighbour, BERYL_BREAK_CLOSED, true);
+      fx_broken (&fx, neighbour, BERYL_FAILURE_CLOSED, true);
       crash (culprit);
       fx_pass (&fx, 50);
     }
--- a/tests/forward/test_generation.c
+++ b/tests/forward/test_generation.c
@@ -90,7 +90,7 @@
 
   fx_arrive (&fx, 1);
   x = open_of (1, BERYL_EXCHANGE_RESERVE);
-  beryl_forward_caller_gone (fx.forward, 1, fx.now_ms);
+  beryl_forward_cancel (fx.forward, 1, fx.now_ms);
   ck_assert (x->open);
   fx_ok (&fx, x, "late");
   ck_assert_str_eq (open_of (0, BERYL_EXCHANGE_UNRESERVE)->handle, "late");
@@ -102,7 +102,7 @@
 {
   fx_arrive (&fx, 1);
   fx_ok (&fx, open_of (1, BERYL_EXCHANGE_RESERVE), "place");
-  beryl_forward_caller_gone (fx.forward, 1, fx.now_ms);
+  beryl_forward_cancel (fx.forward, 1, fx.now_ms);
   ck_assert (fx_last (&fx, BERYL_EXCHANGE_PREFILL)->aborted);
   ck_assert_str_eq (open_of (0, BERYL_EXCHANGE_UNRESERVE)->handle, "place");
 }
@@ -114,7 +114,7 @@
 
   fx_arrive (&fx, 1);
   run = fx_to_stream (&fx, 1, 2);
-  beryl_forward_caller_gone (fx.forward, 1, fx.now_ms);
+  beryl_forward_cancel (fx.forward, 1, fx.now_ms);
   ck_assert (run->aborted);
   ck_assert_uint_eq (fx_count_open (&fx), 0);
 }
@@ -130,7 +130,7 @@
 
   fx_arrive (&fx, 1);
   run = fx_to_run (&fx, 1);
-  beryl_forward_head (fx.forward, run->id, &head, fx.now_ms);
+  beryl_forward_answer_head (fx.forward, run->id, &head, fx.now_ms);
   ck_assert_int_eq (fx_live (&fx, run->endpoint)->info.stage,
                     BERYL_STAGE_PREFILL);
 }
@@ -144,7 +144,7 @@
   struct fx_exchange *run;
 
   facts.deadline_ms = fx.now_ms + 1000;
-  beryl_forward_arrived (fx.forward, &facts, fx.now_ms);
+  beryl_forward_submit (fx.forward, &facts, fx.now_ms);
   run = fx_to_run (&fx, 1);
   fx_pass (&fx, 1100);
   ck_assert (run->aborted);
@@ -205,7 +205,8 @@
 
   beryl_endpoint_set_add (&news.changing, beryl_engine_number ("d0"));
   beryl_endpoint_set_add (&news.changing, beryl_engine_number ("d1"));
-  beryl_forward_peer_news (fx.forward, "planner", &news, fx.now_ms);
+  beryl_forward_peer_endpoint_reports (fx.forward, "planner", &news,
+                                       fx.now_ms);
   for (uint64_t i = 1; i <= 5; i++)
     {
       fx_arrive (&fx, i);
--- a/tests/forward/test_history.c
+++ b/tests/forward/test_history.c
@@ -163,7 +163,7 @@
   if (run == NULL)
     return;
   if (chance (h, 0.5))
-    fx_broken (&h->fx, run, BERYL_BREAK_CLOSED, true);
+    fx_broken (&h->fx, run, BERYL_FAILURE_CLOSED, true);
   else
     later (h, some_ms (h), FATE_LOST, run->id);
   g_hash_table_remove (h->next_event, GUINT_TO_POINTER (run->id));
@@ -185,7 +185,7 @@
   else if (kind == 7)
     result.not_found = true;
   if (x->open && kind == 9)
-    fx_broken (&h->fx, x, BERYL_BREAK_RESET, true);
+    fx_broken (&h->fx, x, BERYL_FAILURE_RESET, true);
   else if (x->open)
     fx_result (&h->fx, x, &result);
 }
@@ -215,7 +215,7 @@
 
       if (sent)
         count_prefill (h, x);
-      fx_broken (&h->fx, x, sent ? BERYL_BREAK_RESET : BERYL_BREAK_CONNECT,
+      fx_broken (&h->fx, x, sent ? BERYL_FAILURE_RESET : BERYL_FAILURE_CONNECT,
                  sent);
       return;
     }
@@ -253,7 +253,7 @@
     {
       fx_data (&h->fx, x, "id: 1\nda");
       if (x->open)
-        fx_broken (&h->fx, x, BERYL_BREAK_RESET, true);
+        fx_broken (&h->fx, x, BERYL_FAILURE_RESET, true);
       return;
     }
   fx_event (&h->fx, x, next);
@@ -300,10 +300,10 @@
       fx_answer (&h->fx, x, 500, "error");
       return;
     case FATE_CONNECT:
-      fx_broken (&h->fx, x, BERYL_BREAK_CONNECT, false);
+      fx_broken (&h->fx, x, BERYL_FAILURE_CONNECT, false);
       return;
     default:
-      fx_broken (&h->fx, x, BERYL_BREAK_RESET, true);
+      fx_broken (&h->fx, x, BERYL_FAILURE_RESET, true);
     }
 }
 
@@ -357,7 +357,7 @@
       return;
     case FATE_LEAVES:
       h->callers[due->number].left = h->fx.answers[due->number].ends == 0;
-      beryl_forward_caller_gone (h->fx.forward, due->number, h->fx.now_ms);
+      beryl_forward_cancel (h->fx.forward, due->number, h->fx.now_ms);
       return;
     case FATE_CHANGE:
       change_engine (h);
@@ -467,8 +467,8 @@
       executions += h->callers[i].executions;
       answered += h->fx.answers[i].whole;
     }
-  ck_assert_uint_eq (beryl_forward_open (h->fx.forward), 0);
-  ck_assert_uint_eq (beryl_forward_waiting (h->fx.forward), 0);
+  ck_assert_uint_eq (beryl_forward_open_count (h->fx.forward), 0);
+  ck_assert_uint_eq (beryl_forward_waiting_count (h->fx.forward), 0);
   check_none_open (h);
   for (size_t i = 0; i < beryl_lives_count (h->fx.lives); i++)
     {
--- a/tests/forward/test_loans.c
+++ b/tests/forward/test_loans.c
@@ -26,7 +26,7 @@
 struct fleet
 {
   struct repeat_budget budgets[NODES];
-  struct repeat_terms terms;
+  struct repeat_limits terms;
   GArray *messages;
   GArray *sent_ms;
   GRand *random;
@@ -116,7 +116,7 @@
 START_TEST (test_loan)
 {
   struct repeat_budget lender = { 0 }, borrower = { 0 };
-  struct repeat_terms terms
+  struct repeat_limits terms
       = { .slack = 20, .window_ms = WINDOW_MS, .nodes = 2 };
 
   ck_assert_uint_eq (repeat_budget_lend (&lender, &terms, 3, 1000), 3);
@@ -139,7 +139,7 @@
 START_TEST (test_late_loan)
 {
   struct repeat_budget borrower = { 0 };
-  struct repeat_terms terms = { .window_ms = WINDOW_MS, .nodes = 2 };
+  struct repeat_limits terms = { .window_ms = WINDOW_MS, .nodes = 2 };
 
   repeat_budget_borrow (&borrower, 3, 1000, 1000 + REPEAT_LOAN_MS);
   ck_assert_uint_eq (
@@ -175,7 +175,7 @@
     {
       nodes[n] = g_new0 (struct fx, 1);
       fx_open_seeded (nodes[n], &terms, (uint64_t)n + 1);
-      beryl_forward_set_nodes (nodes[n]->forward, 4);
+      beryl_forward_set_node_count (nodes[n]->forward, 4);
       add_prefill_engines (nodes[n]);
       fx_endpoint (nodes[n], "d0", BERYL_STAGE_DECODE);
       fx_endpoint (nodes[n], "d1", BERYL_STAGE_DECODE);
@@ -219,13 +219,13 @@
   fx_ok (nodes[0], fx_last (nodes[0], BERYL_EXCHANGE_RESERVE), "place");
   x = fx_open_of (nodes[0], number, BERYL_EXCHANGE_PREFILL);
   ck_assert_ptr_nonnull (x);
-  fx_broken (nodes[0], x, BERYL_BREAK_RESET, true);
+  fx_broken (nodes[0], x, BERYL_FAILURE_RESET, true);
   x = fx_open_of (nodes[0], number, BERYL_EXCHANGE_RESERVE);
   if (x != NULL)
     fx_ok (nodes[0], x, "place");
   if (nodes[0]->answers[number].ends > 0)
     return false;
-  beryl_forward_caller_gone (nodes[0]->forward, number, nodes[0]->now_ms);
+  beryl_forward_cancel (nodes[0]->forward, number, nodes[0]->now_ms);
   return true;
 }
 
--- a/tests/forward/test_near.c
+++ b/tests/forward/test_near.c
@@ -26,9 +26,10 @@
 chosen (double near, double far, uint64_t seed)
 {
   struct sample sample = { 0 };
-  struct sample_terms terms = {
-    .at_once = 2, .home = "home", .far_cost = FAR_COST, .random = &seed
-  };
+  struct sample_options terms = { .concurrent_choices = 2,
+                                  .data_centre = "home",
+                                  .remote_cost = FAR_COST,
+                                  .random = &seed };
   double cost = 0;
   const struct beryl_live *live;
 
@@ -36,9 +37,10 @@
     sample_add (&sample, &lives[i], &seed);
   for (size_t i = 0; i < sample_count (&sample); i++)
     sample.items[i].cost
-        = strcmp (sample.items[i].live->info.data_centre, "home") == 0 ? near
-                                                                       : far;
-  live = sample_best (&sample, &terms, &cost);
+        = strcmp (sample.items[i].endpoint->info.data_centre, "home") == 0
+              ? near
+              : far;
+  live = sample_choose (&sample, &terms, &cost);
   ck_assert (live == NULL || cost == near || cost == far);
   return live;
 }
@@ -94,10 +96,10 @@
 START_TEST (test_nothing_to_choose)
 {
   struct sample sample = { 0 };
-  struct sample_terms terms = { .home = "home" };
+  struct sample_options terms = { .data_centre = "home" };
   double cost;
 
-  ck_assert_ptr_null (sample_best (&sample, &terms, &cost));
+  ck_assert_ptr_null (sample_choose (&sample, &terms, &cost));
 }
 END_TEST
 
--- a/tests/forward/test_news.c
+++ b/tests/forward/test_news.c
@@ -49,8 +49,10 @@
   char name[16];
 
   g_snprintf (name, sizeof name, "node-%d", from);
-  beryl_forward_news (nodes[from]->forward, &news, nodes[from]->now_ms);
-  beryl_forward_peer_news (nodes[to]->forward, name, &news, nodes[to]->now_ms);
+  beryl_forward_endpoint_reports (nodes[from]->forward, &news,
+                                  nodes[from]->now_ms);
+  beryl_forward_peer_endpoint_reports (nodes[to]->forward, name, &news,
+                                       nodes[to]->now_ms);
 }
 
 /* Node N's next request; returns its question for room. */
@@ -94,8 +96,7 @@
 
       if (strcmp (x->endpoint, engine) == 0)
         return true;
-      beryl_forward_caller_gone (nodes[n]->forward, requests,
-                                 nodes[n]->now_ms);
+      beryl_forward_cancel (nodes[n]->forward, requests, nodes[n]->now_ms);
     }
   return false;
 }
@@ -104,7 +105,7 @@
 static void
 fails_at (int n, const char *engine)
 {
-  fx_broken (nodes[n], asks_for (n, engine), BERYL_BREAK_CONNECT, false);
+  fx_broken (nodes[n], asks_for (n, engine), BERYL_FAILURE_CONNECT, false);
 }
 
 /* Story: an engine crashed and was back under a new id at the same address.
@@ -195,10 +196,10 @@
       g_snprintf (id, sizeof id, "d%d", i);
       beryl_endpoint_set_add (&all.unreachable, beryl_engine_number (id));
     }
-  beryl_forward_peer_news (nodes[2]->forward, "node-0", &all,
-                           nodes[2]->now_ms);
-  beryl_forward_peer_news (nodes[2]->forward, "node-1", &all,
-                           nodes[2]->now_ms);
+  beryl_forward_peer_endpoint_reports (nodes[2]->forward, "node-0", &all,
+                                       nodes[2]->now_ms);
+  beryl_forward_peer_endpoint_reports (nodes[2]->forward, "node-1", &all,
+                                       nodes[2]->now_ms);
   asks (2);
 }
 END_TEST
--- a/tests/forward/test_parts.c
+++ b/tests/forward/test_parts.c
@@ -94,7 +94,7 @@
 START_TEST (test_budget)
 {
   struct repeat_budget b = { 0 };
-  struct repeat_terms terms
+  struct repeat_limits terms
       = { .ratio = 0.1, .slack = 10, .window_ms = 10000, .nodes = 1 };
 
   ck_assert_uint_eq (repeat_budget_left (&b, &terms, 1000), 8);
@@ -102,7 +102,7 @@
     repeat_budget_spend (&b, &terms, 1000);
   ck_assert_uint_eq (repeat_budget_left (&b, &terms, 1000), 0);
   for (int i = 0; i < 100; i++)
-    repeat_budget_request (&b, &terms, 2000);
+    repeat_budget_count_request (&b, &terms, 2000);
   ck_assert_uint_eq (repeat_budget_left (&b, &terms, 2000), 8);
   /* Both go out of the window. */
   ck_assert_uint_eq (repeat_budget_left (&b, &terms, 30000), 8);
@@ -116,7 +116,7 @@
 START_TEST (test_budget_in_any_window)
 {
   struct repeat_budget b = { 0 };
-  struct repeat_terms terms
+  struct repeat_limits terms
       = { .ratio = 0, .slack = 20, .window_ms = 10000, .nodes = 1 };
   int64_t spent_ms[1000];
   size_t count = 0;
--- a/tests/forward/test_plain.c
+++ b/tests/forward/test_plain.c
@@ -56,7 +56,7 @@
   fx_answer (&fx, run (), 200, "body");
   ck_assert (answer (1)->whole);
   ck_assert_str_eq (answer (1)->body->str, "body");
-  ck_assert_uint_eq (beryl_forward_open (fx.forward), 0);
+  ck_assert_uint_eq (beryl_forward_open_count (fx.forward), 0);
   ck_assert_uint_eq (fx_count_open (&fx), 0);
 }
 END_TEST
@@ -66,7 +66,7 @@
   struct beryl_forward_request facts = fx_facts (&fx, 1);
 
   facts.host = "other.example";
-  beryl_forward_arrived (fx.forward, &facts, fx.now_ms);
+  beryl_forward_submit (fx.forward, &facts, fx.now_ms);
   ck_assert_uint_eq (answer (1)->refusal.status, 404);
 }
 END_TEST
@@ -93,7 +93,7 @@
 
   fx_arrive (&fx, 1);
   g_strlcpy (first, run ()->endpoint, sizeof first);
-  fx_broken (&fx, run (), BERYL_BREAK_CONNECT, false);
+  fx_broken (&fx, run (), BERYL_FAILURE_CONNECT, false);
   ck_assert_uint_eq (fx_count (&fx, BERYL_EXCHANGE_RUN), 2);
   ck_assert_str_ne (run ()->endpoint, first);
   fx_answer (&fx, run (), 200, "x");
@@ -107,7 +107,7 @@
 START_TEST (test_once_dies)
 {
   fx_arrive (&fx, 1);
-  fx_broken (&fx, run (), BERYL_BREAK_RESET, true);
+  fx_broken (&fx, run (), BERYL_FAILURE_RESET, true);
   ck_assert_uint_eq (fx_count (&fx, BERYL_EXCHANGE_RUN), 1);
   ck_assert_uint_eq (answer (1)->refusal.status, 502);
   ck_assert (!answer (1)->refusal.not_run);
@@ -167,7 +167,7 @@
   fx_arrive (&fx, 1);
   fx_head (&fx, run (), 200);
   fx_data (&fx, run (), "half");
-  fx_broken (&fx, run (), BERYL_BREAK_RESET, true);
+  fx_broken (&fx, run (), BERYL_FAILURE_RESET, true);
   ck_assert (!answer (1)->begun);
   fx_answer (&fx, run (), 200, "whole");
   ck_assert_str_eq (answer (1)->body->str, "whole");
@@ -184,7 +184,7 @@
   fx_head (&fx, run (), 200);
   fx_data (&fx, run (), block);
   ck_assert (answer (1)->begun);
-  fx_broken (&fx, run (), BERYL_BREAK_RESET, true);
+  fx_broken (&fx, run (), BERYL_FAILURE_RESET, true);
   ck_assert (answer (1)->cut);
   ck_assert_uint_eq (fx_count (&fx, BERYL_EXCHANGE_RUN), 1);
   g_free (block);
@@ -255,7 +255,7 @@
   terms.repeat_ratio = 0;
   fx_close (&fx);
   fx_open (&fx, &terms);
-  beryl_forward_set_nodes (fx.forward, 10);
+  beryl_forward_set_node_count (fx.forward, 10);
   fx_endpoint (&fx, "a", BERYL_STAGE_NONE);
   fx_endpoint (&fx, "b", BERYL_STAGE_NONE);
   for (uint64_t i = 1; i <= 50; i++)
@@ -301,7 +301,7 @@
       fx_arrive (&fx, i);
       while (fx_open_of (&fx, i, BERYL_EXCHANGE_RUN) != NULL)
         fx_broken (&fx, fx_open_of (&fx, i, BERYL_EXCHANGE_RUN),
-                   BERYL_BREAK_RESET, true);
+                   BERYL_FAILURE_RESET, true);
     }
   fx_arrive (&fx, 21);
   ck_assert_ptr_nonnull (fx_open_of (&fx, 21, BERYL_EXCHANGE_RUN));
@@ -311,19 +311,19 @@
 START_TEST (test_caller_gone)
 {
   fx_arrive (&fx, 1);
-  beryl_forward_caller_gone (fx.forward, 1, fx.now_ms);
+  beryl_forward_cancel (fx.forward, 1, fx.now_ms);
   ck_assert (run ()->aborted);
   ck_assert_uint_eq (answer (1)->ends, 0);
-  ck_assert_uint_eq (beryl_forward_open (fx.forward), 0);
+  ck_assert_uint_eq (beryl_forward_open_count (fx.forward), 0);
 }
 END_TEST
 
 START_TEST (test_slow_caller)
 {
   fx_arrive (&fx, 1);
-  beryl_forward_caller_slow (fx.forward, 1, true);
+  beryl_forward_set_caller_paused (fx.forward, 1, true);
   ck_assert (run ()->paused);
-  beryl_forward_caller_slow (fx.forward, 1, false);
+  beryl_forward_set_caller_paused (fx.forward, 1, false);
   ck_assert (!run ()->paused);
 }
 END_TEST
@@ -334,13 +334,13 @@
   struct beryl_forward_request facts = fx_facts (&fx, 1);
 
   facts.deadline_ms = fx.now_ms + 50;
-  beryl_forward_arrived (fx.forward, &facts, fx.now_ms);
+  beryl_forward_submit (fx.forward, &facts, fx.now_ms);
   fx_pass (&fx, 60);
   ck_assert_uint_eq (answer (1)->ends, 1);
   ck_assert (run ()->aborted);
   facts = fx_facts (&fx, 2);
   facts.deadline_ms = fx.now_ms;
-  beryl_forward_arrived (fx.forward, &facts, fx.now_ms);
+  beryl_forward_submit (fx.forward, &facts, fx.now_ms);
   ck_assert_uint_eq (answer (2)->refusal.status, 503);
   ck_assert (answer (2)->refusal.not_run);
 }
@@ -373,7 +373,7 @@
   beryl_routes_freeze (empty);
   beryl_forward_set_routes (fx.forward, empty);
   beryl_routes_unref (empty);
-  fx_broken (&fx, run (), BERYL_BREAK_CONNECT, false);
+  fx_broken (&fx, run (), BERYL_FAILURE_CONNECT, false);
   fx_answer (&fx, run (), 200, "x");
   ck_assert (answer (1)->whole);
   fx_arrive (&fx, 2);
--- a/tests/forward/test_profile.c
+++ b/tests/forward/test_profile.c
@@ -20,7 +20,7 @@
   facts.prompt_tokens = PROMPT;
   facts.output_tokens_hint = HINT;
   facts.output_tokens_max = 4 * HINT;
-  beryl_forward_arrived (fx.forward, &facts, fx.now_ms);
+  beryl_forward_submit (fx.forward, &facts, fx.now_ms);
   fx_ok (&fx, open_of (number, BERYL_EXCHANGE_RESERVE), "place");
   fx_pass (&fx, 100);
   fx_ok (&fx, open_of (number, BERYL_EXCHANGE_PREFILL), "kv");
@@ -30,7 +30,7 @@
 static struct beryl_generation_mix
 mix (void)
 {
-  return beryl_forward_mix (fx.forward, FX_SERVICE);
+  return beryl_forward_generation_mix (fx.forward, FX_SERVICE);
 }
 
 /* Story: runs last four seconds.  Ten seconds after the first caller mostly
@@ -105,7 +105,7 @@
       char peer[16];
 
       g_snprintf (peer, sizeof peer, "peer-%d", i);
-      beryl_forward_peer_gone (fx.forward, peer);
+      beryl_forward_remove_peer (fx.forward, peer);
     }
   ck_assert (!mix ().measured);
 }
@@ -173,13 +173,13 @@
   struct beryl_forward_request facts = fx_facts (&fx, number);
 
   facts.prompt_tokens = LONG_PROMPT;
-  beryl_forward_arrived (fx.forward, &facts, fx.now_ms);
+  beryl_forward_submit (fx.forward, &facts, fx.now_ms);
   fx_pass (&fx, call_ms);
   fx_ok (&fx, open_of (number, BERYL_EXCHANGE_RESERVE), "place");
   fx_pass (&fx, prefill_ms);
   fx_ok (&fx, open_of (number, BERYL_EXCHANGE_PREFILL), "kv");
   fx_stream (&fx, open_of (number, BERYL_EXCHANGE_RUN));
-  beryl_forward_caller_gone (fx.forward, number, fx.now_ms);
+  beryl_forward_cancel (fx.forward, number, fx.now_ms);
 }
 
 /* Guards against a node that was paused during its first prefill and moves the
@@ -211,7 +211,7 @@
       pace_learn (&pace, LONG_PROMPT, i % 3 == 0 ? 700 : 60);
       pace_learn (&pace, LONG_PROMPT, i % 6 == 0 ? 900 : 60);
       g_snprintf (peer, sizeof peer, "peer-%d", i);
-      peer_tells (peer, pace.seen, pace.ms_per_token);
+      peer_tells (peer, pace.samples, pace.ms_per_token);
     }
   check_pace (mix ().prefill_ms_per_token);
 }
@@ -294,7 +294,7 @@
       fx_event (&fx, run, event);
       fx.now_ms += EVENT_MS + (event == 5 ? pause_ms : 0);
     }
-  beryl_forward_caller_gone (fx.forward, number, fx.now_ms);
+  beryl_forward_cancel (fx.forward, number, fx.now_ms);
 }
 
 /* Guards against a node that was paused amid a stream and then takes all
@@ -328,9 +328,11 @@
   stream (1, 5000);
   d0 = beryl_lives_find (fx.lives, "d0");
   tell_runs ("d0", 1);
-  used = beryl_forward_engine_used (fx.forward, FX_SERVICE, d0, fx.now_ms);
+  used = beryl_forward_engine_used_tokens (fx.forward, FX_SERVICE, d0,
+                                           fx.now_ms);
   fx.now_ms += 300;
-  grown = beryl_forward_engine_used (fx.forward, FX_SERVICE, d0, fx.now_ms);
+  grown = beryl_forward_engine_used_tokens (fx.forward, FX_SERVICE, d0,
+                                            fx.now_ms);
   ck_assert_uint_ge (grown - used, 200);
 }
 END_TEST
--- a/tests/forward/test_prompts.c
+++ b/tests/forward/test_prompts.c
@@ -62,7 +62,7 @@
   engines (2, 3);
   fx_arrive (&fx, 1);
   fx_ok (&fx, open_of (1, BERYL_EXCHANGE_RESERVE), "place");
-  fx_broken (&fx, open_of (1, BERYL_EXCHANGE_PREFILL), BERYL_BREAK_RESET,
+  fx_broken (&fx, open_of (1, BERYL_EXCHANGE_PREFILL), BERYL_FAILURE_RESET,
              true);
   fx_ok (&fx, open_of (1, BERYL_EXCHANGE_RESERVE), "place");
   ck_assert_uint_eq (fx_count (&fx, BERYL_EXCHANGE_PREFILL), 1);
@@ -79,7 +79,7 @@
   engines (2, 3);
   fx_arrive (&fx, 1);
   fx_ok (&fx, open_of (1, BERYL_EXCHANGE_RESERVE), "place");
-  fx_broken (&fx, open_of (1, BERYL_EXCHANGE_PREFILL), BERYL_BREAK_CONNECT,
+  fx_broken (&fx, open_of (1, BERYL_EXCHANGE_PREFILL), BERYL_FAILURE_CONNECT,
              false);
   fx_to_run (&fx, 1);
 }
@@ -94,7 +94,7 @@
   reopen ();
   engines (2, 3);
   fx_arrive (&fx, 1);
-  fx_broken (&fx, fx_to_stream (&fx, 1, 2), BERYL_BREAK_RESET, true);
+  fx_broken (&fx, fx_to_stream (&fx, 1, 2), BERYL_FAILURE_RESET, true);
   fx_ok (&fx, open_of (1, BERYL_EXCHANGE_RESERVE), "place");
   ck_assert_uint_eq (fx_count (&fx, BERYL_EXCHANGE_PREFILL), 1);
   ck_assert (answer (1)->cut);
@@ -205,7 +205,7 @@
   tell_queue ("p0", 20);
   late = fx_facts (&fx, 1);
   late.arrived_ms = fx.now_ms - 2000;
-  beryl_forward_arrived (fx.forward, &late, fx.now_ms);
+  beryl_forward_submit (fx.forward, &late, fx.now_ms);
   ck_assert_uint_eq (fx_count (&fx, BERYL_EXCHANGE_RESERVE), 0);
   ck_assert_uint_eq (answer (1)->ends, 0);
   tell_queue ("p0", 1);
@@ -275,7 +275,7 @@
   struct beryl_forward_request facts = fx_facts (&fx, request);
 
   facts.prompt_key = prompt_key;
-  beryl_forward_arrived (fx.forward, &facts, fx.now_ms);
+  beryl_forward_submit (fx.forward, &facts, fx.now_ms);
   return open_of (request, BERYL_EXCHANGE_RESERVE);
 }
 
@@ -294,7 +294,8 @@
   ck_assert_uint_eq (fx_count (&fx, BERYL_EXCHANGE_PREFILL), 0);
   ck_assert_str_eq (open_of (1, BERYL_EXCHANGE_RUN)->kv_handle, "");
   /* It goes the usual way after a failure. */
-  fx_broken (&fx, open_of (1, BERYL_EXCHANGE_RUN), BERYL_BREAK_CONNECT, false);
+  fx_broken (&fx, open_of (1, BERYL_EXCHANGE_RUN), BERYL_FAILURE_CONNECT,
+             false);
   fx_ok (&fx, open_of (1, BERYL_EXCHANGE_RESERVE), "place-2");
   ck_assert_uint_eq (fx_count (&fx, BERYL_EXCHANGE_PREFILL), 1);
 }
@@ -327,8 +328,8 @@
       facts = fx_facts (&fx, i);
       facts.prompt_key = (uint32_t)(76 + i);
       facts.resumes = true;
-      facts.last_event = 5;
-      beryl_forward_arrived (fx.forward, &facts, fx.now_ms);
+      facts.last_event_id = 5;
+      beryl_forward_submit (fx.forward, &facts, fx.now_ms);
       fx_ok (&fx, open_of (i, BERYL_EXCHANGE_RESERVE), "place");
     }
   ck_assert_uint_eq (fx_count (&fx, BERYL_EXCHANGE_RUN), 1);
--- a/tests/forward/test_rates.c
+++ b/tests/forward/test_rates.c
@@ -46,7 +46,7 @@
 {
   struct beryl_answer_head head = { .status = 200, .limit = *limit };
 
-  beryl_forward_head (fx.forward, x->id, &head, fx.now_ms);
+  beryl_forward_answer_head (fx.forward, x->id, &head, fx.now_ms);
   fx_done (&fx, x);
 }
 
@@ -119,7 +119,7 @@
 /* A node that hears none of many takes the whole limit. */
 START_TEST (test_nodes_that_cannot_be_heard)
 {
-  beryl_forward_set_nodes (fx.forward, 10);
+  beryl_forward_set_node_count (fx.forward, 10);
   name_limit ("a", BERYL_EXCHANGE_RUN, 1);
   name_limit ("b", BERYL_EXCHANGE_RUN, 1);
   fx_pass (&fx, 5000);
--- a/tests/forward/test_restart.c
+++ b/tests/forward/test_restart.c
@@ -21,7 +21,7 @@
   info.port = 80;
   info.revision = ++revision;
   live = beryl_lives_put (fx.lives, &info, fx.now_ms);
-  beryl_forward_lives_changed (fx.forward, fx.now_ms);
+  beryl_forward_endpoints_changed (fx.forward, fx.now_ms);
   return live;
 }
 
@@ -85,12 +85,13 @@
                                          .started = true };
   beryl_forward_peer_runs (fx.forward, "peer", runs, G_N_ELEMENTS (runs),
                            fx.now_ms);
-  ck_assert_uint_gt (
-      beryl_forward_engine_used (fx.forward, FX_SERVICE, live, fx.now_ms),
-      9000);
+  ck_assert_uint_gt (beryl_forward_engine_used_tokens (fx.forward, FX_SERVICE,
+                                                       live, fx.now_ms),
+                     9000);
   live = start ("d", BERYL_STAGE_DECODE, 200);
-  ck_assert_uint_eq (
-      beryl_forward_engine_used (fx.forward, FX_SERVICE, live, fx.now_ms), 0);
+  ck_assert_uint_eq (beryl_forward_engine_used_tokens (fx.forward, FX_SERVICE,
+                                                       live, fx.now_ms),
+                     0);
   fx_arrive (&fx, 1);
   ck_assert_str_eq (open_of (1, BERYL_EXCHANGE_RESERVE)->endpoint, "d");
 }
@@ -101,13 +102,13 @@
  * the tokens of other requests, whose streams would pause. */
 START_TEST (test_prompts_are_void)
 {
-  beryl_forward_prompt_kept (
+  beryl_forward_prompt_cached (
       fx.forward, 77, beryl_live_number (beryl_lives_find (fx.lives, "d")),
       fx.now_ms);
   start ("d", BERYL_STAGE_DECODE, 200);
   struct beryl_forward_request facts = fx_facts (&fx, 1);
   facts.prompt_key = 77;
-  beryl_forward_arrived (fx.forward, &facts, fx.now_ms);
+  beryl_forward_submit (fx.forward, &facts, fx.now_ms);
   fx_ok (&fx, open_of (1, BERYL_EXCHANGE_RESERVE), "place");
   open_of (1, BERYL_EXCHANGE_PREFILL);
 }
@@ -166,7 +167,7 @@
 
   beryl_endpoint_set_add (&news.replaced, beryl_live_number (live));
   live = start ("d", BERYL_STAGE_DECODE, 200);
-  beryl_forward_peer_news (fx.forward, "peer", &news, fx.now_ms);
+  beryl_forward_peer_endpoint_reports (fx.forward, "peer", &news, fx.now_ms);
   ck_assert (beryl_live_takes_work (live));
 }
 END_TEST
--- a/tests/forward/test_stages.c
+++ b/tests/forward/test_stages.c
@@ -141,7 +141,7 @@
   for (int i = 0; i < prefills; i++)
     pace_learn (&pace, 5000,
                 (int64_t)(5000 * ms_per_token * (i % 2 == 0 ? 4 : 1)));
-  ck_assert_uint_eq (pace.seen, (uint32_t)prefills);
+  ck_assert_uint_eq (pace.samples, (uint32_t)prefills);
   return pace.ms_per_token;
 }
 
--- a/tests/forward/test_streams.c
+++ b/tests/forward/test_streams.c
@@ -14,7 +14,7 @@
   fx_arrive (&fx, 1);
   run = fx_to_stream (&fx, 1, 3);
   fx_data (&fx, run, "id: 4\nda");
-  fx_broken (&fx, run, BERYL_BREAK_RESET, true);
+  fx_broken (&fx, run, BERYL_FAILURE_RESET, true);
   run = fx_to_run (&fx, 1);
   ck_assert (run->resumes);
   ck_assert_uint_eq (run->last_event, 3);
@@ -40,7 +40,7 @@
   engines (2, 3);
   fx_arrive (&fx, 1);
   run = fx_to_stream (&fx, 1, 2);
-  fx_broken (&fx, run, BERYL_BREAK_RESET, true);
+  fx_broken (&fx, run, BERYL_FAILURE_RESET, true);
   run = fx_to_run (&fx, 1);
   fx_head (&fx, run, 500);
   ck_assert (run->aborted);
@@ -57,7 +57,7 @@
 
   fx_arrive (&fx, 1);
   run = fx_to_stream (&fx, 1, 2);
-  fx_broken (&fx, run, BERYL_BREAK_RESET, true);
+  fx_broken (&fx, run, BERYL_FAILURE_RESET, true);
   for (int i = 0; i < 500 && answer (1)->ends == 0; i++)
     {
       struct fx_exchange *x = fx_open_of (&fx, 1, BERYL_EXCHANGE_RESERVE);
@@ -79,7 +79,7 @@
   reopen ();
   engines (2, 3);
   fx_arrive (&fx, 1);
-  fx_broken (&fx, fx_to_run (&fx, 1), BERYL_BREAK_RESET, true);
+  fx_broken (&fx, fx_to_run (&fx, 1), BERYL_FAILURE_RESET, true);
   ck_assert_uint_eq (fx_count (&fx, BERYL_EXCHANGE_RUN), 1);
   ck_assert_uint_eq (answer (1)->refusal.status, 502);
   ck_assert (!answer (1)->refusal.not_run);
@@ -113,7 +113,7 @@
 
   fx_arrive (&fx, 1);
   run = fx_to_stream (&fx, 1, 3);
-  beryl_forward_caller_slow (fx.forward, 1, true);
+  beryl_forward_set_caller_paused (fx.forward, 1, true);
   ck_assert (run->paused);
   fx_pass (&fx, 3000);
   ck_assert (run->open);
@@ -136,7 +136,7 @@
   fx_ok (&fx, move, "moved");
   ck_assert (run->open);
   fx_event (&fx, run, 3);
-  fx_broken (&fx, run, BERYL_BREAK_CLOSED, true);
+  fx_broken (&fx, run, BERYL_FAILURE_CLOSED, true);
   run = open_of (1, BERYL_EXCHANGE_RUN);
   ck_assert_str_eq (run->endpoint, move->target);
   ck_assert_str_eq (run->kv_handle, "moved");
@@ -158,7 +158,7 @@
   run = fx_to_stream (&fx, 1, 2);
   tell_runs (run->endpoint, 4);
   move = move_asked (1);
-  fx_broken (&fx, run, BERYL_BREAK_CLOSED, true);
+  fx_broken (&fx, run, BERYL_FAILURE_CLOSED, true);
   ck_assert_ptr_null (fx_open_of (&fx, 1, BERYL_EXCHANGE_RUN));
   fx_ok (&fx, move, "moved");
   ck_assert_str_eq (open_of (1, BERYL_EXCHANGE_RUN)->endpoint, move->target);
@@ -178,7 +178,7 @@
   tell_runs (run->endpoint, 4);
   move = move_asked (1);
   fx_result (&fx, move, &no_room);
-  fx_broken (&fx, run, BERYL_BREAK_CLOSED, true);
+  fx_broken (&fx, run, BERYL_FAILURE_CLOSED, true);
   ck_assert_str_eq (open_of (1, BERYL_EXCHANGE_RUN)->endpoint, run->endpoint);
   ck_assert_str_eq (open_of (1, BERYL_EXCHANGE_RUN)->kv_handle, "kept");
 }
@@ -201,7 +201,7 @@
   tell_runs (run->endpoint, 4);
   move = move_asked (1);
   fx_ok (&fx, move, "moved");
-  fx_broken (&fx, run, BERYL_BREAK_CLOSED, true);
+  fx_broken (&fx, run, BERYL_FAILURE_CLOSED, true);
   fx_not_run (&fx, open_of (1, BERYL_EXCHANGE_RUN), 503);
   ck_assert_str_eq (open_of (1, BERYL_EXCHANGE_RUN)->endpoint, run->endpoint);
   fx_not_run (&fx, open_of (1, BERYL_EXCHANGE_RUN), 503);
@@ -238,7 +238,7 @@
   move = move_asked (1);
   fx_pass (&fx, wait_ms);
   fx_result (&fx, move, &no_room);
-  fx_broken (&fx, run, BERYL_BREAK_CLOSED, true);
+  fx_broken (&fx, run, BERYL_FAILURE_CLOSED, true);
 }
 
 /* The stopped run's memory is at the leaving engine only.  It goes on there
@@ -347,7 +347,7 @@
   struct fx_exchange *run = preempted ();
   struct fx_exchange *place = open_of (1, BERYL_EXCHANGE_RESERVE);
 
-  beryl_forward_set_repeats (fx.forward, 0, 0, 10000);
+  beryl_forward_set_repeat_limits (fx.forward, 0, 0, 10000);
   fx_ok (&fx, place, "hold-2");
   ck_assert (!run->aborted);
   ck_assert_uint_eq (answer (1)->ends, 0);
@@ -381,7 +381,7 @@
 {
   struct fx_exchange *run = preempted ();
 
-  fx_broken (&fx, run, BERYL_BREAK_RESET, true);
+  fx_broken (&fx, run, BERYL_FAILURE_RESET, true);
   run = fx_to_run (&fx, 1);
   ck_assert_uint_eq (run->last_event, 2);
   fx_stream (&fx, run);
@@ -403,7 +403,7 @@
   fx_arrive (&fx, 1);
   run = fx_to_stream (&fx, 1, 3);
   fx_remove (&fx, run->endpoint);
-  fx_broken (&fx, run, BERYL_BREAK_RESET, true);
+  fx_broken (&fx, run, BERYL_FAILURE_RESET, true);
   fx_pass (&fx, 3800);
   ck_assert_uint_eq (answer (1)->ends, 0);
   fx_pass (&fx, 400);
@@ -431,7 +431,7 @@
   struct fx_exchange *run;
 
   facts.deadline_ms = fx.now_ms + 400;
-  beryl_forward_arrived (fx.forward, &facts, fx.now_ms);
+  beryl_forward_submit (fx.forward, &facts, fx.now_ms);
   run = fx_to_stream (&fx, 1, 3);
   for (uint64_t i = 4; run->open && i < 20; i++)
     {
--- a/tests/platform_wire/test_wire.c
+++ b/tests/platform_wire/test_wire.c
@@ -280,7 +280,7 @@
   ck_assert_uint_eq (request.output_tokens_max, 80);
   ck_assert_uint_eq (request.output_tokens_hint, 64);
   ck_assert (request.resumes);
-  ck_assert_uint_eq (request.last_event, 12);
+  ck_assert_uint_eq (request.last_event_id, 12);
 }
 END_TEST
 
@@ -321,7 +321,7 @@
 {
   struct beryl_exchange_start start = { .kind = BERYL_EXCHANGE_RUN,
                                         .endpoint = &endpoint,
-                                        .left_ms = 13900 };
+                                        .remaining_ms = 13900 };
   GString *out = formatted (&start);
 
   ck_assert_str_eq (out->str, "POST /lohu930/2f?q=1 HTTP/1.1\r\n"
@@ -350,7 +350,7 @@
                                       .kv_address = "10.1.64.8",
                                       .kv_port = 8081,
                                       .resumes = true,
-                                      .last_event = 20 };
+                                      .last_event_id = 20 };
   GString *out = formatted (&prefill);
 
   ck_assert_ptr_nonnull (strstr (out->str, "X-Serving-Stage: prefill\r\n"));
@@ -386,9 +386,9 @@
   ck_assert (read_answer (421, "X-Instance-Id", "i-2").misdirected);
   ck_assert (read_answer (421, "X-Instance-Id", "i-7f3a91c2").wrong_stage);
   ck_assert (read_answer (421, "X-Other", "1").wrong_stage);
-  ck_assert (
-      read_answer (200, "Content-Type", "text/event-stream; x=y").events);
-  ck_assert (!read_answer (200, "Content-Type", "text/plain").events);
+  ck_assert (read_answer (200, "Content-Type", "text/event-stream; x=y")
+                 .event_stream);
+  ck_assert (!read_answer (200, "Content-Type", "text/plain").event_stream);
 }
 END_TEST
 
