--- a/include/beryl/forward.h
+++ b/include/beryl/forward.h
@@ -49,10 +49,9 @@
   int64_t deadline_ms; /**< absolute; BERYL_NEVER_MS if none was given */
   uint32_t prompt_tokens;
   uint32_t output_tokens_max;
-  uint32_t
-      output_tokens_hint; /**< caller's estimate of its output; 0 if none */
-  uint32_t prompt_key;    /**< equal for equal prompts; 0 if unknown */
-  bool resumes;           /**< the caller resumes a stream after LAST_EVENT */
+  uint32_t output_tokens_hint; /**< caller's estimate; 0 if none */
+  uint32_t prompt_key;         /**< equal for equal prompts; 0 if unknown */
+  bool resumes;                /**< the caller resumes after LAST_EVENT_ID */
   uint64_t last_event_id;
 };
 
@@ -81,14 +80,14 @@
   const struct beryl_live *endpoint;
   int64_t connect_timeout_ms;
   int64_t remaining_ms; /**< RUN, PREFILL: time until the request's deadline; 0
-                      if it has none */
+                           if it has none */
   uint32_t tokens;      /**< RESERVE */
   int64_t lease_ms;     /**< RESERVE */
   const char *reservation; /**< RUN: reservation to use, or NULL; UNRESERVE */
   const char *kv_handle;   /**< RUN: KV cache to fetch, or NULL; DROP_KV */
   const char *kv_address;  /**< RUN: address of the engine that holds it */
   uint16_t kv_port;
-  bool resumes; /**< RUN, PREFILL: resume after LAST_EVENT */
+  bool resumes; /**< RUN, PREFILL: resume after LAST_EVENT_ID */
   uint64_t last_event_id;
   const char *run_id;              /**< MOVE: the request's id */
   const struct beryl_live *target; /**< MOVE: engine to move the run to */
@@ -255,7 +254,7 @@
   bool not_run; /**< the endpoint states that it did not run the request */
   bool event_stream; /**< the body is a stream of server-sent events */
   bool misdirected;  /**< another endpoint has the address now */
-  bool wrong_stage;  /**< the engine does other work now */
+  bool wrong_stage;  /**< the engine has another stage now */
 };
 
 /** The head of the answer to a RUN exchange has arrived. */
@@ -281,7 +280,7 @@
   bool not_run;     /**< PREFILL: the engine states that it did not process the
                        prompt */
   bool misdirected; /**< another endpoint has the address now */
-  bool wrong_stage; /**< the engine does other work now */
+  bool wrong_stage; /**< the engine has another stage now */
   /** Handle of the reservation or KV cache. A MOVE that failed may have one
    * too: the run has stopped and its memory is still at the source engine. */
   char handle[BERYL_ENGINE_HANDLE_BYTES];
@@ -328,7 +327,7 @@
 /** Apply a peer's report of rate limits and of the requests it sends to the
  * limited endpoints. */
 void beryl_forward_peer_limits (struct beryl_forward *forward,
-                                const struct beryl_limits_news *news,
+                                const struct beryl_limits_news *reports,
                                 int64_t now_ms);
 
 /** The set of endpoints has changed: requests that wait for an engine try
@@ -341,14 +340,14 @@
                               const struct beryl_engine_run *runs,
                               size_t count, int64_t now_ms);
 
-/** Add to NEWS the endpoint states that this node has detected by its own
+/** Add to REPORTS the endpoint states that this node has detected by its own
  * calls; apply those that PEER (or another component of this node) reports. */
 void beryl_forward_endpoint_reports (const struct beryl_forward *forward,
-                                     struct beryl_endpoint_news *news,
+                                     struct beryl_endpoint_news *reports,
                                      int64_t now_ms);
 void beryl_forward_peer_endpoint_reports (
     struct beryl_forward *forward, const char *peer,
-    const struct beryl_endpoint_news *news, int64_t now_ms);
+    const struct beryl_endpoint_news *reports, int64_t now_ms);
 
 /** Write this node's profiles of its services' generations; apply those of
  * PEER. */
--- a/libberyl/forward/answer.c
+++ b/libberyl/forward/answer.c
@@ -84,7 +84,7 @@
       /* The caller already has the head of a stream; a different answer's body
          must not follow it. */
       forward_exchange_abort (f, x);
-      generation_broken (f, r, BERYL_EXCHANGE_RUN, true, now_ms);
+      generation_exchange_failed (f, r, BERYL_EXCHANGE_RUN, true, now_ms);
       return;
     }
   if (error && r->secondary != NULL)
@@ -213,7 +213,7 @@
     }
   if (ends_in_event (r, x))
     {
-      answer_broken (f, x, BERYL_FAILURE_CLOSED, true, now_ms);
+      answer_interrupted (f, x, BERYL_FAILURE_CLOSED, true, now_ms);
       return;
     }
   if (is_success (x->head.status))
@@ -245,8 +245,8 @@
 }
 
 void
-answer_broken (struct beryl_forward *f, struct exchange *x,
-               enum beryl_exchange_failure how, bool sent, int64_t now_ms)
+answer_interrupted (struct beryl_forward *f, struct exchange *x,
+                    enum beryl_exchange_failure how, bool sent, int64_t now_ms)
 {
   struct request *r = x->request;
   bool headed = x->has_head;
@@ -263,7 +263,7 @@
   if (headed && move_stream_ended (f, r, now_ms))
     return;
   if (forward_request_is_generation (r))
-    generation_broken (f, r, BERYL_EXCHANGE_RUN, sent, now_ms);
+    generation_exchange_failed (f, r, BERYL_EXCHANGE_RUN, sent, now_ms);
   else if (r->answer_begun)
     forward_request_fail (f, r, BERYL_REFUSAL_ENDPOINT_FAILED, now_ms);
   else
--- a/libberyl/forward/engines.c
+++ b/libberyl/forward/engines.c
@@ -123,7 +123,7 @@
                        bool granted, int64_t now_ms)
 {
   struct memory_forecast forecast;
-  double room = (double)r->config->engine.kv_tokens - tokens;
+  double usable_tokens = (double)r->config->engine.kv_tokens - tokens;
   double known;
 
   endpoint->hidden_tokens = hidden_at (endpoint, now_ms, 0);
@@ -132,10 +132,10 @@
   known = forecast.tokens[0] - endpoint->hidden_tokens;
   if (granted)
     endpoint->hidden_tokens
-        = fmin (endpoint->hidden_tokens, fmax (room - known, 0));
+        = fmin (endpoint->hidden_tokens, fmax (usable_tokens - known, 0));
   else
     endpoint->hidden_tokens
-        = fmax (endpoint->hidden_tokens, fmax (room - known, 0));
+        = fmax (endpoint->hidden_tokens, fmax (usable_tokens - known, 0));
 }
 
 double
@@ -201,7 +201,7 @@
    it was drawn from. */
 static void
 estimate_capacity (const struct request *r, const struct sample *sample,
-                   double room, struct engine_capacity *capacity)
+                   double usable_tokens, struct engine_capacity *capacity)
 {
   double need = r->params.prompt_tokens + r->expected_tokens;
   double least = 0;
@@ -213,12 +213,14 @@
       if (least == 0 || cost < least)
         least = cost;
       /* An engine of unknown memory size counts as one place. */
-      if (cost <= room || room <= 0)
-        capacity->free_places += 1 + fmax (room - cost, 0) / fmax (need, 1);
+      if (cost <= usable_tokens || usable_tokens <= 0)
+        capacity->free_places
+            += 1 + fmax (usable_tokens - cost, 0) / fmax (need, 1);
     }
   if (sample->offered > SAMPLE_MAX)
     capacity->free_places *= (double)sample->offered / SAMPLE_MAX;
-  capacity->min_fill = room > 0 ? FILL_PART * least / room : 0;
+  capacity->min_fill
+      = usable_tokens > 0 ? FILL_PART * least / usable_tokens : 0;
 }
 
 /* Chooses among the engines that run no suspect (APART), or among all. */
@@ -228,7 +230,7 @@
 {
   struct sample sample;
   struct beryl_live *best = NULL, *warm = NULL;
-  double room = FILL_PART * (double)r->config->engine.kv_tokens;
+  double usable_tokens = FILL_PART * (double)r->config->engine.kv_tokens;
   double cost;
 
   sample_init (&sample);
@@ -247,16 +249,17 @@
   for (size_t i = 0; i < sample_count (&sample); i++)
     sample.items[i].cost = engine_peak_with (f, r, sample.items[i].endpoint,
                                              FILL_DEVIATIONS, now_ms);
-  estimate_capacity (r, &sample, room, capacity);
-  if (room > 0)
-    sample_drop_above (&sample, room);
+  estimate_capacity (r, &sample, usable_tokens, capacity);
+  if (usable_tokens > 0)
+    sample_drop_above (&sample, usable_tokens);
   if (warm != NULL
-      && (room <= 0
-          || engine_peak_with (f, r, warm, FILL_DEVIATIONS, now_ms) <= room))
+      && (usable_tokens <= 0
+          || engine_peak_with (f, r, warm, FILL_DEVIATIONS, now_ms)
+                 <= usable_tokens))
     best = warm;
   else
     best = choose (f, r, &sample, f->settings.data_centre,
-                   REMOTE_COST_PART * room, now_ms, &cost);
+                   REMOTE_COST_PART * usable_tokens, now_ms, &cost);
   return best;
 }
 
@@ -284,7 +287,7 @@
                       int64_t now_ms)
 {
   struct sample sample;
-  double room = FILL_PART * (double)r->config->engine.kv_tokens;
+  double usable_tokens = FILL_PART * (double)r->config->engine.kv_tokens;
   double cost;
 
   sample_init (&sample);
@@ -302,9 +305,9 @@
   for (size_t i = 0; i < sample_count (&sample); i++)
     sample.items[i].cost = engine_peak_with (f, r, sample.items[i].endpoint,
                                              TARGET_DEVIATIONS, now_ms);
-  sample_drop_above (&sample, room);
+  sample_drop_above (&sample, usable_tokens);
   return choose (f, r, &sample, r->reservation.endpoint->info.data_centre,
-                 REMOTE_COST_PART * room, now_ms, &cost);
+                 REMOTE_COST_PART * usable_tokens, now_ms, &cost);
 }
 
 bool
--- a/libberyl/forward/forward.c
+++ b/libberyl/forward/forward.c
@@ -446,13 +446,13 @@
   if (r == NULL)
     forward_exchange_free (f, x);
   else if (kind == BERYL_EXCHANGE_RUN)
-    answer_broken (f, x, how, sent, now_ms);
+    answer_interrupted (f, x, how, sent, now_ms);
   else
     {
       forward_request_log (f, r, beryl_exchange_name (kind), x->endpoint,
                            "broken", (int64_t)how, now_ms);
       forward_exchange_free (f, x);
-      generation_broken (f, r, kind, sent, now_ms);
+      generation_exchange_failed (f, r, kind, sent, now_ms);
     }
 }
 
--- a/libberyl/forward/generation.c
+++ b/libberyl/forward/generation.c
@@ -268,13 +268,14 @@
 }
 
 void
-generation_broken (struct beryl_forward *f, struct request *r,
-                   enum beryl_exchange_kind kind, bool sent, int64_t now_ms)
+generation_exchange_failed (struct beryl_forward *f, struct request *r,
+                            enum beryl_exchange_kind kind, bool sent,
+                            int64_t now_ms)
 {
   switch (kind)
     {
     case BERYL_EXCHANGE_MOVE:
-      move_broken (f, r, sent, now_ms);
+      move_failed (f, r, sent, now_ms);
       return;
     case BERYL_EXCHANGE_RESERVE:
       placement_no_answer (f, r, now_ms);
--- a/libberyl/forward/loans.c
+++ b/libberyl/forward/loans.c
@@ -93,12 +93,12 @@
 {
   struct repeat_limits limits = forward_repeat_limits (f);
   struct service *s = forward_service_by_number (f, request->service);
-  uint32_t most = request->count < LOAN_MAX ? request->count : LOAN_MAX;
+  uint32_t max_count = request->count < LOAN_MAX ? request->count : LOAN_MAX;
   uint32_t count;
 
   if (s == NULL || f->pending_loans.count == BERYL_REPEAT_TRANSFERS_MAX)
     return;
-  count = repeat_budget_lend (&s->budget, &limits, most, now_ms);
+  count = repeat_budget_lend (&s->budget, &limits, max_count, now_ms);
   if (count == 0)
     return;
   add_transfer (&f->pending_loans, (struct beryl_repeat_transfer){
--- a/libberyl/forward/move.c
+++ b/libberyl/forward/move.c
@@ -69,12 +69,12 @@
    itself, or may belong to a run that no longer exists: then WHY says what is
    known of its engine. */
 static void
-move_failed (struct beryl_forward *f, struct request *r, const char *why,
-             int64_t now_ms)
+move_abandon (struct beryl_forward *f, struct request *r, const char *why,
+              int64_t now_ms)
 {
   if (r->stream_ended)
     {
-      generation_broken (f, r, BERYL_EXCHANGE_RUN, true, now_ms);
+      generation_exchange_failed (f, r, BERYL_EXCHANGE_RUN, true, now_ms);
       return;
     }
   move_clear (f, r);
@@ -111,14 +111,14 @@
   if (stopped)
     move_continue (f, r, now_ms);
   else
-    move_failed (f, r, result->not_found ? "preempted" : NULL, now_ms);
+    move_abandon (f, r, result->not_found ? "preempted" : NULL, now_ms);
 }
 
 void
-move_broken (struct beryl_forward *f, struct request *r, bool sent,
+move_failed (struct beryl_forward *f, struct request *r, bool sent,
              int64_t now_ms)
 {
-  move_failed (f, r, sent ? NULL : "engine_dead", now_ms);
+  move_abandon (f, r, sent ? NULL : "engine_dead", now_ms);
 }
 
 bool
--- a/libberyl/forward/placement.c
+++ b/libberyl/forward/placement.c
@@ -160,11 +160,12 @@
 leaves_to_others (struct beryl_forward *f, const struct request *r,
                   double free_places, int64_t now_ms)
 {
-  double at_once = (double)backlog_waiting (f, r, now_ms) * PROPAGATION_MS
-                   / ASK_INTERVAL_MS;
+  double concurrent_asks = (double)backlog_waiting (f, r, now_ms)
+                           * PROPAGATION_MS / ASK_INTERVAL_MS;
   double chance = random_part (&f->random);
 
-  return at_once > free_places && chance * at_once > free_places;
+  return concurrent_asks > free_places
+         && chance * concurrent_asks > free_places;
 }
 
 struct exchange *
@@ -249,15 +250,15 @@
                   const struct beryl_engine_result *result, int64_t now_ms)
 {
   struct request *r = x->request;
-  struct reservation *place = &r->reservation;
+  struct reservation *reservation = &r->reservation;
 
   engine_learn_capacity (f, r, x->endpoint, x->tokens, true, now_ms);
   rates_count_sent (f, r->service, x->endpoint, now_ms);
-  place->endpoint = x->endpoint;
-  place->tokens = x->tokens;
-  place->expires_ms = x->started_ms + lease_ms (r);
-  memcpy (place->handle, result->handle, sizeof place->handle);
-  beryl_live_open (place->endpoint);
+  reservation->endpoint = x->endpoint;
+  reservation->tokens = x->tokens;
+  reservation->expires_ms = x->started_ms + lease_ms (r);
+  memcpy (reservation->handle, result->handle, sizeof reservation->handle);
+  beryl_live_open (reservation->endpoint);
   f->runs_changed = true;
   forward_request_log (f, r, "reserve", x->endpoint, "granted", x->tokens,
                        now_ms);
@@ -307,23 +308,23 @@
 }
 
 void
-reservation_clear (struct beryl_forward *f, struct reservation *place)
+reservation_clear (struct beryl_forward *f, struct reservation *reservation)
 {
-  if (place->endpoint == NULL)
+  if (reservation->endpoint == NULL)
     return;
   f->runs_changed = true;
-  beryl_live_close (f->endpoints, place->endpoint);
-  *place = (struct reservation){ 0 };
+  beryl_live_close (f->endpoints, reservation->endpoint);
+  *reservation = (struct reservation){ 0 };
 }
 
 void
-reservation_release (struct beryl_forward *f, struct reservation *place,
+reservation_release (struct beryl_forward *f, struct reservation *reservation,
                      int64_t now_ms)
 {
-  if (place->endpoint != NULL && place->handle[0] != '\0'
-      && now_ms < place->expires_ms)
-    reservation_cancel (f, place->endpoint, place->handle, now_ms);
-  reservation_clear (f, place);
+  if (reservation->endpoint != NULL && reservation->handle[0] != '\0'
+      && now_ms < reservation->expires_ms)
+    reservation_cancel (f, reservation->endpoint, reservation->handle, now_ms);
+  reservation_clear (f, reservation);
 }
 
 void
--- a/libberyl/forward/prefill.c
+++ b/libberyl/forward/prefill.c
@@ -92,15 +92,15 @@
 prefill_is_cached (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
   struct beryl_live *endpoint = r->reservation.endpoint;
-  double resumed
+  double resumed_tokens
       = (double)r->params.last_event_id * r->config->engine.event_tokens;
 
   if (!engine_has_prompt_cached (r, endpoint))
     return false;
-  if (resumed == 0)
+  if (resumed_tokens == 0)
     return true;
   if (engine_is_prefilling (f, endpoint, now_ms)
-      || stream_pause_ms (r, local_prefill_ms (r, resumed))
+      || stream_pause_ms (r, local_prefill_ms (r, resumed_tokens))
              > r->route->gap_objective_ms)
     return false;
   endpoint->alone_ms = now_ms;
@@ -140,8 +140,8 @@
   return makes_late (r, wait_ms, now_ms);
 }
 
-/* Releases R's reservation, since its prompt would be prefilled too late. Its
-   wait continues from its first start. */
+/* Releases R's reservation, since its prompt would be prefilled too late. It
+   keeps the start time of its wait. */
 static void
 give_up_reservation (struct beryl_forward *f, struct request *r,
                      int64_t now_ms)
--- a/libberyl/forward/private.h
+++ b/libberyl/forward/private.h
@@ -38,7 +38,7 @@
   char name[BERYL_NAME_BYTES];
   struct repeat_budget budget;
   uint32_t loan_serial; /**< of the last request for a loan of repeats; 0 if
-                            none is open */
+                           none is open */
   int64_t loan_requested_ms;  /**< when the last loan was requested */
   double answer_mean_ms;      /**< smoothed time to the head of an answer; 0 if
                                  unknown */
@@ -48,15 +48,13 @@
   double output_tokens;        /**< mean expected output of its generations */
   uint32_t arrived;            /**< number of generations that arrived */
   struct pace prefill_pace; /**< speed of its prefill engines, from this node's
-                          own prefills */
+                               own prefills */
   double prefill_ms_per_token; /**< prefill speed used in estimates; may be the
                                   fleet's median */
-  struct call_times
-      reservation_times; /**< durations of reservation calls to its engines */
+  struct call_times reservation_times; /**< durations of reservation calls */
   struct peer_profiles peer_profiles;
-  uint64_t kv_tokens; /**< KV memory of one engine; 0 if unknown */
-  uint32_t
-      waiting; /**< generations of this node that wait for engine memory */
+  uint64_t kv_tokens;    /**< KV memory of one engine; 0 if unknown */
+  uint32_t waiting;      /**< this node's waiting generations */
   int64_t next_retry_ms; /**< retry time to give to the next refused caller */
 };
 
@@ -90,8 +88,7 @@
 /** A generation's memory at a decode engine. */
 struct reservation
 {
-  struct beryl_live
-      *endpoint; /**< NULL if none; its open count includes this */
+  struct beryl_live *endpoint; /**< NULL if none; kept open */
   char handle[BERYL_ENGINE_HANDLE_BYTES];
   uint32_t tokens;
   int64_t expires_ms;
@@ -100,8 +97,7 @@
 /** The KV cache of a prompt that was prefilled. */
 struct kv_cache
 {
-  struct beryl_live
-      *endpoint; /**< NULL if none; its open count includes this */
+  struct beryl_live *endpoint; /**< NULL if none; kept open */
   char handle[BERYL_ENGINE_HANDLE_BYTES];
   int64_t expires_ms;
   uint32_t uses; /**< runs it was handed to */
@@ -122,9 +118,9 @@
   int64_t timer_ms;           /**< when its timer fires */
   struct exchange *primary;   /**< open exchange, or NULL */
   struct exchange *secondary; /**< concurrent exchange: a hedged send, a move
-                              or a reservation */
-  uint32_t sends;         /**< number of times it was sent to an endpoint */
-  uint32_t endpoints_run; /**< endpoints that may have run it */
+                                 or a reservation */
+  uint32_t sends;             /**< times a plain request was sent */
+  uint32_t endpoints_run;     /**< endpoints that may have run it */
   bool may_have_run;
   uint64_t fingerprint;      /**< of its content; 0 if not computed yet */
   uint64_t tried[TRIED_MAX]; /**< hashes of endpoint ids */
@@ -138,15 +134,14 @@
   uint64_t run_events;  /**< those of the current run */
   uint64_t last_event_id;
   int64_t last_event_ms; /**< time of the last event, of the answer's head or
-                       of the start of the run */
+                            of the start of the run */
   /* Generations. */
   struct reservation reservation;
   struct kv_cache kv;
   uint32_t expected_tokens; /**< estimated output: the median */
   int64_t first_event_ms;
   int64_t longest_gap_ms;
-  struct beryl_live *move_target; /**< target of the move in progress, or NULL;
-                                 its open count includes this */
+  struct beryl_live *move_target; /**< target while moving; kept open */
   bool move_stopped; /**< the engine has stopped the run for the move */
   uint32_t runs; /**< number of times the request itself was sent to engines */
   bool prefilled;        /**< a prefill engine has accepted its prompt */
@@ -155,9 +150,8 @@
   bool local_prefill;    /**< its decode engine prefills the prompt itself */
   uint32_t warm_engine; /**< number of the engine that has its prompt cached; 0
                            if none */
-  bool
-      continues_run; /**< the next run continues a moved run with its memory */
-  bool stalled;      /**< its stream has produced no event for too long */
+  bool continues_run;   /**< the next run continues a moved one */
+  bool stalled;         /**< its stream has produced no event for too long */
   bool relocating; /**< looks for another engine while its run is still open */
   bool stream_ended; /**< the stream of a move's source engine has ended */
   uint32_t refusals; /**< refusals by engines in the current round */
@@ -187,26 +181,23 @@
   uint32_t waiting_count;
   uint64_t last_exchange_id;
   uint64_t random;
-  int64_t next_balance_ms; /**< next check of the engines' memory */
-  int64_t
-      stop_ms; /**< when the process stops; BERYL_NEVER_MS if not planned */
+  int64_t next_balance_ms;    /**< next check of the engines' memory */
+  int64_t stop_ms;            /**< planned stop; BERYL_NEVER_MS if none */
   struct run_table run_table; /**< runs of the other nodes at engines */
-  struct prompt_locations
-      prompt_locations; /**< engines that recently ran a prompt */
+  struct prompt_locations prompt_locations; /**< where prompts ran recently */
   struct beryl_repeat_transfers pending_loans; /**< granted, not sent yet */
   uint32_t last_loan_serial;
   bool runs_changed; /**< this node's runs have changed since they were
                         reported */
   struct beryl_limits *limits;
-  uint32_t
-      reachable_nodes; /**< nodes whose reports arrive, this one included */
+  uint32_t reachable_nodes;     /**< reachable, including this one */
   int64_t reachable_counted_ms; /**< when they were last counted */
   struct beryl_quarantine_owner quarantine_owner;
   struct beryl_quarantine *quarantine;
   int64_t suspects_until_ms;   /**< until when a request of this node may be a
                                   suspect */
   int64_t quarantine_check_ms; /**< when to check open requests for newly
-                       quarantined ones; BERYL_NEVER_MS if none */
+                                  quarantined ones; BERYL_NEVER_MS if none */
 };
 
 /* forward.c */
@@ -230,7 +221,7 @@
 void forward_exchange_detach (struct beryl_forward *f, struct request *r,
                               struct exchange *x);
 
-/* news.c */
+/* endpoint_reports.c */
 /** An answer shows that another process now has ENDPOINT's address. */
 void endpoint_report_replaced (struct beryl_forward *f,
                                struct beryl_live *endpoint, int64_t now_ms);
@@ -376,7 +367,7 @@
  * worthwhile. */
 int64_t service_hedge_delay_ms (const struct service *s);
 
-/* place.c */
+/* placement.c */
 /** Queue R for memory at a decode engine, and try to reserve some. */
 void placement_start (struct beryl_forward *f, struct request *r,
                       int64_t now_ms);
@@ -412,12 +403,13 @@
 void placement_accept (struct beryl_forward *f, struct exchange *x,
                        const struct beryl_engine_result *result,
                        int64_t now_ms);
-/** Release the reservation PLACE at its engine if it is still held, and clear
- * it. */
-void reservation_release (struct beryl_forward *f, struct reservation *place,
-                          int64_t now_ms);
-/** Clear PLACE without calling the engine. */
-void reservation_clear (struct beryl_forward *f, struct reservation *place);
+/** Release the reservation RESERVATION at its engine if it is still held, and
+ * clear it. */
+void reservation_release (struct beryl_forward *f,
+                          struct reservation *reservation, int64_t now_ms);
+/** Clear RESERVATION without calling the engine. */
+void reservation_clear (struct beryl_forward *f,
+                        struct reservation *reservation);
 /** Ask ENDPOINT to release the reservation HANDLE. */
 void reservation_cancel (struct beryl_forward *f, struct beryl_live *endpoint,
                          const char *handle, int64_t now_ms);
@@ -441,9 +433,9 @@
                         int64_t now_ms);
 /** An exchange of R of KIND failed; SENT as in beryl_forward_exchange_failed.
  */
-void generation_broken (struct beryl_forward *f, struct request *r,
-                        enum beryl_exchange_kind kind, bool sent,
-                        int64_t now_ms);
+void generation_exchange_failed (struct beryl_forward *f, struct request *r,
+                                 enum beryl_exchange_kind kind, bool sent,
+                                 int64_t now_ms);
 /** The engine states that it did not run R; WRONG_STAGE: because it now has
  * another stage. */
 void generation_run_rejected (struct beryl_forward *f, struct request *r,
@@ -503,7 +495,7 @@
 /** R's answer is complete: learn from its length. */
 void stream_learn_length (struct beryl_forward *f, const struct request *r);
 
-/* seek.c */
+/* relocate.c */
 /** Start to look for another engine for R's stream, which its own engine does
  * not continue. WHY is for the log. Does nothing if the route does not allow
  * it. */
@@ -531,9 +523,9 @@
 void answer_data (struct beryl_forward *f, struct exchange *x,
                   const char *bytes, size_t bytes_count, int64_t now_ms);
 void answer_done (struct beryl_forward *f, struct exchange *x, int64_t now_ms);
-void answer_broken (struct beryl_forward *f, struct exchange *x,
-                    enum beryl_exchange_failure how, bool sent,
-                    int64_t now_ms);
+void answer_interrupted (struct beryl_forward *f, struct exchange *x,
+                         enum beryl_exchange_failure how, bool sent,
+                         int64_t now_ms);
 
 /* move.c */
 /** Start to move R's run to TARGET. */
@@ -543,7 +535,7 @@
 void move_result (struct beryl_forward *f, struct exchange *x,
                   const struct beryl_engine_result *result, int64_t now_ms);
 /** A MOVE of R failed; SENT as in beryl_forward_exchange_failed. */
-void move_broken (struct beryl_forward *f, struct request *r, bool sent,
+void move_failed (struct beryl_forward *f, struct request *r, bool sent,
                   int64_t now_ms);
 /** R's stream ended early; return true if that is part of a move. */
 bool move_stream_ended (struct beryl_forward *f, struct request *r,
--- a/libberyl/forward/run_table.c
+++ b/libberyl/forward/run_table.c
@@ -132,7 +132,7 @@
 memory_forecast_add (struct memory_forecast *forecast,
                      const struct length_model *model,
                      const struct beryl_engine_run *run, int64_t age_ms,
-                     bool heard)
+                     bool reachable)
 {
   double median
       = run->expected_tokens > 0 ? run->expected_tokens : model->tokens_mean;
@@ -141,7 +141,7 @@
   /* Ends are reported at once, so a run of a reachable peer is still alive; a
      run of a silent peer is known only to have been alive when it was
      reported. */
-  double alive = survival (model, median, heard ? now : reported);
+  double alive = survival (model, median, reachable ? now : reported);
   /* A run that has started uses its own memory instead of the reservation. */
   double reserved = run->started ? 0
                                  : reservation_tokens (run->prompt_tokens,
@@ -221,9 +221,9 @@
 find_peer (struct run_table *table, const char *name)
 {
   bool found;
-  size_t place = peer_position (table, name, &found);
+  size_t position = peer_position (table, name, &found);
 
-  return found ? table->peers[place] : NULL;
+  return found ? table->peers[position] : NULL;
 }
 
 static struct peer_runs *
@@ -231,13 +231,13 @@
 {
   struct peer_runs *peer = calloc (1, sizeof *peer);
   bool found;
-  size_t place = peer_position (table, name, &found);
+  size_t position = peer_position (table, name, &found);
 
   strncpy (peer->name, name, sizeof peer->name - 1);
   table->peers = realloc (table->peers, (table->count + 1) * sizeof (void *));
-  memmove (&table->peers[place + 1], &table->peers[place],
-           (table->count - place) * sizeof (void *));
-  table->peers[place] = peer;
+  memmove (&table->peers[position + 1], &table->peers[position],
+           (table->count - position) * sizeof (void *));
+  table->peers[position] = peer;
   table->count++;
   return peer;
 }
--- a/libberyl/forward/run_table.h
+++ b/libberyl/forward/run_table.h
@@ -37,13 +37,11 @@
 {
   double log_mean; /**< mean of log (output / estimate) */
   double log_variance;
-  double weight;      /**< number of runs the means are weighted by */
-  double tokens_mean; /**< mean output, for runs without an estimate */
-  double
-      ms_per_token; /**< pace used in forecasts; may be the fleet's median */
+  double weight;           /**< number of runs the means are weighted by */
+  double tokens_mean;      /**< mean output, for runs without an estimate */
+  double ms_per_token;     /**< used in forecasts; may be the fleet's */
   double own_ms_per_token; /**< mean pace of the node's own streams */
-  uint32_t
-      pace_samples; /**< number of streams seen_ms_per_token is learned from */
+  uint32_t pace_samples;   /**< streams own_ms_per_token is from */
 };
 
 /** Return the tokens to reserve for a run before it begins. */
@@ -70,12 +68,12 @@
                               uint32_t most);
 
 /** Add the expected memory of RUN, reported AGE_MS ago, to FORECAST. Without
- * recent reports of its node (HEARD is false) the run is only known to have
- * existed at that time. */
+ * recent reports of its node (REACHABLE is false) the run is only known to
+ * have existed at that time. */
 void memory_forecast_add (struct memory_forecast *forecast,
                           const struct length_model *model,
                           const struct beryl_engine_run *run, int64_t age_ms,
-                          bool heard);
+                          bool reachable);
 
 /** Return the highest point of FORECAST up to UNTIL_MS, with DEVIATIONS
  * standard deviations added, but at most the tokens if no run ended. */
--- a/libberyl/forward/sample.h
+++ b/libberyl/forward/sample.h
@@ -40,7 +40,7 @@
 struct sample_options
 {
   double concurrent_choices; /**< choices that the nodes make before they learn
-                     of each other's */
+                                of each other's */
   const char *data_centre;   /**< preferred data centre; "" for any */
   double remote_cost; /**< extra cost of an engine in another data centre */
   uint64_t *random;   /**< state of random_next */
