--- a/tests/forward/fixture.h
+++ b/tests/forward/fixture.h
@@ -1,6 +1,6 @@
 /** @file
- * A forwarder with a clock that tests set, endpoints that tests list, and
- * exchanges that tests answer.
+ * Fixture: a forwarder with a clock set by the tests, endpoints listed by the
+ * tests, and exchanges answered by the tests.
  */
 #ifndef TESTS_FORWARD_FIXTURE_H
 #define TESTS_FORWARD_FIXTURE_H
@@ -19,10 +19,10 @@
 struct fx_exchange
 {
   uint64_t id;
-  uint64_t request; /**< 0: clean-up */
+  uint64_t request; /**< 0 for clean-up */
   enum beryl_exchange_kind kind;
   char endpoint[BERYL_NAME_BYTES];
-  char target[BERYL_NAME_BYTES];          /**< of a MOVE */
+  char target[BERYL_NAME_BYTES];          /**< target of a MOVE */
   char handle[BERYL_ENGINE_HANDLE_BYTES]; /**< reservation, or "" */
   char kv_handle[BERYL_ENGINE_HANDLE_BYTES];
   uint32_t tokens;
@@ -34,12 +34,12 @@
   int64_t started_ms;
 };
 
-/** What a caller has of its answer. */
+/** What a caller has received. */
 struct fx_answer
 {
   bool begun;
   GString *body;
-  uint32_t ends; /**< finals of any kind; must become 1 */
+  uint32_t ends; /**< number of final events of any kind; must become 1 */
   bool whole;
   bool cut;
   bool refused;
@@ -54,14 +54,15 @@
   int64_t now_ms;
   GPtrArray *exchanges; /**< struct fx_exchange, in order */
   struct fx_answer answers[FX_REQUESTS_MAX];
-  GString *log; /**< of "step:outcome " */
-  /** What a request asks; NULL: not known. */
+  GString *log; /**< the steps, each as "step:outcome " */
+  /** Returns the fingerprint of a request; NULL if unknown. */
   uint64_t (*fingerprint) (uint64_t request);
-  /** Told when an exchange starts; may be NULL. */
+  /** Called when an exchange starts; may be NULL. */
   void (*started) (struct fx *fx, struct fx_exchange *x);
 };
 
-/** Terms of the one route, changed by tests before fx_open. */
+/** Settings of the only route and its service; tests change them before
+ * fx_open. */
 struct fx_terms
 {
   struct beryl_route route;
@@ -71,28 +72,28 @@
   uint32_t repeat_slack;
 };
 
-/** Terms of a plain, idempotent service. */
+/** Return the settings of a plain, idempotent service. */
 struct fx_terms fx_plain_terms (void);
-/** Terms of a model service. */
+/** Return the settings of a model service. */
 struct fx_terms fx_model_terms (void);
 
 void fx_open (struct fx *fx, const struct fx_terms *terms);
-/** The same with another chance, and the name "node-SEED"; for several nodes
- * in one test. */
+/** Same as fx_open, with another random seed and the node name "node-SEED";
+ * for several nodes in one test. */
 void fx_open_seeded (struct fx *fx, const struct fx_terms *terms,
                      uint64_t seed);
 void fx_close (struct fx *fx);
 
-/** Show an endpoint, or an engine of STAGE. */
+/** List an endpoint, or an engine of STAGE. */
 void fx_endpoint (struct fx *fx, const char *id, enum beryl_stage stage);
 void fx_leaving (struct fx *fx, const char *id);
 void fx_remove (struct fx *fx, const char *id);
 
-/** Return the facts of request NUMBER as it arrives now. */
+/** Return the parameters of request NUMBER, which arrives now. */
 struct beryl_forward_request fx_facts (const struct fx *fx, uint64_t number);
 void fx_arrive (struct fx *fx, uint64_t number);
 
-/** Let MS pass, with every tick that is due. */
+/** Advance the clock by MS and run every tick that is due. */
 void fx_pass (struct fx *fx, int64_t ms);
 
 /** Return the newest exchange of KIND; fails if there is none. */
@@ -104,28 +105,28 @@
 uint32_t fx_count_open (const struct fx *fx);
 
 void fx_head (struct fx *fx, struct fx_exchange *x, unsigned int status);
-/** An answer's head that is a stream of events. */
+/** Answer with the head of an event stream. */
 void fx_stream (struct fx *fx, struct fx_exchange *x);
-/** The endpoint says that it did not run the request. */
+/** Answer that the endpoint did not run the request. */
 void fx_not_run (struct fx *fx, struct fx_exchange *x, unsigned int status);
 void fx_data (struct fx *fx, struct fx_exchange *x, const char *text);
-/** Event NUMBER of a stream. */
+/** Send event NUMBER of a stream. */
 void fx_event (struct fx *fx, struct fx_exchange *x, uint64_t number);
 void fx_done (struct fx *fx, struct fx_exchange *x);
-/** A whole answer with STATUS. */
+/** Send a complete answer with STATUS. */
 void fx_answer (struct fx *fx, struct fx_exchange *x, unsigned int status,
                 const char *text);
 void fx_broken (struct fx *fx, struct fx_exchange *x,
                 enum beryl_exchange_failure how, bool sent);
-/** An engine says yes, with HANDLE, or no. */
+/** Answer as an engine: granted with HANDLE, or refused. */
 void fx_ok (struct fx *fx, struct fx_exchange *x, const char *handle);
 void fx_refused (struct fx *fx, struct fx_exchange *x);
 void fx_result (struct fx *fx, struct fx_exchange *x,
                 const struct beryl_engine_result *result);
 
-/** Have REQUEST's reservation and prefill answered well; returns its run. */
+/** Grant REQUEST's reservation and complete its prefill; returns its run. */
 struct fx_exchange *fx_to_run (struct fx *fx, uint64_t request);
-/** The same, and its stream has EVENTS events. */
+/** Same as fx_to_run, and send EVENTS events of its stream. */
 struct fx_exchange *fx_to_stream (struct fx *fx, uint64_t request,
                                   uint64_t events);
 
--- a/tests/forward/test_book.c
+++ b/tests/forward/test_book.c
@@ -7,8 +7,8 @@
 #include "../../libberyl/forward/run_table.h"
 #include "../suite.h"
 
-/* Outputs are twice what callers say: the model learns so, and foresees a run
- * accordingly. */
+/* Outputs are twice the callers' estimates: the model learns this and the
+   forecast uses it. */
 START_TEST (test_lengths_are_learned)
 {
   struct length_model model;
@@ -28,12 +28,12 @@
 }
 END_TEST
 
-/* Memory of the engines of the story, and the part that may be filled. */
+/* Memory of the engines in question, and the part of it that may be filled. */
 #define SIX_RUNS_TOKENS (0.97 * 24069)
 
-/* Story: engines with room for six runs got five.  The spread of when six runs
- * end, taken as normal, added more to their sum than all of them could use if
- * none ended. */
+/* Engines with memory for six runs got only five: the spread of the six ends,
+   assumed to be normal, added more to the expected sum than all six could use
+   if none ended. */
 START_TEST (test_peak_is_no_more_than_all)
 {
   struct length_model model;
@@ -65,7 +65,7 @@
   ck_assert (
       memory_forecast_peak (&curve, FORECAST_STEPS * FORECAST_STEP_MS, 1)
       < memory_forecast_peak (&curve, FORECAST_STEPS * FORECAST_STEP_MS, 100));
-  /* Now, with all of them there, nothing is uncertain. */
+  /* At the present time all runs exist and nothing is uncertain. */
   ck_assert (fabs (memory_forecast_peak (&curve, 0, 2) - curve.tokens[0]) < 1);
 }
 END_TEST
@@ -89,8 +89,8 @@
 }
 END_TEST
 
-/* A peer that has fallen silent: its runs fade from the books instead of
- * filling engines for ever. */
+/* Runs of a peer that stopped reporting fade from the forecast instead of
+   filling engines for ever. */
 START_TEST (test_silent_peer_fades)
 {
   struct run_table book = { 0 };
@@ -116,8 +116,8 @@
 }
 END_TEST
 
-/* Guards against engines that are taken for emptier the larger the fleet is:
- * peers that tell seldom are heard all the same. */
+/* Guards against engines being estimated emptier the larger the fleet is:
+   peers with a long report interval still count as reachable. */
 START_TEST (test_slow_teller_is_heard)
 {
   struct run_table book = { .report_interval_ms = 2000 };
@@ -139,7 +139,7 @@
 }
 END_TEST
 
-/* Sums over all runs that were told, as the index must give them. */
+/* Sums over all reported runs, which the index must return as well. */
 struct told
 {
   struct beryl_engine_run runs[4][BERYL_ENGINE_RUNS_MAX];
@@ -201,8 +201,8 @@
     }
 }
 
-/* Peers tell anew, end runs untold and go; what is found by engine and by
- * service is what a walk over all runs finds. */
+/* Peers report again, end runs without a report, and leave; lookups by engine
+   and by service find the same as a scan of all runs. */
 START_TEST (test_index_finds_what_a_walk_finds)
 {
   static const char *const names[] = { "a", "b", "c", "d" };
--- a/tests/forward/test_choice.c
+++ b/tests/forward/test_choice.c
@@ -4,8 +4,8 @@
 #include "../suite.h"
 #include "fixture.h"
 
-/* Many nodes choose engines at the same moment, before they can hear of each
- * other's choices. */
+/* Many nodes choose engines at the same moment, before they can know of each
+   other's choices. */
 
 #define NODES 20
 #define ENGINES 10
@@ -43,7 +43,8 @@
     }
 }
 
-/* A peer tells every node that each engine from FIRST on has one run. */
+/* Applies at every node a peer's report of one run at each engine from FIRST
+   on. */
 static void
 tell_runs (uint32_t first, uint32_t engines)
 {
@@ -67,9 +68,9 @@
                              nodes[n]->now_ms);
 }
 
-/* All nodes see that one engine is emptier than the others.  If each asked
- * the best one, twenty requests would meet at it: it refuses most, runs out of
- * memory, and the other nine stand with room. */
+/* All nodes see that one engine is emptier than the others. If each asked the
+   best one, it would get twenty requests, refuse most and run out of memory,
+   while the other nine have free memory. */
 START_TEST (test_nodes_do_not_meet_at_one_engine)
 {
   uint32_t asked = 0;
@@ -102,8 +103,8 @@
   beryl_forward_peer_runs (fx->forward, "peer", runs, count, fx->now_ms);
 }
 
-/* Has the request of FX refused whenever it asks, for two seconds in which it
- * is told of WAITING other requests; returns how often it asked. */
+/* Refuses every reservation of FX for two seconds in which WAITING other
+   requests are reported; returns how often it asked. */
 static uint32_t
 asks (struct fx *fx, size_t waiting)
 {
@@ -121,10 +122,10 @@
   return fx_count (fx, BERYL_EXCHANGE_RESERVE) - before;
 }
 
-/* At a peak a hundred requests wait at all nodes when a run ends somewhere.
- * Asked by all of them, its engine would grant room several times over before
- * any node has heard of the others.  As many ask as there are places, and one
- * that waits alone asks in each round. */
+/* At a peak a hundred requests wait at all nodes when a run ends. If all asked
+   its engine, it would grant the memory several times before any node knew of
+   the others' choices. Only as many ask as there are places; a request that
+   waits alone asks in each round. */
 START_TEST (test_waiting_requests_take_turns)
 {
   uint32_t alone = 0, among_many = 0;
@@ -150,8 +151,8 @@
 }
 END_TEST
 
-/* Waiting requests are told to the other nodes, as runs without an engine, and
- * not any more once they have a place. */
+/* Waiting requests are reported to the other nodes as runs without an engine,
+   until they have a reservation. */
 START_TEST (test_waiting_requests_are_told)
 {
   struct beryl_engine_run runs[4];
@@ -178,9 +179,9 @@
 }
 END_TEST
 
-/* A message has room for one: the run that fills an engine is told, not the
- * request that came after it and waits.  Otherwise the other nodes would take
- * the engine for empty right at a peak. */
+/* A message holds only one run: the one that fills an engine is reported, not
+   the later request that waits. Otherwise the other nodes would take the
+   engine for empty at a peak. */
 START_TEST (test_runs_are_told_first)
 {
   struct beryl_engine_run run;
@@ -203,8 +204,8 @@
 }
 END_TEST
 
-/* Fills the only engine of FX with runs that peers told of, and has WAITING
- * requests wait for it elsewhere. */
+/* Fills the only engine of FX with runs reported by peers, and reports WAITING
+   requests that wait for it elsewhere. */
 static void
 fill (struct fx *fx, size_t waiting)
 {
@@ -236,8 +237,8 @@
   return fx;
 }
 
-/* A request like those that fill the engine: its run takes some four seconds
- * at the pace that is assumed before any stream was seen. */
+/* Submits a request like those that fill the engine: its run takes some four
+   seconds at the pace assumed before any stream. */
 static void
 arrive_long (struct fx *fx, uint64_t number)
 {
@@ -248,9 +249,9 @@
   beryl_forward_submit (fx->forward, &facts, fx->now_ms);
 }
 
-/* A peak: eight runs of some four seconds each, and fifty requests before this
- * one.  Its caller hears at once that it has not run and when to come back,
- * instead of after the better part of a second. */
+/* At a peak, with eight runs of some four seconds each and fifty requests
+   waiting, the caller is told at once that its request has not run and when to
+   retry, instead of after most of a second. */
 START_TEST (test_long_backlog_is_told_at_once)
 {
   struct fx *fx = open_full (50);
@@ -265,8 +266,8 @@
 }
 END_TEST
 
-/* A deployment does not say how much memory its engines have.  They are asked
- * all the same: they count for themselves. */
+/* A deployment does not state its engines' memory. They are asked all the
+   same, since engines count their memory themselves. */
 START_TEST (test_unknown_memory)
 {
   struct fx *fx = g_new0 (struct fx, 1);
@@ -283,9 +284,9 @@
 }
 END_TEST
 
-/* Story: a peak lasts some seconds.  Callers that were refused at its
- * beginning and told to come back in half a second met the same peak, were
- * refused again, and had no further try.  They use the time that they have. */
+/* Callers that were refused at the beginning of a peak of some seconds and
+   retried after half a second met the same peak, were refused again, and had
+   no further attempt. They must use the time that they have. */
 START_TEST (test_callers_come_back_after_the_peak)
 {
   struct fx *fx = open_full (20);
@@ -304,7 +305,8 @@
 }
 END_TEST
 
-/* With nobody before it a request waits: a run may end at any moment. */
+/* Without other waiting requests a request waits, since a run may end at any
+   moment. */
 START_TEST (test_short_backlog_is_waited_for)
 {
   struct fx *fx = open_full (0);
@@ -317,8 +319,8 @@
 }
 END_TEST
 
-/* Callers that are refused at a peak come back one after the other: told the
- * same time, they would meet again and be refused for good. */
+/* Callers that are refused at a peak retry at different times: with the same
+   time they would meet again and be refused for good. */
 START_TEST (test_callers_come_back_one_by_one)
 {
   struct fx *fx = open_full (20);
--- a/tests/forward/test_crashes.c
+++ b/tests/forward/test_crashes.c
@@ -5,7 +5,8 @@
 #include "fixture.h"
 #include "model.h"
 
-/* Requests from this number on ask the same, which crashes engines. */
+/* Requests from this number on have the same content, which crashes
+   engines. */
 #define CULPRIT 1000
 #define SEEDS 30
 
@@ -22,7 +23,7 @@
   fx.fingerprint = fingerprint;
 }
 
-/* The endpoint of X ends under it, and connections are refused. */
+/* The endpoint of X crashes during X and refuses connections. */
 static void
 crash (struct fx_exchange *x)
 {
@@ -34,8 +35,8 @@
   fx_broken (&fx, dial, BERYL_FAILURE_CONNECT, false);
 }
 
-/* The culprit arrives as REQUEST and runs until it is refused; returns how
- * many engines it has crashed. */
+/* Submits the culprit as REQUEST and lets it run until it is refused; returns
+   how many engines it has crashed. */
 static uint32_t
 crash_engines (uint64_t request)
 {
@@ -75,7 +76,8 @@
     }
 }
 
-/* A request that has crashed three engines is sent to a fourth. */
+/* Guards against a request that has crashed three engines being sent to a
+   fourth. */
 START_TEST (test_fourth_engine)
 {
   uint32_t runs;
@@ -97,7 +99,8 @@
 }
 END_TEST
 
-/* One that has run is told "not run" when it is quarantined. */
+/* Guards against a request that has run being answered "not run" when it is
+   quarantined. */
 START_TEST (test_not_run_is_true)
 {
   more_engines (4);
@@ -108,14 +111,15 @@
 }
 END_TEST
 
-/* One that was let in before goes on to an engine afterwards. */
+/* Guards against a request that was accepted before the quarantine being sent
+   to an engine afterwards. */
 START_TEST (test_open_requests)
 {
   struct beryl_quarantine_news news
       = { .quarantined = { { CULPRIT, 100 } }, .quarantined_count = 1 };
 
-  fx_arrive (&fx, CULPRIT);     /* asks for room */
-  fx_arrive (&fx, CULPRIT + 1); /* has its prompt read */
+  fx_arrive (&fx, CULPRIT);     /* asks for a reservation */
+  fx_arrive (&fx, CULPRIT + 1); /* its prompt is prefilled */
   fx_ok (&fx, open_of (CULPRIT + 1, BERYL_EXCHANGE_RESERVE), "h");
   open_of (CULPRIT + 1, BERYL_EXCHANGE_PREFILL);
   fx_arrive (&fx, 1);
@@ -132,7 +136,8 @@
 }
 END_TEST
 
-/* A connection breaks, its engine lives: that counts as a crash. */
+/* Guards against a broken connection to a live engine being counted as a
+   crash. */
 START_TEST (test_engine_lives)
 {
   more_engines (8);
@@ -149,8 +154,8 @@
 }
 END_TEST
 
-/* What broke off together goes on to the same engine together, and all of it
- * looks like the cause again. */
+/* Guards against requests that were interrupted together being sent to one
+   engine together, where all of them look like the cause again. */
 START_TEST (test_neighbours_part)
 {
   struct fx_exchange *runs[3], *asked[3];
@@ -177,7 +182,8 @@
 }
 END_TEST
 
-/* A request is sent to the engine where a peer tries a suspect. */
+/* Guards against a request being sent to an engine where a peer runs a
+   suspect. */
 START_TEST (test_suspect_of_peer)
 {
   struct beryl_engine_run run = { .engine = beryl_engine_number ("d0"),
@@ -200,7 +206,8 @@
 }
 END_TEST
 
-/* All engines but one run suspects, and requests wait although it has room. */
+/* Guards against requests that wait although engines have free memory, because
+   all engines run suspects. */
 START_TEST (test_only_engines_with_suspects)
 {
   struct beryl_engine_run runs[3] = { 0 };
@@ -222,8 +229,8 @@
 }
 END_TEST
 
-/* A request that ran beside the culprit at two engines that crashed is refused
- * with it. */
+/* Guards against the refusal of a request that ran beside the culprit at two
+   engines that crashed. */
 START_TEST (test_neighbour_is_served)
 {
   struct fx_exchange *culprit, *neighbour;
--- a/tests/forward/test_generation.c
+++ b/tests/forward/test_generation.c
@@ -4,8 +4,8 @@
 #include "../suite.h"
 #include "model.h"
 
-/* Memory is reserved before the prompt is read: engine time spent on a prompt
- * whose KV cache finds no room is lost. */
+/* Memory is reserved before the prompt is prefilled: engine time spent on a
+   prompt whose KV cache finds no memory is lost. */
 START_TEST (test_order)
 {
   struct fx_exchange *x;
@@ -45,9 +45,9 @@
 }
 END_TEST
 
-/* No engine has room for longer than the request could wait.  Its caller gets
- * a refusal that it can act on, well before its own deadline, and nothing of
- * the request was sent to run. */
+/* No engine has free memory for longer than the request can wait. Its caller
+   gets a refusal with a Retry-After well before its own deadline, and nothing
+   of the request was sent to run. */
 START_TEST (test_no_room)
 {
   fx_arrive (&fx, 1);
@@ -68,7 +68,7 @@
 END_TEST
 
 /* An engine appears while requests wait for one: they ask it at once, not at
- * the end of their round. */
+   the end of their round. */
 START_TEST (test_new_engine_is_asked)
 {
   fx_close (&fx);
@@ -82,8 +82,8 @@
 }
 END_TEST
 
-/* The caller leaves at each step of the way.  What it held at engines is given
- * back, or it would stay taken until its lease ends. */
+/* The caller disconnects at each step. What the request holds at engines is
+   released; otherwise it would stay taken until its lease ends. */
 START_TEST (test_caller_leaves_while_reserving)
 {
   struct fx_exchange *x;
@@ -120,8 +120,8 @@
 }
 END_TEST
 
-/* An engine that changed its stage says so.  The list of endpoints may tell
- * only later, or never while this node is cut off from it. */
+/* An engine that changed its stage reports so. The endpoint list may show it
+   only later, or never while this node is cut off from it. */
 START_TEST (test_stage_is_learned)
 {
   struct beryl_answer_head head
@@ -136,8 +136,8 @@
 }
 END_TEST
 
-/* The deadline comes while a run is open that has not answered: it may be at
- * work, and "not run" cannot be said. */
+/* The deadline passes while a run is open that has not answered: it may be in
+   progress, so "not run" must not be claimed. */
 START_TEST (test_not_run_is_true)
 {
   struct beryl_forward_request facts = fx_facts (&fx, 1);
@@ -154,8 +154,8 @@
 }
 END_TEST
 
-/* What other nodes run fills engines too; a run goes where there is room for
- * all of it. */
+/* Runs of other nodes use engine memory too; a run goes to an engine that has
+   memory for all of it. */
 START_TEST (test_peers_runs_count)
 {
   tell_runs ("d0", 4);
@@ -168,8 +168,8 @@
 }
 END_TEST
 
-/* A node that cannot hear the others cannot foresee what they will use; it
- * reserves all that a run may need. */
+/* An isolated node cannot forecast the memory that other nodes will use; it
+   reserves all that a run may need. */
 START_TEST (test_isolated)
 {
   beryl_forward_set_isolated (fx.forward, true);
@@ -178,8 +178,8 @@
 }
 END_TEST
 
-/* An engine refuses although no known run explains it: something unknown uses
- * its memory, and it is not asked first for some time. */
+/* An engine refuses although no known run explains it: unknown runs use its
+   memory, and it is not asked first for some time. */
 START_TEST (test_hidden_use)
 {
   char first[BERYL_NAME_BYTES];
@@ -198,7 +198,7 @@
 END_TEST
 
 /* An engine that was ordered to another stage gets no new work, although the
- * list does not show it yet. */
+   list does not show the change yet. */
 START_TEST (test_changing_engine)
 {
   struct beryl_endpoint_news news = { 0 };
--- a/tests/forward/test_history.c
+++ b/tests/forward/test_history.c
@@ -1,8 +1,9 @@
-/* Story: hundreds of requests run through engines that refuse, reject, break,
- * fall silent and lose answers at random, while callers leave and engines come
- * and go.  Whatever the order: each caller gets one end; a stream has each
- * event once and in order; "not run" is true; what may run once runs once;
- * repeats stay in their budget; nothing stays taken at an engine. */
+/* Hundreds of requests run against engines that refuse, reject, disconnect,
+   stop responding and lose answers at random, while callers disconnect and
+   engines come and go. In any order: each caller gets exactly one end; a
+   stream has each event once and in order; "not run" is true; a request that
+   may run only once runs once; repeats stay within their budget; nothing stays
+   reserved at an engine. */
 #include <check.h>
 #include <stdlib.h>
 #include <string.h>
@@ -17,20 +18,20 @@
 
 enum fate
 {
-  FATE_REPLY,   /* to an exchange other than RUN */
+  FATE_REPLY,   /* answer to an exchange other than RUN */
   FATE_HEAD,    /* a stream begins */
-  FATE_EVENT,   /* its next event */
-  FATE_REJECT,  /* "not run" */
-  FATE_ERROR,   /* a whole answer with an error */
+  FATE_EVENT,   /* the stream's next event */
+  FATE_REJECT,  /* answer "not run" */
+  FATE_ERROR,   /* complete answer with an error */
   FATE_CONNECT, /* no connection */
   FATE_LOST,    /* reset before any answer */
-  FATE_ARRIVAL, /* of a request */
-  FATE_LEAVES,  /* its caller */
-  FATE_CHANGE,  /* of an engine */
-  FATE_PEER,    /* a peer tells of runs */
+  FATE_ARRIVAL, /* a request arrives */
+  FATE_LEAVES,  /* its caller disconnects */
+  FATE_CHANGE,  /* an engine is added or removed */
+  FATE_PEER,    /* a peer reports runs */
 };
 
-/* Something that will happen. */
+/* A scheduled event. */
 struct due
 {
   int64_t at_ms;
@@ -40,7 +41,7 @@
 
 struct caller
 {
-  uint64_t events; /* its whole answer */
+  uint64_t events; /* number of events of its complete answer */
   bool left;
   uint32_t executions;
   int64_t arrived_ms;
@@ -48,14 +49,15 @@
 
 struct history
 {
-  struct fx fx; /* first: the owner finds it */
+  struct fx fx; /* must be the first member: the owner is cast to it */
   uint64_t random;
   bool once;
-  double faults; /* part of exchanges that go wrong */
+  double faults; /* share of exchanges that fail */
   GArray *dues;
   struct caller callers[REQUESTS + 1];
-  GHashTable *next_event; /* exchange id to the next event it sends */
-  GHashTable *places;     /* reservations that engines have granted */
+  GHashTable
+      *next_event;    /* maps an exchange's id to the next event it sends */
+  GHashTable *places; /* reservations that engines have granted */
   uint32_t repeats;
   bool prefilled[REQUESTS + 1];
 };
@@ -96,7 +98,7 @@
   return g_str_has_prefix (x->kv_handle, "mv");
 }
 
-/* What an engine does with a run; nothing is scheduled if it is silent. */
+/* Schedules what an engine does with a run; nothing if it does not respond. */
 static void
 run_fate (struct history *h, struct fx_exchange *x)
 {
@@ -153,7 +155,8 @@
   return NULL;
 }
 
-/* The engine stops the run and ends its stream, before or after it says so. */
+/* The engine stops the run and ends its stream, before or after it answers the
+   move. */
 static void
 end_moved_stream (struct history *h, const struct fx_exchange *move)
 {
@@ -242,7 +245,7 @@
   uint64_t next = GPOINTER_TO_UINT (g_hash_table_lookup (h->next_event, key));
   struct caller *caller = &h->callers[x->request];
 
-  if (next == 0) /* it was stopped */
+  if (next == 0) /* the run was stopped */
     return;
   if (next > caller->events)
     {
@@ -258,7 +261,7 @@
     }
   fx_event (&h->fx, x, next);
   g_hash_table_insert (h->next_event, key, GUINT_TO_POINTER (next + 1));
-  if (!chance (h, h->faults / 30)) /* otherwise silent from now on */
+  if (!chance (h, h->faults / 30)) /* otherwise no events from now on */
     later (h, 30 + (int64_t)draw (h, 40), FATE_EVENT, x->id);
 }
 
@@ -268,7 +271,7 @@
   uint64_t next = x->resumes ? x->last_event + 1 : 1;
 
   if (x->resumes && x->last_event > 0 && chance (h, 0.3))
-    next--; /* it may begin a little earlier */
+    next--; /* it may start a little earlier */
   g_hash_table_insert (h->next_event, GUINT_TO_POINTER (x->id),
                        GUINT_TO_POINTER (next > 0 ? next : 1));
   fx_stream (&h->fx, x);
@@ -370,7 +373,8 @@
     }
 }
 
-/* Takes the earliest out; false if there is none up to END_MS. */
+/* Removes the earliest scheduled event; false if there is none up to
+   END_MS. */
 static bool
 next_due (struct history *h, int64_t end_ms, struct due *due)
 {
@@ -389,8 +393,7 @@
   return true;
 }
 
-/* Ticks bring new things that are due, so that time goes on by one at a
- * time. */
+/* Ticks may schedule new events, so time advances one event at a time. */
 static void
 play (struct history *h, int64_t end_ms)
 {
@@ -483,7 +486,7 @@
   ck_assert_uint_le (executions + h->repeats, REQUESTS + 30);
 }
 
-/* Some requests ask the same. */
+/* Some requests have the same content. */
 static uint64_t
 fingerprint (uint64_t request)
 {
@@ -555,7 +558,7 @@
 START_TEST (test_once) { play_history ((uint64_t)_i + 100000, true, false); }
 END_TEST
 
-/* Engines that end under runs bring requests into quarantine. */
+/* Engines that crash during runs cause requests to be quarantined. */
 START_TEST (test_suspects)
 {
   play_history ((uint64_t)_i + 200000, _i % 3 == 0, true);
--- a/tests/forward/test_live.c
+++ b/tests/forward/test_live.c
@@ -17,7 +17,7 @@
   return beryl_lives_put (lives, &info, 0);
 }
 
-/* News may come twice and out of order, from the store and from peers. */
+/* Updates may arrive twice and out of order, from the store and from peers. */
 START_TEST (test_live_older_news)
 {
   struct beryl_lives *lives = beryl_lives_create (LEAVE_MS);
@@ -32,8 +32,8 @@
 }
 END_TEST
 
-/* An endpoint that left while it has open work stays known until that ends:
- * its exchanges still refer to it. */
+/* An endpoint that left while it has open exchanges stays known until they
+   end, since they refer to it. */
 START_TEST (test_live_gone_with_work)
 {
   struct beryl_lives *lives = beryl_lives_create (LEAVE_MS);
@@ -50,10 +50,10 @@
 }
 END_TEST
 
-/* Story: the store was away for longer than its entries live, so that all of
- * them were gone when it was back, and every request was refused although the
- * endpoints were well.  They are kept for less than the time within which an
- * endpoint that left must get no more work. */
+/* After an outage of the store that was longer than its entries' lifetime all
+   entries had lapsed, and every request was refused although the endpoints
+   were healthy. Entries are kept for less than the time after which an
+   endpoint that left must get no more work. */
 START_TEST (test_live_lapses)
 {
   struct beryl_lives *lives = beryl_lives_create (LEAVE_MS);
@@ -77,10 +77,10 @@
 }
 END_TEST
 
-/* Story: engines died while the store was away.  When it was back their
- * entries had lapsed, were kept like those of healthy ones, and requests spent
- * half of their time asking them for room.  One that is not listed and has
- * failed gets nothing more, unless it is listed again. */
+/* Engines died during an outage of the store. Their lapsed entries were kept
+   like those of healthy engines, and requests spent half of their time on
+   reservation calls to them. An endpoint that is not listed and has failed
+   gets no more work unless it is listed again. */
 START_TEST (test_live_lapsed_and_failed)
 {
   struct beryl_lives *lives = beryl_lives_create (LEAVE_MS);
@@ -105,7 +105,7 @@
 }
 END_TEST
 
-/* The same removal without an absence before it is meant. */
+/* A removal without an outage before it takes effect at once. */
 START_TEST (test_live_leaves)
 {
   struct beryl_lives *lives = beryl_lives_create (LEAVE_MS);
--- a/tests/forward/test_loans.c
+++ b/tests/forward/test_loans.c
@@ -5,16 +5,16 @@
 #include "../suite.h"
 #include "fixture.h"
 
-/* Repeats that nodes lend each other, and the fleet's bound on them. */
+/* Loans of repeats between nodes, and the fleet's limit on repeats. */
 
 #define WINDOW_MS 10000
 #define SLACK 20
 #define NODES 8
-/* What the nodes may send together: 0.8 of the slack, parted into whole
- * numbers. */
+/* Repeats that all nodes may send together: 0.8 of the slack, rounded down per
+   node. */
 #define BOUND 16
 
-/* A loan on its way. */
+/* A loan that is in transit. */
 struct message
 {
   int borrower;
@@ -43,8 +43,8 @@
   g_array_append_val (fleet->sent_ms, now_ms);
 }
 
-/* NODE asks another one, which answers at once; the answer is lost, late, or
- * twice there. */
+/* NODE requests a loan from another node, which answers at once; the answer is
+   lost, delayed or duplicated. */
 static void
 ask (struct fleet *fleet, int node, int64_t now_ms)
 {
@@ -78,9 +78,9 @@
     }
 }
 
-/* Nodes spend in bursts, now these, now those, and borrow from each other over
- * a network that loses and delays.  In no window may the fleet send more than
- * all parts together. */
+/* Nodes spend repeats in bursts, and borrow from each other over a network
+   that loses and delays messages. In no window may the fleet send more than
+   the sum of all shares. */
 START_TEST (test_bound_holds)
 {
   struct fleet fleet = {
@@ -111,8 +111,8 @@
 }
 END_TEST
 
-/* What was borrowed is used first, lapses, and is not counted as the node's
- * own; what was lent comes back after the window. */
+/* Borrowed repeats are used first, expire, and do not count as the node's own;
+   lent ones are available again after the window. */
 START_TEST (test_loan)
 {
   struct repeat_budget lender = { 0 }, borrower = { 0 };
@@ -135,7 +135,7 @@
 }
 END_TEST
 
-/* A loan that comes when its time is over is not used. */
+/* A loan that arrives after its expiry is not used. */
 START_TEST (test_late_loan)
 {
   struct repeat_budget borrower = { 0 };
@@ -150,7 +150,7 @@
 static struct fx *nodes[2];
 static uint64_t requests;
 
-/* So many that the failures are not all at one. */
+/* Enough engines that not all failures are at one. */
 static void
 add_prefill_engines (struct fx *fx)
 {
@@ -207,8 +207,8 @@
                                 nodes[to]->now_ms);
 }
 
-/* Sends node 0 a request whose first prefill's answer is lost; true if it was
- * sent again, false if it was refused for want of repeats. */
+/* Sends node 0 a request whose first prefill's answer is lost; returns whether
+   it was sent again, or false if it was refused for lack of repeats. */
 static bool
 is_repeated (void)
 {
@@ -229,9 +229,9 @@
   return true;
 }
 
-/* Story: runners lost some of their answers for a few seconds.  Nodes that had
- * three such requests had used up their part of the repeats and refused the
- * next ones, while the other nodes' parts lay unused. */
+/* Engines lost some of their answers for a few seconds. Nodes with three such
+   requests had used up their share of the repeats and refused the next ones,
+   while the other nodes' shares were unused. */
 START_TEST (test_node_borrows)
 {
   int repeated = 0;
@@ -248,8 +248,8 @@
 }
 END_TEST
 
-/* An answer that comes twice, or to a question that was given up, lends
- * nothing more. */
+/* An answer that arrives twice, or answers a request that was abandoned, lends
+   nothing more. */
 START_TEST (test_answer_counts_once)
 {
   struct beryl_repeat_transfers asks, loans, none = { 0 };
--- a/tests/forward/test_near.c
+++ b/tests/forward/test_near.c
@@ -4,9 +4,9 @@
 #include "../suite.h"
 #include "../../libberyl/forward/sample.h"
 
-/* Which engine is chosen where data centres differ.  The pattern: seventy
- * nodes and a hundred engines in three data centres; bytes between these are
- * paid for and KV caches take twice as long. */
+/* Choice of engines in different data centres. Modelled on seventy nodes and a
+   hundred engines in three data centres, where traffic between them is charged
+   and KV caches take twice as long to transfer. */
 
 #define ENGINES 30
 #define FAR_COST 15.0
@@ -21,7 +21,7 @@
     strcpy (lives[i].info.data_centre, i % 3 == 0 ? "home" : "away");
 }
 
-/* Chooses where engines at home cost NEAR and the others FAR. */
+/* Chooses among engines of which local ones cost NEAR and the others FAR. */
 static const struct beryl_live *
 chosen (double near, double far, uint64_t seed)
 {
@@ -62,14 +62,15 @@
 }
 END_TEST
 
-/* Nobody is refused, or served later, for the sake of distance. */
+/* Requests are not refused or delayed to avoid a remote engine. */
 START_TEST (test_far_ones_where_near_ones_are_full)
 {
   ck_assert_uint_eq (chosen_at_home (80, 50), 0);
 }
 END_TEST
 
-/* A data centre without engines, and a node that does not know its own. */
+/* A data centre without engines, and a node that does not know its own data
+   centre. */
 START_TEST (test_no_home)
 {
   for (int i = 0; i < ENGINES; i++)
@@ -81,7 +82,7 @@
 }
 END_TEST
 
-/* With few engines near, the load there still spreads over all of them. */
+/* With few local engines the load there still spreads over all of them. */
 START_TEST (test_load_spreads)
 {
   bool seen[ENGINES] = { false };
--- a/tests/forward/test_news.c
+++ b/tests/forward/test_news.c
@@ -4,7 +4,7 @@
 #include "../suite.h"
 #include "fixture.h"
 
-/* Nodes that tell each other what they found out about endpoints. */
+/* Reports of endpoint states between nodes. */
 
 #define NODES 3
 #define ENGINES 8
@@ -55,7 +55,7 @@
                                        nodes[to]->now_ms);
 }
 
-/* Node N's next request; returns its question for room. */
+/* Submits the next request at node N; returns its reservation call. */
 static struct fx_exchange *
 asks (int n)
 {
@@ -67,8 +67,8 @@
   return x;
 }
 
-/* Sends requests to node N until it asks ENGINE for room; the others get
- * theirs. */
+/* Sends requests to node N until it asks ENGINE for a reservation; other
+   engines grant theirs. */
 static struct fx_exchange *
 asks_for (int n, const char *engine)
 {
@@ -85,8 +85,8 @@
   return NULL;
 }
 
-/* Whether node N asks ENGINE in one of many rounds within a few
- * milliseconds. */
+/* Returns whether node N asks ENGINE in any of many rounds within a few
+   milliseconds. */
 static bool
 still_asks (int n, const char *engine)
 {
@@ -108,11 +108,11 @@
   fx_broken (nodes[n], asks_for (n, engine), BERYL_FAILURE_CONNECT, false);
 }
 
-/* Story: an engine crashed and was back under a new id at the same address.
- * Its old entry stayed listed for three seconds, and each of 64 nodes sent
- * requests there until it had been told itself that it met another process:
- * each cost one of the few repeats, and callers were refused for want of
- * them.  One such answer proves the old engine's end to all nodes. */
+/* An engine crashed and restarted under a new id at the same address. Its old
+   entry stayed listed for three seconds, and each of 64 nodes sent requests
+   there until its own call met the other process: each cost one of the few
+   repeats, and requests were refused for lack of them. A single such answer
+   proves the old engine's end to all nodes. */
 START_TEST (test_replaced)
 {
   struct beryl_engine_result misdirected
@@ -129,8 +129,8 @@
 }
 END_TEST
 
-/* Entries of ended engines may be written once more by a beat that was on its
- * way.  The proof goes before that. */
+/* A delayed heartbeat may write the entry of an ended engine once more. The
+   proof overrides it. */
 START_TEST (test_late_entry_of_replaced)
 {
   struct beryl_engine_result misdirected
@@ -142,9 +142,9 @@
 }
 END_TEST
 
-/* Story: a fifth of the engines went dark.  A node with one request a second
- * lost 150 ms to each of them on its own.  Two nodes that could not connect
- * are believed. */
+/* A fifth of the engines became unreachable, and a node with one request a
+   second lost 150 ms to each of them by itself. Reports of two nodes that
+   could not connect are trusted. */
 START_TEST (test_dark_engine)
 {
   fails_at (0, "d3");
@@ -159,7 +159,7 @@
 }
 END_TEST
 
-/* One node that says so twice may only be cut off itself. */
+/* Two reports of one node do not count: it may be cut off itself. */
 START_TEST (test_one_node_is_not_believed)
 {
   fails_at (0, "d3");
@@ -169,7 +169,7 @@
 }
 END_TEST
 
-/* What this node has seen a moment ago goes before what others say. */
+/* A recent answer to this node overrides reports of others. */
 START_TEST (test_own_answer_counts_more)
 {
   struct beryl_live *live;
@@ -184,8 +184,8 @@
 }
 END_TEST
 
-/* Two nodes are cut off from all engines.  If the others believed them, nobody
- * would be served any more. */
+/* Two nodes are cut off from all engines. If the others trusted their reports,
+   no request would be served any more. */
 START_TEST (test_cut_nodes_are_not_believed)
 {
   struct beryl_endpoint_news all = { 0 };
--- a/tests/forward/test_parts.c
+++ b/tests/forward/test_parts.c
@@ -25,8 +25,8 @@
   ck_assert_uint_eq (event.has_id ? event.id : 0, id);
 }
 
-/* Events come in any pieces; each is passed on once it is whole, as it was
- * written. */
+/* Events arrive in arbitrary pieces; each is forwarded unchanged once it is
+   complete. */
 START_TEST (test_events_in_pieces)
 {
   static const char text[]
@@ -76,7 +76,7 @@
 }
 END_TEST
 
-/* An endpoint that never ends an event must not fill the memory. */
+/* An endpoint that never ends an event must not use unlimited memory. */
 START_TEST (test_event_is_too_long)
 {
   struct event_splitter s = { 0 };
@@ -104,15 +104,15 @@
   for (int i = 0; i < 100; i++)
     repeat_budget_count_request (&b, &terms, 2000);
   ck_assert_uint_eq (repeat_budget_left (&b, &terms, 2000), 8);
-  /* Both go out of the window. */
+  /* Both leave the window. */
   ck_assert_uint_eq (repeat_budget_left (&b, &terms, 30000), 8);
   terms.nodes = 4;
   ck_assert_uint_eq (repeat_budget_left (&b, &terms, 30000), 2);
 }
 END_TEST
 
-/* However the sends fall, no window of the stated length has more than is
- * allowed. */
+/* Whenever repeats are sent, no window of the stated length contains more than
+   is allowed. */
 START_TEST (test_budget_in_any_window)
 {
   struct repeat_budget b = { 0 };
--- a/tests/forward/test_plain.c
+++ b/tests/forward/test_plain.c
@@ -71,8 +71,8 @@
 }
 END_TEST
 
-/* Nobody serves it: the caller learns so at once, with a time to come back,
- * instead of waiting for its own deadline. */
+/* No endpoint serves it: the caller is told at once, with a Retry-After,
+   instead of waiting for its own deadline. */
 START_TEST (test_no_endpoint)
 {
   fx_remove (&fx, "a");
@@ -85,8 +85,8 @@
 }
 END_TEST
 
-/* The endpoint cannot be connected to: no byte was sent, so that even a
- * request that may run only once goes to another one. */
+/* The endpoint refuses the connection: no byte was sent, so even a request
+   that may run only once goes to another one. */
 START_TEST (test_once_without_connection)
 {
   char first[BERYL_NAME_BYTES];
@@ -101,9 +101,9 @@
 }
 END_TEST
 
-/* The endpoint dies with the request in hand.  It may have run; for a request
- * that may run only once nothing is left to do, and "not run" would be a
- * lie. */
+/* The endpoint dies while it has the request. The request may have run; one
+   that may run only once cannot be sent again, and "not run" would be
+   false. */
 START_TEST (test_once_dies)
 {
   fx_arrive (&fx, 1);
@@ -114,9 +114,9 @@
 }
 END_TEST
 
-/* The endpoint takes a request that may run only once and is silent.  It must
- * not be sent again, and its caller is told at its deadline without the claim
- * that it has not run. */
+/* The endpoint accepts a request that may run only once and does not answer.
+   It must not be sent again, and at its deadline the answer must not claim
+   that it has not run. */
 START_TEST (test_once_silent)
 {
   fx_arrive (&fx, 1);
@@ -128,8 +128,8 @@
 }
 END_TEST
 
-/* The endpoint says that it did not run it: going on elsewhere runs it for
- * the first time. */
+/* The endpoint states that it did not run the request: another endpoint runs
+   it for the first time. */
 START_TEST (test_once_rejected)
 {
   fx_arrive (&fx, 1);
@@ -160,8 +160,8 @@
 }
 END_TEST
 
-/* An answer breaks off in its middle.  What had come was kept back, so that
- * the caller sees only the whole answer of another endpoint. */
+/* An answer breaks off in the middle. The part received is buffered, so the
+   caller sees only the complete answer of another endpoint. */
 START_TEST (test_cut_answer_is_repeated)
 {
   fx_arrive (&fx, 1);
@@ -174,8 +174,8 @@
 }
 END_TEST
 
-/* A long answer that was begun breaks off: it must end as incomplete, not be
- * followed by another one. */
+/* A long answer that has begun breaks off: it must end as incomplete, not be
+   followed by another one. */
 START_TEST (test_long_answer_is_cut)
 {
   char *block = g_strnfill (70000, 'x');
@@ -191,8 +191,8 @@
 }
 END_TEST
 
-/* An endpoint has frozen.  After the usual time of an answer another one is
- * asked, and whichever answers first is taken; the other is cut off. */
+/* An endpoint has frozen. After the usual time of an answer another one is
+   tried; the first answer is used and the other send is aborted. */
 START_TEST (test_silent_endpoint)
 {
   struct fx_exchange *first;
@@ -209,8 +209,8 @@
 }
 END_TEST
 
-/* Of two sends one fails with an error; the other may still bring a good
- * answer. */
+/* One of two concurrent sends fails with an error; the other may still produce
+   a good answer. */
 START_TEST (test_error_of_one_of_two)
 {
   struct fx_exchange *first;
@@ -225,8 +225,8 @@
 }
 END_TEST
 
-/* All endpoints are slow at once.  Repeats would double their load; the
- * budget of the whole fleet bounds them. */
+/* All endpoints are slow at once. Repeats would double their load; the fleet's
+   budget limits them. */
 START_TEST (test_repeats_are_bounded)
 {
   terms.repeat_slack = 5;
@@ -247,8 +247,8 @@
 }
 END_TEST
 
-/* The same with ten nodes: each has its own requests' share, and a tenth of
- * what all may do beyond. */
+/* With ten nodes each has the share of its own requests, and a tenth of the
+   slack. */
 START_TEST (test_slack_is_shared)
 {
   terms.repeat_slack = 50;
@@ -265,9 +265,8 @@
 }
 END_TEST
 
-/* One endpoint answers errors while it says that it is healthy.  It gets a
- * small part of the work, and it is asked again so that its recovery is
- * seen. */
+/* An endpoint answers with errors while it reports itself healthy. It gets a
+   small part of the requests, and trials detect its recovery. */
 START_TEST (test_failing_endpoint_is_avoided)
 {
   uint32_t at_failing = 0;
@@ -292,8 +291,8 @@
 }
 END_TEST
 
-/* All endpoints fail.  The last ones are still asked: avoiding everything
- * would turn a fault that passes into a lasting one. */
+/* All endpoints fail. The last ones are still used: avoiding all of them would
+   turn a temporary fault into a lasting one. */
 START_TEST (test_all_avoided_still_serve)
 {
   for (uint64_t i = 1; i <= 20; i++)
@@ -328,7 +327,7 @@
 }
 END_TEST
 
-/* The caller's own deadline is nearer than the route's. */
+/* The caller's own deadline is earlier than the route's. */
 START_TEST (test_callers_deadline)
 {
   struct beryl_forward_request facts = fx_facts (&fx, 1);
@@ -346,8 +345,8 @@
 }
 END_TEST
 
-/* A planned stop: what cannot end before the process does is refused as not
- * run while another node can still serve it. */
+/* During a planned stop, a request that cannot end before the process does is
+   refused as not run while another node can still serve it. */
 START_TEST (test_stop)
 {
   fx_arrive (&fx, 1);
@@ -363,8 +362,8 @@
 }
 END_TEST
 
-/* A configuration comes while a request is under way: it keeps the one it
- * began with. */
+/* A configuration arrives while a request is open: the request keeps the one
+   it began with. */
 START_TEST (test_configuration_changes)
 {
   struct beryl_routes *empty = beryl_routes_create (2);
--- a/tests/forward/test_profile.c
+++ b/tests/forward/test_profile.c
@@ -5,8 +5,8 @@
 #include "../suite.h"
 #include "model.h"
 
-/* What nodes learn of generations, and how soon: engines are ordered from one
- * pool to the other by it. */
+/* What nodes learn of generations, and how soon: the planner assigns engines
+   to the pools by it. */
 
 #define EVENT_MS 40
 #define HINT 200
@@ -33,11 +33,11 @@
   return beryl_forward_generation_mix (fx.forward, FX_SERVICE);
 }
 
-/* Story: runs last four seconds.  Ten seconds after the first caller mostly
- * short ones have ended, and an assumed length still counted for half: the
- * planner took outputs for three times as long as they were and moved engines
- * away from prefill, where prompts then queued for half a second.  Sizes are
- * known when requests arrive, and the pace after a few events. */
+/* With runs of four seconds, mostly short ones had ended ten seconds after the
+   first request, and the assumed length still counted for half: the planner
+   took outputs to be three times as long as they were and moved engines away
+   from prefill, where prompts then queued for half a second. Sizes are known
+   when requests arrive, and the pace after a few events. */
 START_TEST (test_known_before_the_first_run_ends)
 {
   struct fx_exchange *x[8];
@@ -80,9 +80,9 @@
   };
 }
 
-/* Story: seventy nodes share forty requests a second, and the lease holder
- * knew the engines' speed only after fifteen seconds, half of them at a peak.
- * Each node tells its few, and together they are enough. */
+/* With forty requests a second over seventy nodes, the lease holder knew the
+   engines' speed only after fifteen seconds, half of them at a peak. The few
+   observations of each node are enough together. */
 START_TEST (test_each_of_many_nodes_sees_few)
 {
   for (int i = 0; i < 10; i++)
@@ -92,7 +92,7 @@
 
       g_snprintf (peer, sizeof peer, "peer-%d", i);
       beryl_forward_peer_profiles (fx.forward, peer, &profiles);
-      /* Told twice, it counts once. */
+      /* A repeated report counts once. */
       beryl_forward_peer_profiles (fx.forward, peer, &profiles);
     }
   ck_assert (mix ().measured);
@@ -111,8 +111,8 @@
 }
 END_TEST
 
-/* A node that has just started foresees by the others' paces, and by its own
- * once it has some. */
+/* A node that has just started uses the others' paces in forecasts, and its
+   own once it has enough. */
 START_TEST (test_paces_are_taken_over)
 {
   struct beryl_generation_profiles profiles = told (3000), own;
@@ -129,7 +129,8 @@
 }
 END_TEST
 
-/* A service that is not declared here, as right after a change. */
+/* A service that this node does not know, as right after a configuration
+   change. */
 START_TEST (test_unknown_service)
 {
   struct beryl_generation_profiles profiles = told (3000);
@@ -140,12 +141,12 @@
 }
 END_TEST
 
-/* Of engines that read at ENGINE_PACE. */
+/* Tests with engines that prefill at ENGINE_PACE. */
 #define ENGINE_PACE 0.02
 #define LONG_PROMPT 3000
 #define NS_PER_MS 1e6
 
-/* PEER has seen PREFILLS at PACE and as many streams at 1 ms a token. */
+/* PEER reports PREFILLS at PACE and as many streams at 1 ms per token. */
 static void
 peer_tells (const char *peer, uint32_t prefills, double pace)
 {
@@ -165,8 +166,8 @@
   ck_assert_double_le (pace, 1.25 * ENGINE_PACE);
 }
 
-/* Request NUMBER has its room after CALL_MS and its prompt read after
- * PREFILL_MS. */
+/* Request NUMBER gets its reservation after CALL_MS, and its prefill takes
+   PREFILL_MS. */
 static void
 generate (uint64_t number, int64_t call_ms, int64_t prefill_ms)
 {
@@ -182,8 +183,8 @@
   beryl_forward_cancel (fx.forward, number, fx.now_ms);
 }
 
-/* Guards against a node that was paused during its first prefill and moves the
- * engines of the whole fleet. */
+/* Guards against a node that was paused during its first prefill causing
+   engines of the whole fleet to be moved. */
 START_TEST (test_first_prefill_of_a_paused_node)
 {
   for (int i = 0; i < 3; i++)
@@ -198,8 +199,8 @@
 }
 END_TEST
 
-/* Guards against late prefills that move engines where most nodes have seen
- * two: every third node has one late prefill, every sixth two. */
+/* Guards against late prefills moving engines where most nodes have seen two
+   prefills: every third node has one late prefill, every sixth two. */
 START_TEST (test_late_prefills_in_a_large_fleet)
 {
   for (int i = 0; i < 300; i++)
@@ -217,7 +218,7 @@
 }
 END_TEST
 
-/* Guards against a slow link's delay that is taken for reading time. */
+/* Guards against a slow link's delay being taken for prefill time. */
 START_TEST (test_links_of_50_ms)
 {
   for (uint64_t i = 1; i <= 20; i++)
@@ -226,8 +227,8 @@
 }
 END_TEST
 
-/* Guards against callers that are refused until a node which was paused during
- * its first prefill has seen many more. */
+/* Guards against requests being refused until a node that was paused during
+   its first prefill has seen many more. */
 START_TEST (test_late_prefill_refuses_nobody)
 {
   struct beryl_engine_run queue[10] = { 0 };
@@ -251,8 +252,8 @@
 }
 END_TEST
 
-/* Guards against a pace of bad seconds that is kept when they are over: with
- * few engines left for decode few prefills come to correct it. */
+/* Guards against a pace learned in a few bad seconds being kept afterwards:
+   with few engines left for decode, few prefills correct it. */
 START_TEST (test_bad_seconds_are_forgotten)
 {
   for (uint64_t i = 1; i <= 12; i++)
@@ -263,8 +264,8 @@
 }
 END_TEST
 
-/* Guards against one node with a late stream that makes the fleet take decode
- * for slow. */
+/* Guards against one node with a late stream making the fleet take decode for
+   slow. */
 START_TEST (test_late_stream_of_one_node)
 {
   struct beryl_generation_profiles late = told (LONG_PROMPT);
@@ -297,8 +298,8 @@
   beryl_forward_cancel (fx.forward, number, fx.now_ms);
 }
 
-/* Guards against a node that was paused amid a stream and then takes all
- * streams for slow. */
+/* Guards against a node that was paused during a stream taking all streams for
+   slow. */
 START_TEST (test_pause_amid_a_stream)
 {
   double pace = (double)EVENT_MS / terms.engine.event_tokens;
@@ -311,8 +312,8 @@
 }
 END_TEST
 
-/* Guards against a first stream that was paused and outweighs what all other
- * nodes have seen. */
+/* Guards against a paused first stream outweighing the observations of all
+   other nodes. */
 START_TEST (test_first_stream_of_a_paused_node)
 {
   const struct beryl_live *d0;
--- a/tests/forward/test_prompts.c
+++ b/tests/forward/test_prompts.c
@@ -4,8 +4,8 @@
 #include "../suite.h"
 #include "model.h"
 
-/* The engine rejects the run that it granted a place for; the KV cache is
- * still there, and reading the prompt again would cost engine time. */
+/* The engine rejects the run that it granted a reservation for; the KV cache
+   still exists, and another prefill would cost engine time. */
 START_TEST (test_kv_cache_is_used_again)
 {
   struct fx_exchange *run;
@@ -20,8 +20,8 @@
 }
 END_TEST
 
-/* Two engines reject the same KV cache: it is gone, and the prompt is read
- * again. */
+/* Two engines reject the same KV cache: it is gone, and the prompt is
+   prefilled again. */
 START_TEST (test_kv_cache_is_given_up)
 {
   fx_arrive (&fx, 1);
@@ -51,9 +51,9 @@
 }
 END_TEST
 
-/* A prefill's answer is lost with its engine.  The engine may have accepted
- * it, so that the next prefill counts as a repeat; without a budget there is
- * none. */
+/* A prefill's answer is lost with its engine. The engine may have accepted the
+   prefill, so the next one counts as a repeat; without a budget there is
+   none. */
 START_TEST (test_lost_prefill_counts)
 {
   terms.repeat_slack = 0;
@@ -85,8 +85,8 @@
 }
 END_TEST
 
-/* A broken stream needs two repeats: its prompt is read again, and it runs
- * again.  With only one left the prompt must not be read for nothing. */
+/* A broken stream needs two repeats, for another prefill and another run. With
+   only one left the prompt must not be prefilled for nothing. */
 START_TEST (test_repeats_are_paid_first)
 {
   terms.repeat_slack = 2; /* of which four fifths are used */
@@ -101,10 +101,10 @@
 }
 END_TEST
 
-/* Story: prompts queue, and while one is read the engine that has reserved
- * room for it announces that it leaves.  Sent there two seconds later, the
- * request reaches an engine that takes no new work any more, and is lost with
- * it.  The KV cache goes to another engine; nothing is read twice. */
+/* While a prompt is queued and prefilled, the engine with its reservation
+   announces that it leaves. If sent there two seconds later, the request would
+   reach an engine that takes no new work, and be lost with it. The KV cache
+   goes to another engine, without a second prefill. */
 START_TEST (test_engine_leaves_while_prompt_is_read)
 {
   struct fx_exchange *place, *other;
@@ -126,7 +126,7 @@
 }
 END_TEST
 
-/* The same with an engine that is gone without a word. */
+/* The same with an engine that disappears without an announcement. */
 START_TEST (test_engine_goes_while_prompt_is_read)
 {
   struct fx_exchange *place;
@@ -142,7 +142,8 @@
 }
 END_TEST
 
-/* A peer tells that PREFILL has COUNT prompts of 1,000 tokens to read. */
+/* Applies a peer's report that PREFILL has COUNT prompts of 1,000 tokens
+   queued. */
 static void
 tell_queue (const char *prefill, size_t count)
 {
@@ -158,8 +159,8 @@
   beryl_forward_peer_runs (fx.forward, "peer", runs, count, fx.now_ms);
 }
 
-/* Opens a system with one prefill engine, whose decode engines cannot read
- * prompts themselves without stopping their streams for too long. */
+/* Opens a system with one prefill engine, whose decode engines cannot prefill
+   prompts themselves without stopping their streams for too long. */
 static void
 one_reader (void)
 {
@@ -168,10 +169,10 @@
   engines (1, 3);
 }
 
-/* Story: engines read more slowly than prompts came.  All were sent there at
- * once; the queue grew to three seconds, every answer began late, and memory
- * stood reserved meanwhile.  A request whose turn would come too late is
- * refused when it arrives, and told to come back after the queue. */
+/* Engines prefilled more slowly than prompts arrived. All prompts were sent at
+   once; the queue grew to three seconds, every answer began late, and memory
+   stayed reserved meanwhile. A request whose prefill would start too late is
+   refused on arrival, with the queue's duration as Retry-After. */
 START_TEST (test_queue_of_prompts_is_limited)
 {
   one_reader ();
@@ -195,8 +196,8 @@
 }
 END_TEST
 
-/* One that comes back late takes the room that those in time leave: it waits
- * for a short queue, and is not sent behind a long one. */
+/* A late retry uses the capacity that requests in time leave: it waits for a
+   short queue, and is not sent to a long one. */
 START_TEST (test_late_request_waits_for_a_short_queue)
 {
   struct beryl_forward_request late;
@@ -214,9 +215,9 @@
 }
 END_TEST
 
-/* A request that found all engines full is refused later for the queue of
- * prompts.  Its log must name both, or a reader looks for the cause in vain.
- */
+/* A request that found all engines full is refused later because of the
+   prefill queue. Its log must name both reasons, or the cause cannot be
+   found. */
 START_TEST (test_each_reason_of_a_wait_is_told)
 {
   one_reader ();
@@ -231,8 +232,8 @@
 }
 END_TEST
 
-/* The queue grows while room is asked for.  The room is given back at once:
- * nothing would use it before it is too late. */
+/* The queue grows while a reservation is requested. The reservation is
+   released at once, since the request could not use it in time. */
 START_TEST (test_queue_grows_while_room_is_asked_for)
 {
   one_reader ();
@@ -246,8 +247,8 @@
 }
 END_TEST
 
-/* All prefill engines are gone or busy for longer than the request has.  A
- * decode engine can read the prompt itself, more slowly. */
+/* All prefill engines are gone, or busy for longer than the request has. A
+   decode engine can prefill the prompt itself, more slowly. */
 START_TEST (test_no_prefill_engine)
 {
   fx_remove (&fx, "p0");
@@ -279,8 +280,8 @@
   return open_of (request, BERYL_EXCHANGE_RESERVE);
 }
 
-/* Another node died, and a caller of its comes here with the same prompt.  The
- * engine that ran it there has read it. */
+/* Another node died, and its caller retries the same prompt here. The engine
+   that ran it for that node has it cached. */
 START_TEST (test_warm_engine)
 {
   struct beryl_engine_run run = told_run ("d1", 77);
@@ -293,7 +294,7 @@
   fx_ok (&fx, x, "place");
   ck_assert_uint_eq (fx_count (&fx, BERYL_EXCHANGE_PREFILL), 0);
   ck_assert_str_eq (open_of (1, BERYL_EXCHANGE_RUN)->kv_handle, "");
-  /* It goes the usual way after a failure. */
+  /* After a failure it is prefilled as usual. */
   fx_broken (&fx, open_of (1, BERYL_EXCHANGE_RUN), BERYL_FAILURE_CONNECT,
              false);
   fx_ok (&fx, open_of (1, BERYL_EXCHANGE_RESERVE), "place-2");
@@ -301,7 +302,7 @@
 }
 END_TEST
 
-/* What was read long ago has yielded to other prompts. */
+/* A prompt that ran long ago has been evicted from the cache. */
 START_TEST (test_warm_engine_cools)
 {
   struct beryl_engine_run run = told_run ("d1", 77);
@@ -313,9 +314,9 @@
 }
 END_TEST
 
-/* A caller comes back in the middle of an answer.  The engine has the prompt
- * but not what it made; it reads that for one request at a time, since its
- * other streams stand still meanwhile. */
+/* A caller resumes in the middle of an answer. The engine has the prompt
+   cached but not the output, which it prefills for one request at a time,
+   since its other streams stop meanwhile. */
 START_TEST (test_warm_engine_reads_one_at_a_time)
 {
   struct beryl_engine_run runs[2]
--- a/tests/forward/test_rates.c
+++ b/tests/forward/test_rates.c
@@ -5,7 +5,7 @@
 #include "fixture.h"
 #include "model.h"
 
-/* Endpoints that name a limit. */
+/* Endpoints that state a rate limit. */
 
 static struct beryl_rate_limit
 per_s (uint32_t number)
@@ -14,7 +14,7 @@
                                     .milli_per_s = 1000 * number };
 }
 
-/* ENDPOINT has named a limit in answers of KIND. */
+/* ENDPOINT has stated a limit in answers of KIND. */
 static void
 name_limit (const char *endpoint, enum beryl_exchange_kind kind,
             uint32_t number)
@@ -50,7 +50,7 @@
   fx_done (&fx, x);
 }
 
-/* What the answer names is not used for the next request. */
+/* Guards against a limit in an answer not being used for the next request. */
 START_TEST (test_next_request)
 {
   struct beryl_rate_limit limit = per_s (1);
@@ -70,8 +70,8 @@
 }
 END_TEST
 
-/* Requests beyond all limits wait, or their callers are not told when to come
- * back. */
+/* Guards against requests beyond all limits waiting, or being refused without
+   a Retry-After. */
 START_TEST (test_all_limited)
 {
   name_limit ("a", BERYL_EXCHANGE_RUN, 1);
@@ -87,7 +87,7 @@
 }
 END_TEST
 
-/* What peers send is not counted. */
+/* Guards against requests of peers not being counted. */
 START_TEST (test_sends_of_peers)
 {
   struct beryl_limits_news news
@@ -116,7 +116,7 @@
 }
 END_TEST
 
-/* A node that hears none of many takes the whole limit. */
+/* Guards against a node that no peer's reports reach using the whole limit. */
 START_TEST (test_nodes_that_cannot_be_heard)
 {
   beryl_forward_set_node_count (fx.forward, 10);
@@ -131,8 +131,8 @@
 }
 END_TEST
 
-/* A limited prefill engine is taken for none: decode engines read prompts and
- * their streams stand still. */
+/* Guards against a limited prefill engine counting as missing, so that decode
+   engines prefill prompts and their streams stop. */
 START_TEST (test_limited_prefill_engines)
 {
   name_limit ("p0", BERYL_EXCHANGE_PREFILL, 1);
@@ -144,7 +144,8 @@
 }
 END_TEST
 
-/* A limited decode engine gets what the others have room for. */
+/* Guards against a limited decode engine getting requests that others have
+   memory for. */
 START_TEST (test_limited_decode_engine)
 {
   name_limit ("d0", BERYL_EXCHANGE_RUN, 1);
--- a/tests/forward/test_restart.c
+++ b/tests/forward/test_restart.c
@@ -4,8 +4,8 @@
 #include "../suite.h"
 #include "model.h"
 
-/* A process that starts again under its id holds and knows nothing of before.
- * Each test is a caller whose request was half way through the former life. */
+/* A process that restarts under its id has lost all earlier state. Each test
+   has a request that was in progress at the former incarnation. */
 
 static uint64_t revision;
 
@@ -25,7 +25,7 @@
   return live;
 }
 
-/* One prefill and one decode engine, so that it is clear who is called. */
+/* One prefill and one decode engine, so that each call's target is known. */
 static void
 setup (void)
 {
@@ -36,10 +36,10 @@
   start ("d", BERYL_STAGE_DECODE, 100);
 }
 
-/* Story: an engine grants room for a request.  It crashes and is back under
- * its id within a second.  The request's prompt has been read meanwhile, and
- * it would be sent with a reservation that the engine may have given to
- * somebody else since. */
+/* An engine grants a reservation, crashes, and restarts under its id within a
+   second. The prompt has been prefilled meanwhile, and the request would be
+   sent with a reservation that the engine may since have given to another
+   one. */
 START_TEST (test_reservation_is_void)
 {
   fx_arrive (&fx, 1);
@@ -53,9 +53,9 @@
 }
 END_TEST
 
-/* Story: the engine that has read a prompt starts again before the request
- * has found another place.  Its KV cache is gone; the same handle may name
- * another request's there. */
+/* The engine that prefilled a prompt restarts before the request has found
+   another engine. The KV cache is gone; its handle may belong to another
+   request's there. */
 START_TEST (test_kv_cache_is_void)
 {
   fx_arrive (&fx, 1);
@@ -70,9 +70,9 @@
 }
 END_TEST
 
-/* Story: peers tell of runs that fill an engine.  It starts again and is
- * empty; until the peers' streams break, what they tell must not keep others
- * from using it. */
+/* Peers report runs that fill an engine, which restarts and is empty. Until
+   the peers' streams break, their reports must not keep other requests from
+   it. */
 START_TEST (test_peers_runs_are_void)
 {
   const struct beryl_live *live = beryl_lives_find (fx.lives, "d");
@@ -97,9 +97,9 @@
 }
 END_TEST
 
-/* Story: a prompt was run by an engine, which keeps it.  The engine starts
- * again; sent there without a prefill, the same prompt would be read between
- * the tokens of other requests, whose streams would pause. */
+/* An engine that has a prompt cached restarts. Sent there without a prefill,
+   the prompt would be processed between the tokens of other requests, whose
+   streams would pause. */
 START_TEST (test_prompts_are_void)
 {
   beryl_forward_prompt_cached (
@@ -114,8 +114,8 @@
 }
 END_TEST
 
-/* What was learned of the former life's failures and ends says nothing of the
- * new one. */
+/* Failures and crashes of the former incarnation say nothing about the new
+   one. */
 START_TEST (test_history_is_void)
 {
   struct beryl_live *live = beryl_lives_find (fx.lives, "d");
@@ -131,8 +131,9 @@
 }
 END_TEST
 
-/* Story: an entry of the former life is written late, after the new one's.
- * Believed, it would void all that the new life has granted since. */
+/* An entry of the former incarnation is written late, after that of the new
+   one. If applied, it would invalidate everything that the new incarnation has
+   granted. */
 START_TEST (test_late_entry_of_former_life)
 {
   const struct beryl_live *live = start ("d", BERYL_STAGE_DECODE, 200);
@@ -147,8 +148,8 @@
 }
 END_TEST
 
-/* A runner's clock may have been set back before it started again: its birth
- * is smaller then, and it lives all the same. */
+/* An endpoint's clock may have been set back before it restarted: its start
+   time is smaller then, but it is still the new incarnation. */
 START_TEST (test_born_is_no_order)
 {
   const struct beryl_live *live = start ("d", BERYL_STAGE_DECODE, 50);
@@ -159,7 +160,8 @@
 }
 END_TEST
 
-/* A peer's proof that the former life has ended must not end the new one. */
+/* A peer's proof that the former incarnation has ended must not end the new
+   one. */
 START_TEST (test_late_news_of_former_life)
 {
   struct beryl_endpoint_news news = { 0 };
@@ -172,8 +174,8 @@
 }
 END_TEST
 
-/* An entry that another writer has put over an endpoint's own names it no
- * more; its next heartbeat brings it back. */
+/* An entry that another writer has put in place of an endpoint's own no longer
+   describes it; the endpoint's next heartbeat restores it. */
 START_TEST (test_rejected_entry)
 {
   beryl_lives_reject (fx.lives, "d", fx.now_ms);
@@ -186,7 +188,7 @@
 }
 END_TEST
 
-/* Endpoints whose entries do not tell their birth are known by their id. */
+/* Endpoints whose entries state no start time are identified by their id. */
 START_TEST (test_birth_not_told)
 {
   const struct beryl_live *live = start ("d", BERYL_STAGE_DECODE, 0);
--- a/tests/forward/test_stages.c
+++ b/tests/forward/test_stages.c
@@ -30,8 +30,8 @@
 }
 END_TEST
 
-/* The mix swings back and forth: engines must not be ordered to and fro, each
- * order takes one away for seconds. */
+/* The mix alternates: engines must not be moved to and fro, since each order
+   takes an engine out of service for seconds. */
 START_TEST (test_stages_hold)
 {
   struct beryl_stages *stages = beryl_stages_create ();
@@ -47,7 +47,7 @@
   for (int64_t now_ms = 20000; now_ms < 80000; now_ms += 250)
     {
       struct beryl_stage_order order;
-      /* Five seconds one way, five the other. */
+      /* Five seconds of each mix. */
       struct beryl_generation_mix *mix = &mixes[now_ms / 5000 % 2];
 
       orders += beryl_stages_plan (stages, mix, engines, 10, now_ms, &order);
@@ -57,8 +57,8 @@
 }
 END_TEST
 
-/* A lasting difference is acted on, with the engine that has least to finish,
- * and never with so many at a time that nothing is served. */
+/* A lasting difference is acted on, with the engine that has the least work
+   left, and never with so many at a time that nothing is served. */
 START_TEST (test_stages_change)
 {
   struct beryl_stages *stages = beryl_stages_create ();
@@ -89,13 +89,12 @@
 }
 END_TEST
 
-/* Story: before anybody has called, the engines' speeds and the sizes of
- * requests are assumed.  Ordered by that alone, most prefill engines went to
- * decode, and came back ten seconds after the first prompts had queued for
- * half a second each.  What operators set up may be as wrong: engines go half
- * of the way, and the rest, or back, at once when something was seen; not
- * after the time that keeps swings of the load from moving engines to and fro.
- */
+/* Before the first request the engines' speeds and the request sizes are
+   assumed. On that basis alone most prefill engines were moved to decode, and
+   came back ten seconds after the first prompts had queued for half a second
+   each. The operators' initial assignment may be as wrong: engines are moved
+   half of the way, and the rest, or back, as soon as something was measured,
+   without the delay that keeps load swings from moving engines to and fro. */
 START_TEST (test_stages_go_half_way_unmeasured)
 {
   struct beryl_stages *stages = beryl_stages_create ();
@@ -131,7 +130,7 @@
 END_TEST
 
 /* Learns PREFILLS of 5,000 tokens at MS_PER_TOKEN, every second of which waits
- * behind three others. */
+   behind three others. */
 static double
 learned_pace (double ms_per_token, int prefills)
 {
@@ -145,9 +144,9 @@
   return pace.ms_per_token;
 }
 
-/* Story: engines that read at half or a tenth of the assumed speed were taken
- * for fast ones until 160 prefills had been seen; a node sees one or two a
- * second. */
+/* Engines that prefill at half or a tenth of the assumed speed were taken for
+   fast ones until 160 prefills had been seen; a node sees one or two a
+   second. */
 START_TEST (test_pace_is_learned)
 {
   static const double paces[] = { 0.005, 0.02, 0.045, 0.2 };
--- a/tests/forward/test_streams.c
+++ b/tests/forward/test_streams.c
@@ -4,9 +4,9 @@
 #include "../suite.h"
 #include "model.h"
 
-/* The decode engine dies in the middle of a stream.  The request goes on at
- * another engine after the last event that was passed on; its caller sees no
- * seam. */
+/* The decode engine dies in the middle of a stream. The request continues at
+   another engine after the last forwarded event, without a gap or a duplicate
+   for the caller. */
 START_TEST (test_stream_goes_on)
 {
   struct fx_exchange *run;
@@ -19,7 +19,7 @@
   ck_assert (run->resumes);
   ck_assert_uint_eq (run->last_event, 3);
   fx_stream (&fx, run);
-  fx_event (&fx, run, 3); /* begins before what it was asked for */
+  fx_event (&fx, run, 3); /* starts before the event it was asked for */
   fx_event (&fx, run, 4);
   fx_done (&fx, run);
   ck_assert (answer (1)->whole);
@@ -29,8 +29,8 @@
 }
 END_TEST
 
-/* A begun stream's second engine answers with an error.  Its head must not
- * follow inside the stream that the caller has. */
+/* The second engine of a stream that has begun answers with an error. Its head
+   must not follow inside the stream that the caller has. */
 START_TEST (test_error_into_begun_stream)
 {
   struct fx_exchange *run;
@@ -49,8 +49,8 @@
 }
 END_TEST
 
-/* No room is found for a stream that has begun: it ends as incomplete, since
- * a refusal cannot follow in its body. */
+/* No memory is found for a stream that has begun: it ends as incomplete, since
+   a refusal cannot follow in its body. */
 START_TEST (test_refusal_into_begun_stream)
 {
   struct fx_exchange *run;
@@ -70,8 +70,8 @@
 }
 END_TEST
 
-/* A route whose requests may run only once: a stream that breaks off is not
- * run again. */
+/* On a route whose requests may run only once, a stream that breaks off is not
+   run again. */
 START_TEST (test_once_is_not_resumed)
 {
   terms.route.resumable = false;
@@ -86,9 +86,9 @@
 }
 END_TEST
 
-/* An engine freezes in the middle of a stream.  Its connection stays open;
- * after a second of silence the request goes on elsewhere, as soon as another
- * engine has granted room. */
+/* An engine freezes in the middle of a stream. Its connection stays open;
+   after a second without events the request continues at another engine, as
+   soon as that has granted a reservation. */
 START_TEST (test_frozen_engine)
 {
   struct fx_exchange *run, *place;
@@ -106,7 +106,7 @@
 END_TEST
 
 /* A caller that does not read stops the stream itself; that says nothing about
- * the engine. */
+   the engine. */
 START_TEST (test_slow_caller_is_no_stall)
 {
   struct fx_exchange *run;
@@ -121,8 +121,9 @@
 END_TEST
 
 /* Other nodes' runs are about to fill the engine, and this node has the newest
- * run there, which the engine would stop.  It is moved: the engine stops it,
- * another one goes on from its memory, and it counts as one run. */
+   run there, which the engine would preempt. The run is moved: the engine
+   stops it, another one continues from its memory, and it counts as one
+   run. */
 START_TEST (test_move)
 {
   struct fx_exchange *run, *move;
@@ -165,8 +166,8 @@
 }
 END_TEST
 
-/* The new engine has no room after all: the run goes on at its old engine,
- * which still has its memory. */
+/* The target engine has no memory after all: the run continues at the source,
+   which still has its memory. */
 START_TEST (test_move_without_room)
 {
   struct beryl_engine_result no_room
@@ -184,9 +185,9 @@
 }
 END_TEST
 
-/* Story: a moved run was rejected by its new engine and sent to a third one,
- * which ran it from the beginning: a request that may run once ran twice.  The
- * memory serves only at the two engines that have it. */
+/* A moved run was rejected by its target engine and sent to a third one, which
+   ran it from the beginning: a request that may run once ran twice. Its memory
+   can be used only at the two engines that have it. */
 START_TEST (test_moved_run_is_rejected)
 {
   struct fx_exchange *run, *move;
@@ -210,8 +211,8 @@
 }
 END_TEST
 
-/* The engine is to stop soon.  Its runs move while they can; one that may run
- * only once would be lost with it. */
+/* The engine will stop soon. Its runs are moved while that is possible; one
+   that may run only once would be lost with it. */
 START_TEST (test_leaving_engine)
 {
   struct fx_exchange *run;
@@ -223,8 +224,8 @@
 }
 END_TEST
 
-/* Has a leaving engine stop its run after WAIT_MS for a move to an engine that
- * has no room after all. */
+/* Makes a leaving engine stop its run after WAIT_MS for a move to an engine
+   that then has no memory. */
 static void
 move_off_leaving (int64_t wait_ms)
 {
@@ -241,8 +242,8 @@
   fx_broken (&fx, run, BERYL_FAILURE_CLOSED, true);
 }
 
-/* The stopped run's memory is at the leaving engine only.  It goes on there
- * for as long as endpoints that leave may get work... */
+/* The stopped run's memory is only at the leaving engine. The run continues
+   there for as long as leaving endpoints may get work... */
 START_TEST (test_stopped_run_returns_to_leaving_engine)
 {
   move_off_leaving (100);
@@ -250,7 +251,7 @@
 }
 END_TEST
 
-/* ...and begins anew at another one after that. */
+/* ...and starts again at another one after that. */
 START_TEST (test_stopped_run_does_not_return_late)
 {
   struct fx_exchange *first;
@@ -263,8 +264,8 @@
 }
 END_TEST
 
-/* Brings request 1 to where its engine has stopped it for want of memory;
- * returns its run. */
+/* Brings request 1 to the state where its engine has preempted it for lack of
+   memory; returns its run. */
 static struct fx_exchange *
 preempted (void)
 {
@@ -280,9 +281,9 @@
   return run;
 }
 
-/* A full engine stops a run without a word and reads its prompt again later.
- * Asking it to move the run tells: it does not run it.  The stream goes on at
- * another engine once that has granted room, and never at both. */
+/* A full engine preempts a run without notice and prefills it again later. A
+   move request shows it: the engine does not run it. The stream continues at
+   another engine once that has granted a reservation, and never at both. */
 START_TEST (test_preempted)
 {
   struct fx_exchange *run = preempted ();
@@ -296,9 +297,9 @@
 }
 END_TEST
 
-/* All engines are full when one of them stops a run.  Given up there, its
- * stream would have no place at all and be cut off in front of a caller who
- * still waits; the engine that stopped it reads it again and goes on. */
+/* All engines are full when one of them preempts a run. If given up there, its
+   stream would have no engine and be cut off while its caller still waits; the
+   engine that preempted it prefills it again and continues. */
 START_TEST (test_preempted_without_room)
 {
   struct fx_exchange *run = preempted ();
@@ -319,8 +320,8 @@
 }
 END_TEST
 
-/* The engine goes on by itself while another is being asked for room: what
- * that grants is given back, and the stream stays. */
+/* The engine continues by itself while another one is asked: the other's
+   reservation is released, and the stream stays. */
 START_TEST (test_preempted_goes_on)
 {
   struct fx_exchange *run = preempted ();
@@ -337,11 +338,11 @@
 }
 END_TEST
 
-/* Story: a full engine stops two streams of a node at the same moment.  Both
- * ask for room elsewhere while the repeats are left for one; the other was
- * given up at its engine when room was granted, and only then found that its
- * prompt might not be read again: cut off in front of a caller who still
- * waits, though its engine would have gone on. */
+/* A full engine preempts two streams of a node at the same moment. Both ask
+   other engines while the repeats are left for one; the second was given up at
+   its engine when a reservation was granted, and only then was its prefill
+   denied: it was cut off while its caller still waited, though its engine
+   would have continued. */
 START_TEST (test_preempted_without_repeats)
 {
   struct fx_exchange *run = preempted ();
@@ -360,8 +361,8 @@
 }
 END_TEST
 
-/* An engine takes the question for room and never answers: the next one is
- * asked, and what the first one grants late is given back. */
+/* An engine accepts a reservation call and never answers: the next one is
+   asked, and a late grant of the first is released. */
 START_TEST (test_preempted_asks_a_frozen_engine)
 {
   struct fx_exchange *run = preempted ();
@@ -375,8 +376,8 @@
 }
 END_TEST
 
-/* The engine that stopped a run dies while another is asked for room: its
- * stream is looked a place for as any other. */
+/* The engine that preempted a run dies while another one is asked: its stream
+   is relocated like any other. */
 START_TEST (test_preempted_engine_dies)
 {
   struct fx_exchange *run = preempted ();
@@ -391,8 +392,8 @@
 }
 END_TEST
 
-/* A stream that lost its engine waits for room as long as its caller does,
- * and is cut off only then. */
+/* A stream that lost its engine waits for memory as long as its caller does,
+   and is cut off only then. */
 START_TEST (test_caller_waits_for_its_stream)
 {
   struct fx_exchange *run;
@@ -411,7 +412,7 @@
 }
 END_TEST
 
-/* A stream's body ends as if whole, but in the middle of an event. */
+/* A stream's body ends as if complete, but in the middle of an event. */
 START_TEST (test_end_inside_event)
 {
   struct fx_exchange *run;
