--- a/tests/forward/fixture.c
+++ b/tests/forward/fixture.c
@@ -292,7 +292,7 @@
 void
 fx_leaving (struct fx *fx, const char *id)
 {
-  show (fx, id, fx_live (fx, id)->info.stage, true);
+  show (fx, id, fx_find_endpoint (fx, id)->info.stage, true);
 }
 
 void
@@ -303,7 +303,7 @@
 }
 
 struct beryl_forward_request
-fx_facts (const struct fx *fx, uint64_t number)
+fx_request_params (const struct fx *fx, uint64_t number)
 {
   struct beryl_forward_request facts = {
     .request = number,
@@ -324,7 +324,7 @@
 void
 fx_arrive (struct fx *fx, uint64_t number)
 {
-  struct beryl_forward_request facts = fx_facts (fx, number);
+  struct beryl_forward_request facts = fx_request_params (fx, number);
 
   beryl_forward_submit (fx->forward, &facts, fx->now_ms);
 }
@@ -534,7 +534,7 @@
 }
 
 const struct beryl_live *
-fx_live (const struct fx *fx, const char *id)
+fx_find_endpoint (const struct fx *fx, const char *id)
 {
   const struct beryl_live *live = beryl_lives_find (fx->lives, id);
 
--- a/tests/forward/fixture.h
+++ b/tests/forward/fixture.h
@@ -90,7 +90,8 @@
 void fx_remove (struct fx *fx, const char *id);
 
 /** Return the parameters of request NUMBER, which arrives now. */
-struct beryl_forward_request fx_facts (const struct fx *fx, uint64_t number);
+struct beryl_forward_request fx_request_params (const struct fx *fx,
+                                                uint64_t number);
 void fx_arrive (struct fx *fx, uint64_t number);
 
 /** Advance the clock by MS and run every tick that is due. */
@@ -130,6 +131,7 @@
 struct fx_exchange *fx_to_stream (struct fx *fx, uint64_t request,
                                   uint64_t events);
 
-const struct beryl_live *fx_live (const struct fx *fx, const char *id);
+const struct beryl_live *fx_find_endpoint (const struct fx *fx,
+                                           const char *id);
 
 #endif
--- a/tests/forward/model.c
+++ b/tests/forward/model.c
@@ -67,7 +67,7 @@
 }
 
 void
-tell_runs (const char *engine, uint32_t count)
+report_runs (const char *engine, uint32_t count)
 {
   struct beryl_engine_run runs[16] = { 0 };
 
--- a/tests/forward/model.h
+++ b/tests/forward/model.h
@@ -25,6 +25,6 @@
 /** Cause REQUEST to be moved; returns the MOVE exchange. */
 struct fx_exchange *move_asked (uint64_t request);
 /** Apply a peer's report of COUNT runs at ENGINE and no others. */
-void tell_runs (const char *engine, uint32_t count);
+void report_runs (const char *engine, uint32_t count);
 
 #endif
--- a/tests/forward/test_book.c
+++ b/tests/forward/test_book.c
@@ -34,10 +34,10 @@
 /* Engines with memory for six runs got only five: the spread of the six ends,
    assumed to be normal, added more to the expected sum than all six could use
    if none ended. */
-START_TEST (test_peak_is_no_more_than_all)
+START_TEST (test_peak_is_bounded)
 {
   struct length_model model;
-  struct memory_forecast curve = { 0 };
+  struct memory_forecast forecast = { 0 };
   struct beryl_engine_run run = {
     .engine = 1, .prompt_tokens = 3200, .expected_tokens = 800, .started = true
   };
@@ -48,44 +48,46 @@
   for (int i = 0; i < 6; i++)
     {
       run.made_tokens = 100 * (uint32_t)i;
-      memory_forecast_add (&curve, &model, &run, 0, true);
+      memory_forecast_add (&forecast, &model, &run, 0, true);
       all += 3200 + run.made_tokens + FORECAST_STEPS * FORECAST_STEP_MS / 4.8;
     }
   for (int i = 0; i < FORECAST_STEPS; i++)
-    spread_out
-        = fmax (spread_out, curve.tokens[i] + 2 * sqrt (curve.variance[i]));
+    spread_out = fmax (spread_out,
+                       forecast.tokens[i] + 2 * sqrt (forecast.variance[i]));
   ck_assert (spread_out > SIX_RUNS_TOKENS);
   ck_assert (
-      memory_forecast_peak (&curve, FORECAST_STEPS * FORECAST_STEP_MS, 2)
+      memory_forecast_peak (&forecast, FORECAST_STEPS * FORECAST_STEP_MS, 2)
       <= SIX_RUNS_TOKENS);
   ck_assert (
-      memory_forecast_peak (&curve, FORECAST_STEPS * FORECAST_STEP_MS, 100)
+      memory_forecast_peak (&forecast, FORECAST_STEPS * FORECAST_STEP_MS, 100)
       <= all);
   /* Runs do end: with one deviation it is less. */
   ck_assert (
-      memory_forecast_peak (&curve, FORECAST_STEPS * FORECAST_STEP_MS, 1)
-      < memory_forecast_peak (&curve, FORECAST_STEPS * FORECAST_STEP_MS, 100));
+      memory_forecast_peak (&forecast, FORECAST_STEPS * FORECAST_STEP_MS, 1)
+      < memory_forecast_peak (&forecast, FORECAST_STEPS * FORECAST_STEP_MS,
+                              100));
   /* At the present time all runs exist and nothing is uncertain. */
-  ck_assert (fabs (memory_forecast_peak (&curve, 0, 2) - curve.tokens[0]) < 1);
+  ck_assert (fabs (memory_forecast_peak (&forecast, 0, 2) - forecast.tokens[0])
+             < 1);
 }
 END_TEST
 
-START_TEST (test_curve_grows_and_ends)
+START_TEST (test_forecast_grows_and_ends)
 {
   struct length_model model;
-  struct memory_forecast curve = { 0 };
+  struct memory_forecast forecast = { 0 };
   struct beryl_engine_run run = { .engine = 1,
                                   .prompt_tokens = 1000,
                                   .expected_tokens = 1000,
                                   .started = true };
 
   length_model_init (&model);
-  memory_forecast_add (&curve, &model, &run, 0, true);
-  ck_assert (fabs (curve.tokens[0] - 1000) < 1);
-  ck_assert (curve.tokens[1] > 1200 && curve.tokens[1] < 1301);
-  ck_assert (curve.tokens[FORECAST_STEPS - 1] < 500);
-  ck_assert (memory_forecast_peak (&curve, 4000, 2)
-             > memory_forecast_peak (&curve, 4000, 0));
+  memory_forecast_add (&forecast, &model, &run, 0, true);
+  ck_assert (fabs (forecast.tokens[0] - 1000) < 1);
+  ck_assert (forecast.tokens[1] > 1200 && forecast.tokens[1] < 1301);
+  ck_assert (forecast.tokens[FORECAST_STEPS - 1] < 500);
+  ck_assert (memory_forecast_peak (&forecast, 4000, 2)
+             > memory_forecast_peak (&forecast, 4000, 0));
 }
 END_TEST
 
@@ -93,92 +95,94 @@
    filling engines for ever. */
 START_TEST (test_silent_peer_fades)
 {
-  struct run_table book = { 0 };
+  struct run_table table = { 0 };
   struct length_model model;
-  struct memory_forecast curve = { 0 };
+  struct memory_forecast forecast = { 0 };
   struct beryl_engine_run run = {
     .engine = 1, .prompt_tokens = 1000, .expected_tokens = 500, .started = true
   };
 
   length_model_init (&model);
-  run_table_update (&book, "peer", &run, 1, 1000);
-  run_table_forecast (&book, &curve, &model, 1, 1000);
-  ck_assert (curve.tokens[0] >= 1000);
-  curve = (struct memory_forecast){ 0 };
-  run_table_forecast (&book, &curve, &model, 1, 4000);
-  ck_assert (curve.tokens[0] < 500);
-  curve = (struct memory_forecast){ 0 };
-  ck_assert_uint_eq (run_table_forecast (&book, &curve, &model, 1, 7000), 0);
-  run_table_update (&book, "peer", &run, 1, 8000);
-  run_table_remove_peer (&book, "peer");
-  ck_assert_uint_eq (run_table_forecast (&book, &curve, &model, 1, 8000), 0);
-  run_table_clear (&book);
+  run_table_update (&table, "peer", &run, 1, 1000);
+  run_table_forecast (&table, &forecast, &model, 1, 1000);
+  ck_assert (forecast.tokens[0] >= 1000);
+  forecast = (struct memory_forecast){ 0 };
+  run_table_forecast (&table, &forecast, &model, 1, 4000);
+  ck_assert (forecast.tokens[0] < 500);
+  forecast = (struct memory_forecast){ 0 };
+  ck_assert_uint_eq (run_table_forecast (&table, &forecast, &model, 1, 7000),
+                     0);
+  run_table_update (&table, "peer", &run, 1, 8000);
+  run_table_remove_peer (&table, "peer");
+  ck_assert_uint_eq (run_table_forecast (&table, &forecast, &model, 1, 8000),
+                     0);
+  run_table_clear (&table);
 }
 END_TEST
 
 /* Guards against engines being estimated emptier the larger the fleet is:
    peers with a long report interval still count as reachable. */
-START_TEST (test_slow_teller_is_heard)
+START_TEST (test_long_report_interval)
 {
-  struct run_table book = { .report_interval_ms = 2000 };
+  struct run_table table = { .report_interval_ms = 2000 };
   struct length_model model;
-  struct memory_forecast curve = { 0 };
+  struct memory_forecast forecast = { 0 };
   struct beryl_engine_run run = { .engine = 1,
                                   .prompt_tokens = 1000,
                                   .expected_tokens = 2000,
                                   .started = true };
 
   length_model_init (&model);
-  run_table_update (&book, "peer", &run, 1, 1000);
-  run_table_forecast (&book, &curve, &model, 1, 3500);
-  ck_assert (curve.tokens[0] >= 3400);
-  curve = (struct memory_forecast){ 0 };
-  run_table_forecast (&book, &curve, &model, 1, 5500);
-  ck_assert (curve.tokens[0] < 1000);
-  run_table_clear (&book);
+  run_table_update (&table, "peer", &run, 1, 1000);
+  run_table_forecast (&table, &forecast, &model, 1, 3500);
+  ck_assert (forecast.tokens[0] >= 3400);
+  forecast = (struct memory_forecast){ 0 };
+  run_table_forecast (&table, &forecast, &model, 1, 5500);
+  ck_assert (forecast.tokens[0] < 1000);
+  run_table_clear (&table);
 }
 END_TEST
 
 /* Sums over all reported runs, which the index must return as well. */
-struct told
+struct reported
 {
   struct beryl_engine_run runs[4][BERYL_ENGINE_RUNS_MAX];
   size_t counts[4];
 };
 
 static void
-check_sums (const struct run_table *book, const struct told *told,
+check_sums (const struct run_table *table, const struct reported *reported,
             uint32_t number)
 {
   struct length_model model;
-  struct memory_forecast curve = { 0 };
+  struct memory_forecast forecast = { 0 };
   uint32_t at_engine = 0, waiting = 0;
   uint64_t prefilling = 0;
 
   length_model_init (&model);
   for (int peer = 0; peer < 4; peer++)
-    for (size_t i = 0; i < told->counts[peer]; i++)
+    for (size_t i = 0; i < reported->counts[peer]; i++)
       {
-        const struct beryl_engine_run *run = &told->runs[peer][i];
+        const struct beryl_engine_run *run = &reported->runs[peer][i];
 
         at_engine += run->engine == number;
         waiting += run->engine == 0 && run->service == number;
         if (run->prefill_engine == number)
           prefilling += run->prompt_tokens;
       }
-  ck_assert_uint_eq (run_table_runs (book, number, 0), at_engine);
-  ck_assert_uint_eq (run_table_forecast (book, &curve, &model, number, 0),
+  ck_assert_uint_eq (run_table_runs (table, number, 0), at_engine);
+  ck_assert_uint_eq (run_table_forecast (table, &forecast, &model, number, 0),
                      at_engine);
-  ck_assert_uint_eq (run_table_waiting (book, number, 0), waiting);
-  ck_assert_uint_eq (run_table_prefill_tokens (book, number, 0), prefilling);
+  ck_assert_uint_eq (run_table_waiting (table, number, 0), waiting);
+  ck_assert_uint_eq (run_table_prefill_tokens (table, number, 0), prefilling);
 }
 
 static void
-told_at_random (struct told *told, int peer, GRand *random)
+report_at_random (struct reported *reported, int peer, GRand *random)
 {
-  told->counts[peer] = (size_t)g_rand_int_range (random, 0, 40);
-  for (size_t i = 0; i < told->counts[peer]; i++)
-    told->runs[peer][i] = (struct beryl_engine_run){
+  reported->counts[peer] = (size_t)g_rand_int_range (random, 0, 40);
+  for (size_t i = 0; i < reported->counts[peer]; i++)
+    reported->runs[peer][i] = (struct beryl_engine_run){
       .engine = (uint32_t)g_rand_int_range (random, 0, 6),
       .service = (uint32_t)g_rand_int_range (random, 1, 3),
       .prefill_engine = (uint32_t)g_rand_int_range (random, 0, 6),
@@ -188,26 +192,26 @@
 }
 
 static void
-drop_prompt (struct told *told, uint32_t key)
+drop_prompt (struct reported *reported, uint32_t key)
 {
   for (int peer = 0; peer < 4; peer++)
     {
       size_t left = 0;
 
-      for (size_t i = 0; i < told->counts[peer]; i++)
-        if (told->runs[peer][i].prompt_key != key)
-          told->runs[peer][left++] = told->runs[peer][i];
-      told->counts[peer] = left;
+      for (size_t i = 0; i < reported->counts[peer]; i++)
+        if (reported->runs[peer][i].prompt_key != key)
+          reported->runs[peer][left++] = reported->runs[peer][i];
+      reported->counts[peer] = left;
     }
 }
 
 /* Peers report again, end runs without a report, and leave; lookups by engine
    and by service find the same as a scan of all runs. */
-START_TEST (test_index_finds_what_a_walk_finds)
+START_TEST (test_index_matches_scan)
 {
   static const char *const names[] = { "a", "b", "c", "d" };
-  struct told told = { 0 };
-  struct run_table book = { 0 };
+  struct reported reported = { 0 };
+  struct run_table table = { 0 };
   GRand *random = g_rand_new_with_seed ((guint32)_i);
 
   for (int step = 0; step < 200; step++)
@@ -218,22 +222,22 @@
       switch (g_rand_int_range (random, 0, 4))
         {
         case 0:
-          drop_prompt (&told, key);
-          run_table_drop_prompt (&book, key);
+          drop_prompt (&reported, key);
+          run_table_drop_prompt (&table, key);
           break;
         case 1:
-          told.counts[peer] = 0;
-          run_table_remove_peer (&book, names[peer]);
+          reported.counts[peer] = 0;
+          run_table_remove_peer (&table, names[peer]);
           break;
         default:
-          told_at_random (&told, peer, random);
-          run_table_update (&book, names[peer], told.runs[peer],
-                            told.counts[peer], 0);
+          report_at_random (&reported, peer, random);
+          run_table_update (&table, names[peer], reported.runs[peer],
+                            reported.counts[peer], 0);
         }
       for (uint32_t number = 1; number < 6; number++)
-        check_sums (&book, &told, number);
+        check_sums (&table, &reported, number);
     }
-  run_table_clear (&book);
+  run_table_clear (&table);
   g_rand_free (random);
 }
 END_TEST
@@ -245,11 +249,11 @@
   TCase *tcase = tcase_create ("book");
 
   tcase_add_test (tcase, test_lengths_are_learned);
-  tcase_add_test (tcase, test_peak_is_no_more_than_all);
-  tcase_add_test (tcase, test_curve_grows_and_ends);
+  tcase_add_test (tcase, test_peak_is_bounded);
+  tcase_add_test (tcase, test_forecast_grows_and_ends);
   tcase_add_test (tcase, test_silent_peer_fades);
-  tcase_add_test (tcase, test_slow_teller_is_heard);
-  tcase_add_loop_test (tcase, test_index_finds_what_a_walk_finds, 0, 20);
+  tcase_add_test (tcase, test_long_report_interval);
+  tcase_add_loop_test (tcase, test_index_matches_scan, 0, 20);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/forward/test_choice.c
+++ b/tests/forward/test_choice.c
@@ -46,7 +46,7 @@
 /* Applies at every node a peer's report of one run at each engine from FIRST
    on. */
 static void
-tell_runs (uint32_t first, uint32_t engines)
+report_runs (uint32_t first, uint32_t engines)
 {
   struct beryl_engine_run runs[ENGINES] = { 0 };
   size_t count = 0;
@@ -71,12 +71,12 @@
 /* All nodes see that one engine is emptier than the others. If each asked the
    best one, it would get twenty requests, refuse most and run out of memory,
    while the other nine have free memory. */
-START_TEST (test_nodes_do_not_meet_at_one_engine)
+START_TEST (test_choices_spread_over_engines)
 {
   uint32_t asked = 0;
 
   open_nodes (ENGINES);
-  tell_runs (1, ENGINES);
+  report_runs (1, ENGINES);
   for (int n = 0; n < NODES; n++)
     {
       fx_arrive (nodes[n], 1);
@@ -106,7 +106,7 @@
 /* Refuses every reservation of FX for two seconds in which WAITING other
    requests are reported; returns how often it asked. */
 static uint32_t
-asks (struct fx *fx, size_t waiting)
+count_asks (struct fx *fx, size_t waiting)
 {
   uint32_t before = fx_count (fx, BERYL_EXCHANGE_RESERVE);
 
@@ -140,8 +140,8 @@
       fx_endpoint (fx, "p0", BERYL_STAGE_PREFILL);
       fx_endpoint (fx, "d0", BERYL_STAGE_DECODE);
       fx_arrive (fx, 1);
-      alone += asks (fx, 0);
-      among_many += asks (fx, 100);
+      alone += count_asks (fx, 0);
+      among_many += count_asks (fx, 100);
       fx_close (fx);
       g_free (fx);
     }
@@ -153,7 +153,7 @@
 
 /* Waiting requests are reported to the other nodes as runs without an engine,
    until they have a reservation. */
-START_TEST (test_waiting_requests_are_told)
+START_TEST (test_waiting_requests_are_reported)
 {
   struct beryl_engine_run runs[4];
   struct fx *fx = g_new0 (struct fx, 1);
@@ -182,7 +182,7 @@
 /* A message holds only one run: the one that fills an engine is reported, not
    the later request that waits. Otherwise the other nodes would take the
    engine for empty at a peak. */
-START_TEST (test_runs_are_told_first)
+START_TEST (test_runs_are_reported_first)
 {
   struct beryl_engine_run run;
   struct fx *fx = g_new0 (struct fx, 1);
@@ -242,7 +242,7 @@
 static void
 arrive_long (struct fx *fx, uint64_t number)
 {
-  struct beryl_forward_request facts = fx_facts (fx, number);
+  struct beryl_forward_request facts = fx_request_params (fx, number);
 
   facts.output_tokens_hint = 4000;
   facts.output_tokens_max = 4000;
@@ -252,7 +252,7 @@
 /* At a peak, with eight runs of some four seconds each and fifty requests
    waiting, the caller is told at once that its request has not run and when to
    retry, instead of after most of a second. */
-START_TEST (test_long_backlog_is_told_at_once)
+START_TEST (test_long_backlog_is_refused_at_once)
 {
   struct fx *fx = open_full (50);
 
@@ -287,7 +287,7 @@
 /* Callers that were refused at the beginning of a peak of some seconds and
    retried after half a second met the same peak, were refused again, and had
    no further attempt. They must use the time that they have. */
-START_TEST (test_callers_come_back_after_the_peak)
+START_TEST (test_retry_after_the_peak)
 {
   struct fx *fx = open_full (20);
   int64_t most_ms = terms.route.timeout_ms / 3;
@@ -307,7 +307,7 @@
 
 /* Without other waiting requests a request waits, since a run may end at any
    moment. */
-START_TEST (test_short_backlog_is_waited_for)
+START_TEST (test_short_backlog_waits)
 {
   struct fx *fx = open_full (0);
 
@@ -321,7 +321,7 @@
 
 /* Callers that are refused at a peak retry at different times: with the same
    time they would meet again and be refused for good. */
-START_TEST (test_callers_come_back_one_by_one)
+START_TEST (test_retries_are_spread)
 {
   struct fx *fx = open_full (20);
   int64_t before_ms = 0;
@@ -347,15 +347,15 @@
   Suite *suite = suite_create ("choices of many nodes");
   TCase *tcase = tcase_create ("choice");
 
-  tcase_add_test (tcase, test_nodes_do_not_meet_at_one_engine);
+  tcase_add_test (tcase, test_choices_spread_over_engines);
   tcase_add_test (tcase, test_waiting_requests_take_turns);
-  tcase_add_test (tcase, test_waiting_requests_are_told);
-  tcase_add_test (tcase, test_runs_are_told_first);
-  tcase_add_test (tcase, test_long_backlog_is_told_at_once);
+  tcase_add_test (tcase, test_waiting_requests_are_reported);
+  tcase_add_test (tcase, test_runs_are_reported_first);
+  tcase_add_test (tcase, test_long_backlog_is_refused_at_once);
   tcase_add_test (tcase, test_unknown_memory);
-  tcase_add_test (tcase, test_short_backlog_is_waited_for);
-  tcase_add_test (tcase, test_callers_come_back_one_by_one);
-  tcase_add_test (tcase, test_callers_come_back_after_the_peak);
+  tcase_add_test (tcase, test_short_backlog_waits);
+  tcase_add_test (tcase, test_retries_are_spread);
+  tcase_add_test (tcase, test_retry_after_the_peak);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/forward/test_crashes.c
+++ b/tests/forward/test_crashes.c
@@ -138,7 +138,7 @@
 
 /* Guards against a broken connection to a live engine being counted as a
    crash. */
-START_TEST (test_engine_lives)
+START_TEST (test_broken_connection_is_no_crash)
 {
   more_engines (8);
   for (uint64_t i = 0; i < 4; i++)
@@ -156,7 +156,7 @@
 
 /* Guards against requests that were interrupted together being sent to one
    engine together, where all of them look like the cause again. */
-START_TEST (test_neighbours_part)
+START_TEST (test_interrupted_requests_are_separated)
 {
   struct fx_exchange *runs[3], *asked[3];
 
@@ -278,8 +278,9 @@
   tcase_add_test (tcase, test_fourth_engine);
   tcase_add_test (tcase, test_not_run_is_true);
   tcase_add_test (tcase, test_open_requests);
-  tcase_add_test (tcase, test_engine_lives);
-  tcase_add_loop_test (tcase, test_neighbours_part, 0, SEEDS);
+  tcase_add_test (tcase, test_broken_connection_is_no_crash);
+  tcase_add_loop_test (tcase, test_interrupted_requests_are_separated, 0,
+                       SEEDS);
   tcase_add_test (tcase, test_suspect_of_peer);
   tcase_add_test (tcase, test_only_engines_with_suspects);
   tcase_add_test (tcase, test_neighbour_is_served);
--- a/tests/forward/test_generation.c
+++ b/tests/forward/test_generation.c
@@ -28,7 +28,7 @@
   ck_assert_str_eq (answer (1)->body->str,
                     "id: 1\ndata: e1\n\nid: 2\ndata: e2\n\n");
   ck_assert_uint_eq (fx_count_open (&fx), 0);
-  ck_assert_uint_eq (fx_live (&fx, x->endpoint)->open, 0);
+  ck_assert_uint_eq (fx_find_endpoint (&fx, x->endpoint)->open, 0);
 }
 END_TEST
 
@@ -131,7 +131,7 @@
   fx_arrive (&fx, 1);
   run = fx_to_run (&fx, 1);
   beryl_forward_answer_head (fx.forward, run->id, &head, fx.now_ms);
-  ck_assert_int_eq (fx_live (&fx, run->endpoint)->info.stage,
+  ck_assert_int_eq (fx_find_endpoint (&fx, run->endpoint)->info.stage,
                     BERYL_STAGE_PREFILL);
 }
 END_TEST
@@ -140,7 +140,7 @@
    progress, so "not run" must not be claimed. */
 START_TEST (test_not_run_is_true)
 {
-  struct beryl_forward_request facts = fx_facts (&fx, 1);
+  struct beryl_forward_request facts = fx_request_params (&fx, 1);
   struct fx_exchange *run;
 
   facts.deadline_ms = fx.now_ms + 1000;
@@ -156,9 +156,9 @@
 
 /* Runs of other nodes use engine memory too; a run goes to an engine that has
    memory for all of it. */
-START_TEST (test_peers_runs_count)
+START_TEST (test_peer_runs_count)
 {
-  tell_runs ("d0", 4);
+  report_runs ("d0", 4);
   for (uint64_t i = 1; i <= 4; i++)
     {
       fx_arrive (&fx, i);
@@ -180,7 +180,7 @@
 
 /* An engine refuses although no known run explains it: unknown runs use its
    memory, and it is not asked first for some time. */
-START_TEST (test_hidden_use)
+START_TEST (test_unknown_runs)
 {
   char first[BERYL_NAME_BYTES];
 
@@ -252,9 +252,9 @@
   tcase_add_test (tcase, test_caller_leaves_while_streaming);
   tcase_add_test (tcase, test_stage_is_learned);
   tcase_add_test (tcase, test_not_run_is_true);
-  tcase_add_test (tcase, test_peers_runs_count);
+  tcase_add_test (tcase, test_peer_runs_count);
   tcase_add_test (tcase, test_isolated);
-  tcase_add_test (tcase, test_hidden_use);
+  tcase_add_test (tcase, test_unknown_runs);
   tcase_add_test (tcase, test_changing_engine);
   tcase_add_test (tcase, test_runs_are_told);
   suite_add_tcase (suite, tcase);
--- a/tests/forward/test_history.c
+++ b/tests/forward/test_history.c
@@ -16,26 +16,26 @@
 #define ENGINES 9
 #define TIMEOUT_MS 8000
 
-enum fate
-{
-  FATE_REPLY,   /* answer to an exchange other than RUN */
-  FATE_HEAD,    /* a stream begins */
-  FATE_EVENT,   /* the stream's next event */
-  FATE_REJECT,  /* answer "not run" */
-  FATE_ERROR,   /* complete answer with an error */
-  FATE_CONNECT, /* no connection */
-  FATE_LOST,    /* reset before any answer */
-  FATE_ARRIVAL, /* a request arrives */
-  FATE_LEAVES,  /* its caller disconnects */
-  FATE_CHANGE,  /* an engine is added or removed */
-  FATE_PEER,    /* a peer reports runs */
+enum action
+{
+  ACTION_REPLY,      /* answer to an exchange other than RUN */
+  ACTION_HEAD,       /* a stream begins */
+  ACTION_EVENT,      /* the stream's next event */
+  ACTION_REJECT,     /* answer "not run" */
+  ACTION_ERROR,      /* complete answer with an error */
+  ACTION_CONNECT,    /* no connection */
+  ACTION_LOST,       /* reset before any answer */
+  ACTION_ARRIVAL,    /* a request arrives */
+  ACTION_DISCONNECT, /* its caller disconnects */
+  ACTION_CHANGE,     /* an engine is added or removed */
+  ACTION_PEER,       /* a peer reports runs */
 };
 
 /* A scheduled event. */
-struct due
+struct scheduled
 {
   int64_t at_ms;
-  enum fate fate;
+  enum action action;
   uint64_t number; /* exchange or request */
 };
 
@@ -53,11 +53,11 @@
   uint64_t random;
   bool once;
   double faults; /* share of exchanges that fail */
-  GArray *dues;
+  GArray *schedule;
   struct caller callers[REQUESTS + 1];
   GHashTable
-      *next_event;    /* maps an exchange's id to the next event it sends */
-  GHashTable *places; /* reservations that engines have granted */
+      *next_event; /* maps an exchange's id to the next event it sends */
+  GHashTable *reservations; /* reservations that engines have granted */
   uint32_t repeats;
   bool prefilled[REQUESTS + 1];
 };
@@ -79,11 +79,12 @@
 }
 
 static void
-later (struct history *h, int64_t after_ms, enum fate fate, uint64_t number)
+schedule_action (struct history *h, int64_t after_ms, enum action action,
+                 uint64_t number)
 {
-  struct due due = { h->fx.now_ms + after_ms, fate, number };
+  struct scheduled scheduled = { h->fx.now_ms + after_ms, action, number };
 
-  g_array_append_val (h->dues, due);
+  g_array_append_val (h->schedule, scheduled);
 }
 
 static int64_t
@@ -100,24 +101,24 @@
 
 /* Schedules what an engine does with a run; nothing if it does not respond. */
 static void
-run_fate (struct history *h, struct fx_exchange *x)
+schedule_run (struct history *h, struct fx_exchange *x)
 {
   double faults = h->faults;
 
   if (chance (h, faults / 5))
-    later (h, some_ms (h), FATE_CONNECT, x->id);
+    schedule_action (h, some_ms (h), ACTION_CONNECT, x->id);
   else if (chance (h, faults / 2))
-    later (h, some_ms (h), FATE_REJECT, x->id);
+    schedule_action (h, some_ms (h), ACTION_REJECT, x->id);
   else
     {
       if (!from_move (x))
         h->callers[x->request].executions++;
       if (chance (h, faults / 4))
-        later (h, some_ms (h), FATE_LOST, x->id);
+        schedule_action (h, some_ms (h), ACTION_LOST, x->id);
       else if (chance (h, faults / 8))
-        later (h, some_ms (h), FATE_ERROR, x->id);
+        schedule_action (h, some_ms (h), ACTION_ERROR, x->id);
       else if (!chance (h, faults / 8))
-        later (h, some_ms (h), FATE_HEAD, x->id);
+        schedule_action (h, some_ms (h), ACTION_HEAD, x->id);
     }
 }
 
@@ -129,17 +130,17 @@
   switch (x->kind)
     {
     case BERYL_EXCHANGE_RUN:
-      g_hash_table_remove (h->places, x->handle);
-      run_fate (h, x);
+      g_hash_table_remove (h->reservations, x->handle);
+      schedule_run (h, x);
       return;
     case BERYL_EXCHANGE_UNRESERVE:
-      ck_assert_msg (g_hash_table_remove (h->places, x->handle),
+      ck_assert_msg (g_hash_table_remove (h->reservations, x->handle),
                      "%s was given back, but is not taken", x->handle);
       break;
     default:
       break;
     }
-  later (h, some_ms (h), FATE_REPLY, x->id);
+  schedule_action (h, some_ms (h), ACTION_REPLY, x->id);
 }
 
 static struct fx_exchange *
@@ -168,7 +169,7 @@
   if (chance (h, 0.5))
     fx_broken (&h->fx, run, BERYL_FAILURE_CLOSED, true);
   else
-    later (h, some_ms (h), FATE_LOST, run->id);
+    schedule_action (h, some_ms (h), ACTION_LOST, run->id);
   g_hash_table_remove (h->next_event, GUINT_TO_POINTER (run->id));
 }
 
@@ -232,7 +233,7 @@
       g_snprintf (result.handle, sizeof result.handle, "h-%u",
                   (unsigned int)x->id);
       if (x->kind == BERYL_EXCHANGE_RESERVE)
-        g_hash_table_add (h->places, g_strdup (result.handle));
+        g_hash_table_add (h->reservations, g_strdup (result.handle));
       count_prefill (h, x);
     }
   fx_result (&h->fx, x, &result);
@@ -262,7 +263,7 @@
   fx_event (&h->fx, x, next);
   g_hash_table_insert (h->next_event, key, GUINT_TO_POINTER (next + 1));
   if (!chance (h, h->faults / 30)) /* otherwise no events from now on */
-    later (h, 30 + (int64_t)draw (h, 40), FATE_EVENT, x->id);
+    schedule_action (h, 30 + (int64_t)draw (h, 40), ACTION_EVENT, x->id);
 }
 
 static void
@@ -275,34 +276,34 @@
   g_hash_table_insert (h->next_event, GUINT_TO_POINTER (x->id),
                        GUINT_TO_POINTER (next > 0 ? next : 1));
   fx_stream (&h->fx, x);
-  later (h, some_ms (h), FATE_EVENT, x->id);
+  schedule_action (h, some_ms (h), ACTION_EVENT, x->id);
 }
 
 static void
-exchange_due (struct history *h, enum fate fate, uint64_t number)
+run_exchange_action (struct history *h, enum action action, uint64_t number)
 {
   struct fx_exchange *x = find_open (h, number);
 
   if (x == NULL)
     return;
-  switch (fate)
+  switch (action)
     {
-    case FATE_REPLY:
+    case ACTION_REPLY:
       reply (h, x);
       return;
-    case FATE_HEAD:
+    case ACTION_HEAD:
       begin_stream (h, x);
       return;
-    case FATE_EVENT:
+    case ACTION_EVENT:
       send_event (h, x);
       return;
-    case FATE_REJECT:
+    case ACTION_REJECT:
       fx_not_run (&h->fx, x, 503);
       return;
-    case FATE_ERROR:
+    case ACTION_ERROR:
       fx_answer (&h->fx, x, 500, "error");
       return;
-    case FATE_CONNECT:
+    case ACTION_CONNECT:
       fx_broken (&h->fx, x, BERYL_FAILURE_CONNECT, false);
       return;
     default:
@@ -329,7 +330,7 @@
 }
 
 static void
-peer_tells (struct history *h)
+report_peer_runs (struct history *h)
 {
   struct beryl_engine_run runs[4];
   size_t count = draw (h, 5);
@@ -350,59 +351,60 @@
 }
 
 static void
-happen (struct history *h, const struct due *due)
+run_action (struct history *h, const struct scheduled *scheduled)
 {
-  switch (due->fate)
+  switch (scheduled->action)
     {
-    case FATE_ARRIVAL:
-      h->callers[due->number].arrived_ms = h->fx.now_ms;
-      fx_arrive (&h->fx, due->number);
+    case ACTION_ARRIVAL:
+      h->callers[scheduled->number].arrived_ms = h->fx.now_ms;
+      fx_arrive (&h->fx, scheduled->number);
       return;
-    case FATE_LEAVES:
-      h->callers[due->number].left = h->fx.answers[due->number].ends == 0;
-      beryl_forward_cancel (h->fx.forward, due->number, h->fx.now_ms);
+    case ACTION_DISCONNECT:
+      h->callers[scheduled->number].left
+          = h->fx.answers[scheduled->number].ends == 0;
+      beryl_forward_cancel (h->fx.forward, scheduled->number, h->fx.now_ms);
       return;
-    case FATE_CHANGE:
+    case ACTION_CHANGE:
       change_engine (h);
       return;
-    case FATE_PEER:
-      peer_tells (h);
+    case ACTION_PEER:
+      report_peer_runs (h);
       return;
     default:
-      exchange_due (h, due->fate, due->number);
+      run_exchange_action (h, scheduled->action, scheduled->number);
     }
 }
 
 /* Removes the earliest scheduled event; false if there is none up to
    END_MS. */
 static bool
-next_due (struct history *h, int64_t end_ms, struct due *due)
+next_scheduled (struct history *h, int64_t end_ms, struct scheduled *scheduled)
 {
   guint best = 0;
 
-  if (h->dues->len == 0)
+  if (h->schedule->len == 0)
     return false;
-  for (guint i = 1; i < h->dues->len; i++)
-    if (g_array_index (h->dues, struct due, i).at_ms
-        < g_array_index (h->dues, struct due, best).at_ms)
+  for (guint i = 1; i < h->schedule->len; i++)
+    if (g_array_index (h->schedule, struct scheduled, i).at_ms
+        < g_array_index (h->schedule, struct scheduled, best).at_ms)
       best = i;
-  *due = g_array_index (h->dues, struct due, best);
-  if (due->at_ms > end_ms)
+  *scheduled = g_array_index (h->schedule, struct scheduled, best);
+  if (scheduled->at_ms > end_ms)
     return false;
-  g_array_remove_index (h->dues, best);
+  g_array_remove_index (h->schedule, best);
   return true;
 }
 
 /* Ticks may schedule new events, so time advances one event at a time. */
 static void
-play (struct history *h, int64_t end_ms)
+run_until (struct history *h, int64_t end_ms)
 {
   while (h->fx.now_ms < end_ms)
     {
-      struct due due;
+      struct scheduled scheduled;
 
-      while (next_due (h, h->fx.now_ms, &due))
-        happen (h, &due);
+      while (next_scheduled (h, h->fx.now_ms, &scheduled))
+        run_action (h, &scheduled);
       fx_pass (&h->fx, 1);
     }
 }
@@ -494,7 +496,7 @@
 }
 
 static void
-play_history (uint64_t seed, bool once, bool fingerprints)
+run_history (uint64_t seed, bool once, bool fingerprints)
 {
   struct history *h = g_new0 (struct history, 1);
   struct fx_terms terms = fx_model_terms ();
@@ -515,9 +517,10 @@
   h->fx.started = exchange_started;
   if (fingerprints)
     h->fx.fingerprint = fingerprint;
-  h->dues = g_array_new (FALSE, FALSE, sizeof (struct due));
+  h->schedule = g_array_new (FALSE, FALSE, sizeof (struct scheduled));
   h->next_event = g_hash_table_new (NULL, NULL);
-  h->places = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  h->reservations
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   h->faults = (double)draw (h, 5) / 10;
   begin_ms = h->fx.now_ms;
   for (uint32_t i = 0; i < ENGINES; i++)
@@ -533,35 +536,36 @@
       int64_t after_ms = (int64_t)draw (h, 6000);
 
       h->callers[i].events = 1 + draw (h, 25);
-      later (h, after_ms, FATE_ARRIVAL, i);
+      schedule_action (h, after_ms, ACTION_ARRIVAL, i);
       if (chance (h, 0.1))
-        later (h, after_ms + 1 + (int64_t)draw (h, 1500), FATE_LEAVES, i);
+        schedule_action (h, after_ms + 1 + (int64_t)draw (h, 1500),
+                         ACTION_DISCONNECT, i);
     }
   for (uint32_t i = 0; i < 20; i++)
     {
-      later (h, (int64_t)draw (h, 6000), FATE_CHANGE, 0);
-      later (h, (int64_t)draw (h, 6000), FATE_PEER, 0);
+      schedule_action (h, (int64_t)draw (h, 6000), ACTION_CHANGE, 0);
+      schedule_action (h, (int64_t)draw (h, 6000), ACTION_PEER, 0);
     }
-  play (h, begin_ms + 6000 + TIMEOUT_MS + 1000);
+  run_until (h, begin_ms + 6000 + TIMEOUT_MS + 1000);
   check_all (h);
-  ck_assert_uint_eq (g_hash_table_size (h->places), 0);
+  ck_assert_uint_eq (g_hash_table_size (h->reservations), 0);
   g_hash_table_destroy (h->next_event);
-  g_hash_table_destroy (h->places);
-  g_array_free (h->dues, TRUE);
+  g_hash_table_destroy (h->reservations);
+  g_array_free (h->schedule, TRUE);
   fx_close (&h->fx);
   g_free (h);
 }
 
-START_TEST (test_resumable) { play_history ((uint64_t)_i, false, false); }
+START_TEST (test_resumable) { run_history ((uint64_t)_i, false, false); }
 END_TEST
 
-START_TEST (test_once) { play_history ((uint64_t)_i + 100000, true, false); }
+START_TEST (test_once) { run_history ((uint64_t)_i + 100000, true, false); }
 END_TEST
 
 /* Engines that crash during runs cause requests to be quarantined. */
 START_TEST (test_suspects)
 {
-  play_history ((uint64_t)_i + 200000, _i % 3 == 0, true);
+  run_history ((uint64_t)_i + 200000, _i % 3 == 0, true);
 }
 END_TEST
 
--- a/tests/forward/test_live.c
+++ b/tests/forward/test_live.c
@@ -18,7 +18,7 @@
 }
 
 /* Updates may arrive twice and out of order, from the store and from peers. */
-START_TEST (test_live_older_news)
+START_TEST (test_live_older_update)
 {
   struct beryl_lives *lives = beryl_lives_create (LEAVE_MS);
 
@@ -144,7 +144,7 @@
   Suite *suite = suite_create ("endpoints that live");
   TCase *tcase = tcase_create ("live");
 
-  tcase_add_test (tcase, test_live_older_news);
+  tcase_add_test (tcase, test_live_older_update);
   tcase_add_test (tcase, test_live_gone_with_work);
   tcase_add_test (tcase, test_live_lapses);
   tcase_add_test (tcase, test_live_lapsed_and_failed);
--- a/tests/forward/test_loans.c
+++ b/tests/forward/test_loans.c
@@ -46,7 +46,7 @@
 /* NODE requests a loan from another node, which answers at once; the answer is
    lost, delayed or duplicated. */
 static void
-ask (struct fleet *fleet, int node, int64_t now_ms)
+request_loan (struct fleet *fleet, int node, int64_t now_ms)
 {
   int lender = g_rand_int_range (fleet->random, 0, NODES);
   int64_t hears_ms = now_ms + g_rand_int_range (fleet->random, 0, 1500);
@@ -81,7 +81,7 @@
 /* Nodes spend repeats in bursts, and borrow from each other over a network
    that loses and delays messages. In no window may the fleet send more than
    the sum of all shares. */
-START_TEST (test_bound_holds)
+START_TEST (test_limit_holds)
 {
   struct fleet fleet = {
     .terms = { .slack = SLACK, .window_ms = WINDOW_MS, .nodes = NODES },
@@ -98,7 +98,7 @@
       if (g_rand_int_range (fleet.random, 0, 3) == 0)
         send_repeats (&fleet, busy, now_ms);
       if (g_rand_int_range (fleet.random, 0, 10) == 0)
-        ask (&fleet, busy, now_ms);
+        request_loan (&fleet, busy, now_ms);
     }
   ck_assert_uint_gt (fleet.sent_ms->len, 100);
   for (guint i = BOUND; i < fleet.sent_ms->len; i++)
@@ -282,7 +282,7 @@
   TCase *arithmetic = tcase_create ("arithmetic");
   TCase *tcase = tcase_create ("nodes");
 
-  tcase_add_loop_test (arithmetic, test_bound_holds, 0, 100);
+  tcase_add_loop_test (arithmetic, test_limit_holds, 0, 100);
   tcase_add_test (arithmetic, test_loan);
   tcase_add_test (arithmetic, test_late_loan);
   suite_add_tcase (suite, arithmetic);
--- a/tests/forward/test_near.c
+++ b/tests/forward/test_near.c
@@ -9,7 +9,7 @@
    and KV caches take twice as long to transfer. */
 
 #define ENGINES 30
-#define FAR_COST 15.0
+#define REMOTE_COST 15.0
 
 static struct beryl_live lives[ENGINES];
 
@@ -21,14 +21,15 @@
     strcpy (lives[i].info.data_centre, i % 3 == 0 ? "home" : "away");
 }
 
-/* Chooses among engines of which local ones cost NEAR and the others FAR. */
+/* Chooses among engines of which local ones cost LOCAL and the others REMOTE.
+ */
 static const struct beryl_live *
-chosen (double near, double far, uint64_t seed)
+chosen (double local, double remote, uint64_t seed)
 {
   struct sample sample = { 0 };
   struct sample_options terms = { .concurrent_choices = 2,
                                   .data_centre = "home",
-                                  .remote_cost = FAR_COST,
+                                  .remote_cost = REMOTE_COST,
                                   .random = &seed };
   double cost = 0;
   const struct beryl_live *live;
@@ -38,40 +39,41 @@
   for (size_t i = 0; i < sample_count (&sample); i++)
     sample.items[i].cost
         = strcmp (sample.items[i].endpoint->info.data_centre, "home") == 0
-              ? near
-              : far;
+              ? local
+              : remote;
   live = sample_choose (&sample, &terms, &cost);
-  ck_assert (live == NULL || cost == near || cost == far);
+  ck_assert (live == NULL || cost == local || cost == remote);
   return live;
 }
 
 static uint32_t
-chosen_at_home (double near, double far)
+chosen_is_local (double local, double remote)
 {
   uint32_t count = 0;
 
   for (uint64_t seed = 0; seed < 100; seed++)
-    count += strcmp (chosen (near, far, seed)->info.data_centre, "home") == 0;
+    count += strcmp (chosen (local, remote, seed)->info.data_centre, "home")
+             == 0;
   return count;
 }
 
-START_TEST (test_near_ones_first)
+START_TEST (test_local_engines_first)
 {
-  ck_assert_uint_eq (chosen_at_home (50, 50), 100);
-  ck_assert_uint_eq (chosen_at_home (50, 50 - FAR_COST + 1), 100);
+  ck_assert_uint_eq (chosen_is_local (50, 50), 100);
+  ck_assert_uint_eq (chosen_is_local (50, 50 - REMOTE_COST + 1), 100);
 }
 END_TEST
 
 /* Requests are not refused or delayed to avoid a remote engine. */
-START_TEST (test_far_ones_where_near_ones_are_full)
+START_TEST (test_remote_engines_if_local_are_full)
 {
-  ck_assert_uint_eq (chosen_at_home (80, 50), 0);
+  ck_assert_uint_eq (chosen_is_local (80, 50), 0);
 }
 END_TEST
 
 /* A data centre without engines, and a node that does not know its own data
    centre. */
-START_TEST (test_no_home)
+START_TEST (test_no_preferred_data_centre)
 {
   for (int i = 0; i < ENGINES; i++)
     strcpy (lives[i].info.data_centre, "away");
@@ -111,9 +113,9 @@
   TCase *tcase = tcase_create ("near");
 
   tcase_add_checked_fixture (tcase, setup, NULL);
-  tcase_add_test (tcase, test_near_ones_first);
-  tcase_add_test (tcase, test_far_ones_where_near_ones_are_full);
-  tcase_add_test (tcase, test_no_home);
+  tcase_add_test (tcase, test_local_engines_first);
+  tcase_add_test (tcase, test_remote_engines_if_local_are_full);
+  tcase_add_test (tcase, test_no_preferred_data_centre);
   tcase_add_test (tcase, test_load_spreads);
   tcase_add_test (tcase, test_nothing_to_choose);
   suite_add_tcase (suite, tcase);
--- a/tests/forward/test_news.c
+++ b/tests/forward/test_news.c
@@ -57,7 +57,7 @@
 
 /* Submits the next request at node N; returns its reservation call. */
 static struct fx_exchange *
-asks (int n)
+reserve_call (int n)
 {
   struct fx_exchange *x;
 
@@ -70,11 +70,11 @@
 /* Sends requests to node N until it asks ENGINE for a reservation; other
    engines grant theirs. */
 static struct fx_exchange *
-asks_for (int n, const char *engine)
+reserve_call_to (int n, const char *engine)
 {
   for (int i = 0; i < 200; i++)
     {
-      struct fx_exchange *x = asks (n);
+      struct fx_exchange *x = reserve_call (n);
 
       if (strcmp (x->endpoint, engine) == 0)
         return x;
@@ -92,7 +92,7 @@
 {
   for (int i = 0; i < 100; i++)
     {
-      struct fx_exchange *x = asks (n);
+      struct fx_exchange *x = reserve_call (n);
 
       if (strcmp (x->endpoint, engine) == 0)
         return true;
@@ -103,9 +103,10 @@
 
 /* Node N cannot connect to ENGINE. */
 static void
-fails_at (int n, const char *engine)
+fail_to_connect (int n, const char *engine)
 {
-  fx_broken (nodes[n], asks_for (n, engine), BERYL_FAILURE_CONNECT, false);
+  fx_broken (nodes[n], reserve_call_to (n, engine), BERYL_FAILURE_CONNECT,
+             false);
 }
 
 /* An engine crashed and restarted under a new id at the same address. Its old
@@ -120,7 +121,7 @@
 
   ck_assert (still_asks (0, "d3"));
   ck_assert (still_asks (1, "d3"));
-  fx_result (nodes[0], asks_for (0, "d3"), &misdirected);
+  fx_result (nodes[0], reserve_call_to (0, "d3"), &misdirected);
   ck_assert (!still_asks (0, "d3"));
   tell (0, 1);
   ck_assert (!still_asks (1, "d3"));
@@ -136,7 +137,7 @@
   struct beryl_engine_result misdirected
       = { .status = 421, .not_run = true, .misdirected = true };
 
-  fx_result (nodes[0], asks_for (0, "d3"), &misdirected);
+  fx_result (nodes[0], reserve_call_to (0, "d3"), &misdirected);
   fx_endpoint (nodes[0], "d3", BERYL_STAGE_DECODE);
   ck_assert (!still_asks (0, "d3"));
 }
@@ -145,13 +146,13 @@
 /* A fifth of the engines became unreachable, and a node with one request a
    second lost 150 ms to each of them by itself. Reports of two nodes that
    could not connect are trusted. */
-START_TEST (test_dark_engine)
+START_TEST (test_unreachable_engine)
 {
-  fails_at (0, "d3");
+  fail_to_connect (0, "d3");
   tell (0, 2);
   ck_assert (still_asks (2, "d3"));
   nodes[1]->now_ms = nodes[0]->now_ms;
-  fails_at (1, "d3");
+  fail_to_connect (1, "d3");
   tell (1, 2);
   ck_assert (!still_asks (2, "d3"));
   fx_pass (nodes[2], 3000);
@@ -160,9 +161,9 @@
 END_TEST
 
 /* Two reports of one node do not count: it may be cut off itself. */
-START_TEST (test_one_node_is_not_believed)
+START_TEST (test_single_report_is_ignored)
 {
-  fails_at (0, "d3");
+  fail_to_connect (0, "d3");
   tell (0, 2);
   tell (0, 2);
   ck_assert (still_asks (2, "d3"));
@@ -170,12 +171,12 @@
 END_TEST
 
 /* A recent answer to this node overrides reports of others. */
-START_TEST (test_own_answer_counts_more)
+START_TEST (test_own_answer_overrides_reports)
 {
   struct beryl_live *live;
 
-  fails_at (0, "d3");
-  fails_at (1, "d3");
+  fail_to_connect (0, "d3");
+  fail_to_connect (1, "d3");
   live = beryl_lives_find (nodes[2]->lives, "d3");
   beryl_live_learn (live, BERYL_LIVE_ANSWERED, 10, nodes[2]->now_ms);
   tell (0, 2);
@@ -186,7 +187,7 @@
 
 /* Two nodes are cut off from all engines. If the others trusted their reports,
    no request would be served any more. */
-START_TEST (test_cut_nodes_are_not_believed)
+START_TEST (test_isolated_nodes_are_ignored)
 {
   struct beryl_endpoint_news all = { 0 };
   char id[16];
@@ -200,7 +201,7 @@
                                        nodes[2]->now_ms);
   beryl_forward_peer_endpoint_reports (nodes[2]->forward, "node-1", &all,
                                        nodes[2]->now_ms);
-  asks (2);
+  reserve_call (2);
 }
 END_TEST
 
@@ -213,10 +214,10 @@
   tcase_add_checked_fixture (tcase, setup, teardown);
   tcase_add_test (tcase, test_replaced);
   tcase_add_test (tcase, test_late_entry_of_replaced);
-  tcase_add_test (tcase, test_dark_engine);
-  tcase_add_test (tcase, test_one_node_is_not_believed);
-  tcase_add_test (tcase, test_own_answer_counts_more);
-  tcase_add_test (tcase, test_cut_nodes_are_not_believed);
+  tcase_add_test (tcase, test_unreachable_engine);
+  tcase_add_test (tcase, test_single_report_is_ignored);
+  tcase_add_test (tcase, test_own_answer_overrides_reports);
+  tcase_add_test (tcase, test_isolated_nodes_are_ignored);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/forward/test_plain.c
+++ b/tests/forward/test_plain.c
@@ -63,7 +63,7 @@
 
 START_TEST (test_no_route)
 {
-  struct beryl_forward_request facts = fx_facts (&fx, 1);
+  struct beryl_forward_request facts = fx_request_params (&fx, 1);
 
   facts.host = "other.example";
   beryl_forward_submit (fx.forward, &facts, fx.now_ms);
@@ -330,14 +330,14 @@
 /* The caller's own deadline is earlier than the route's. */
 START_TEST (test_callers_deadline)
 {
-  struct beryl_forward_request facts = fx_facts (&fx, 1);
+  struct beryl_forward_request facts = fx_request_params (&fx, 1);
 
   facts.deadline_ms = fx.now_ms + 50;
   beryl_forward_submit (fx.forward, &facts, fx.now_ms);
   fx_pass (&fx, 60);
   ck_assert_uint_eq (answer (1)->ends, 1);
   ck_assert (run ()->aborted);
-  facts = fx_facts (&fx, 2);
+  facts = fx_request_params (&fx, 2);
   facts.deadline_ms = fx.now_ms;
   beryl_forward_submit (fx.forward, &facts, fx.now_ms);
   ck_assert_uint_eq (answer (2)->refusal.status, 503);
--- a/tests/forward/test_profile.c
+++ b/tests/forward/test_profile.c
@@ -15,7 +15,7 @@
 static struct fx_exchange *
 arrive (uint64_t number)
 {
-  struct beryl_forward_request facts = fx_facts (&fx, number);
+  struct beryl_forward_request facts = fx_request_params (&fx, number);
 
   facts.prompt_tokens = PROMPT;
   facts.output_tokens_hint = HINT;
@@ -113,7 +113,7 @@
 
 /* A node that has just started uses the others' paces in forecasts, and its
    own once it has enough. */
-START_TEST (test_paces_are_taken_over)
+START_TEST (test_new_node_uses_fleet_paces)
 {
   struct beryl_generation_profiles profiles = told (3000), own;
 
@@ -148,7 +148,7 @@
 
 /* PEER reports PREFILLS at PACE and as many streams at 1 ms per token. */
 static void
-peer_tells (const char *peer, uint32_t prefills, double pace)
+report_profile (const char *peer, uint32_t prefills, double pace)
 {
   struct beryl_generation_profiles profiles = told (LONG_PROMPT);
 
@@ -171,7 +171,7 @@
 static void
 generate (uint64_t number, int64_t call_ms, int64_t prefill_ms)
 {
-  struct beryl_forward_request facts = fx_facts (&fx, number);
+  struct beryl_forward_request facts = fx_request_params (&fx, number);
 
   facts.prompt_tokens = LONG_PROMPT;
   beryl_forward_submit (fx.forward, &facts, fx.now_ms);
@@ -192,9 +192,9 @@
       char peer[16];
 
       g_snprintf (peer, sizeof peer, "peer-%d", i);
-      peer_tells (peer, 8, ENGINE_PACE);
+      report_profile (peer, 8, ENGINE_PACE);
     }
-  peer_tells ("paused", 1, 5000.0 / LONG_PROMPT);
+  report_profile ("paused", 1, 5000.0 / LONG_PROMPT);
   check_pace (mix ().prefill_ms_per_token);
 }
 END_TEST
@@ -212,7 +212,7 @@
       pace_learn (&pace, LONG_PROMPT, i % 3 == 0 ? 700 : 60);
       pace_learn (&pace, LONG_PROMPT, i % 6 == 0 ? 900 : 60);
       g_snprintf (peer, sizeof peer, "peer-%d", i);
-      peer_tells (peer, pace.samples, pace.ms_per_token);
+      report_profile (peer, pace.samples, pace.ms_per_token);
     }
   check_pace (mix ().prefill_ms_per_token);
 }
@@ -229,14 +229,14 @@
 
 /* Guards against requests being refused until a node that was paused during
    its first prefill has seen many more. */
-START_TEST (test_late_prefill_refuses_nobody)
+START_TEST (test_late_prefill_refuses_no_request)
 {
   struct beryl_engine_run queue[10] = { 0 };
 
   terms.route.gap_objective_ms = 50;
   reopen ();
   engines (1, 3);
-  peer_tells ("peer", 8, ENGINE_PACE);
+  report_profile ("peer", 8, ENGINE_PACE);
   generate (1, 0, 5000);
   for (size_t i = 0; i < G_N_ELEMENTS (queue); i++)
     queue[i] = (struct beryl_engine_run){
@@ -275,7 +275,7 @@
       char peer[16];
 
       g_snprintf (peer, sizeof peer, "peer-%d", i);
-      peer_tells (peer, 8, ENGINE_PACE);
+      report_profile (peer, 8, ENGINE_PACE);
     }
   late.items[0].decode_ns_per_token = (uint32_t)(5000.0 / 350 * NS_PER_MS);
   beryl_forward_peer_profiles (fx.forward, "paused", &late);
@@ -324,11 +324,11 @@
       char peer[16];
 
       g_snprintf (peer, sizeof peer, "peer-%d", i);
-      peer_tells (peer, 8, ENGINE_PACE);
+      report_profile (peer, 8, ENGINE_PACE);
     }
   stream (1, 5000);
   d0 = beryl_lives_find (fx.lives, "d0");
-  tell_runs ("d0", 1);
+  report_runs ("d0", 1);
   used = beryl_forward_engine_used_tokens (fx.forward, FX_SERVICE, d0,
                                            fx.now_ms);
   fx.now_ms += 300;
@@ -347,12 +347,12 @@
   tcase_add_checked_fixture (tcase, model_setup, model_teardown);
   tcase_add_test (tcase, test_known_before_the_first_run_ends);
   tcase_add_test (tcase, test_each_of_many_nodes_sees_few);
-  tcase_add_test (tcase, test_paces_are_taken_over);
+  tcase_add_test (tcase, test_new_node_uses_fleet_paces);
   tcase_add_test (tcase, test_unknown_service);
   tcase_add_test (tcase, test_first_prefill_of_a_paused_node);
   tcase_add_test (tcase, test_late_prefills_in_a_large_fleet);
   tcase_add_test (tcase, test_links_of_50_ms);
-  tcase_add_test (tcase, test_late_prefill_refuses_nobody);
+  tcase_add_test (tcase, test_late_prefill_refuses_no_request);
   tcase_add_test (tcase, test_bad_seconds_are_forgotten);
   tcase_add_test (tcase, test_late_stream_of_one_node);
   tcase_add_test (tcase, test_pause_amid_a_stream);
--- a/tests/forward/test_prompts.c
+++ b/tests/forward/test_prompts.c
@@ -43,7 +43,7 @@
   fx_ok (&fx, open_of (1, BERYL_EXCHANGE_RESERVE), "place");
   x = open_of (1, BERYL_EXCHANGE_PREFILL);
   fx_result (&fx, x, &result);
-  ck_assert_int_eq (fx_live (&fx, x->endpoint)->info.stage,
+  ck_assert_int_eq (fx_find_endpoint (&fx, x->endpoint)->info.stage,
                     BERYL_STAGE_DECODE);
   fx_to_run (&fx, 1);
   ck_assert_str_ne (fx_last (&fx, BERYL_EXCHANGE_PREFILL)->endpoint,
@@ -87,7 +87,7 @@
 
 /* A broken stream needs two repeats, for another prefill and another run. With
    only one left the prompt must not be prefilled for nothing. */
-START_TEST (test_repeats_are_paid_first)
+START_TEST (test_repeats_are_taken_first)
 {
   terms.repeat_slack = 2; /* of which four fifths are used */
   terms.repeat_ratio = 0;
@@ -105,7 +105,7 @@
    announces that it leaves. If sent there two seconds later, the request would
    reach an engine that takes no new work, and be lost with it. The KV cache
    goes to another engine, without a second prefill. */
-START_TEST (test_engine_leaves_while_prompt_is_read)
+START_TEST (test_engine_leaves_during_prefill)
 {
   struct fx_exchange *place, *other;
 
@@ -127,7 +127,7 @@
 END_TEST
 
 /* The same with an engine that disappears without an announcement. */
-START_TEST (test_engine_goes_while_prompt_is_read)
+START_TEST (test_engine_disappears_during_prefill)
 {
   struct fx_exchange *place;
 
@@ -145,7 +145,7 @@
 /* Applies a peer's report that PREFILL has COUNT prompts of 1,000 tokens
    queued. */
 static void
-tell_queue (const char *prefill, size_t count)
+report_queue (const char *prefill, size_t count)
 {
   struct beryl_engine_run runs[64] = { 0 };
 
@@ -162,7 +162,7 @@
 /* Opens a system with one prefill engine, whose decode engines cannot prefill
    prompts themselves without stopping their streams for too long. */
 static void
-one_reader (void)
+open_one_prefill_engine (void)
 {
   terms.route.gap_objective_ms = 50;
   reopen ();
@@ -173,10 +173,10 @@
    once; the queue grew to three seconds, every answer began late, and memory
    stayed reserved meanwhile. A request whose prefill would start too late is
    refused on arrival, with the queue's duration as Retry-After. */
-START_TEST (test_queue_of_prompts_is_limited)
+START_TEST (test_prefill_queue_is_limited)
 {
-  one_reader ();
-  tell_queue ("p0", 60);
+  open_one_prefill_engine ();
+  report_queue ("p0", 60);
   fx_arrive (&fx, 1);
   ck_assert (answer (1)->refused);
   ck_assert_uint_eq (answer (1)->refusal.status, 503);
@@ -187,10 +187,10 @@
 }
 END_TEST
 
-START_TEST (test_short_queue_of_prompts)
+START_TEST (test_short_prefill_queue)
 {
-  one_reader ();
-  tell_queue ("p0", 20);
+  open_one_prefill_engine ();
+  report_queue ("p0", 20);
   fx_arrive (&fx, 1);
   fx_to_run (&fx, 1);
 }
@@ -202,14 +202,14 @@
 {
   struct beryl_forward_request late;
 
-  one_reader ();
-  tell_queue ("p0", 20);
-  late = fx_facts (&fx, 1);
+  open_one_prefill_engine ();
+  report_queue ("p0", 20);
+  late = fx_request_params (&fx, 1);
   late.arrived_ms = fx.now_ms - 2000;
   beryl_forward_submit (fx.forward, &late, fx.now_ms);
   ck_assert_uint_eq (fx_count (&fx, BERYL_EXCHANGE_RESERVE), 0);
   ck_assert_uint_eq (answer (1)->ends, 0);
-  tell_queue ("p0", 1);
+  report_queue ("p0", 1);
   fx_pass (&fx, 200);
   fx_to_run (&fx, 1);
 }
@@ -218,14 +218,14 @@
 /* A request that found all engines full is refused later because of the
    prefill queue. Its log must name both reasons, or the cause cannot be
    found. */
-START_TEST (test_each_reason_of_a_wait_is_told)
+START_TEST (test_each_wait_reason_is_logged)
 {
-  one_reader ();
+  open_one_prefill_engine ();
   fx_arrive (&fx, 1);
   for (int i = 0; i < 3; i++)
     fx_refused (&fx, open_of (1, BERYL_EXCHANGE_RESERVE));
   ck_assert_ptr_nonnull (strstr (fx.log->str, "wait:engines_refuse"));
-  tell_queue ("p0", 60);
+  report_queue ("p0", 60);
   fx_pass (&fx, 200);
   ck_assert (answer (1)->refused);
   ck_assert_ptr_nonnull (strstr (fx.log->str, "wait:prefill_behind"));
@@ -234,11 +234,11 @@
 
 /* The queue grows while a reservation is requested. The reservation is
    released at once, since the request could not use it in time. */
-START_TEST (test_queue_grows_while_room_is_asked_for)
+START_TEST (test_queue_grows_during_reservation)
 {
-  one_reader ();
+  open_one_prefill_engine ();
   fx_arrive (&fx, 1);
-  tell_queue ("p0", 60);
+  report_queue ("p0", 60);
   fx_ok (&fx, open_of (1, BERYL_EXCHANGE_RESERVE), "place");
   ck_assert (answer (1)->refused);
   ck_assert (answer (1)->refusal.not_run);
@@ -273,7 +273,7 @@
 static struct fx_exchange *
 arrive_with_prompt (uint64_t request, uint32_t prompt_key)
 {
-  struct beryl_forward_request facts = fx_facts (&fx, request);
+  struct beryl_forward_request facts = fx_request_params (&fx, request);
 
   facts.prompt_key = prompt_key;
   beryl_forward_submit (fx.forward, &facts, fx.now_ms);
@@ -303,7 +303,7 @@
 END_TEST
 
 /* A prompt that ran long ago has been evicted from the cache. */
-START_TEST (test_warm_engine_cools)
+START_TEST (test_prompt_is_evicted)
 {
   struct beryl_engine_run run = told_run ("d1", 77);
 
@@ -317,7 +317,7 @@
 /* A caller resumes in the middle of an answer. The engine has the prompt
    cached but not the output, which it prefills for one request at a time,
    since its other streams stop meanwhile. */
-START_TEST (test_warm_engine_reads_one_at_a_time)
+START_TEST (test_warm_engine_prefills_one_at_a_time)
 {
   struct beryl_engine_run runs[2]
       = { told_run ("d1", 77), told_run ("d1", 78) };
@@ -326,7 +326,7 @@
   beryl_forward_peer_runs (fx.forward, "peer", runs, 2, fx.now_ms);
   for (uint64_t i = 1; i <= 2; i++)
     {
-      facts = fx_facts (&fx, i);
+      facts = fx_request_params (&fx, i);
       facts.prompt_key = (uint32_t)(76 + i);
       facts.resumes = true;
       facts.last_event_id = 5;
@@ -350,18 +350,18 @@
   tcase_add_test (tcase, test_stage_is_learned_by_prefill);
   tcase_add_test (tcase, test_lost_prefill_counts);
   tcase_add_test (tcase, test_unsent_prefill_is_free);
-  tcase_add_test (tcase, test_repeats_are_paid_first);
-  tcase_add_test (tcase, test_engine_leaves_while_prompt_is_read);
-  tcase_add_test (tcase, test_engine_goes_while_prompt_is_read);
-  tcase_add_test (tcase, test_queue_of_prompts_is_limited);
-  tcase_add_test (tcase, test_short_queue_of_prompts);
+  tcase_add_test (tcase, test_repeats_are_taken_first);
+  tcase_add_test (tcase, test_engine_leaves_during_prefill);
+  tcase_add_test (tcase, test_engine_disappears_during_prefill);
+  tcase_add_test (tcase, test_prefill_queue_is_limited);
+  tcase_add_test (tcase, test_short_prefill_queue);
   tcase_add_test (tcase, test_late_request_waits_for_a_short_queue);
-  tcase_add_test (tcase, test_each_reason_of_a_wait_is_told);
-  tcase_add_test (tcase, test_queue_grows_while_room_is_asked_for);
+  tcase_add_test (tcase, test_each_wait_reason_is_logged);
+  tcase_add_test (tcase, test_queue_grows_during_reservation);
   tcase_add_test (tcase, test_no_prefill_engine);
   tcase_add_test (tcase, test_warm_engine);
-  tcase_add_test (tcase, test_warm_engine_cools);
-  tcase_add_test (tcase, test_warm_engine_reads_one_at_a_time);
+  tcase_add_test (tcase, test_prompt_is_evicted);
+  tcase_add_test (tcase, test_warm_engine_prefills_one_at_a_time);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/forward/test_rates.c
+++ b/tests/forward/test_rates.c
@@ -16,8 +16,8 @@
 
 /* ENDPOINT has stated a limit in answers of KIND. */
 static void
-name_limit (const char *endpoint, enum beryl_exchange_kind kind,
-            uint32_t number)
+state_limit (const char *endpoint, enum beryl_exchange_kind kind,
+             uint32_t number)
 {
   struct beryl_rate_limit limit = per_s (number);
 
@@ -74,8 +74,8 @@
    a Retry-After. */
 START_TEST (test_all_limited)
 {
-  name_limit ("a", BERYL_EXCHANGE_RUN, 1);
-  name_limit ("b", BERYL_EXCHANGE_RUN, 1);
+  state_limit ("a", BERYL_EXCHANGE_RUN, 1);
+  state_limit ("b", BERYL_EXCHANGE_RUN, 1);
   fx_arrive (&fx, 1);
   ck_assert (answer (1)->refused);
   ck_assert (answer (1)->refusal.not_run);
@@ -99,8 +99,8 @@
                        .sent = 1 } },
           .count = 1 };
 
-  name_limit ("a", BERYL_EXCHANGE_RUN, 1);
-  name_limit ("b", BERYL_EXCHANGE_RUN, 1);
+  state_limit ("a", BERYL_EXCHANGE_RUN, 1);
+  state_limit ("b", BERYL_EXCHANGE_RUN, 1);
   fx_pass (&fx, 1100);
   for (int i = 0; i < 5; i++)
     {
@@ -117,11 +117,11 @@
 END_TEST
 
 /* Guards against a node that no peer's reports reach using the whole limit. */
-START_TEST (test_nodes_that_cannot_be_heard)
+START_TEST (test_unreachable_nodes)
 {
   beryl_forward_set_node_count (fx.forward, 10);
-  name_limit ("a", BERYL_EXCHANGE_RUN, 1);
-  name_limit ("b", BERYL_EXCHANGE_RUN, 1);
+  state_limit ("a", BERYL_EXCHANGE_RUN, 1);
+  state_limit ("b", BERYL_EXCHANGE_RUN, 1);
   fx_pass (&fx, 5000);
   fx_arrive (&fx, 1);
   ck_assert (answer (1)->refused);
@@ -135,8 +135,8 @@
    engines prefill prompts and their streams stop. */
 START_TEST (test_limited_prefill_engines)
 {
-  name_limit ("p0", BERYL_EXCHANGE_PREFILL, 1);
-  name_limit ("p1", BERYL_EXCHANGE_PREFILL, 1);
+  state_limit ("p0", BERYL_EXCHANGE_PREFILL, 1);
+  state_limit ("p1", BERYL_EXCHANGE_PREFILL, 1);
   fx_arrive (&fx, 1);
   fx_ok (&fx, open_of (1, BERYL_EXCHANGE_RESERVE), "h");
   ck_assert_uint_eq (fx_count (&fx, BERYL_EXCHANGE_PREFILL), 0);
@@ -148,7 +148,7 @@
    memory for. */
 START_TEST (test_limited_decode_engine)
 {
-  name_limit ("d0", BERYL_EXCHANGE_RUN, 1);
+  state_limit ("d0", BERYL_EXCHANGE_RUN, 1);
   for (uint64_t i = 1; i <= 6; i++)
     {
       fx_arrive (&fx, i);
@@ -169,7 +169,7 @@
   tcase_add_test (plain, test_next_request);
   tcase_add_test (plain, test_all_limited);
   tcase_add_test (plain, test_sends_of_peers);
-  tcase_add_test (plain, test_nodes_that_cannot_be_heard);
+  tcase_add_test (plain, test_unreachable_nodes);
   suite_add_tcase (suite, plain);
   tcase_add_checked_fixture (model, model_setup, model_teardown);
   tcase_add_test (model, test_limited_prefill_engines);
--- a/tests/forward/test_restart.c
+++ b/tests/forward/test_restart.c
@@ -106,7 +106,7 @@
       fx.forward, 77, beryl_live_number (beryl_lives_find (fx.lives, "d")),
       fx.now_ms);
   start ("d", BERYL_STAGE_DECODE, 200);
-  struct beryl_forward_request facts = fx_facts (&fx, 1);
+  struct beryl_forward_request facts = fx_request_params (&fx, 1);
   facts.prompt_key = 77;
   beryl_forward_submit (fx.forward, &facts, fx.now_ms);
   fx_ok (&fx, open_of (1, BERYL_EXCHANGE_RESERVE), "place");
@@ -134,7 +134,7 @@
 /* An entry of the former incarnation is written late, after that of the new
    one. If applied, it would invalidate everything that the new incarnation has
    granted. */
-START_TEST (test_late_entry_of_former_life)
+START_TEST (test_late_entry_of_former_incarnation)
 {
   const struct beryl_live *live = start ("d", BERYL_STAGE_DECODE, 200);
 
@@ -150,7 +150,7 @@
 
 /* An endpoint's clock may have been set back before it restarted: its start
    time is smaller then, but it is still the new incarnation. */
-START_TEST (test_born_is_no_order)
+START_TEST (test_start_time_is_no_order)
 {
   const struct beryl_live *live = start ("d", BERYL_STAGE_DECODE, 50);
 
@@ -162,7 +162,7 @@
 
 /* A peer's proof that the former incarnation has ended must not end the new
    one. */
-START_TEST (test_late_news_of_former_life)
+START_TEST (test_late_report_of_former_incarnation)
 {
   struct beryl_endpoint_news news = { 0 };
   const struct beryl_live *live = beryl_lives_find (fx.lives, "d");
@@ -189,7 +189,7 @@
 END_TEST
 
 /* Endpoints whose entries state no start time are identified by their id. */
-START_TEST (test_birth_not_told)
+START_TEST (test_no_start_time)
 {
   const struct beryl_live *live = start ("d", BERYL_STAGE_DECODE, 0);
 
@@ -212,11 +212,11 @@
   tcase_add_test (tcase, test_peers_runs_are_void);
   tcase_add_test (tcase, test_prompts_are_void);
   tcase_add_test (tcase, test_history_is_void);
-  tcase_add_test (tcase, test_late_entry_of_former_life);
-  tcase_add_test (tcase, test_born_is_no_order);
-  tcase_add_test (tcase, test_late_news_of_former_life);
+  tcase_add_test (tcase, test_late_entry_of_former_incarnation);
+  tcase_add_test (tcase, test_start_time_is_no_order);
+  tcase_add_test (tcase, test_late_report_of_former_incarnation);
   tcase_add_test (tcase, test_rejected_entry);
-  tcase_add_test (tcase, test_birth_not_told);
+  tcase_add_test (tcase, test_no_start_time);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/forward/test_streams.c
+++ b/tests/forward/test_streams.c
@@ -130,7 +130,7 @@
 
   fx_arrive (&fx, 1);
   run = fx_to_stream (&fx, 1, 2);
-  tell_runs (run->endpoint, 4);
+  report_runs (run->endpoint, 4);
   move = move_asked (1);
   ck_assert_str_eq (move->endpoint, run->endpoint);
   ck_assert_str_ne (move->target, run->endpoint);
@@ -157,7 +157,7 @@
 
   fx_arrive (&fx, 1);
   run = fx_to_stream (&fx, 1, 2);
-  tell_runs (run->endpoint, 4);
+  report_runs (run->endpoint, 4);
   move = move_asked (1);
   fx_broken (&fx, run, BERYL_FAILURE_CLOSED, true);
   ck_assert_ptr_null (fx_open_of (&fx, 1, BERYL_EXCHANGE_RUN));
@@ -176,7 +176,7 @@
 
   fx_arrive (&fx, 1);
   run = fx_to_stream (&fx, 1, 2);
-  tell_runs (run->endpoint, 4);
+  report_runs (run->endpoint, 4);
   move = move_asked (1);
   fx_result (&fx, move, &no_room);
   fx_broken (&fx, run, BERYL_FAILURE_CLOSED, true);
@@ -199,7 +199,7 @@
   engines (2, 3);
   fx_arrive (&fx, 1);
   run = fx_to_stream (&fx, 1, 2);
-  tell_runs (run->endpoint, 4);
+  report_runs (run->endpoint, 4);
   move = move_asked (1);
   fx_ok (&fx, move, "moved");
   fx_broken (&fx, run, BERYL_FAILURE_CLOSED, true);
@@ -274,9 +274,9 @@
 
   fx_arrive (&fx, 1);
   run = fx_to_stream (&fx, 1, 2);
-  tell_runs (run->endpoint, 3);
+  report_runs (run->endpoint, 3);
   fx_pass (&fx, 200);
-  tell_runs (run->endpoint, 3);
+  report_runs (run->endpoint, 3);
   fx_result (&fx, open_of (1, BERYL_EXCHANGE_MOVE), &not_found);
   return run;
 }
@@ -428,7 +428,7 @@
 
 START_TEST (test_deadline_ends_stream)
 {
-  struct beryl_forward_request facts = fx_facts (&fx, 1);
+  struct beryl_forward_request facts = fx_request_params (&fx, 1);
   struct fx_exchange *run;
 
   facts.deadline_ms = fx.now_ms + 400;
