--- a/tests/forward/test_crashes.c
+++ b/tests/forward/test_crashes.c
@@ -5,7 +5,8 @@
 #include "fixture.h"
 #include "model.h"
 
-/* Requests from this number on ask the same, which crashes engines. */
+/* Requests from this number on have the same content, which crashes
+   engines. */
 #define CULPRIT 1000
 #define SEEDS 30
 
@@ -22,20 +23,20 @@
   fx.fingerprint = fingerprint;
 }
 
-/* The endpoint of X ends under it, and connections are refused. */
+/* The endpoint of X crashes during X and refuses connections. */
 static void
 crash (struct fx_exchange *x)
 {
   struct fx_exchange *dial;
 
-  fx_broken (&fx, x, BERYL_BREAK_CLOSED, true);
+  fx_broken (&fx, x, BERYL_FAILURE_CLOSED, true);
   dial = open_of (0, BERYL_EXCHANGE_DIAL);
   ck_assert_str_eq (dial->endpoint, x->endpoint);
-  fx_broken (&fx, dial, BERYL_BREAK_CONNECT, false);
+  fx_broken (&fx, dial, BERYL_FAILURE_CONNECT, false);
 }
 
-/* The culprit arrives as REQUEST and runs until it is refused; returns how
- * many engines it has crashed. */
+/* Submits the culprit as REQUEST and lets it run until it is refused; returns
+   how many engines it has crashed. */
 static uint32_t
 crash_engines (uint64_t request)
 {
@@ -75,7 +76,8 @@
     }
 }
 
-/* A request that has crashed three engines is sent to a fourth. */
+/* Guards against a request that has crashed three engines being sent to a
+   fourth. */
 START_TEST (test_fourth_engine)
 {
   uint32_t runs;
@@ -97,7 +99,8 @@
 }
 END_TEST
 
-/* One that has run is told "not run" when it is quarantined. */
+/* Guards against a request that has run being answered "not run" when it is
+   quarantined. */
 START_TEST (test_not_run_is_true)
 {
   more_engines (4);
@@ -108,14 +111,15 @@
 }
 END_TEST
 
-/* One that was let in before goes on to an engine afterwards. */
+/* Guards against a request that was accepted before the quarantine being sent
+   to an engine afterwards. */
 START_TEST (test_open_requests)
 {
   struct beryl_quarantine_news news
       = { .quarantined = { { CULPRIT, 100 } }, .quarantined_count = 1 };
 
-  fx_arrive (&fx, CULPRIT);     /* asks for room */
-  fx_arrive (&fx, CULPRIT + 1); /* has its prompt read */
+  fx_arrive (&fx, CULPRIT);     /* asks for a reservation */
+  fx_arrive (&fx, CULPRIT + 1); /* its prompt is prefilled */
   fx_ok (&fx, open_of (CULPRIT + 1, BERYL_EXCHANGE_RESERVE), "h");
   open_of (CULPRIT + 1, BERYL_EXCHANGE_PREFILL);
   fx_arrive (&fx, 1);
@@ -132,16 +136,17 @@
 }
 END_TEST
 
-/* A connection breaks, its engine lives: that counts as a crash. */
-START_TEST (test_engine_lives)
+/* Guards against a broken connection to a live engine being counted as a
+   crash. */
+START_TEST (test_broken_connection_is_no_crash)
 {
   more_engines (8);
   for (uint64_t i = 0; i < 4; i++)
     {
       fx_arrive (&fx, CULPRIT + i);
-      fx_broken (&fx, fx_to_run (&fx, CULPRIT + i), BERYL_BREAK_RESET, true);
+      fx_broken (&fx, fx_to_run (&fx, CULPRIT + i), BERYL_FAILURE_RESET, true);
       fx_ok (&fx, open_of (0, BERYL_EXCHANGE_DIAL), "");
-      beryl_forward_caller_gone (fx.forward, CULPRIT + i, fx.now_ms);
+      beryl_forward_cancel (fx.forward, CULPRIT + i, fx.now_ms);
       fx_pass (&fx, 100);
     }
   ck_assert_uint_eq (
@@ -149,9 +154,9 @@
 }
 END_TEST
 
-/* What broke off together goes on to the same engine together, and all of it
- * looks like the cause again. */
-START_TEST (test_neighbours_part)
+/* Guards against requests that were interrupted together being sent to one
+   engine together, where all of them look like the cause again. */
+START_TEST (test_interrupted_requests_are_separated)
 {
   struct fx_exchange *runs[3], *asked[3];
 
@@ -166,7 +171,7 @@
     }
   more_engines (6);
   for (int i = 0; i < 3; i++)
-    fx_broken (&fx, runs[i], BERYL_BREAK_CLOSED, true);
+    fx_broken (&fx, runs[i], BERYL_FAILURE_CLOSED, true);
   for (uint64_t i = 0; i < 3; i++)
     asked[i] = open_of (i + 1, BERYL_EXCHANGE_RESERVE);
   for (int i = 0; i < 3; i++)
@@ -177,7 +182,8 @@
 }
 END_TEST
 
-/* A request is sent to the engine where a peer tries a suspect. */
+/* Guards against a request being sent to an engine where a peer runs a
+   suspect. */
 START_TEST (test_suspect_of_peer)
 {
   struct beryl_engine_run run = { .engine = beryl_engine_number ("d0"),
@@ -195,12 +201,13 @@
     {
       fx_arrive (&fx, i);
       ck_assert_str_ne (open_of (i, BERYL_EXCHANGE_RESERVE)->endpoint, "d0");
-      beryl_forward_caller_gone (fx.forward, i, fx.now_ms);
+      beryl_forward_cancel (fx.forward, i, fx.now_ms);
     }
 }
 END_TEST
 
-/* All engines but one run suspects, and requests wait although it has room. */
+/* Guards against requests that wait although engines have free memory, because
+   all engines run suspects. */
 START_TEST (test_only_engines_with_suspects)
 {
   struct beryl_engine_run runs[3] = { 0 };
@@ -222,8 +229,8 @@
 }
 END_TEST
 
-/* A request that ran beside the culprit at two engines that crashed is refused
- * with it. */
+/* Guards against the refusal of a request that ran beside the culprit at two
+   engines that crashed. */
 START_TEST (test_neighbour_is_served)
 {
   struct fx_exchange *culprit, *neighbour;
@@ -243,7 +250,7 @@
       ck_assert_str_eq (culprit->endpoint, engine);
       fx_remove (&fx, engine);
       more_engines (i == 0 ? 1 : 3);
-      fx_broken (&fx, neighbour, BERYL_BREAK_CLOSED, true);
+      fx_broken (&fx, neighbour, BERYL_FAILURE_CLOSED, true);
       crash (culprit);
       fx_pass (&fx, 50);
     }
@@ -271,8 +278,9 @@
   tcase_add_test (tcase, test_fourth_engine);
   tcase_add_test (tcase, test_not_run_is_true);
   tcase_add_test (tcase, test_open_requests);
-  tcase_add_test (tcase, test_engine_lives);
-  tcase_add_loop_test (tcase, test_neighbours_part, 0, SEEDS);
+  tcase_add_test (tcase, test_broken_connection_is_no_crash);
+  tcase_add_loop_test (tcase, test_interrupted_requests_are_separated, 0,
+                       SEEDS);
   tcase_add_test (tcase, test_suspect_of_peer);
   tcase_add_test (tcase, test_only_engines_with_suspects);
   tcase_add_test (tcase, test_neighbour_is_served);
--- a/tests/forward/test_generation.c
+++ b/tests/forward/test_generation.c
@@ -4,8 +4,8 @@
 #include "../suite.h"
 #include "model.h"
 
-/* Memory is reserved before the prompt is read: engine time spent on a prompt
- * whose KV cache finds no room is lost. */
+/* Memory is reserved before the prompt is prefilled: engine time spent on a
+   prompt whose KV cache finds no memory is lost. */
 START_TEST (test_order)
 {
   struct fx_exchange *x;
@@ -28,7 +28,7 @@
   ck_assert_str_eq (answer (1)->body->str,
                     "id: 1\ndata: e1\n\nid: 2\ndata: e2\n\n");
   ck_assert_uint_eq (fx_count_open (&fx), 0);
-  ck_assert_uint_eq (fx_live (&fx, x->endpoint)->open, 0);
+  ck_assert_uint_eq (fx_find_endpoint (&fx, x->endpoint)->open, 0);
 }
 END_TEST
 
@@ -45,9 +45,9 @@
 }
 END_TEST
 
-/* No engine has room for longer than the request could wait.  Its caller gets
- * a refusal that it can act on, well before its own deadline, and nothing of
- * the request was sent to run. */
+/* No engine has free memory for longer than the request can wait. Its caller
+   gets a refusal with a Retry-After well before its own deadline, and nothing
+   of the request was sent to run. */
 START_TEST (test_no_room)
 {
   fx_arrive (&fx, 1);
@@ -68,7 +68,7 @@
 END_TEST
 
 /* An engine appears while requests wait for one: they ask it at once, not at
- * the end of their round. */
+   the end of their round. */
 START_TEST (test_new_engine_is_asked)
 {
   fx_close (&fx);
@@ -82,15 +82,15 @@
 }
 END_TEST
 
-/* The caller leaves at each step of the way.  What it held at engines is given
- * back, or it would stay taken until its lease ends. */
+/* The caller disconnects at each step. What the request holds at engines is
+   released; otherwise it would stay taken until its lease ends. */
 START_TEST (test_caller_leaves_while_reserving)
 {
   struct fx_exchange *x;
 
   fx_arrive (&fx, 1);
   x = open_of (1, BERYL_EXCHANGE_RESERVE);
-  beryl_forward_caller_gone (fx.forward, 1, fx.now_ms);
+  beryl_forward_cancel (fx.forward, 1, fx.now_ms);
   ck_assert (x->open);
   fx_ok (&fx, x, "late");
   ck_assert_str_eq (open_of (0, BERYL_EXCHANGE_UNRESERVE)->handle, "late");
@@ -102,7 +102,7 @@
 {
   fx_arrive (&fx, 1);
   fx_ok (&fx, open_of (1, BERYL_EXCHANGE_RESERVE), "place");
-  beryl_forward_caller_gone (fx.forward, 1, fx.now_ms);
+  beryl_forward_cancel (fx.forward, 1, fx.now_ms);
   ck_assert (fx_last (&fx, BERYL_EXCHANGE_PREFILL)->aborted);
   ck_assert_str_eq (open_of (0, BERYL_EXCHANGE_UNRESERVE)->handle, "place");
 }
@@ -114,14 +114,14 @@
 
   fx_arrive (&fx, 1);
   run = fx_to_stream (&fx, 1, 2);
-  beryl_forward_caller_gone (fx.forward, 1, fx.now_ms);
+  beryl_forward_cancel (fx.forward, 1, fx.now_ms);
   ck_assert (run->aborted);
   ck_assert_uint_eq (fx_count_open (&fx), 0);
 }
 END_TEST
 
-/* An engine that changed its stage says so.  The list of endpoints may tell
- * only later, or never while this node is cut off from it. */
+/* An engine that changed its stage reports so. The endpoint list may show it
+   only later, or never while this node is cut off from it. */
 START_TEST (test_stage_is_learned)
 {
   struct beryl_answer_head head
@@ -130,21 +130,21 @@
 
   fx_arrive (&fx, 1);
   run = fx_to_run (&fx, 1);
-  beryl_forward_head (fx.forward, run->id, &head, fx.now_ms);
-  ck_assert_int_eq (fx_live (&fx, run->endpoint)->info.stage,
+  beryl_forward_answer_head (fx.forward, run->id, &head, fx.now_ms);
+  ck_assert_int_eq (fx_find_endpoint (&fx, run->endpoint)->info.stage,
                     BERYL_STAGE_PREFILL);
 }
 END_TEST
 
-/* The deadline comes while a run is open that has not answered: it may be at
- * work, and "not run" cannot be said. */
+/* The deadline passes while a run is open that has not answered: it may be in
+   progress, so "not run" must not be claimed. */
 START_TEST (test_not_run_is_true)
 {
-  struct beryl_forward_request facts = fx_facts (&fx, 1);
+  struct beryl_forward_request facts = fx_request_params (&fx, 1);
   struct fx_exchange *run;
 
   facts.deadline_ms = fx.now_ms + 1000;
-  beryl_forward_arrived (fx.forward, &facts, fx.now_ms);
+  beryl_forward_submit (fx.forward, &facts, fx.now_ms);
   run = fx_to_run (&fx, 1);
   fx_pass (&fx, 1100);
   ck_assert (run->aborted);
@@ -154,11 +154,11 @@
 }
 END_TEST
 
-/* What other nodes run fills engines too; a run goes where there is room for
- * all of it. */
-START_TEST (test_peers_runs_count)
+/* Runs of other nodes use engine memory too; a run goes to an engine that has
+   memory for all of it. */
+START_TEST (test_peer_runs_count)
 {
-  tell_runs ("d0", 4);
+  report_runs ("d0", 4);
   for (uint64_t i = 1; i <= 4; i++)
     {
       fx_arrive (&fx, i);
@@ -168,8 +168,8 @@
 }
 END_TEST
 
-/* A node that cannot hear the others cannot foresee what they will use; it
- * reserves all that a run may need. */
+/* An isolated node cannot forecast the memory that other nodes will use; it
+   reserves all that a run may need. */
 START_TEST (test_isolated)
 {
   beryl_forward_set_isolated (fx.forward, true);
@@ -178,9 +178,9 @@
 }
 END_TEST
 
-/* An engine refuses although no known run explains it: something unknown uses
- * its memory, and it is not asked first for some time. */
-START_TEST (test_hidden_use)
+/* An engine refuses although no known run explains it: unknown runs use its
+   memory, and it is not asked first for some time. */
+START_TEST (test_unknown_runs)
 {
   char first[BERYL_NAME_BYTES];
 
@@ -198,14 +198,15 @@
 END_TEST
 
 /* An engine that was ordered to another stage gets no new work, although the
- * list does not show it yet. */
+   list does not show the change yet. */
 START_TEST (test_changing_engine)
 {
   struct beryl_endpoint_news news = { 0 };
 
   beryl_endpoint_set_add (&news.changing, beryl_engine_number ("d0"));
   beryl_endpoint_set_add (&news.changing, beryl_engine_number ("d1"));
-  beryl_forward_peer_news (fx.forward, "planner", &news, fx.now_ms);
+  beryl_forward_peer_endpoint_reports (fx.forward, "planner", &news,
+                                       fx.now_ms);
   for (uint64_t i = 1; i <= 5; i++)
     {
       fx_arrive (&fx, i);
@@ -251,9 +252,9 @@
   tcase_add_test (tcase, test_caller_leaves_while_streaming);
   tcase_add_test (tcase, test_stage_is_learned);
   tcase_add_test (tcase, test_not_run_is_true);
-  tcase_add_test (tcase, test_peers_runs_count);
+  tcase_add_test (tcase, test_peer_runs_count);
   tcase_add_test (tcase, test_isolated);
-  tcase_add_test (tcase, test_hidden_use);
+  tcase_add_test (tcase, test_unknown_runs);
   tcase_add_test (tcase, test_changing_engine);
   tcase_add_test (tcase, test_runs_are_told);
   suite_add_tcase (suite, tcase);
--- a/tests/forward/test_loans.c
+++ b/tests/forward/test_loans.c
@@ -5,16 +5,16 @@
 #include "../suite.h"
 #include "fixture.h"
 
-/* Repeats that nodes lend each other, and the fleet's bound on them. */
+/* Loans of repeats between nodes, and the fleet's limit on repeats. */
 
 #define WINDOW_MS 10000
 #define SLACK 20
 #define NODES 8
-/* What the nodes may send together: 0.8 of the slack, parted into whole
- * numbers. */
+/* Repeats that all nodes may send together: 0.8 of the slack, rounded down per
+   node. */
 #define BOUND 16
 
-/* A loan on its way. */
+/* A loan that is in transit. */
 struct message
 {
   int borrower;
@@ -26,7 +26,7 @@
 struct fleet
 {
   struct repeat_budget budgets[NODES];
-  struct repeat_terms terms;
+  struct repeat_limits terms;
   GArray *messages;
   GArray *sent_ms;
   GRand *random;
@@ -43,10 +43,10 @@
   g_array_append_val (fleet->sent_ms, now_ms);
 }
 
-/* NODE asks another one, which answers at once; the answer is lost, late, or
- * twice there. */
+/* NODE requests a loan from another node, which answers at once; the answer is
+   lost, delayed or duplicated. */
 static void
-ask (struct fleet *fleet, int node, int64_t now_ms)
+request_loan (struct fleet *fleet, int node, int64_t now_ms)
 {
   int lender = g_rand_int_range (fleet->random, 0, NODES);
   int64_t hears_ms = now_ms + g_rand_int_range (fleet->random, 0, 1500);
@@ -78,10 +78,10 @@
     }
 }
 
-/* Nodes spend in bursts, now these, now those, and borrow from each other over
- * a network that loses and delays.  In no window may the fleet send more than
- * all parts together. */
-START_TEST (test_bound_holds)
+/* Nodes spend repeats in bursts, and borrow from each other over a network
+   that loses and delays messages. In no window may the fleet send more than
+   the sum of all shares. */
+START_TEST (test_limit_holds)
 {
   struct fleet fleet = {
     .terms = { .slack = SLACK, .window_ms = WINDOW_MS, .nodes = NODES },
@@ -98,7 +98,7 @@
       if (g_rand_int_range (fleet.random, 0, 3) == 0)
         send_repeats (&fleet, busy, now_ms);
       if (g_rand_int_range (fleet.random, 0, 10) == 0)
-        ask (&fleet, busy, now_ms);
+        request_loan (&fleet, busy, now_ms);
     }
   ck_assert_uint_gt (fleet.sent_ms->len, 100);
   for (guint i = BOUND; i < fleet.sent_ms->len; i++)
@@ -111,12 +111,12 @@
 }
 END_TEST
 
-/* What was borrowed is used first, lapses, and is not counted as the node's
- * own; what was lent comes back after the window. */
+/* Borrowed repeats are used first, expire, and do not count as the node's own;
+   lent ones are available again after the window. */
 START_TEST (test_loan)
 {
   struct repeat_budget lender = { 0 }, borrower = { 0 };
-  struct repeat_terms terms
+  struct repeat_limits terms
       = { .slack = 20, .window_ms = WINDOW_MS, .nodes = 2 };
 
   ck_assert_uint_eq (repeat_budget_lend (&lender, &terms, 3, 1000), 3);
@@ -135,11 +135,11 @@
 }
 END_TEST
 
-/* A loan that comes when its time is over is not used. */
+/* A loan that arrives after its expiry is not used. */
 START_TEST (test_late_loan)
 {
   struct repeat_budget borrower = { 0 };
-  struct repeat_terms terms = { .window_ms = WINDOW_MS, .nodes = 2 };
+  struct repeat_limits terms = { .window_ms = WINDOW_MS, .nodes = 2 };
 
   repeat_budget_borrow (&borrower, 3, 1000, 1000 + REPEAT_LOAN_MS);
   ck_assert_uint_eq (
@@ -150,7 +150,7 @@
 static struct fx *nodes[2];
 static uint64_t requests;
 
-/* So many that the failures are not all at one. */
+/* Enough engines that not all failures are at one. */
 static void
 add_prefill_engines (struct fx *fx)
 {
@@ -175,7 +175,7 @@
     {
       nodes[n] = g_new0 (struct fx, 1);
       fx_open_seeded (nodes[n], &terms, (uint64_t)n + 1);
-      beryl_forward_set_nodes (nodes[n]->forward, 4);
+      beryl_forward_set_node_count (nodes[n]->forward, 4);
       add_prefill_engines (nodes[n]);
       fx_endpoint (nodes[n], "d0", BERYL_STAGE_DECODE);
       fx_endpoint (nodes[n], "d1", BERYL_STAGE_DECODE);
@@ -207,8 +207,8 @@
                                 nodes[to]->now_ms);
 }
 
-/* Sends node 0 a request whose first prefill's answer is lost; true if it was
- * sent again, false if it was refused for want of repeats. */
+/* Sends node 0 a request whose first prefill's answer is lost; returns whether
+   it was sent again, or false if it was refused for lack of repeats. */
 static bool
 is_repeated (void)
 {
@@ -219,19 +219,19 @@
   fx_ok (nodes[0], fx_last (nodes[0], BERYL_EXCHANGE_RESERVE), "place");
   x = fx_open_of (nodes[0], number, BERYL_EXCHANGE_PREFILL);
   ck_assert_ptr_nonnull (x);
-  fx_broken (nodes[0], x, BERYL_BREAK_RESET, true);
+  fx_broken (nodes[0], x, BERYL_FAILURE_RESET, true);
   x = fx_open_of (nodes[0], number, BERYL_EXCHANGE_RESERVE);
   if (x != NULL)
     fx_ok (nodes[0], x, "place");
   if (nodes[0]->answers[number].ends > 0)
     return false;
-  beryl_forward_caller_gone (nodes[0]->forward, number, nodes[0]->now_ms);
+  beryl_forward_cancel (nodes[0]->forward, number, nodes[0]->now_ms);
   return true;
 }
 
-/* Story: runners lost some of their answers for a few seconds.  Nodes that had
- * three such requests had used up their part of the repeats and refused the
- * next ones, while the other nodes' parts lay unused. */
+/* Engines lost some of their answers for a few seconds. Nodes with three such
+   requests had used up their share of the repeats and refused the next ones,
+   while the other nodes' shares were unused. */
 START_TEST (test_node_borrows)
 {
   int repeated = 0;
@@ -248,8 +248,8 @@
 }
 END_TEST
 
-/* An answer that comes twice, or to a question that was given up, lends
- * nothing more. */
+/* An answer that arrives twice, or answers a request that was abandoned, lends
+   nothing more. */
 START_TEST (test_answer_counts_once)
 {
   struct beryl_repeat_transfers asks, loans, none = { 0 };
@@ -282,7 +282,7 @@
   TCase *arithmetic = tcase_create ("arithmetic");
   TCase *tcase = tcase_create ("nodes");
 
-  tcase_add_loop_test (arithmetic, test_bound_holds, 0, 100);
+  tcase_add_loop_test (arithmetic, test_limit_holds, 0, 100);
   tcase_add_test (arithmetic, test_loan);
   tcase_add_test (arithmetic, test_late_loan);
   suite_add_tcase (suite, arithmetic);
--- a/tests/forward/test_near.c
+++ b/tests/forward/test_near.c
@@ -4,12 +4,12 @@
 #include "../suite.h"
 #include "../../libberyl/forward/sample.h"
 
-/* Which engine is chosen where data centres differ.  The pattern: seventy
- * nodes and a hundred engines in three data centres; bytes between these are
- * paid for and KV caches take twice as long. */
+/* Choice of engines in different data centres. Modelled on seventy nodes and a
+   hundred engines in three data centres, where traffic between them is charged
+   and KV caches take twice as long to transfer. */
 
 #define ENGINES 30
-#define FAR_COST 15.0
+#define REMOTE_COST 15.0
 
 static struct beryl_live lives[ENGINES];
 
@@ -21,14 +21,16 @@
     strcpy (lives[i].info.data_centre, i % 3 == 0 ? "home" : "away");
 }
 
-/* Chooses where engines at home cost NEAR and the others FAR. */
+/* Chooses among engines of which local ones cost LOCAL and the others REMOTE.
+ */
 static const struct beryl_live *
-chosen (double near, double far, uint64_t seed)
+chosen (double local, double remote, uint64_t seed)
 {
   struct sample sample = { 0 };
-  struct sample_terms terms = {
-    .at_once = 2, .home = "home", .far_cost = FAR_COST, .random = &seed
-  };
+  struct sample_options terms = { .concurrent_choices = 2,
+                                  .data_centre = "home",
+                                  .remote_cost = REMOTE_COST,
+                                  .random = &seed };
   double cost = 0;
   const struct beryl_live *live;
 
@@ -36,39 +38,42 @@
     sample_add (&sample, &lives[i], &seed);
   for (size_t i = 0; i < sample_count (&sample); i++)
     sample.items[i].cost
-        = strcmp (sample.items[i].live->info.data_centre, "home") == 0 ? near
-                                                                       : far;
-  live = sample_best (&sample, &terms, &cost);
-  ck_assert (live == NULL || cost == near || cost == far);
+        = strcmp (sample.items[i].endpoint->info.data_centre, "home") == 0
+              ? local
+              : remote;
+  live = sample_choose (&sample, &terms, &cost);
+  ck_assert (live == NULL || cost == local || cost == remote);
   return live;
 }
 
 static uint32_t
-chosen_at_home (double near, double far)
+chosen_is_local (double local, double remote)
 {
   uint32_t count = 0;
 
   for (uint64_t seed = 0; seed < 100; seed++)
-    count += strcmp (chosen (near, far, seed)->info.data_centre, "home") == 0;
+    count += strcmp (chosen (local, remote, seed)->info.data_centre, "home")
+             == 0;
   return count;
 }
 
-START_TEST (test_near_ones_first)
+START_TEST (test_local_engines_first)
 {
-  ck_assert_uint_eq (chosen_at_home (50, 50), 100);
-  ck_assert_uint_eq (chosen_at_home (50, 50 - FAR_COST + 1), 100);
+  ck_assert_uint_eq (chosen_is_local (50, 50), 100);
+  ck_assert_uint_eq (chosen_is_local (50, 50 - REMOTE_COST + 1), 100);
 }
 END_TEST
 
-/* Nobody is refused, or served later, for the sake of distance. */
-START_TEST (test_far_ones_where_near_ones_are_full)
+/* Requests are not refused or delayed to avoid a remote engine. */
+START_TEST (test_remote_engines_if_local_are_full)
 {
-  ck_assert_uint_eq (chosen_at_home (80, 50), 0);
+  ck_assert_uint_eq (chosen_is_local (80, 50), 0);
 }
 END_TEST
 
-/* A data centre without engines, and a node that does not know its own. */
-START_TEST (test_no_home)
+/* A data centre without engines, and a node that does not know its own data
+   centre. */
+START_TEST (test_no_preferred_data_centre)
 {
   for (int i = 0; i < ENGINES; i++)
     strcpy (lives[i].info.data_centre, "away");
@@ -79,7 +84,7 @@
 }
 END_TEST
 
-/* With few engines near, the load there still spreads over all of them. */
+/* With few local engines the load there still spreads over all of them. */
 START_TEST (test_load_spreads)
 {
   bool seen[ENGINES] = { false };
@@ -94,10 +99,10 @@
 START_TEST (test_nothing_to_choose)
 {
   struct sample sample = { 0 };
-  struct sample_terms terms = { .home = "home" };
+  struct sample_options terms = { .data_centre = "home" };
   double cost;
 
-  ck_assert_ptr_null (sample_best (&sample, &terms, &cost));
+  ck_assert_ptr_null (sample_choose (&sample, &terms, &cost));
 }
 END_TEST
 
@@ -108,9 +113,9 @@
   TCase *tcase = tcase_create ("near");
 
   tcase_add_checked_fixture (tcase, setup, NULL);
-  tcase_add_test (tcase, test_near_ones_first);
-  tcase_add_test (tcase, test_far_ones_where_near_ones_are_full);
-  tcase_add_test (tcase, test_no_home);
+  tcase_add_test (tcase, test_local_engines_first);
+  tcase_add_test (tcase, test_remote_engines_if_local_are_full);
+  tcase_add_test (tcase, test_no_preferred_data_centre);
   tcase_add_test (tcase, test_load_spreads);
   tcase_add_test (tcase, test_nothing_to_choose);
   suite_add_tcase (suite, tcase);
--- a/tests/forward/test_news.c
+++ b/tests/forward/test_news.c
@@ -4,7 +4,7 @@
 #include "../suite.h"
 #include "fixture.h"
 
-/* Nodes that tell each other what they found out about endpoints. */
+/* Reports of endpoint states between nodes. */
 
 #define NODES 3
 #define ENGINES 8
@@ -49,13 +49,15 @@
   char name[16];
 
   g_snprintf (name, sizeof name, "node-%d", from);
-  beryl_forward_news (nodes[from]->forward, &news, nodes[from]->now_ms);
-  beryl_forward_peer_news (nodes[to]->forward, name, &news, nodes[to]->now_ms);
+  beryl_forward_endpoint_reports (nodes[from]->forward, &news,
+                                  nodes[from]->now_ms);
+  beryl_forward_peer_endpoint_reports (nodes[to]->forward, name, &news,
+                                       nodes[to]->now_ms);
 }
 
-/* Node N's next request; returns its question for room. */
+/* Submits the next request at node N; returns its reservation call. */
 static struct fx_exchange *
-asks (int n)
+reserve_call (int n)
 {
   struct fx_exchange *x;
 
@@ -65,14 +67,14 @@
   return x;
 }
 
-/* Sends requests to node N until it asks ENGINE for room; the others get
- * theirs. */
+/* Sends requests to node N until it asks ENGINE for a reservation; other
+   engines grant theirs. */
 static struct fx_exchange *
-asks_for (int n, const char *engine)
+reserve_call_to (int n, const char *engine)
 {
   for (int i = 0; i < 200; i++)
     {
-      struct fx_exchange *x = asks (n);
+      struct fx_exchange *x = reserve_call (n);
 
       if (strcmp (x->endpoint, engine) == 0)
         return x;
@@ -83,35 +85,35 @@
   return NULL;
 }
 
-/* Whether node N asks ENGINE in one of many rounds within a few
- * milliseconds. */
+/* Returns whether node N asks ENGINE in any of many rounds within a few
+   milliseconds. */
 static bool
 still_asks (int n, const char *engine)
 {
   for (int i = 0; i < 100; i++)
     {
-      struct fx_exchange *x = asks (n);
+      struct fx_exchange *x = reserve_call (n);
 
       if (strcmp (x->endpoint, engine) == 0)
         return true;
-      beryl_forward_caller_gone (nodes[n]->forward, requests,
-                                 nodes[n]->now_ms);
+      beryl_forward_cancel (nodes[n]->forward, requests, nodes[n]->now_ms);
     }
   return false;
 }
 
 /* Node N cannot connect to ENGINE. */
 static void
-fails_at (int n, const char *engine)
+fail_to_connect (int n, const char *engine)
 {
-  fx_broken (nodes[n], asks_for (n, engine), BERYL_BREAK_CONNECT, false);
+  fx_broken (nodes[n], reserve_call_to (n, engine), BERYL_FAILURE_CONNECT,
+             false);
 }
 
-/* Story: an engine crashed and was back under a new id at the same address.
- * Its old entry stayed listed for three seconds, and each of 64 nodes sent
- * requests there until it had been told itself that it met another process:
- * each cost one of the few repeats, and callers were refused for want of
- * them.  One such answer proves the old engine's end to all nodes. */
+/* An engine crashed and restarted under a new id at the same address. Its old
+   entry stayed listed for three seconds, and each of 64 nodes sent requests
+   there until its own call met the other process: each cost one of the few
+   repeats, and requests were refused for lack of them. A single such answer
+   proves the old engine's end to all nodes. */
 START_TEST (test_replaced)
 {
   struct beryl_engine_result misdirected
@@ -119,7 +121,7 @@
 
   ck_assert (still_asks (0, "d3"));
   ck_assert (still_asks (1, "d3"));
-  fx_result (nodes[0], asks_for (0, "d3"), &misdirected);
+  fx_result (nodes[0], reserve_call_to (0, "d3"), &misdirected);
   ck_assert (!still_asks (0, "d3"));
   tell (0, 1);
   ck_assert (!still_asks (1, "d3"));
@@ -128,29 +130,29 @@
 }
 END_TEST
 
-/* Entries of ended engines may be written once more by a beat that was on its
- * way.  The proof goes before that. */
+/* A delayed heartbeat may write the entry of an ended engine once more. The
+   proof overrides it. */
 START_TEST (test_late_entry_of_replaced)
 {
   struct beryl_engine_result misdirected
       = { .status = 421, .not_run = true, .misdirected = true };
 
-  fx_result (nodes[0], asks_for (0, "d3"), &misdirected);
+  fx_result (nodes[0], reserve_call_to (0, "d3"), &misdirected);
   fx_endpoint (nodes[0], "d3", BERYL_STAGE_DECODE);
   ck_assert (!still_asks (0, "d3"));
 }
 END_TEST
 
-/* Story: a fifth of the engines went dark.  A node with one request a second
- * lost 150 ms to each of them on its own.  Two nodes that could not connect
- * are believed. */
-START_TEST (test_dark_engine)
+/* A fifth of the engines became unreachable, and a node with one request a
+   second lost 150 ms to each of them by itself. Reports of two nodes that
+   could not connect are trusted. */
+START_TEST (test_unreachable_engine)
 {
-  fails_at (0, "d3");
+  fail_to_connect (0, "d3");
   tell (0, 2);
   ck_assert (still_asks (2, "d3"));
   nodes[1]->now_ms = nodes[0]->now_ms;
-  fails_at (1, "d3");
+  fail_to_connect (1, "d3");
   tell (1, 2);
   ck_assert (!still_asks (2, "d3"));
   fx_pass (nodes[2], 3000);
@@ -158,23 +160,23 @@
 }
 END_TEST
 
-/* One node that says so twice may only be cut off itself. */
-START_TEST (test_one_node_is_not_believed)
+/* Two reports of one node do not count: it may be cut off itself. */
+START_TEST (test_single_report_is_ignored)
 {
-  fails_at (0, "d3");
+  fail_to_connect (0, "d3");
   tell (0, 2);
   tell (0, 2);
   ck_assert (still_asks (2, "d3"));
 }
 END_TEST
 
-/* What this node has seen a moment ago goes before what others say. */
-START_TEST (test_own_answer_counts_more)
+/* A recent answer to this node overrides reports of others. */
+START_TEST (test_own_answer_overrides_reports)
 {
   struct beryl_live *live;
 
-  fails_at (0, "d3");
-  fails_at (1, "d3");
+  fail_to_connect (0, "d3");
+  fail_to_connect (1, "d3");
   live = beryl_lives_find (nodes[2]->lives, "d3");
   beryl_live_learn (live, BERYL_LIVE_ANSWERED, 10, nodes[2]->now_ms);
   tell (0, 2);
@@ -183,9 +185,9 @@
 }
 END_TEST
 
-/* Two nodes are cut off from all engines.  If the others believed them, nobody
- * would be served any more. */
-START_TEST (test_cut_nodes_are_not_believed)
+/* Two nodes are cut off from all engines. If the others trusted their reports,
+   no request would be served any more. */
+START_TEST (test_isolated_nodes_are_ignored)
 {
   struct beryl_endpoint_news all = { 0 };
   char id[16];
@@ -195,11 +197,11 @@
       g_snprintf (id, sizeof id, "d%d", i);
       beryl_endpoint_set_add (&all.unreachable, beryl_engine_number (id));
     }
-  beryl_forward_peer_news (nodes[2]->forward, "node-0", &all,
-                           nodes[2]->now_ms);
-  beryl_forward_peer_news (nodes[2]->forward, "node-1", &all,
-                           nodes[2]->now_ms);
-  asks (2);
+  beryl_forward_peer_endpoint_reports (nodes[2]->forward, "node-0", &all,
+                                       nodes[2]->now_ms);
+  beryl_forward_peer_endpoint_reports (nodes[2]->forward, "node-1", &all,
+                                       nodes[2]->now_ms);
+  reserve_call (2);
 }
 END_TEST
 
@@ -212,10 +214,10 @@
   tcase_add_checked_fixture (tcase, setup, teardown);
   tcase_add_test (tcase, test_replaced);
   tcase_add_test (tcase, test_late_entry_of_replaced);
-  tcase_add_test (tcase, test_dark_engine);
-  tcase_add_test (tcase, test_one_node_is_not_believed);
-  tcase_add_test (tcase, test_own_answer_counts_more);
-  tcase_add_test (tcase, test_cut_nodes_are_not_believed);
+  tcase_add_test (tcase, test_unreachable_engine);
+  tcase_add_test (tcase, test_single_report_is_ignored);
+  tcase_add_test (tcase, test_own_answer_overrides_reports);
+  tcase_add_test (tcase, test_isolated_nodes_are_ignored);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/forward/test_plain.c
+++ b/tests/forward/test_plain.c
@@ -56,23 +56,23 @@
   fx_answer (&fx, run (), 200, "body");
   ck_assert (answer (1)->whole);
   ck_assert_str_eq (answer (1)->body->str, "body");
-  ck_assert_uint_eq (beryl_forward_open (fx.forward), 0);
+  ck_assert_uint_eq (beryl_forward_open_count (fx.forward), 0);
   ck_assert_uint_eq (fx_count_open (&fx), 0);
 }
 END_TEST
 
 START_TEST (test_no_route)
 {
-  struct beryl_forward_request facts = fx_facts (&fx, 1);
+  struct beryl_forward_request facts = fx_request_params (&fx, 1);
 
   facts.host = "other.example";
-  beryl_forward_arrived (fx.forward, &facts, fx.now_ms);
+  beryl_forward_submit (fx.forward, &facts, fx.now_ms);
   ck_assert_uint_eq (answer (1)->refusal.status, 404);
 }
 END_TEST
 
-/* Nobody serves it: the caller learns so at once, with a time to come back,
- * instead of waiting for its own deadline. */
+/* No endpoint serves it: the caller is told at once, with a Retry-After,
+   instead of waiting for its own deadline. */
 START_TEST (test_no_endpoint)
 {
   fx_remove (&fx, "a");
@@ -85,15 +85,15 @@
 }
 END_TEST
 
-/* The endpoint cannot be connected to: no byte was sent, so that even a
- * request that may run only once goes to another one. */
+/* The endpoint refuses the connection: no byte was sent, so even a request
+   that may run only once goes to another one. */
 START_TEST (test_once_without_connection)
 {
   char first[BERYL_NAME_BYTES];
 
   fx_arrive (&fx, 1);
   g_strlcpy (first, run ()->endpoint, sizeof first);
-  fx_broken (&fx, run (), BERYL_BREAK_CONNECT, false);
+  fx_broken (&fx, run (), BERYL_FAILURE_CONNECT, false);
   ck_assert_uint_eq (fx_count (&fx, BERYL_EXCHANGE_RUN), 2);
   ck_assert_str_ne (run ()->endpoint, first);
   fx_answer (&fx, run (), 200, "x");
@@ -101,22 +101,22 @@
 }
 END_TEST
 
-/* The endpoint dies with the request in hand.  It may have run; for a request
- * that may run only once nothing is left to do, and "not run" would be a
- * lie. */
+/* The endpoint dies while it has the request. The request may have run; one
+   that may run only once cannot be sent again, and "not run" would be
+   false. */
 START_TEST (test_once_dies)
 {
   fx_arrive (&fx, 1);
-  fx_broken (&fx, run (), BERYL_BREAK_RESET, true);
+  fx_broken (&fx, run (), BERYL_FAILURE_RESET, true);
   ck_assert_uint_eq (fx_count (&fx, BERYL_EXCHANGE_RUN), 1);
   ck_assert_uint_eq (answer (1)->refusal.status, 502);
   ck_assert (!answer (1)->refusal.not_run);
 }
 END_TEST
 
-/* The endpoint takes a request that may run only once and is silent.  It must
- * not be sent again, and its caller is told at its deadline without the claim
- * that it has not run. */
+/* The endpoint accepts a request that may run only once and does not answer.
+   It must not be sent again, and at its deadline the answer must not claim
+   that it has not run. */
 START_TEST (test_once_silent)
 {
   fx_arrive (&fx, 1);
@@ -128,8 +128,8 @@
 }
 END_TEST
 
-/* The endpoint says that it did not run it: going on elsewhere runs it for
- * the first time. */
+/* The endpoint states that it did not run the request: another endpoint runs
+   it for the first time. */
 START_TEST (test_once_rejected)
 {
   fx_arrive (&fx, 1);
@@ -160,22 +160,22 @@
 }
 END_TEST
 
-/* An answer breaks off in its middle.  What had come was kept back, so that
- * the caller sees only the whole answer of another endpoint. */
+/* An answer breaks off in the middle. The part received is buffered, so the
+   caller sees only the complete answer of another endpoint. */
 START_TEST (test_cut_answer_is_repeated)
 {
   fx_arrive (&fx, 1);
   fx_head (&fx, run (), 200);
   fx_data (&fx, run (), "half");
-  fx_broken (&fx, run (), BERYL_BREAK_RESET, true);
+  fx_broken (&fx, run (), BERYL_FAILURE_RESET, true);
   ck_assert (!answer (1)->begun);
   fx_answer (&fx, run (), 200, "whole");
   ck_assert_str_eq (answer (1)->body->str, "whole");
 }
 END_TEST
 
-/* A long answer that was begun breaks off: it must end as incomplete, not be
- * followed by another one. */
+/* A long answer that has begun breaks off: it must end as incomplete, not be
+   followed by another one. */
 START_TEST (test_long_answer_is_cut)
 {
   char *block = g_strnfill (70000, 'x');
@@ -184,15 +184,15 @@
   fx_head (&fx, run (), 200);
   fx_data (&fx, run (), block);
   ck_assert (answer (1)->begun);
-  fx_broken (&fx, run (), BERYL_BREAK_RESET, true);
+  fx_broken (&fx, run (), BERYL_FAILURE_RESET, true);
   ck_assert (answer (1)->cut);
   ck_assert_uint_eq (fx_count (&fx, BERYL_EXCHANGE_RUN), 1);
   g_free (block);
 }
 END_TEST
 
-/* An endpoint has frozen.  After the usual time of an answer another one is
- * asked, and whichever answers first is taken; the other is cut off. */
+/* An endpoint has frozen. After the usual time of an answer another one is
+   tried; the first answer is used and the other send is aborted. */
 START_TEST (test_silent_endpoint)
 {
   struct fx_exchange *first;
@@ -209,8 +209,8 @@
 }
 END_TEST
 
-/* Of two sends one fails with an error; the other may still bring a good
- * answer. */
+/* One of two concurrent sends fails with an error; the other may still produce
+   a good answer. */
 START_TEST (test_error_of_one_of_two)
 {
   struct fx_exchange *first;
@@ -225,8 +225,8 @@
 }
 END_TEST
 
-/* All endpoints are slow at once.  Repeats would double their load; the
- * budget of the whole fleet bounds them. */
+/* All endpoints are slow at once. Repeats would double their load; the fleet's
+   budget limits them. */
 START_TEST (test_repeats_are_bounded)
 {
   terms.repeat_slack = 5;
@@ -247,15 +247,15 @@
 }
 END_TEST
 
-/* The same with ten nodes: each has its own requests' share, and a tenth of
- * what all may do beyond. */
+/* With ten nodes each has the share of its own requests, and a tenth of the
+   slack. */
 START_TEST (test_slack_is_shared)
 {
   terms.repeat_slack = 50;
   terms.repeat_ratio = 0;
   fx_close (&fx);
   fx_open (&fx, &terms);
-  beryl_forward_set_nodes (fx.forward, 10);
+  beryl_forward_set_node_count (fx.forward, 10);
   fx_endpoint (&fx, "a", BERYL_STAGE_NONE);
   fx_endpoint (&fx, "b", BERYL_STAGE_NONE);
   for (uint64_t i = 1; i <= 50; i++)
@@ -265,9 +265,8 @@
 }
 END_TEST
 
-/* One endpoint answers errors while it says that it is healthy.  It gets a
- * small part of the work, and it is asked again so that its recovery is
- * seen. */
+/* An endpoint answers with errors while it reports itself healthy. It gets a
+   small part of the requests, and trials detect its recovery. */
 START_TEST (test_failing_endpoint_is_avoided)
 {
   uint32_t at_failing = 0;
@@ -292,8 +291,8 @@
 }
 END_TEST
 
-/* All endpoints fail.  The last ones are still asked: avoiding everything
- * would turn a fault that passes into a lasting one. */
+/* All endpoints fail. The last ones are still used: avoiding all of them would
+   turn a temporary fault into a lasting one. */
 START_TEST (test_all_avoided_still_serve)
 {
   for (uint64_t i = 1; i <= 20; i++)
@@ -301,7 +300,7 @@
       fx_arrive (&fx, i);
       while (fx_open_of (&fx, i, BERYL_EXCHANGE_RUN) != NULL)
         fx_broken (&fx, fx_open_of (&fx, i, BERYL_EXCHANGE_RUN),
-                   BERYL_BREAK_RESET, true);
+                   BERYL_FAILURE_RESET, true);
     }
   fx_arrive (&fx, 21);
   ck_assert_ptr_nonnull (fx_open_of (&fx, 21, BERYL_EXCHANGE_RUN));
@@ -311,43 +310,43 @@
 START_TEST (test_caller_gone)
 {
   fx_arrive (&fx, 1);
-  beryl_forward_caller_gone (fx.forward, 1, fx.now_ms);
+  beryl_forward_cancel (fx.forward, 1, fx.now_ms);
   ck_assert (run ()->aborted);
   ck_assert_uint_eq (answer (1)->ends, 0);
-  ck_assert_uint_eq (beryl_forward_open (fx.forward), 0);
+  ck_assert_uint_eq (beryl_forward_open_count (fx.forward), 0);
 }
 END_TEST
 
 START_TEST (test_slow_caller)
 {
   fx_arrive (&fx, 1);
-  beryl_forward_caller_slow (fx.forward, 1, true);
+  beryl_forward_set_caller_paused (fx.forward, 1, true);
   ck_assert (run ()->paused);
-  beryl_forward_caller_slow (fx.forward, 1, false);
+  beryl_forward_set_caller_paused (fx.forward, 1, false);
   ck_assert (!run ()->paused);
 }
 END_TEST
 
-/* The caller's own deadline is nearer than the route's. */
+/* The caller's own deadline is earlier than the route's. */
 START_TEST (test_callers_deadline)
 {
-  struct beryl_forward_request facts = fx_facts (&fx, 1);
+  struct beryl_forward_request facts = fx_request_params (&fx, 1);
 
   facts.deadline_ms = fx.now_ms + 50;
-  beryl_forward_arrived (fx.forward, &facts, fx.now_ms);
+  beryl_forward_submit (fx.forward, &facts, fx.now_ms);
   fx_pass (&fx, 60);
   ck_assert_uint_eq (answer (1)->ends, 1);
   ck_assert (run ()->aborted);
-  facts = fx_facts (&fx, 2);
+  facts = fx_request_params (&fx, 2);
   facts.deadline_ms = fx.now_ms;
-  beryl_forward_arrived (fx.forward, &facts, fx.now_ms);
+  beryl_forward_submit (fx.forward, &facts, fx.now_ms);
   ck_assert_uint_eq (answer (2)->refusal.status, 503);
   ck_assert (answer (2)->refusal.not_run);
 }
 END_TEST
 
-/* A planned stop: what cannot end before the process does is refused as not
- * run while another node can still serve it. */
+/* During a planned stop, a request that cannot end before the process does is
+   refused as not run while another node can still serve it. */
 START_TEST (test_stop)
 {
   fx_arrive (&fx, 1);
@@ -363,8 +362,8 @@
 }
 END_TEST
 
-/* A configuration comes while a request is under way: it keeps the one it
- * began with. */
+/* A configuration arrives while a request is open: the request keeps the one
+   it began with. */
 START_TEST (test_configuration_changes)
 {
   struct beryl_routes *empty = beryl_routes_create (2);
@@ -373,7 +372,7 @@
   beryl_routes_freeze (empty);
   beryl_forward_set_routes (fx.forward, empty);
   beryl_routes_unref (empty);
-  fx_broken (&fx, run (), BERYL_BREAK_CONNECT, false);
+  fx_broken (&fx, run (), BERYL_FAILURE_CONNECT, false);
   fx_answer (&fx, run (), 200, "x");
   ck_assert (answer (1)->whole);
   fx_arrive (&fx, 2);
--- a/tests/forward/test_profile.c
+++ b/tests/forward/test_profile.c
@@ -5,8 +5,8 @@
 #include "../suite.h"
 #include "model.h"
 
-/* What nodes learn of generations, and how soon: engines are ordered from one
- * pool to the other by it. */
+/* What nodes learn of generations, and how soon: the planner assigns engines
+   to the pools by it. */
 
 #define EVENT_MS 40
 #define HINT 200
@@ -15,12 +15,12 @@
 static struct fx_exchange *
 arrive (uint64_t number)
 {
-  struct beryl_forward_request facts = fx_facts (&fx, number);
+  struct beryl_forward_request facts = fx_request_params (&fx, number);
 
   facts.prompt_tokens = PROMPT;
   facts.output_tokens_hint = HINT;
   facts.output_tokens_max = 4 * HINT;
-  beryl_forward_arrived (fx.forward, &facts, fx.now_ms);
+  beryl_forward_submit (fx.forward, &facts, fx.now_ms);
   fx_ok (&fx, open_of (number, BERYL_EXCHANGE_RESERVE), "place");
   fx_pass (&fx, 100);
   fx_ok (&fx, open_of (number, BERYL_EXCHANGE_PREFILL), "kv");
@@ -30,14 +30,14 @@
 static struct beryl_generation_mix
 mix (void)
 {
-  return beryl_forward_mix (fx.forward, FX_SERVICE);
+  return beryl_forward_generation_mix (fx.forward, FX_SERVICE);
 }
 
-/* Story: runs last four seconds.  Ten seconds after the first caller mostly
- * short ones have ended, and an assumed length still counted for half: the
- * planner took outputs for three times as long as they were and moved engines
- * away from prefill, where prompts then queued for half a second.  Sizes are
- * known when requests arrive, and the pace after a few events. */
+/* With runs of four seconds, mostly short ones had ended ten seconds after the
+   first request, and the assumed length still counted for half: the planner
+   took outputs to be three times as long as they were and moved engines away
+   from prefill, where prompts then queued for half a second. Sizes are known
+   when requests arrive, and the pace after a few events. */
 START_TEST (test_known_before_the_first_run_ends)
 {
   struct fx_exchange *x[8];
@@ -80,9 +80,9 @@
   };
 }
 
-/* Story: seventy nodes share forty requests a second, and the lease holder
- * knew the engines' speed only after fifteen seconds, half of them at a peak.
- * Each node tells its few, and together they are enough. */
+/* With forty requests a second over seventy nodes, the lease holder knew the
+   engines' speed only after fifteen seconds, half of them at a peak. The few
+   observations of each node are enough together. */
 START_TEST (test_each_of_many_nodes_sees_few)
 {
   for (int i = 0; i < 10; i++)
@@ -92,7 +92,7 @@
 
       g_snprintf (peer, sizeof peer, "peer-%d", i);
       beryl_forward_peer_profiles (fx.forward, peer, &profiles);
-      /* Told twice, it counts once. */
+      /* A repeated report counts once. */
       beryl_forward_peer_profiles (fx.forward, peer, &profiles);
     }
   ck_assert (mix ().measured);
@@ -105,15 +105,15 @@
       char peer[16];
 
       g_snprintf (peer, sizeof peer, "peer-%d", i);
-      beryl_forward_peer_gone (fx.forward, peer);
+      beryl_forward_remove_peer (fx.forward, peer);
     }
   ck_assert (!mix ().measured);
 }
 END_TEST
 
-/* A node that has just started foresees by the others' paces, and by its own
- * once it has some. */
-START_TEST (test_paces_are_taken_over)
+/* A node that has just started uses the others' paces in forecasts, and its
+   own once it has enough. */
+START_TEST (test_new_node_uses_fleet_paces)
 {
   struct beryl_generation_profiles profiles = told (3000), own;
 
@@ -129,7 +129,8 @@
 }
 END_TEST
 
-/* A service that is not declared here, as right after a change. */
+/* A service that this node does not know, as right after a configuration
+   change. */
 START_TEST (test_unknown_service)
 {
   struct beryl_generation_profiles profiles = told (3000);
@@ -140,14 +141,14 @@
 }
 END_TEST
 
-/* Of engines that read at ENGINE_PACE. */
+/* Tests with engines that prefill at ENGINE_PACE. */
 #define ENGINE_PACE 0.02
 #define LONG_PROMPT 3000
 #define NS_PER_MS 1e6
 
-/* PEER has seen PREFILLS at PACE and as many streams at 1 ms a token. */
+/* PEER reports PREFILLS at PACE and as many streams at 1 ms per token. */
 static void
-peer_tells (const char *peer, uint32_t prefills, double pace)
+report_profile (const char *peer, uint32_t prefills, double pace)
 {
   struct beryl_generation_profiles profiles = told (LONG_PROMPT);
 
@@ -165,25 +166,25 @@
   ck_assert_double_le (pace, 1.25 * ENGINE_PACE);
 }
 
-/* Request NUMBER has its room after CALL_MS and its prompt read after
- * PREFILL_MS. */
+/* Request NUMBER gets its reservation after CALL_MS, and its prefill takes
+   PREFILL_MS. */
 static void
 generate (uint64_t number, int64_t call_ms, int64_t prefill_ms)
 {
-  struct beryl_forward_request facts = fx_facts (&fx, number);
+  struct beryl_forward_request facts = fx_request_params (&fx, number);
 
   facts.prompt_tokens = LONG_PROMPT;
-  beryl_forward_arrived (fx.forward, &facts, fx.now_ms);
+  beryl_forward_submit (fx.forward, &facts, fx.now_ms);
   fx_pass (&fx, call_ms);
   fx_ok (&fx, open_of (number, BERYL_EXCHANGE_RESERVE), "place");
   fx_pass (&fx, prefill_ms);
   fx_ok (&fx, open_of (number, BERYL_EXCHANGE_PREFILL), "kv");
   fx_stream (&fx, open_of (number, BERYL_EXCHANGE_RUN));
-  beryl_forward_caller_gone (fx.forward, number, fx.now_ms);
+  beryl_forward_cancel (fx.forward, number, fx.now_ms);
 }
 
-/* Guards against a node that was paused during its first prefill and moves the
- * engines of the whole fleet. */
+/* Guards against a node that was paused during its first prefill causing
+   engines of the whole fleet to be moved. */
 START_TEST (test_first_prefill_of_a_paused_node)
 {
   for (int i = 0; i < 3; i++)
@@ -191,15 +192,15 @@
       char peer[16];
 
       g_snprintf (peer, sizeof peer, "peer-%d", i);
-      peer_tells (peer, 8, ENGINE_PACE);
+      report_profile (peer, 8, ENGINE_PACE);
     }
-  peer_tells ("paused", 1, 5000.0 / LONG_PROMPT);
+  report_profile ("paused", 1, 5000.0 / LONG_PROMPT);
   check_pace (mix ().prefill_ms_per_token);
 }
 END_TEST
 
-/* Guards against late prefills that move engines where most nodes have seen
- * two: every third node has one late prefill, every sixth two. */
+/* Guards against late prefills moving engines where most nodes have seen two
+   prefills: every third node has one late prefill, every sixth two. */
 START_TEST (test_late_prefills_in_a_large_fleet)
 {
   for (int i = 0; i < 300; i++)
@@ -211,13 +212,13 @@
       pace_learn (&pace, LONG_PROMPT, i % 3 == 0 ? 700 : 60);
       pace_learn (&pace, LONG_PROMPT, i % 6 == 0 ? 900 : 60);
       g_snprintf (peer, sizeof peer, "peer-%d", i);
-      peer_tells (peer, pace.seen, pace.ms_per_token);
+      report_profile (peer, pace.samples, pace.ms_per_token);
     }
   check_pace (mix ().prefill_ms_per_token);
 }
 END_TEST
 
-/* Guards against a slow link's delay that is taken for reading time. */
+/* Guards against a slow link's delay being taken for prefill time. */
 START_TEST (test_links_of_50_ms)
 {
   for (uint64_t i = 1; i <= 20; i++)
@@ -226,16 +227,16 @@
 }
 END_TEST
 
-/* Guards against callers that are refused until a node which was paused during
- * its first prefill has seen many more. */
-START_TEST (test_late_prefill_refuses_nobody)
+/* Guards against requests being refused until a node that was paused during
+   its first prefill has seen many more. */
+START_TEST (test_late_prefill_refuses_no_request)
 {
   struct beryl_engine_run queue[10] = { 0 };
 
   terms.route.gap_objective_ms = 50;
   reopen ();
   engines (1, 3);
-  peer_tells ("peer", 8, ENGINE_PACE);
+  report_profile ("peer", 8, ENGINE_PACE);
   generate (1, 0, 5000);
   for (size_t i = 0; i < G_N_ELEMENTS (queue); i++)
     queue[i] = (struct beryl_engine_run){
@@ -251,8 +252,8 @@
 }
 END_TEST
 
-/* Guards against a pace of bad seconds that is kept when they are over: with
- * few engines left for decode few prefills come to correct it. */
+/* Guards against a pace learned in a few bad seconds being kept afterwards:
+   with few engines left for decode, few prefills correct it. */
 START_TEST (test_bad_seconds_are_forgotten)
 {
   for (uint64_t i = 1; i <= 12; i++)
@@ -263,8 +264,8 @@
 }
 END_TEST
 
-/* Guards against one node with a late stream that makes the fleet take decode
- * for slow. */
+/* Guards against one node with a late stream making the fleet take decode for
+   slow. */
 START_TEST (test_late_stream_of_one_node)
 {
   struct beryl_generation_profiles late = told (LONG_PROMPT);
@@ -274,7 +275,7 @@
       char peer[16];
 
       g_snprintf (peer, sizeof peer, "peer-%d", i);
-      peer_tells (peer, 8, ENGINE_PACE);
+      report_profile (peer, 8, ENGINE_PACE);
     }
   late.items[0].decode_ns_per_token = (uint32_t)(5000.0 / 350 * NS_PER_MS);
   beryl_forward_peer_profiles (fx.forward, "paused", &late);
@@ -294,11 +295,11 @@
       fx_event (&fx, run, event);
       fx.now_ms += EVENT_MS + (event == 5 ? pause_ms : 0);
     }
-  beryl_forward_caller_gone (fx.forward, number, fx.now_ms);
+  beryl_forward_cancel (fx.forward, number, fx.now_ms);
 }
 
-/* Guards against a node that was paused amid a stream and then takes all
- * streams for slow. */
+/* Guards against a node that was paused during a stream taking all streams for
+   slow. */
 START_TEST (test_pause_amid_a_stream)
 {
   double pace = (double)EVENT_MS / terms.engine.event_tokens;
@@ -311,8 +312,8 @@
 }
 END_TEST
 
-/* Guards against a first stream that was paused and outweighs what all other
- * nodes have seen. */
+/* Guards against a paused first stream outweighing the observations of all
+   other nodes. */
 START_TEST (test_first_stream_of_a_paused_node)
 {
   const struct beryl_live *d0;
@@ -323,14 +324,16 @@
       char peer[16];
 
       g_snprintf (peer, sizeof peer, "peer-%d", i);
-      peer_tells (peer, 8, ENGINE_PACE);
+      report_profile (peer, 8, ENGINE_PACE);
     }
   stream (1, 5000);
   d0 = beryl_lives_find (fx.lives, "d0");
-  tell_runs ("d0", 1);
-  used = beryl_forward_engine_used (fx.forward, FX_SERVICE, d0, fx.now_ms);
+  report_runs ("d0", 1);
+  used = beryl_forward_engine_used_tokens (fx.forward, FX_SERVICE, d0,
+                                           fx.now_ms);
   fx.now_ms += 300;
-  grown = beryl_forward_engine_used (fx.forward, FX_SERVICE, d0, fx.now_ms);
+  grown = beryl_forward_engine_used_tokens (fx.forward, FX_SERVICE, d0,
+                                            fx.now_ms);
   ck_assert_uint_ge (grown - used, 200);
 }
 END_TEST
@@ -344,12 +347,12 @@
   tcase_add_checked_fixture (tcase, model_setup, model_teardown);
   tcase_add_test (tcase, test_known_before_the_first_run_ends);
   tcase_add_test (tcase, test_each_of_many_nodes_sees_few);
-  tcase_add_test (tcase, test_paces_are_taken_over);
+  tcase_add_test (tcase, test_new_node_uses_fleet_paces);
   tcase_add_test (tcase, test_unknown_service);
   tcase_add_test (tcase, test_first_prefill_of_a_paused_node);
   tcase_add_test (tcase, test_late_prefills_in_a_large_fleet);
   tcase_add_test (tcase, test_links_of_50_ms);
-  tcase_add_test (tcase, test_late_prefill_refuses_nobody);
+  tcase_add_test (tcase, test_late_prefill_refuses_no_request);
   tcase_add_test (tcase, test_bad_seconds_are_forgotten);
   tcase_add_test (tcase, test_late_stream_of_one_node);
   tcase_add_test (tcase, test_pause_amid_a_stream);
--- a/tests/forward/test_prompts.c
+++ b/tests/forward/test_prompts.c
@@ -4,8 +4,8 @@
 #include "../suite.h"
 #include "model.h"
 
-/* The engine rejects the run that it granted a place for; the KV cache is
- * still there, and reading the prompt again would cost engine time. */
+/* The engine rejects the run that it granted a reservation for; the KV cache
+   still exists, and another prefill would cost engine time. */
 START_TEST (test_kv_cache_is_used_again)
 {
   struct fx_exchange *run;
@@ -20,8 +20,8 @@
 }
 END_TEST
 
-/* Two engines reject the same KV cache: it is gone, and the prompt is read
- * again. */
+/* Two engines reject the same KV cache: it is gone, and the prompt is
+   prefilled again. */
 START_TEST (test_kv_cache_is_given_up)
 {
   fx_arrive (&fx, 1);
@@ -43,7 +43,7 @@
   fx_ok (&fx, open_of (1, BERYL_EXCHANGE_RESERVE), "place");
   x = open_of (1, BERYL_EXCHANGE_PREFILL);
   fx_result (&fx, x, &result);
-  ck_assert_int_eq (fx_live (&fx, x->endpoint)->info.stage,
+  ck_assert_int_eq (fx_find_endpoint (&fx, x->endpoint)->info.stage,
                     BERYL_STAGE_DECODE);
   fx_to_run (&fx, 1);
   ck_assert_str_ne (fx_last (&fx, BERYL_EXCHANGE_PREFILL)->endpoint,
@@ -51,9 +51,9 @@
 }
 END_TEST
 
-/* A prefill's answer is lost with its engine.  The engine may have accepted
- * it, so that the next prefill counts as a repeat; without a budget there is
- * none. */
+/* A prefill's answer is lost with its engine. The engine may have accepted the
+   prefill, so the next one counts as a repeat; without a budget there is
+   none. */
 START_TEST (test_lost_prefill_counts)
 {
   terms.repeat_slack = 0;
@@ -62,7 +62,7 @@
   engines (2, 3);
   fx_arrive (&fx, 1);
   fx_ok (&fx, open_of (1, BERYL_EXCHANGE_RESERVE), "place");
-  fx_broken (&fx, open_of (1, BERYL_EXCHANGE_PREFILL), BERYL_BREAK_RESET,
+  fx_broken (&fx, open_of (1, BERYL_EXCHANGE_PREFILL), BERYL_FAILURE_RESET,
              true);
   fx_ok (&fx, open_of (1, BERYL_EXCHANGE_RESERVE), "place");
   ck_assert_uint_eq (fx_count (&fx, BERYL_EXCHANGE_PREFILL), 1);
@@ -79,33 +79,33 @@
   engines (2, 3);
   fx_arrive (&fx, 1);
   fx_ok (&fx, open_of (1, BERYL_EXCHANGE_RESERVE), "place");
-  fx_broken (&fx, open_of (1, BERYL_EXCHANGE_PREFILL), BERYL_BREAK_CONNECT,
+  fx_broken (&fx, open_of (1, BERYL_EXCHANGE_PREFILL), BERYL_FAILURE_CONNECT,
              false);
   fx_to_run (&fx, 1);
 }
 END_TEST
 
-/* A broken stream needs two repeats: its prompt is read again, and it runs
- * again.  With only one left the prompt must not be read for nothing. */
-START_TEST (test_repeats_are_paid_first)
+/* A broken stream needs two repeats, for another prefill and another run. With
+   only one left the prompt must not be prefilled for nothing. */
+START_TEST (test_repeats_are_taken_first)
 {
   terms.repeat_slack = 2; /* of which four fifths are used */
   terms.repeat_ratio = 0;
   reopen ();
   engines (2, 3);
   fx_arrive (&fx, 1);
-  fx_broken (&fx, fx_to_stream (&fx, 1, 2), BERYL_BREAK_RESET, true);
+  fx_broken (&fx, fx_to_stream (&fx, 1, 2), BERYL_FAILURE_RESET, true);
   fx_ok (&fx, open_of (1, BERYL_EXCHANGE_RESERVE), "place");
   ck_assert_uint_eq (fx_count (&fx, BERYL_EXCHANGE_PREFILL), 1);
   ck_assert (answer (1)->cut);
 }
 END_TEST
 
-/* Story: prompts queue, and while one is read the engine that has reserved
- * room for it announces that it leaves.  Sent there two seconds later, the
- * request reaches an engine that takes no new work any more, and is lost with
- * it.  The KV cache goes to another engine; nothing is read twice. */
-START_TEST (test_engine_leaves_while_prompt_is_read)
+/* While a prompt is queued and prefilled, the engine with its reservation
+   announces that it leaves. If sent there two seconds later, the request would
+   reach an engine that takes no new work, and be lost with it. The KV cache
+   goes to another engine, without a second prefill. */
+START_TEST (test_engine_leaves_during_prefill)
 {
   struct fx_exchange *place, *other;
 
@@ -126,8 +126,8 @@
 }
 END_TEST
 
-/* The same with an engine that is gone without a word. */
-START_TEST (test_engine_goes_while_prompt_is_read)
+/* The same with an engine that disappears without an announcement. */
+START_TEST (test_engine_disappears_during_prefill)
 {
   struct fx_exchange *place;
 
@@ -142,9 +142,10 @@
 }
 END_TEST
 
-/* A peer tells that PREFILL has COUNT prompts of 1,000 tokens to read. */
+/* Applies a peer's report that PREFILL has COUNT prompts of 1,000 tokens
+   queued. */
 static void
-tell_queue (const char *prefill, size_t count)
+report_queue (const char *prefill, size_t count)
 {
   struct beryl_engine_run runs[64] = { 0 };
 
@@ -158,24 +159,24 @@
   beryl_forward_peer_runs (fx.forward, "peer", runs, count, fx.now_ms);
 }
 
-/* Opens a system with one prefill engine, whose decode engines cannot read
- * prompts themselves without stopping their streams for too long. */
+/* Opens a system with one prefill engine, whose decode engines cannot prefill
+   prompts themselves without stopping their streams for too long. */
 static void
-one_reader (void)
+open_one_prefill_engine (void)
 {
   terms.route.gap_objective_ms = 50;
   reopen ();
   engines (1, 3);
 }
 
-/* Story: engines read more slowly than prompts came.  All were sent there at
- * once; the queue grew to three seconds, every answer began late, and memory
- * stood reserved meanwhile.  A request whose turn would come too late is
- * refused when it arrives, and told to come back after the queue. */
-START_TEST (test_queue_of_prompts_is_limited)
+/* Engines prefilled more slowly than prompts arrived. All prompts were sent at
+   once; the queue grew to three seconds, every answer began late, and memory
+   stayed reserved meanwhile. A request whose prefill would start too late is
+   refused on arrival, with the queue's duration as Retry-After. */
+START_TEST (test_prefill_queue_is_limited)
 {
-  one_reader ();
-  tell_queue ("p0", 60);
+  open_one_prefill_engine ();
+  report_queue ("p0", 60);
   fx_arrive (&fx, 1);
   ck_assert (answer (1)->refused);
   ck_assert_uint_eq (answer (1)->refusal.status, 503);
@@ -186,58 +187,58 @@
 }
 END_TEST
 
-START_TEST (test_short_queue_of_prompts)
+START_TEST (test_short_prefill_queue)
 {
-  one_reader ();
-  tell_queue ("p0", 20);
+  open_one_prefill_engine ();
+  report_queue ("p0", 20);
   fx_arrive (&fx, 1);
   fx_to_run (&fx, 1);
 }
 END_TEST
 
-/* One that comes back late takes the room that those in time leave: it waits
- * for a short queue, and is not sent behind a long one. */
+/* A late retry uses the capacity that requests in time leave: it waits for a
+   short queue, and is not sent to a long one. */
 START_TEST (test_late_request_waits_for_a_short_queue)
 {
   struct beryl_forward_request late;
 
-  one_reader ();
-  tell_queue ("p0", 20);
-  late = fx_facts (&fx, 1);
+  open_one_prefill_engine ();
+  report_queue ("p0", 20);
+  late = fx_request_params (&fx, 1);
   late.arrived_ms = fx.now_ms - 2000;
-  beryl_forward_arrived (fx.forward, &late, fx.now_ms);
+  beryl_forward_submit (fx.forward, &late, fx.now_ms);
   ck_assert_uint_eq (fx_count (&fx, BERYL_EXCHANGE_RESERVE), 0);
   ck_assert_uint_eq (answer (1)->ends, 0);
-  tell_queue ("p0", 1);
+  report_queue ("p0", 1);
   fx_pass (&fx, 200);
   fx_to_run (&fx, 1);
 }
 END_TEST
 
-/* A request that found all engines full is refused later for the queue of
- * prompts.  Its log must name both, or a reader looks for the cause in vain.
- */
-START_TEST (test_each_reason_of_a_wait_is_told)
+/* A request that found all engines full is refused later because of the
+   prefill queue. Its log must name both reasons, or the cause cannot be
+   found. */
+START_TEST (test_each_wait_reason_is_logged)
 {
-  one_reader ();
+  open_one_prefill_engine ();
   fx_arrive (&fx, 1);
   for (int i = 0; i < 3; i++)
     fx_refused (&fx, open_of (1, BERYL_EXCHANGE_RESERVE));
   ck_assert_ptr_nonnull (strstr (fx.log->str, "wait:engines_refuse"));
-  tell_queue ("p0", 60);
+  report_queue ("p0", 60);
   fx_pass (&fx, 200);
   ck_assert (answer (1)->refused);
   ck_assert_ptr_nonnull (strstr (fx.log->str, "wait:prefill_behind"));
 }
 END_TEST
 
-/* The queue grows while room is asked for.  The room is given back at once:
- * nothing would use it before it is too late. */
-START_TEST (test_queue_grows_while_room_is_asked_for)
+/* The queue grows while a reservation is requested. The reservation is
+   released at once, since the request could not use it in time. */
+START_TEST (test_queue_grows_during_reservation)
 {
-  one_reader ();
+  open_one_prefill_engine ();
   fx_arrive (&fx, 1);
-  tell_queue ("p0", 60);
+  report_queue ("p0", 60);
   fx_ok (&fx, open_of (1, BERYL_EXCHANGE_RESERVE), "place");
   ck_assert (answer (1)->refused);
   ck_assert (answer (1)->refusal.not_run);
@@ -246,8 +247,8 @@
 }
 END_TEST
 
-/* All prefill engines are gone or busy for longer than the request has.  A
- * decode engine can read the prompt itself, more slowly. */
+/* All prefill engines are gone, or busy for longer than the request has. A
+   decode engine can prefill the prompt itself, more slowly. */
 START_TEST (test_no_prefill_engine)
 {
   fx_remove (&fx, "p0");
@@ -272,15 +273,15 @@
 static struct fx_exchange *
 arrive_with_prompt (uint64_t request, uint32_t prompt_key)
 {
-  struct beryl_forward_request facts = fx_facts (&fx, request);
+  struct beryl_forward_request facts = fx_request_params (&fx, request);
 
   facts.prompt_key = prompt_key;
-  beryl_forward_arrived (fx.forward, &facts, fx.now_ms);
+  beryl_forward_submit (fx.forward, &facts, fx.now_ms);
   return open_of (request, BERYL_EXCHANGE_RESERVE);
 }
 
-/* Another node died, and a caller of its comes here with the same prompt.  The
- * engine that ran it there has read it. */
+/* Another node died, and its caller retries the same prompt here. The engine
+   that ran it for that node has it cached. */
 START_TEST (test_warm_engine)
 {
   struct beryl_engine_run run = told_run ("d1", 77);
@@ -293,15 +294,16 @@
   fx_ok (&fx, x, "place");
   ck_assert_uint_eq (fx_count (&fx, BERYL_EXCHANGE_PREFILL), 0);
   ck_assert_str_eq (open_of (1, BERYL_EXCHANGE_RUN)->kv_handle, "");
-  /* It goes the usual way after a failure. */
-  fx_broken (&fx, open_of (1, BERYL_EXCHANGE_RUN), BERYL_BREAK_CONNECT, false);
+  /* After a failure it is prefilled as usual. */
+  fx_broken (&fx, open_of (1, BERYL_EXCHANGE_RUN), BERYL_FAILURE_CONNECT,
+             false);
   fx_ok (&fx, open_of (1, BERYL_EXCHANGE_RESERVE), "place-2");
   ck_assert_uint_eq (fx_count (&fx, BERYL_EXCHANGE_PREFILL), 1);
 }
 END_TEST
 
-/* What was read long ago has yielded to other prompts. */
-START_TEST (test_warm_engine_cools)
+/* A prompt that ran long ago has been evicted from the cache. */
+START_TEST (test_prompt_is_evicted)
 {
   struct beryl_engine_run run = told_run ("d1", 77);
 
@@ -312,10 +314,10 @@
 }
 END_TEST
 
-/* A caller comes back in the middle of an answer.  The engine has the prompt
- * but not what it made; it reads that for one request at a time, since its
- * other streams stand still meanwhile. */
-START_TEST (test_warm_engine_reads_one_at_a_time)
+/* A caller resumes in the middle of an answer. The engine has the prompt
+   cached but not the output, which it prefills for one request at a time,
+   since its other streams stop meanwhile. */
+START_TEST (test_warm_engine_prefills_one_at_a_time)
 {
   struct beryl_engine_run runs[2]
       = { told_run ("d1", 77), told_run ("d1", 78) };
@@ -324,11 +326,11 @@
   beryl_forward_peer_runs (fx.forward, "peer", runs, 2, fx.now_ms);
   for (uint64_t i = 1; i <= 2; i++)
     {
-      facts = fx_facts (&fx, i);
+      facts = fx_request_params (&fx, i);
       facts.prompt_key = (uint32_t)(76 + i);
       facts.resumes = true;
-      facts.last_event = 5;
-      beryl_forward_arrived (fx.forward, &facts, fx.now_ms);
+      facts.last_event_id = 5;
+      beryl_forward_submit (fx.forward, &facts, fx.now_ms);
       fx_ok (&fx, open_of (i, BERYL_EXCHANGE_RESERVE), "place");
     }
   ck_assert_uint_eq (fx_count (&fx, BERYL_EXCHANGE_RUN), 1);
@@ -348,18 +350,18 @@
   tcase_add_test (tcase, test_stage_is_learned_by_prefill);
   tcase_add_test (tcase, test_lost_prefill_counts);
   tcase_add_test (tcase, test_unsent_prefill_is_free);
-  tcase_add_test (tcase, test_repeats_are_paid_first);
-  tcase_add_test (tcase, test_engine_leaves_while_prompt_is_read);
-  tcase_add_test (tcase, test_engine_goes_while_prompt_is_read);
-  tcase_add_test (tcase, test_queue_of_prompts_is_limited);
-  tcase_add_test (tcase, test_short_queue_of_prompts);
+  tcase_add_test (tcase, test_repeats_are_taken_first);
+  tcase_add_test (tcase, test_engine_leaves_during_prefill);
+  tcase_add_test (tcase, test_engine_disappears_during_prefill);
+  tcase_add_test (tcase, test_prefill_queue_is_limited);
+  tcase_add_test (tcase, test_short_prefill_queue);
   tcase_add_test (tcase, test_late_request_waits_for_a_short_queue);
-  tcase_add_test (tcase, test_each_reason_of_a_wait_is_told);
-  tcase_add_test (tcase, test_queue_grows_while_room_is_asked_for);
+  tcase_add_test (tcase, test_each_wait_reason_is_logged);
+  tcase_add_test (tcase, test_queue_grows_during_reservation);
   tcase_add_test (tcase, test_no_prefill_engine);
   tcase_add_test (tcase, test_warm_engine);
-  tcase_add_test (tcase, test_warm_engine_cools);
-  tcase_add_test (tcase, test_warm_engine_reads_one_at_a_time);
+  tcase_add_test (tcase, test_prompt_is_evicted);
+  tcase_add_test (tcase, test_warm_engine_prefills_one_at_a_time);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/forward/test_rates.c
+++ b/tests/forward/test_rates.c
@@ -5,7 +5,7 @@
 #include "fixture.h"
 #include "model.h"
 
-/* Endpoints that name a limit. */
+/* Endpoints that state a rate limit. */
 
 static struct beryl_rate_limit
 per_s (uint32_t number)
@@ -14,10 +14,10 @@
                                     .milli_per_s = 1000 * number };
 }
 
-/* ENDPOINT has named a limit in answers of KIND. */
+/* ENDPOINT has stated a limit in answers of KIND. */
 static void
-name_limit (const char *endpoint, enum beryl_exchange_kind kind,
-            uint32_t number)
+state_limit (const char *endpoint, enum beryl_exchange_kind kind,
+             uint32_t number)
 {
   struct beryl_rate_limit limit = per_s (number);
 
@@ -46,11 +46,11 @@
 {
   struct beryl_answer_head head = { .status = 200, .limit = *limit };
 
-  beryl_forward_head (fx.forward, x->id, &head, fx.now_ms);
+  beryl_forward_answer_head (fx.forward, x->id, &head, fx.now_ms);
   fx_done (&fx, x);
 }
 
-/* What the answer names is not used for the next request. */
+/* Guards against a limit in an answer not being used for the next request. */
 START_TEST (test_next_request)
 {
   struct beryl_rate_limit limit = per_s (1);
@@ -70,12 +70,12 @@
 }
 END_TEST
 
-/* Requests beyond all limits wait, or their callers are not told when to come
- * back. */
+/* Guards against requests beyond all limits waiting, or being refused without
+   a Retry-After. */
 START_TEST (test_all_limited)
 {
-  name_limit ("a", BERYL_EXCHANGE_RUN, 1);
-  name_limit ("b", BERYL_EXCHANGE_RUN, 1);
+  state_limit ("a", BERYL_EXCHANGE_RUN, 1);
+  state_limit ("b", BERYL_EXCHANGE_RUN, 1);
   fx_arrive (&fx, 1);
   ck_assert (answer (1)->refused);
   ck_assert (answer (1)->refusal.not_run);
@@ -87,7 +87,7 @@
 }
 END_TEST
 
-/* What peers send is not counted. */
+/* Guards against requests of peers not being counted. */
 START_TEST (test_sends_of_peers)
 {
   struct beryl_limits_news news
@@ -99,8 +99,8 @@
                        .sent = 1 } },
           .count = 1 };
 
-  name_limit ("a", BERYL_EXCHANGE_RUN, 1);
-  name_limit ("b", BERYL_EXCHANGE_RUN, 1);
+  state_limit ("a", BERYL_EXCHANGE_RUN, 1);
+  state_limit ("b", BERYL_EXCHANGE_RUN, 1);
   fx_pass (&fx, 1100);
   for (int i = 0; i < 5; i++)
     {
@@ -116,12 +116,12 @@
 }
 END_TEST
 
-/* A node that hears none of many takes the whole limit. */
-START_TEST (test_nodes_that_cannot_be_heard)
+/* Guards against a node that no peer's reports reach using the whole limit. */
+START_TEST (test_unreachable_nodes)
 {
-  beryl_forward_set_nodes (fx.forward, 10);
-  name_limit ("a", BERYL_EXCHANGE_RUN, 1);
-  name_limit ("b", BERYL_EXCHANGE_RUN, 1);
+  beryl_forward_set_node_count (fx.forward, 10);
+  state_limit ("a", BERYL_EXCHANGE_RUN, 1);
+  state_limit ("b", BERYL_EXCHANGE_RUN, 1);
   fx_pass (&fx, 5000);
   fx_arrive (&fx, 1);
   ck_assert (answer (1)->refused);
@@ -131,12 +131,12 @@
 }
 END_TEST
 
-/* A limited prefill engine is taken for none: decode engines read prompts and
- * their streams stand still. */
+/* Guards against a limited prefill engine counting as missing, so that decode
+   engines prefill prompts and their streams stop. */
 START_TEST (test_limited_prefill_engines)
 {
-  name_limit ("p0", BERYL_EXCHANGE_PREFILL, 1);
-  name_limit ("p1", BERYL_EXCHANGE_PREFILL, 1);
+  state_limit ("p0", BERYL_EXCHANGE_PREFILL, 1);
+  state_limit ("p1", BERYL_EXCHANGE_PREFILL, 1);
   fx_arrive (&fx, 1);
   fx_ok (&fx, open_of (1, BERYL_EXCHANGE_RESERVE), "h");
   ck_assert_uint_eq (fx_count (&fx, BERYL_EXCHANGE_PREFILL), 0);
@@ -144,10 +144,11 @@
 }
 END_TEST
 
-/* A limited decode engine gets what the others have room for. */
+/* Guards against a limited decode engine getting requests that others have
+   memory for. */
 START_TEST (test_limited_decode_engine)
 {
-  name_limit ("d0", BERYL_EXCHANGE_RUN, 1);
+  state_limit ("d0", BERYL_EXCHANGE_RUN, 1);
   for (uint64_t i = 1; i <= 6; i++)
     {
       fx_arrive (&fx, i);
@@ -168,7 +169,7 @@
   tcase_add_test (plain, test_next_request);
   tcase_add_test (plain, test_all_limited);
   tcase_add_test (plain, test_sends_of_peers);
-  tcase_add_test (plain, test_nodes_that_cannot_be_heard);
+  tcase_add_test (plain, test_unreachable_nodes);
   suite_add_tcase (suite, plain);
   tcase_add_checked_fixture (model, model_setup, model_teardown);
   tcase_add_test (model, test_limited_prefill_engines);
--- a/tests/forward/test_streams.c
+++ b/tests/forward/test_streams.c
@@ -4,9 +4,9 @@
 #include "../suite.h"
 #include "model.h"
 
-/* The decode engine dies in the middle of a stream.  The request goes on at
- * another engine after the last event that was passed on; its caller sees no
- * seam. */
+/* The decode engine dies in the middle of a stream. The request continues at
+   another engine after the last forwarded event, without a gap or a duplicate
+   for the caller. */
 START_TEST (test_stream_goes_on)
 {
   struct fx_exchange *run;
@@ -14,12 +14,12 @@
   fx_arrive (&fx, 1);
   run = fx_to_stream (&fx, 1, 3);
   fx_data (&fx, run, "id: 4\nda");
-  fx_broken (&fx, run, BERYL_BREAK_RESET, true);
+  fx_broken (&fx, run, BERYL_FAILURE_RESET, true);
   run = fx_to_run (&fx, 1);
   ck_assert (run->resumes);
   ck_assert_uint_eq (run->last_event, 3);
   fx_stream (&fx, run);
-  fx_event (&fx, run, 3); /* begins before what it was asked for */
+  fx_event (&fx, run, 3); /* starts before the event it was asked for */
   fx_event (&fx, run, 4);
   fx_done (&fx, run);
   ck_assert (answer (1)->whole);
@@ -29,8 +29,8 @@
 }
 END_TEST
 
-/* A begun stream's second engine answers with an error.  Its head must not
- * follow inside the stream that the caller has. */
+/* The second engine of a stream that has begun answers with an error. Its head
+   must not follow inside the stream that the caller has. */
 START_TEST (test_error_into_begun_stream)
 {
   struct fx_exchange *run;
@@ -40,7 +40,7 @@
   engines (2, 3);
   fx_arrive (&fx, 1);
   run = fx_to_stream (&fx, 1, 2);
-  fx_broken (&fx, run, BERYL_BREAK_RESET, true);
+  fx_broken (&fx, run, BERYL_FAILURE_RESET, true);
   run = fx_to_run (&fx, 1);
   fx_head (&fx, run, 500);
   ck_assert (run->aborted);
@@ -49,15 +49,15 @@
 }
 END_TEST
 
-/* No room is found for a stream that has begun: it ends as incomplete, since
- * a refusal cannot follow in its body. */
+/* No memory is found for a stream that has begun: it ends as incomplete, since
+   a refusal cannot follow in its body. */
 START_TEST (test_refusal_into_begun_stream)
 {
   struct fx_exchange *run;
 
   fx_arrive (&fx, 1);
   run = fx_to_stream (&fx, 1, 2);
-  fx_broken (&fx, run, BERYL_BREAK_RESET, true);
+  fx_broken (&fx, run, BERYL_FAILURE_RESET, true);
   for (int i = 0; i < 500 && answer (1)->ends == 0; i++)
     {
       struct fx_exchange *x = fx_open_of (&fx, 1, BERYL_EXCHANGE_RESERVE);
@@ -70,8 +70,8 @@
 }
 END_TEST
 
-/* A route whose requests may run only once: a stream that breaks off is not
- * run again. */
+/* On a route whose requests may run only once, a stream that breaks off is not
+   run again. */
 START_TEST (test_once_is_not_resumed)
 {
   terms.route.resumable = false;
@@ -79,16 +79,16 @@
   reopen ();
   engines (2, 3);
   fx_arrive (&fx, 1);
-  fx_broken (&fx, fx_to_run (&fx, 1), BERYL_BREAK_RESET, true);
+  fx_broken (&fx, fx_to_run (&fx, 1), BERYL_FAILURE_RESET, true);
   ck_assert_uint_eq (fx_count (&fx, BERYL_EXCHANGE_RUN), 1);
   ck_assert_uint_eq (answer (1)->refusal.status, 502);
   ck_assert (!answer (1)->refusal.not_run);
 }
 END_TEST
 
-/* An engine freezes in the middle of a stream.  Its connection stays open;
- * after a second of silence the request goes on elsewhere, as soon as another
- * engine has granted room. */
+/* An engine freezes in the middle of a stream. Its connection stays open;
+   after a second without events the request continues at another engine, as
+   soon as that has granted a reservation. */
 START_TEST (test_frozen_engine)
 {
   struct fx_exchange *run, *place;
@@ -106,14 +106,14 @@
 END_TEST
 
 /* A caller that does not read stops the stream itself; that says nothing about
- * the engine. */
+   the engine. */
 START_TEST (test_slow_caller_is_no_stall)
 {
   struct fx_exchange *run;
 
   fx_arrive (&fx, 1);
   run = fx_to_stream (&fx, 1, 3);
-  beryl_forward_caller_slow (fx.forward, 1, true);
+  beryl_forward_set_caller_paused (fx.forward, 1, true);
   ck_assert (run->paused);
   fx_pass (&fx, 3000);
   ck_assert (run->open);
@@ -121,22 +121,23 @@
 END_TEST
 
 /* Other nodes' runs are about to fill the engine, and this node has the newest
- * run there, which the engine would stop.  It is moved: the engine stops it,
- * another one goes on from its memory, and it counts as one run. */
+   run there, which the engine would preempt. The run is moved: the engine
+   stops it, another one continues from its memory, and it counts as one
+   run. */
 START_TEST (test_move)
 {
   struct fx_exchange *run, *move;
 
   fx_arrive (&fx, 1);
   run = fx_to_stream (&fx, 1, 2);
-  tell_runs (run->endpoint, 4);
+  report_runs (run->endpoint, 4);
   move = move_asked (1);
   ck_assert_str_eq (move->endpoint, run->endpoint);
   ck_assert_str_ne (move->target, run->endpoint);
   fx_ok (&fx, move, "moved");
   ck_assert (run->open);
   fx_event (&fx, run, 3);
-  fx_broken (&fx, run, BERYL_BREAK_CLOSED, true);
+  fx_broken (&fx, run, BERYL_FAILURE_CLOSED, true);
   run = open_of (1, BERYL_EXCHANGE_RUN);
   ck_assert_str_eq (run->endpoint, move->target);
   ck_assert_str_eq (run->kv_handle, "moved");
@@ -156,17 +157,17 @@
 
   fx_arrive (&fx, 1);
   run = fx_to_stream (&fx, 1, 2);
-  tell_runs (run->endpoint, 4);
+  report_runs (run->endpoint, 4);
   move = move_asked (1);
-  fx_broken (&fx, run, BERYL_BREAK_CLOSED, true);
+  fx_broken (&fx, run, BERYL_FAILURE_CLOSED, true);
   ck_assert_ptr_null (fx_open_of (&fx, 1, BERYL_EXCHANGE_RUN));
   fx_ok (&fx, move, "moved");
   ck_assert_str_eq (open_of (1, BERYL_EXCHANGE_RUN)->endpoint, move->target);
 }
 END_TEST
 
-/* The new engine has no room after all: the run goes on at its old engine,
- * which still has its memory. */
+/* The target engine has no memory after all: the run continues at the source,
+   which still has its memory. */
 START_TEST (test_move_without_room)
 {
   struct beryl_engine_result no_room
@@ -175,18 +176,18 @@
 
   fx_arrive (&fx, 1);
   run = fx_to_stream (&fx, 1, 2);
-  tell_runs (run->endpoint, 4);
+  report_runs (run->endpoint, 4);
   move = move_asked (1);
   fx_result (&fx, move, &no_room);
-  fx_broken (&fx, run, BERYL_BREAK_CLOSED, true);
+  fx_broken (&fx, run, BERYL_FAILURE_CLOSED, true);
   ck_assert_str_eq (open_of (1, BERYL_EXCHANGE_RUN)->endpoint, run->endpoint);
   ck_assert_str_eq (open_of (1, BERYL_EXCHANGE_RUN)->kv_handle, "kept");
 }
 END_TEST
 
-/* Story: a moved run was rejected by its new engine and sent to a third one,
- * which ran it from the beginning: a request that may run once ran twice.  The
- * memory serves only at the two engines that have it. */
+/* A moved run was rejected by its target engine and sent to a third one, which
+   ran it from the beginning: a request that may run once ran twice. Its memory
+   can be used only at the two engines that have it. */
 START_TEST (test_moved_run_is_rejected)
 {
   struct fx_exchange *run, *move;
@@ -198,10 +199,10 @@
   engines (2, 3);
   fx_arrive (&fx, 1);
   run = fx_to_stream (&fx, 1, 2);
-  tell_runs (run->endpoint, 4);
+  report_runs (run->endpoint, 4);
   move = move_asked (1);
   fx_ok (&fx, move, "moved");
-  fx_broken (&fx, run, BERYL_BREAK_CLOSED, true);
+  fx_broken (&fx, run, BERYL_FAILURE_CLOSED, true);
   fx_not_run (&fx, open_of (1, BERYL_EXCHANGE_RUN), 503);
   ck_assert_str_eq (open_of (1, BERYL_EXCHANGE_RUN)->endpoint, run->endpoint);
   fx_not_run (&fx, open_of (1, BERYL_EXCHANGE_RUN), 503);
@@ -210,8 +211,8 @@
 }
 END_TEST
 
-/* The engine is to stop soon.  Its runs move while they can; one that may run
- * only once would be lost with it. */
+/* The engine will stop soon. Its runs are moved while that is possible; one
+   that may run only once would be lost with it. */
 START_TEST (test_leaving_engine)
 {
   struct fx_exchange *run;
@@ -223,8 +224,8 @@
 }
 END_TEST
 
-/* Has a leaving engine stop its run after WAIT_MS for a move to an engine that
- * has no room after all. */
+/* Makes a leaving engine stop its run after WAIT_MS for a move to an engine
+   that then has no memory. */
 static void
 move_off_leaving (int64_t wait_ms)
 {
@@ -238,11 +239,11 @@
   move = move_asked (1);
   fx_pass (&fx, wait_ms);
   fx_result (&fx, move, &no_room);
-  fx_broken (&fx, run, BERYL_BREAK_CLOSED, true);
+  fx_broken (&fx, run, BERYL_FAILURE_CLOSED, true);
 }
 
-/* The stopped run's memory is at the leaving engine only.  It goes on there
- * for as long as endpoints that leave may get work... */
+/* The stopped run's memory is only at the leaving engine. The run continues
+   there for as long as leaving endpoints may get work... */
 START_TEST (test_stopped_run_returns_to_leaving_engine)
 {
   move_off_leaving (100);
@@ -250,7 +251,7 @@
 }
 END_TEST
 
-/* ...and begins anew at another one after that. */
+/* ...and starts again at another one after that. */
 START_TEST (test_stopped_run_does_not_return_late)
 {
   struct fx_exchange *first;
@@ -263,8 +264,8 @@
 }
 END_TEST
 
-/* Brings request 1 to where its engine has stopped it for want of memory;
- * returns its run. */
+/* Brings request 1 to the state where its engine has preempted it for lack of
+   memory; returns its run. */
 static struct fx_exchange *
 preempted (void)
 {
@@ -273,16 +274,16 @@
 
   fx_arrive (&fx, 1);
   run = fx_to_stream (&fx, 1, 2);
-  tell_runs (run->endpoint, 3);
+  report_runs (run->endpoint, 3);
   fx_pass (&fx, 200);
-  tell_runs (run->endpoint, 3);
+  report_runs (run->endpoint, 3);
   fx_result (&fx, open_of (1, BERYL_EXCHANGE_MOVE), &not_found);
   return run;
 }
 
-/* A full engine stops a run without a word and reads its prompt again later.
- * Asking it to move the run tells: it does not run it.  The stream goes on at
- * another engine once that has granted room, and never at both. */
+/* A full engine preempts a run without notice and prefills it again later. A
+   move request shows it: the engine does not run it. The stream continues at
+   another engine once that has granted a reservation, and never at both. */
 START_TEST (test_preempted)
 {
   struct fx_exchange *run = preempted ();
@@ -296,9 +297,9 @@
 }
 END_TEST
 
-/* All engines are full when one of them stops a run.  Given up there, its
- * stream would have no place at all and be cut off in front of a caller who
- * still waits; the engine that stopped it reads it again and goes on. */
+/* All engines are full when one of them preempts a run. If given up there, its
+   stream would have no engine and be cut off while its caller still waits; the
+   engine that preempted it prefills it again and continues. */
 START_TEST (test_preempted_without_room)
 {
   struct fx_exchange *run = preempted ();
@@ -319,8 +320,8 @@
 }
 END_TEST
 
-/* The engine goes on by itself while another is being asked for room: what
- * that grants is given back, and the stream stays. */
+/* The engine continues by itself while another one is asked: the other's
+   reservation is released, and the stream stays. */
 START_TEST (test_preempted_goes_on)
 {
   struct fx_exchange *run = preempted ();
@@ -337,17 +338,17 @@
 }
 END_TEST
 
-/* Story: a full engine stops two streams of a node at the same moment.  Both
- * ask for room elsewhere while the repeats are left for one; the other was
- * given up at its engine when room was granted, and only then found that its
- * prompt might not be read again: cut off in front of a caller who still
- * waits, though its engine would have gone on. */
+/* A full engine preempts two streams of a node at the same moment. Both ask
+   other engines while the repeats are left for one; the second was given up at
+   its engine when a reservation was granted, and only then was its prefill
+   denied: it was cut off while its caller still waited, though its engine
+   would have continued. */
 START_TEST (test_preempted_without_repeats)
 {
   struct fx_exchange *run = preempted ();
   struct fx_exchange *place = open_of (1, BERYL_EXCHANGE_RESERVE);
 
-  beryl_forward_set_repeats (fx.forward, 0, 0, 10000);
+  beryl_forward_set_repeat_limits (fx.forward, 0, 0, 10000);
   fx_ok (&fx, place, "hold-2");
   ck_assert (!run->aborted);
   ck_assert_uint_eq (answer (1)->ends, 0);
@@ -360,8 +361,8 @@
 }
 END_TEST
 
-/* An engine takes the question for room and never answers: the next one is
- * asked, and what the first one grants late is given back. */
+/* An engine accepts a reservation call and never answers: the next one is
+   asked, and a late grant of the first is released. */
 START_TEST (test_preempted_asks_a_frozen_engine)
 {
   struct fx_exchange *run = preempted ();
@@ -375,13 +376,13 @@
 }
 END_TEST
 
-/* The engine that stopped a run dies while another is asked for room: its
- * stream is looked a place for as any other. */
+/* The engine that preempted a run dies while another one is asked: its stream
+   is relocated like any other. */
 START_TEST (test_preempted_engine_dies)
 {
   struct fx_exchange *run = preempted ();
 
-  fx_broken (&fx, run, BERYL_BREAK_RESET, true);
+  fx_broken (&fx, run, BERYL_FAILURE_RESET, true);
   run = fx_to_run (&fx, 1);
   ck_assert_uint_eq (run->last_event, 2);
   fx_stream (&fx, run);
@@ -391,8 +392,8 @@
 }
 END_TEST
 
-/* A stream that lost its engine waits for room as long as its caller does,
- * and is cut off only then. */
+/* A stream that lost its engine waits for memory as long as its caller does,
+   and is cut off only then. */
 START_TEST (test_caller_waits_for_its_stream)
 {
   struct fx_exchange *run;
@@ -403,7 +404,7 @@
   fx_arrive (&fx, 1);
   run = fx_to_stream (&fx, 1, 3);
   fx_remove (&fx, run->endpoint);
-  fx_broken (&fx, run, BERYL_BREAK_RESET, true);
+  fx_broken (&fx, run, BERYL_FAILURE_RESET, true);
   fx_pass (&fx, 3800);
   ck_assert_uint_eq (answer (1)->ends, 0);
   fx_pass (&fx, 400);
@@ -411,7 +412,7 @@
 }
 END_TEST
 
-/* A stream's body ends as if whole, but in the middle of an event. */
+/* A stream's body ends as if complete, but in the middle of an event. */
 START_TEST (test_end_inside_event)
 {
   struct fx_exchange *run;
@@ -427,11 +428,11 @@
 
 START_TEST (test_deadline_ends_stream)
 {
-  struct beryl_forward_request facts = fx_facts (&fx, 1);
+  struct beryl_forward_request facts = fx_request_params (&fx, 1);
   struct fx_exchange *run;
 
   facts.deadline_ms = fx.now_ms + 400;
-  beryl_forward_arrived (fx.forward, &facts, fx.now_ms);
+  beryl_forward_submit (fx.forward, &facts, fx.now_ms);
   run = fx_to_stream (&fx, 1, 3);
   for (uint64_t i = 4; run->open && i < 20; i++)
     {
