--- a/libberyl/base/map.c
+++ b/libberyl/base/map.c
@@ -92,10 +92,10 @@
        i = (i + 1) & (map->capacity - 1))
     {
       size_t home = key_slot (map, map->slots[i].key);
-      size_t reach = (i - home) & (map->capacity - 1);
-      size_t gap = (i - hole) & (map->capacity - 1);
+      size_t probe_distance = (i - home) & (map->capacity - 1);
+      size_t hole_distance = (i - hole) & (map->capacity - 1);
 
-      if (reach < gap)
+      if (probe_distance < hole_distance)
         continue;
       map->slots[hole] = map->slots[i];
       map->slots[i].value = NULL;
--- a/libberyl/limits/limits.c
+++ b/libberyl/limits/limits.c
@@ -8,13 +8,13 @@
 #define SENDERS_MAX 512
 /* An endpoint that names less still gets a request now and then: only its
  * answer can tell that it takes more. */
-#define LEAST_MILLI_PER_S 100
+#define MIN_MILLI_PER_S 100
 /* What a bucket holds at most: what refills it in so long, or one request. */
 #define BUCKET_MS 500
 /* Nobody has had an answer for so long: what is known is dropped. */
-#define SILENT_MS INT64_C (600000)
+#define STALE_MS INT64_C (600000)
 /* A limit that has ended is told for so long; datagrams may be lost. */
-#define TELL_MS 3000
+#define ANNOUNCE_MS 3000
 
 /* What another node has told of its sends. */
 struct sender
@@ -27,23 +27,23 @@
 {
   uint32_t endpoint;
   struct beryl_rate_limit rate;
-  uint32_t kind;    /* of the answers that name it */
-  int64_t since_ms; /* it names a limit, or names none any more */
-  int64_t heard_ms; /* of the newest answer that is known of */
-  double tokens;    /* below 0: more was sent than it takes */
-  int64_t filled_ms;
+  uint32_t answer_kind; /* of the answers that name it */
+  int64_t changed_ms;   /* it names a limit, or names none any more */
+  int64_t confirmed_ms; /* of the newest answer that is known of */
+  double tokens;        /* below 0: more was sent than it takes */
+  int64_t refilled_ms;
   uint32_t sent; /* by this node */
   bool changed;  /* since it was written last */
   struct sender *senders;
   uint32_t sender_count;
-  uint32_t sender_next; /* to be replaced once there are as many as may be */
+  uint32_t sender_evict; /* to be replaced once there are as many as may be */
 };
 
 struct beryl_limits
 {
   struct limit items[LIMITS_MAX];
   uint32_t count;
-  uint32_t turn; /* whose turn it is to be written again */
+  uint32_t next_export; /* whose turn it is to be written again */
 };
 
 struct beryl_limits *
@@ -84,9 +84,9 @@
   for (uint32_t i = limits->count; i > 0; i--)
     {
       struct limit *limit = &limits->items[i - 1];
-      int64_t kept_ms = limit->rate.advertised ? SILENT_MS : TELL_MS;
+      int64_t kept_ms = limit->rate.advertised ? STALE_MS : ANNOUNCE_MS;
 
-      if (now_ms - limit->heard_ms > kept_ms)
+      if (now_ms - limit->confirmed_ms > kept_ms)
         limit_remove (limits, limit);
     }
 }
@@ -102,20 +102,21 @@
     {
       limit = &limits->items[0];
       for (uint32_t i = 1; i < limits->count; i++)
-        if (limits->items[i].heard_ms < limit->heard_ms)
+        if (limits->items[i].confirmed_ms < limit->confirmed_ms)
           limit = &limits->items[i];
       limit_remove (limits, limit);
     }
   limit = &limits->items[limits->count++];
   *limit = (struct limit){ .endpoint = endpoint,
-                           .since_ms = now_ms,
-                           .heard_ms = now_ms,
-                           .filled_ms = now_ms };
+                           .changed_ms = now_ms,
+                           .confirmed_ms = now_ms,
+                           .refilled_ms = now_ms };
   return limit;
 }
 
 static bool
-is_same (const struct beryl_rate_limit *a, const struct beryl_rate_limit *b)
+rates_equal (const struct beryl_rate_limit *a,
+             const struct beryl_rate_limit *b)
 {
   return a->advertised == b->advertised
          && (!a->advertised || a->milli_per_s == b->milli_per_s);
@@ -125,19 +126,19 @@
  * before was more than it takes. */
 static bool
 limit_set (struct limit *limit, const struct beryl_rate_limit *rate,
-           int64_t heard_ms, int64_t now_ms)
+           int64_t confirmed_ms, int64_t now_ms)
 {
-  bool begins = rate->advertised && !limit->rate.advertised;
+  bool starts = rate->advertised && !limit->rate.advertised;
 
-  limit->heard_ms = heard_ms;
-  if (is_same (&limit->rate, rate))
+  limit->confirmed_ms = confirmed_ms;
+  if (rates_equal (&limit->rate, rate))
     return false;
-  if (begins || !rate->advertised)
-    limit->since_ms = now_ms;
-  if (begins)
+  if (starts || !rate->advertised)
+    limit->changed_ms = now_ms;
+  if (starts)
     {
       limit->tokens = 0;
-      limit->filled_ms = now_ms;
+      limit->refilled_ms = now_ms;
     }
   limit->rate = *rate;
   return true;
@@ -147,8 +148,9 @@
  * nothing: answers overtake each other. */
 bool
 beryl_limits_observe (struct beryl_limits *limits, uint32_t endpoint,
-                      uint32_t kind, const struct beryl_rate_limit *rate,
-                      int64_t sent_ms, int64_t now_ms)
+                      uint32_t answer_kind,
+                      const struct beryl_rate_limit *rate, int64_t sent_ms,
+                      int64_t now_ms)
 {
   struct limit *limit = limit_find (limits, endpoint);
 
@@ -157,9 +159,10 @@
   if (limit == NULL)
     limit = limit_add (limits, endpoint, now_ms);
   else if (!rate->advertised
-           && (kind != limit->kind || sent_ms <= limit->since_ms))
+           && (answer_kind != limit->answer_kind
+               || sent_ms <= limit->changed_ms))
     return false;
-  limit->kind = kind;
+  limit->answer_kind = answer_kind;
   if (!limit_set (limit, rate, now_ms, now_ms))
     return false;
   limit->changed = true;
@@ -168,26 +171,26 @@
 
 static double
 tokens_per_ms (const struct limit *limit,
-               const struct beryl_limit_cluster *terms)
+               const struct beryl_limit_cluster *cluster)
 {
   uint32_t milli_per_s = limit->rate.milli_per_s;
 
-  if (milli_per_s < LEAST_MILLI_PER_S)
-    milli_per_s = LEAST_MILLI_PER_S;
-  return terms->reachable_fraction * milli_per_s / 1e6;
+  if (milli_per_s < MIN_MILLI_PER_S)
+    milli_per_s = MIN_MILLI_PER_S;
+  return cluster->reachable_fraction * milli_per_s / 1e6;
 }
 
 static void
-refill (struct limit *limit, const struct beryl_limit_cluster *terms,
+refill (struct limit *limit, const struct beryl_limit_cluster *cluster,
         int64_t now_ms)
 {
-  double per_ms = tokens_per_ms (limit, terms);
-  double most = per_ms * BUCKET_MS > 1 ? per_ms * BUCKET_MS : 1;
+  double per_ms = tokens_per_ms (limit, cluster);
+  double capacity = per_ms * BUCKET_MS > 1 ? per_ms * BUCKET_MS : 1;
 
-  limit->tokens += per_ms * (double)(now_ms - limit->filled_ms);
-  limit->filled_ms = now_ms;
-  if (limit->tokens > most)
-    limit->tokens = most;
+  limit->tokens += per_ms * (double)(now_ms - limit->refilled_ms);
+  limit->refilled_ms = now_ms;
+  if (limit->tokens > capacity)
+    limit->tokens = capacity;
 }
 
 /* Other nodes see the same token at the same moment.  Of all requests that
@@ -195,28 +198,28 @@
  * as there are tokens. */
 bool
 beryl_limits_allow (struct beryl_limits *limits, uint32_t endpoint,
-                    const struct beryl_limit_cluster *terms, double chance,
+                    const struct beryl_limit_cluster *cluster, double chance,
                     int64_t now_ms)
 {
   struct limit *limit = limit_find (limits, endpoint);
 
   if (limit == NULL || !limit->rate.advertised)
     return true;
-  refill (limit, terms, now_ms);
+  refill (limit, cluster, now_ms);
   return limit->tokens >= 1
-         && chance * terms->concurrent_requests <= limit->tokens;
+         && chance * cluster->concurrent_requests <= limit->tokens;
 }
 
 void
 beryl_limits_record_send (struct beryl_limits *limits, uint32_t endpoint,
-                          const struct beryl_limit_cluster *terms,
+                          const struct beryl_limit_cluster *cluster,
                           int64_t now_ms)
 {
   struct limit *limit = limit_find (limits, endpoint);
 
   if (limit == NULL || !limit->rate.advertised)
     return;
-  refill (limit, terms, now_ms);
+  refill (limit, cluster, now_ms);
   limit->tokens--;
   limit->sent++;
   limit->changed = true;
@@ -224,16 +227,17 @@
 
 int64_t
 beryl_limits_wait_ms (struct beryl_limits *limits, uint32_t endpoint,
-                      const struct beryl_limit_cluster *terms, int64_t now_ms)
+                      const struct beryl_limit_cluster *cluster,
+                      int64_t now_ms)
 {
   struct limit *limit = limit_find (limits, endpoint);
 
   if (limit == NULL || !limit->rate.advertised)
     return 0;
-  refill (limit, terms, now_ms);
+  refill (limit, cluster, now_ms);
   if (limit->tokens >= 1)
     return 0;
-  return 1 + (int64_t)((1 - limit->tokens) / tokens_per_ms (limit, terms));
+  return 1 + (int64_t)((1 - limit->tokens) / tokens_per_ms (limit, cluster));
 }
 
 struct beryl_rate_limit
@@ -245,21 +249,21 @@
 }
 
 static bool
-is_news (const struct limit *limit, int64_t now_ms)
+needs_export (const struct limit *limit, int64_t now_ms)
 {
-  return limit->changed || now_ms - limit->since_ms < TELL_MS;
+  return limit->changed || now_ms - limit->changed_ms < ANNOUNCE_MS;
 }
 
 static void
-write_one (struct limit *limit, struct beryl_limits_update *news,
-           int64_t now_ms)
+export_one (struct limit *limit, struct beryl_limits_update *update,
+            int64_t now_ms)
 {
-  int64_t age_ms = now_ms - limit->heard_ms;
+  int64_t age_ms = now_ms - limit->confirmed_ms;
 
-  news->items[news->count++] = (struct beryl_limit_item){
+  update->items[update->count++] = (struct beryl_limit_item){
     .endpoint = limit->endpoint,
     .advertised = limit->rate.advertised,
-    .answer_kind = limit->kind,
+    .answer_kind = limit->answer_kind,
     .milli_per_s = limit->rate.milli_per_s,
     .age_ms = age_ms > 0 ? (uint32_t)age_ms : 0,
     .sent = limit->sent,
@@ -268,33 +272,34 @@
 }
 
 static bool
-is_written (const struct beryl_limits_update *news, uint32_t endpoint)
+is_exported (const struct beryl_limits_update *update, uint32_t endpoint)
 {
-  for (size_t i = 0; i < news->count; i++)
-    if (news->items[i].endpoint == endpoint)
+  for (size_t i = 0; i < update->count; i++)
+    if (update->items[i].endpoint == endpoint)
       return true;
   return false;
 }
 
 bool
 beryl_limits_build_update (struct beryl_limits *limits,
-                           struct beryl_limits_update *news, bool all,
+                           struct beryl_limits_update *update, bool all,
                            int64_t now_ms)
 {
-  news->count = 0;
+  update->count = 0;
   for (uint32_t i = 0;
-       i < limits->count && news->count < BERYL_LIMIT_ITEMS_MAX; i++)
-    if (is_news (&limits->items[i], now_ms))
-      write_one (&limits->items[i], news, now_ms);
+       i < limits->count && update->count < BERYL_LIMIT_ITEMS_MAX; i++)
+    if (needs_export (&limits->items[i], now_ms))
+      export_one (&limits->items[i], update, now_ms);
   for (uint32_t i = 0;
-       all && i < limits->count && news->count < BERYL_LIMIT_ITEMS_MAX; i++)
+       all && i < limits->count && update->count < BERYL_LIMIT_ITEMS_MAX; i++)
     {
-      struct limit *limit = &limits->items[limits->turn++ % limits->count];
+      struct limit *limit
+          = &limits->items[limits->next_export++ % limits->count];
 
-      if (!is_written (news, limit->endpoint))
-        write_one (limit, news, now_ms);
+      if (!is_exported (update, limit->endpoint))
+        export_one (limit, update, now_ms);
     }
-  return news->count > 0;
+  return update->count > 0;
 }
 
 static struct sender *
@@ -306,7 +311,7 @@
     if (limit->senders[i].node == node)
       return &limit->senders[i];
   if (limit->sender_count == SENDERS_MAX)
-    sender = &limit->senders[limit->sender_next++ % SENDERS_MAX];
+    sender = &limit->senders[limit->sender_evict++ % SENDERS_MAX];
   else
     {
       limit->senders = realloc (limit->senders, (limit->sender_count + 1)
@@ -321,7 +326,7 @@
  * was first heard is long paid for, all but the last one; a smaller count than
  * before is that of another life. */
 static uint32_t
-new_sends (struct limit *limit, uint32_t node, uint32_t sent)
+count_new_sends (struct limit *limit, uint32_t node, uint32_t sent)
 {
   struct sender *sender = sender_get (limit, node);
   uint32_t before = sender->sent;
@@ -333,38 +338,38 @@
 }
 
 static void
-take_one (struct beryl_limits *limits, uint32_t node,
-          const struct beryl_limit_item *told,
-          const struct beryl_limit_cluster *terms, int64_t now_ms)
+apply_one (struct beryl_limits *limits, uint32_t node,
+           const struct beryl_limit_item *item,
+           const struct beryl_limit_cluster *cluster, int64_t now_ms)
 {
-  struct beryl_rate_limit rate = { told->advertised, told->milli_per_s };
-  int64_t heard_ms = now_ms - told->age_ms;
-  struct limit *limit = limit_find (limits, told->endpoint);
+  struct beryl_rate_limit rate = { item->advertised, item->milli_per_s };
+  int64_t confirmed_ms = now_ms - item->age_ms;
+  struct limit *limit = limit_find (limits, item->endpoint);
 
-  if (limit == NULL && (!told->advertised || told->age_ms > SILENT_MS))
+  if (limit == NULL && (!item->advertised || item->age_ms > STALE_MS))
     return;
   if (limit == NULL)
     {
-      limit = limit_add (limits, told->endpoint, now_ms);
-      limit->heard_ms = heard_ms - 1;
+      limit = limit_add (limits, item->endpoint, now_ms);
+      limit->confirmed_ms = confirmed_ms - 1;
     }
-  if (heard_ms > limit->heard_ms)
+  if (confirmed_ms > limit->confirmed_ms)
     {
-      limit->kind = told->answer_kind;
-      limit_set (limit, &rate, heard_ms, now_ms);
+      limit->answer_kind = item->answer_kind;
+      limit_set (limit, &rate, confirmed_ms, now_ms);
     }
-  refill (limit, terms, now_ms);
-  limit->tokens -= new_sends (limit, node, told->sent);
+  refill (limit, cluster, now_ms);
+  limit->tokens -= count_new_sends (limit, node, item->sent);
 }
 
 void
 beryl_limits_apply_update (struct beryl_limits *limits,
-                           const struct beryl_limits_update *news,
-                           const struct beryl_limit_cluster *terms,
+                           const struct beryl_limits_update *update,
+                           const struct beryl_limit_cluster *cluster,
                            int64_t now_ms)
 {
-  for (size_t i = 0; i < news->count; i++)
-    take_one (limits, news->node, &news->items[i], terms, now_ms);
+  for (size_t i = 0; i < update->count; i++)
+    apply_one (limits, update->node, &update->items[i], cluster, now_ms);
 }
 
 bool
--- a/libberyl/planner/arrange.c
+++ b/libberyl/planner/arrange.c
@@ -48,11 +48,11 @@
 engine_order (struct engine *e, const char *model, const char *version,
               enum beryl_role role, const char *reason)
 {
-  name_copy (e->ordered_model, model);
-  name_copy (e->ordered_version, version);
+  copy_name (e->ordered_model, model);
+  copy_name (e->ordered_version, version);
   e->ordered_role = role;
   e->ordered = true;
-  e->ordered_ms = 0;
+  e->order_sent_ms = 0;
   e->reason = reason;
 }
 
@@ -66,15 +66,15 @@
   double seconds
       = (double)s->model->weight_bytes / p->settings.weight_store_bytes_per_s;
 
-  if (now_ms < p->load_free_ms)
+  if (now_ms < p->next_load_ms)
     return false;
-  p->load_free_ms = now_ms + (int64_t)(seconds * 1000);
+  p->next_load_ms = now_ms + (int64_t)(seconds * 1000);
   return true;
 }
 
 static uint32_t
-in_data_centre (const struct beryl_planner *p, const struct service *s,
-                const char *data_centre)
+count_in_data_centre (const struct beryl_planner *p, const struct service *s,
+                      const char *data_centre)
 {
   uint32_t count = 0;
 
@@ -89,10 +89,10 @@
 }
 
 static enum beryl_role
-fitting_role (const struct engine *e, enum beryl_role wanted)
+fitting_role (const struct engine *e, enum beryl_role target)
 {
   if (e->endpoint->role == BERYL_ROLE_BOTH)
-    return wanted;
+    return target;
   return e->endpoint->role;
 }
 
@@ -111,7 +111,7 @@
       if (!is_engine_of (e, s) || !e->known || will_be_warm (e, s)
           || engine_is_warm (e, s) || e->loading)
         continue;
-      count = in_data_centre (p, s, e->endpoint->data_centre);
+      count = count_in_data_centre (p, s, e->endpoint->data_centre);
       if (best != NULL && count >= best_count)
         continue;
       best = e;
@@ -134,7 +134,7 @@
 
       if (!is_engine_of (e, s) || !will_be_warm (e, s) || is_changing (e))
         continue;
-      count = in_data_centre (p, s, e->endpoint->data_centre);
+      count = count_in_data_centre (p, s, e->endpoint->data_centre);
       count += is_current (e, s) ? 0 : 1000000;
       if (best != NULL && count <= best_count)
         continue;
@@ -144,19 +144,19 @@
   return best;
 }
 
-struct tally
+struct engine_counts
 {
   uint32_t warm;     /* serving now, any version */
-  uint32_t coming;   /* ordered to serve, serving or not */
+  uint32_t assigned; /* ordered to serve, serving or not */
   uint32_t changing; /* between two states */
   uint32_t prefill;  /* ordered to prefill */
-  uint32_t old;      /* serving an old version */
+  uint32_t outdated; /* serving an old version */
 };
 
-static struct tally
-service_tally (const struct beryl_planner *p, const struct service *s)
+static struct engine_counts
+count_engines (const struct beryl_planner *p, const struct service *s)
 {
-  struct tally t = { 0 };
+  struct engine_counts t = { 0 };
 
   for (size_t i = 0; i < p->engine_count; i++)
     {
@@ -165,27 +165,27 @@
       if (!is_engine_of (e, s))
         continue;
       t.warm += engine_is_warm (e, s);
-      t.coming += will_be_warm (e, s);
+      t.assigned += will_be_warm (e, s);
       t.changing += is_changing (e);
       t.prefill
           += will_be_warm (e, s) && e->ordered_role == BERYL_ROLE_PREFILL;
-      t.old += engine_is_warm (e, s) && !is_current (e, s);
+      t.outdated += engine_is_warm (e, s) && !is_current (e, s);
     }
   return t;
 }
 
 static enum beryl_role
-next_role (const struct service *s, const struct tally *t)
+next_role (const struct service *s, const struct engine_counts *t)
 {
-  if (s->wanted_prefill == 0)
+  if (s->target_prefill == 0)
     return BERYL_ROLE_BOTH;
-  return t->prefill < s->wanted_prefill ? BERYL_ROLE_PREFILL
+  return t->prefill < s->target_prefill ? BERYL_ROLE_PREFILL
                                         : BERYL_ROLE_DECODE;
 }
 
 static void
-grow (struct beryl_planner *p, struct service *s, const struct tally *t,
-      int64_t now_ms)
+grow (struct beryl_planner *p, struct service *s,
+      const struct engine_counts *t, int64_t now_ms)
 {
   struct engine *e = pick_cold (p, s);
 
@@ -196,29 +196,30 @@
 }
 
 static void
-shrink (struct beryl_planner *p, struct service *s, const struct tally *t,
-        int64_t now_ms)
+shrink (struct beryl_planner *p, struct service *s,
+        const struct engine_counts *t, int64_t now_ms)
 {
   struct engine *e;
 
-  if (s->surplus_ms == 0)
+  if (s->surplus_since_ms == 0)
     {
-      s->surplus_ms = now_ms;
-      s->surplus_wanted = s->wanted;
+      s->surplus_since_ms = now_ms;
+      s->surplus_peak = s->target;
     }
   /* Down to the most that was wanted meanwhile: a load that swings needs its
    * engines again in a moment. */
-  if (s->wanted > s->surplus_wanted)
-    s->surplus_wanted = s->wanted;
+  if (s->target > s->surplus_peak)
+    s->surplus_peak = s->target;
   /* What rests has rested for long already. */
-  if (s->wanted > 0 && now_ms - s->surplus_ms < p->settings.shrink_delay_ms)
+  if (s->target > 0
+      && now_ms - s->surplus_since_ms < p->settings.shrink_delay_ms)
     return;
-  if (s->wanted > 0 && t->coming <= s->surplus_wanted)
+  if (s->target > 0 && t->assigned <= s->surplus_peak)
     {
-      s->surplus_ms = 0;
+      s->surplus_since_ms = 0;
       return;
     }
-  if (t->warm <= s->wanted && s->wanted > 0)
+  if (t->warm <= s->target && s->target > 0)
     return;
   e = pick_surplus (p, s);
   if (e != NULL)
@@ -229,20 +230,20 @@
  * loaded first (it is then one too many, and an old one is the first to
  * go).  Without a spare one engine at a time changes, but never the last. */
 static void
-roll_out (struct beryl_planner *p, struct service *s, const struct tally *t,
-          int64_t now_ms)
+roll_out (struct beryl_planner *p, struct service *s,
+          const struct engine_counts *t, int64_t now_ms)
 {
   struct engine *spare = pick_cold (p, s);
-  uint32_t most = t->warm / CHANGE_DIVISOR;
+  uint32_t limit = t->warm / CHANGE_DIVISOR;
 
-  if (t->changing > most || (t->changing > 0 && most == 0))
+  if (t->changing > limit || (t->changing > 0 && limit == 0))
     return;
-  if (spare != NULL && t->coming <= s->wanted)
+  if (spare != NULL && t->assigned <= s->target)
     {
       grow (p, s, t, now_ms);
       return;
     }
-  if (t->warm < 2 && now_ms - s->demand_ms < p->settings.idle_timeout_ms)
+  if (t->warm < 2 && now_ms - s->last_demand_ms < p->settings.idle_timeout_ms)
     return;
   for (size_t i = 0; i < p->engine_count; i++)
     {
@@ -275,19 +276,20 @@
 /* A role change drops the engine's cache, so it is made only if the split
  * is off by more than one engine, and one at a time. */
 static void
-rebalance (struct beryl_planner *p, struct service *s, const struct tally *t)
+rebalance (struct beryl_planner *p, struct service *s,
+           const struct engine_counts *t)
 {
   enum beryl_role from = BERYL_ROLE_DECODE;
   enum beryl_role to = BERYL_ROLE_PREFILL;
 
-  if (t->changing > 0 || s->wanted_prefill == 0)
+  if (t->changing > 0 || s->target_prefill == 0)
     return;
-  if (t->prefill > s->wanted_prefill + 1)
+  if (t->prefill > s->target_prefill + 1)
     {
       from = BERYL_ROLE_PREFILL;
       to = BERYL_ROLE_DECODE;
     }
-  else if (t->prefill + 1 >= s->wanted_prefill
+  else if (t->prefill + 1 >= s->target_prefill
            && !(t->prefill == 0 && t->warm >= 2))
     return;
   for (size_t i = 0; i < p->engine_count; i++)
@@ -306,26 +308,26 @@
 void
 service_arrange (struct beryl_planner *p, struct service *s, int64_t now_ms)
 {
-  struct tally t;
+  struct engine_counts t;
 
   adopt (p, s);
-  t = service_tally (p, s);
-  if (t.coming <= s->wanted)
-    s->surplus_ms = 0;
-  if (t.coming < s->wanted)
+  t = count_engines (p, s);
+  if (t.assigned <= s->target)
+    s->surplus_since_ms = 0;
+  if (t.assigned < s->target)
     grow (p, s, &t, now_ms);
-  else if (t.old > 0 && s->wanted > 0)
+  else if (t.outdated > 0 && s->target > 0)
     roll_out (p, s, &t, now_ms);
-  if (t.coming > s->wanted)
+  if (t.assigned > s->target)
     {
       /* The surplus of a roll-out is the old version, which is not kept. */
-      if (t.old > 0 && t.warm > s->wanted && t.changing == 0)
+      if (t.outdated > 0 && t.warm > s->target && t.changing == 0)
         {
-          s->surplus_ms = now_ms - p->settings.shrink_delay_ms;
-          s->surplus_wanted = s->wanted;
+          s->surplus_since_ms = now_ms - p->settings.shrink_delay_ms;
+          s->surplus_peak = s->target;
         }
       shrink (p, s, &t, now_ms);
     }
-  else if (t.coming == s->wanted)
+  else if (t.assigned == s->target)
     rebalance (p, s, &t);
 }
--- a/libberyl/planner/planner.c
+++ b/libberyl/planner/planner.c
@@ -4,14 +4,14 @@
 #include "private.h"
 
 #define WEIGHT_STORE_BYTES_PER_S 1e9
-#define USE 0.8
-#define SLOTS 20
+#define TARGET_UTILIZATION 0.8
+#define DEFAULT_SLOTS 20
 #define PREFILL_TOKENS_PER_S 8000
 #define STEP_MS 60000
 #define HORIZON_MS 120000
-#define SHRINK_MS 300000
-#define IDLE_MS 600000
-#define REPEAT_MS 5000
+#define SHRINK_DELAY_MS 300000
+#define IDLE_TIMEOUT_MS 600000
+#define RESEND_MS 5000
 
 static void
 settings_default (struct beryl_planner_settings *s)
@@ -19,9 +19,9 @@
   if (s->weight_store_bytes_per_s <= 0)
     s->weight_store_bytes_per_s = WEIGHT_STORE_BYTES_PER_S;
   if (s->target_utilization <= 0)
-    s->target_utilization = USE;
+    s->target_utilization = TARGET_UTILIZATION;
   if (s->default_slots == 0)
-    s->default_slots = SLOTS;
+    s->default_slots = DEFAULT_SLOTS;
   if (s->prefill_tokens_per_s <= 0)
     s->prefill_tokens_per_s = PREFILL_TOKENS_PER_S;
   if (s->step_ms == 0)
@@ -29,11 +29,11 @@
   if (s->horizon_ms == 0)
     s->horizon_ms = HORIZON_MS;
   if (s->shrink_delay_ms == 0)
-    s->shrink_delay_ms = SHRINK_MS;
+    s->shrink_delay_ms = SHRINK_DELAY_MS;
   if (s->idle_timeout_ms == 0)
-    s->idle_timeout_ms = IDLE_MS;
+    s->idle_timeout_ms = IDLE_TIMEOUT_MS;
   if (s->resend_ms == 0)
-    s->resend_ms = REPEAT_MS;
+    s->resend_ms = RESEND_MS;
 }
 
 struct beryl_planner *
@@ -127,7 +127,7 @@
   s->step_end_ms = now_ms + p->settings.step_ms;
   /* A planner that has just taken over knows no demand yet; it must not
    * take it for none. */
-  s->demand_ms = now_ms;
+  s->last_demand_ms = now_ms;
   return s->decode_sizer != NULL && s->prefill_sizer != NULL
          && s->nodes != NULL;
 }
@@ -185,7 +185,7 @@
 }
 
 void
-name_copy (char to[BERYL_NAME_BYTES], const char *from)
+copy_name (char to[BERYL_NAME_BYTES], const char *from)
 {
   size_t bytes = from != NULL ? strnlen (from, BERYL_NAME_BYTES - 1) : 0;
 
@@ -213,8 +213,8 @@
       e->ordered = false;
       return;
     }
-  name_copy (e->model, state->model);
-  name_copy (e->version, state->version);
+  copy_name (e->model, state->model);
+  copy_name (e->version, state->version);
   e->role = state->role;
   e->loading = state->loading;
   e->ready = state->ready;
@@ -222,14 +222,14 @@
 }
 
 static struct node_demand *
-demand_of (struct service *s, const char *node)
+node_demand_get (struct service *s, const char *node)
 {
   for (size_t i = 0; i < s->node_count; i++)
     if (strcmp (s->nodes[i].node, node) == 0)
       return &s->nodes[i];
   if (s->node_count == DEMAND_NODES_MAX)
     return NULL;
-  name_copy (s->nodes[s->node_count].node, node);
+  copy_name (s->nodes[s->node_count].node, node);
   return &s->nodes[s->node_count++];
 }
 
@@ -240,22 +240,22 @@
                              uint64_t prompt_tokens, int64_t now_ms)
 {
   struct service *s = planner_service (p, service);
-  struct node_demand *demand = s != NULL ? demand_of (s, node) : NULL;
+  struct node_demand *demand = s != NULL ? node_demand_get (s, node) : NULL;
 
   if (demand == NULL)
     return;
   s->reported = true;
   demand->waiting = waiting;
   demand->running = running;
-  demand->told_ms = now_ms;
+  demand->reported_ms = now_ms;
   s->step_arrived += arrived;
   s->step_tokens += prompt_tokens;
   if (arrived + waiting + running > 0)
-    s->demand_ms = now_ms;
+    s->last_demand_ms = now_ms;
 }
 
 static bool
-engine_follows (const struct engine *e)
+order_is_applied (const struct engine *e)
 {
   return strcmp (e->model, e->ordered_model) == 0
          && strcmp (e->version, e->ordered_version) == 0
@@ -286,11 +286,12 @@
                                    .interrupts = engine_is_interrupted (e),
                                    .reason = e->reason };
 
-      if (!e->ordered || !e->known || engine_follows (e))
+      if (!e->ordered || !e->known || order_is_applied (e))
         continue;
-      if (e->ordered_ms != 0 && now_ms - e->ordered_ms < p->settings.resend_ms)
+      if (e->order_sent_ms != 0
+          && now_ms - e->order_sent_ms < p->settings.resend_ms)
         continue;
-      e->ordered_ms = now_ms;
+      e->order_sent_ms = now_ms;
       p->owner->impl->order (p->owner, &order);
     }
 }
@@ -318,7 +319,7 @@
 {
   const struct engine *e = engine_find (p->engines, p->engine_count, endpoint);
 
-  return e != NULL && e->ordered && engine_follows (e);
+  return e != NULL && e->ordered && order_is_applied (e);
 }
 
 uint32_t
@@ -326,5 +327,5 @@
 {
   const struct service *s = planner_service (p, service);
 
-  return s != NULL ? s->wanted : 0;
+  return s != NULL ? s->target : 0;
 }
--- a/libberyl/planner/private.h
+++ b/libberyl/planner/private.h
@@ -23,7 +23,7 @@
   enum beryl_role ordered_role;
   bool ordered;
   const char *reason;
-  int64_t ordered_ms; /* last sending */
+  int64_t order_sent_ms; /* last sending */
 };
 
 /** Demand of one service at one node. */
@@ -32,7 +32,7 @@
   char node[BERYL_NAME_BYTES];
   uint32_t waiting;
   uint32_t running;
-  int64_t told_ms;
+  int64_t reported_ms;
 };
 
 #define DEMAND_NODES_MAX 512
@@ -53,14 +53,14 @@
   double running_sum;    /* for the mean of the step */
   uint32_t running_count;
   int64_t step_end_ms;
-  int64_t demand_ms;   /* of the last demand */
-  double decode_load;  /* to prepare for, in streams */
-  double prefill_load; /* in engines */
-  uint32_t wanted;     /* engines */
-  uint32_t wanted_prefill;
-  double running_mean;     /* smoothed: single calls are noise */
-  int64_t surplus_ms;      /* since when there are too many; 0: are not */
-  uint32_t surplus_wanted; /* the most that was wanted since then */
+  int64_t last_demand_ms; /* of the last demand */
+  double decode_load;     /* to prepare for, in streams */
+  double prefill_load;    /* in engines */
+  uint32_t target;        /* engines */
+  uint32_t target_prefill;
+  double running_mean;      /* smoothed: single calls are noise */
+  int64_t surplus_since_ms; /* since when there are too many; 0: are not */
+  uint32_t surplus_peak;    /* the most that was wanted since then */
 };
 
 struct beryl_planner
@@ -72,7 +72,7 @@
   size_t engine_count;
   struct service *services;
   size_t service_count;
-  int64_t load_free_ms; /* when the weight store may serve another load */
+  int64_t next_load_ms; /* when the weight store may serve another load */
 };
 
 /** Find a service; NULL if there is none. */
@@ -80,7 +80,7 @@
                                  const char *name);
 
 /** Copy a name; NULL gives "". */
-void name_copy (char to[BERYL_NAME_BYTES], const char *from);
+void copy_name (char to[BERYL_NAME_BYTES], const char *from);
 
 /** Update the sizes that SERVICE needs. */
 void service_size (struct beryl_planner *p, struct service *s, int64_t now_ms);
--- a/libberyl/planner/save.c
+++ b/libberyl/planner/save.c
@@ -65,15 +65,15 @@
   struct service *s = planner_service (p, service);
   json_t *json = json_loadb (text, bytes_count, JSON_REJECT_DUPLICATES, NULL);
   json_t *step = json_object_get (json, "step_ms");
-  bool fits = s != NULL && json_integer_value (step) == p->settings.step_ms;
+  bool ok = s != NULL && json_integer_value (step) == p->settings.step_ms;
 
-  if (fits)
+  if (ok)
     {
       profile_unpack (s->decode_sizer, json_object_get (json, "decode"));
       profile_unpack (s->prefill_sizer, json_object_get (json, "prefill"));
     }
   json_decref (json);
-  return fits;
+  return ok;
 }
 
 size_t
--- a/libberyl/planner/size.c
+++ b/libberyl/planner/size.c
@@ -4,20 +4,20 @@
 #include "private.h"
 
 /* A node that has not reported for so long counts no more. */
-#define REPORT_MS 15000
+#define REPORT_TTL_MS 15000
 /* Below this the calls of a step are no demand. */
 #define LOAD_EPSILON 0.01
 /* Share of a new second in the mean of running calls. */
 #define RUNNING_GAIN 0.1
 
 static void
-demand_now (struct service *s, int64_t now_ms, uint32_t *waiting,
-            uint32_t *running)
+current_demand (struct service *s, int64_t now_ms, uint32_t *waiting,
+                uint32_t *running)
 {
   *waiting = 0;
   *running = 0;
   for (size_t i = 0; i < s->node_count; i++)
-    if (now_ms - s->nodes[i].told_ms < REPORT_MS)
+    if (now_ms - s->nodes[i].reported_ms < REPORT_TTL_MS)
       {
         *waiting += s->nodes[i].waiting;
         *running += s->nodes[i].running;
@@ -45,7 +45,7 @@
 }
 
 static uint32_t
-slots_of (const struct beryl_planner *p, const struct service *s)
+slots_per_engine (const struct beryl_planner *p, const struct service *s)
 {
   for (size_t i = 0; i < p->engine_count; i++)
     if (strcmp (p->engines[i].endpoint->service, s->name) == 0
@@ -56,12 +56,12 @@
 
 static void
 pool_bounds (const struct beryl_planner *p, const struct service *s,
-             uint32_t *least, uint32_t *most)
+             uint32_t *minimum, uint32_t *maximum)
 {
   bool found = false;
 
-  *least = 0;
-  *most = 0;
+  *minimum = 0;
+  *maximum = 0;
   for (size_t i = 0; i < p->config->pool_count; i++)
     {
       const struct beryl_pool *pool = &p->config->pools[i];
@@ -69,17 +69,17 @@
       if (strcmp (pool->service, s->name) != 0)
         continue;
       found = true;
-      *least += pool->min_endpoints;
-      *most = *most > UINT32_MAX - pool->max_endpoints
-                  ? UINT32_MAX
-                  : *most + pool->max_endpoints;
+      *minimum += pool->min_endpoints;
+      *maximum = *maximum > UINT32_MAX - pool->max_endpoints
+                     ? UINT32_MAX
+                     : *maximum + pool->max_endpoints;
     }
   if (!found)
-    *most = UINT32_MAX;
+    *maximum = UINT32_MAX;
 }
 
 static uint32_t
-data_centres_of (const struct beryl_planner *p, const struct service *s)
+count_data_centres (const struct beryl_planner *p, const struct service *s)
 {
   const char *seen[64];
   uint32_t count = 0;
@@ -102,7 +102,7 @@
 /* Spread over D data centres, the loss of one leaves (D-1)/D of the engines;
  * a service that needs several must still have enough then. */
 static uint32_t
-with_spare (uint32_t engines, uint32_t data_centres)
+with_redundancy (uint32_t engines, uint32_t data_centres)
 {
   if (engines < 2 || data_centres < 2)
     return engines;
@@ -114,46 +114,48 @@
 {
   uint32_t waiting;
   uint32_t running;
-  uint32_t least;
-  uint32_t most;
+  uint32_t minimum;
+  uint32_t maximum;
   double streams;
   double decode;
   double prefill;
 
-  demand_now (s, now_ms, &waiting, &running);
+  current_demand (s, now_ms, &waiting, &running);
   s->running_sum += waiting + running;
   s->running_count++;
   if (waiting + running > 0)
-    s->demand_ms = now_ms;
+    s->last_demand_ms = now_ms;
   if (now_ms >= s->step_end_ms)
     step_end (p, s, now_ms);
   s->running_mean += RUNNING_GAIN * (running - s->running_mean);
   streams = s->running_mean + waiting;
   if (streams < s->decode_load)
     streams = s->decode_load;
-  decode = streams / (slots_of (p, s) * p->settings.target_utilization);
+  decode
+      = streams / (slots_per_engine (p, s) * p->settings.target_utilization);
   prefill = s->prefill_load;
-  if (now_ms - s->demand_ms >= p->settings.idle_timeout_ms
+  if (now_ms - s->last_demand_ms >= p->settings.idle_timeout_ms
       && s->decode_load < LOAD_EPSILON)
     decode = prefill = 0;
-  s->wanted = (uint32_t)ceil (decode + prefill);
+  s->target = (uint32_t)ceil (decode + prefill);
   /* The first waiting call must find an engine on its way. */
-  if (s->wanted == 0 && now_ms - s->demand_ms < p->settings.idle_timeout_ms)
-    s->wanted = 1;
-  s->wanted = with_spare (s->wanted, data_centres_of (p, s));
-  pool_bounds (p, s, &least, &most);
-  if (s->wanted < least)
-    s->wanted = least;
-  if (s->wanted > most)
-    s->wanted = most;
-  s->wanted_prefill = 0;
-  if (s->wanted >= 2 && decode + prefill > 0)
+  if (s->target == 0
+      && now_ms - s->last_demand_ms < p->settings.idle_timeout_ms)
+    s->target = 1;
+  s->target = with_redundancy (s->target, count_data_centres (p, s));
+  pool_bounds (p, s, &minimum, &maximum);
+  if (s->target < minimum)
+    s->target = minimum;
+  if (s->target > maximum)
+    s->target = maximum;
+  s->target_prefill = 0;
+  if (s->target >= 2 && decode + prefill > 0)
     {
-      s->wanted_prefill
-          = (uint32_t)lround (s->wanted * prefill / (decode + prefill));
-      if (s->wanted_prefill == 0)
-        s->wanted_prefill = 1;
-      if (s->wanted_prefill >= s->wanted)
-        s->wanted_prefill = s->wanted - 1;
+      s->target_prefill
+          = (uint32_t)lround (s->target * prefill / (decode + prefill));
+      if (s->target_prefill == 0)
+        s->target_prefill = 1;
+      if (s->target_prefill >= s->target)
+        s->target_prefill = s->target - 1;
     }
 }
--- a/libberyl/planner/sizer.c
+++ b/libberyl/planner/sizer.c
@@ -6,7 +6,7 @@
 /* Share of a new day in the profile of a time of day. */
 #define PROFILE_GAIN 0.4
 /* Errors that correct the forecast, as in BARISTA. */
-#define ERRORS 5
+#define RATIOS_MAX 5
 /* Bounds of the correction: a broken profile must not rule. */
 #define CORRECTION_MIN 0.5
 #define CORRECTION_MAX 2.0
@@ -22,7 +22,7 @@
   int64_t horizon_ms;
   size_t steps;
   double profile[BERYL_SIZER_STEPS_MAX]; /* load by time of day */
-  double ratios[ERRORS];                 /* of load to forecast */
+  double ratios[RATIOS_MAX];             /* of load to forecast */
   size_t ratio_count;
 };
 
@@ -60,7 +60,7 @@
 }
 
 static void
-profile_learn (struct beryl_sizer *s, size_t step, double load)
+profile_update (struct beryl_sizer *s, size_t step, double load)
 {
   if (s->profile[step] >= 0)
     s->profile[step] += PROFILE_GAIN * (load - s->profile[step]);
@@ -85,7 +85,7 @@
 static double
 correction (const struct beryl_sizer *s)
 {
-  size_t count = s->ratio_count < ERRORS ? s->ratio_count : ERRORS;
+  size_t count = s->ratio_count < RATIOS_MAX ? s->ratio_count : RATIOS_MAX;
   double sum = 0;
 
   if (count == 0)
@@ -102,21 +102,22 @@
 static double
 forecast (const struct beryl_sizer *s, int64_t day_ms, double load)
 {
-  double most = UNKNOWN;
+  double peak = UNKNOWN;
 
-  for (int64_t ahead = s->step_ms; ahead <= s->horizon_ms + s->step_ms;
-       ahead += s->step_ms)
+  for (int64_t forecast_load = s->step_ms;
+       forecast_load <= s->horizon_ms + s->step_ms;
+       forecast_load += s->step_ms)
     {
-      size_t step = step_at (s, day_ms + ahead);
+      size_t step = step_at (s, day_ms + forecast_load);
 
-      if (s->profile[step] > most)
-        most = s->profile[step];
+      if (s->profile[step] > peak)
+        peak = s->profile[step];
     }
-  return most < 0 ? load : most;
+  return peak < 0 ? load : peak;
 }
 
 static double
-greater (double a, double b)
+max_load (double a, double b)
 {
   return a > b ? a : b;
 }
@@ -125,22 +126,22 @@
 beryl_sizer_step (struct beryl_sizer *s, double load, int64_t day_ms)
 {
   size_t step = step_at (s, day_ms);
-  double ahead;
+  double forecast_load;
 
   if (s->profile[step] > LOAD_MIN)
-    s->ratios[s->ratio_count++ % ERRORS] = load / s->profile[step];
-  ahead = forecast (s, day_ms, load);
-  profile_learn (s, step, load);
+    s->ratios[s->ratio_count++ % RATIOS_MAX] = load / s->profile[step];
+  forecast_load = forecast (s, day_ms, load);
+  profile_update (s, step, load);
   switch (s->sizing)
     {
     case BERYL_SIZING_REACTIVE:
       return load;
     case BERYL_SIZING_FORECAST:
-      return ahead;
+      return forecast_load;
     case BERYL_SIZING_CORRECTED:
-      return ahead * correction (s);
+      return forecast_load * correction (s);
     case BERYL_SIZING_HYBRID:
-      return greater (load, ahead * correction (s));
+      return max_load (load, forecast_load * correction (s));
     }
   return load;
 }
--- a/libberyl/quarantine/quarantine.c
+++ b/libberyl/quarantine/quarantine.c
@@ -7,34 +7,34 @@
 
 /* Endpoints that end under a request before it goes to no other; one more if
  * another request ran at the same ones, since either may be the cause. */
-#define CRASHES_MOST 3
+#define CRASH_THRESHOLD 3
 /* Endings that are kept of one request, more than it needs: they explain what
  * happened to others. */
-#define CRASHES_KEPT 8
+#define CRASHES_MAX 8
 /* Requests that are remembered. */
 #define SUSPECTS_MAX 512
 /* A run that broke off is blamed on an end of its endpoint that shows within
  * this time. */
 #define CONFIRM_MS 5000
 /* Endings that are older do not count. */
-#define CRASH_KEPT_MS INT64_C (3600000)
+#define CRASH_TTL_MS INT64_C (3600000)
 #define QUARANTINE_MS INT64_C (86400000)
 /* Answered requests that are remembered, and for how long they stand above
  * suspicion: many callers may send the same one, and it runs at all endpoints
  * of a rack that fails. */
 #define ANSWERED_SLOTS 1024
-#define ANSWERED_MS 60000
+#define ANSWERED_TTL_MS 60000
 /* How often it is looked for what is over. */
-#define EXPIRE_MS 1000
+#define EXPIRE_INTERVAL_MS 1000
 /* What is new is told for so long; datagrams may be lost. */
-#define TELL_MS 3000
+#define ANNOUNCE_MS 3000
 /* A request that was cleared is not quarantined by what peers still tell. */
-#define CLEARED_MS 60000
+#define CLEARED_TTL_MS 60000
 
 enum crash_state
 {
-  CRASH_PENDING, /* a run broke off; the endpoint may be well */
-  CRASH_OWN,     /* the endpoint has ended */
+  CRASH_PENDING,   /* a run broke off; the endpoint may be well */
+  CRASH_CONFIRMED, /* the endpoint has ended */
   CRASH_FROM_PEER,
 };
 
@@ -49,14 +49,14 @@
 {
   TAILQ_ENTRY (suspect) entry;
   uint64_t fingerprint;
-  struct crash crashes[CRASHES_KEPT]; /* the oldest first */
+  struct crash crashes[CRASHES_MAX]; /* the oldest first */
   uint32_t crash_count;
   int64_t cleared_ms;     /* 0: never */
-  bool cleared_here;      /* by an answer that this node has seen */
-  int64_t until_ms;       /* in quarantine; 0: not */
+  bool cleared_locally;   /* by an answer that this node has seen */
+  int64_t expires_ms;     /* in quarantine; 0: not */
   int64_t quarantined_ms; /* since when this node knows */
-  bool on_record;
-  bool listed; /* in the list of records that is being read */
+  bool in_store;
+  bool seen_in_store; /* in the list of records that is being read */
 };
 
 TAILQ_HEAD (suspect_list, suspect);
@@ -77,7 +77,7 @@
   uint32_t pending;     /* endings that are not confirmed */
   bool changed;
   struct answered answered[ANSWERED_SLOTS]; /* by fingerprint */
-  int64_t expired_ms; /* when it was last looked for what is over */
+  int64_t last_expire_ms; /* when it was last looked for what is over */
 };
 
 const char *
@@ -115,7 +115,7 @@
     crash_remove (q, s, 0);
   TAILQ_REMOVE (&q->suspects, s, entry);
   map_remove (&q->by_fingerprint, map_key_number (s->fingerprint));
-  q->quarantined -= s->until_ms != 0;
+  q->quarantined -= s->expires_ms != 0;
   q->count--;
   free (s);
 }
@@ -148,12 +148,12 @@
 /* Returns who is forgotten first: those in quarantine are kept for as long as
  * there are others. */
 static struct suspect *
-first_to_forget (const struct beryl_quarantine *q)
+eviction_candidate (const struct beryl_quarantine *q)
 {
   struct suspect *s = NULL;
 
   TAILQ_FOREACH (s, &q->suspects, entry)
-  if (s->until_ms == 0)
+  if (s->expires_ms == 0)
     return s;
   return TAILQ_FIRST (&q->suspects);
 }
@@ -170,7 +170,7 @@
       return s;
     }
   if (q->count == SUSPECTS_MAX)
-    suspect_free (q, first_to_forget (q));
+    suspect_free (q, eviction_candidate (q));
   s = calloc (1, sizeof *s);
   s->fingerprint = fingerprint;
   TAILQ_INSERT_TAIL (&q->suspects, s, entry);
@@ -194,7 +194,7 @@
 {
   struct crash *crash;
 
-  if (s->crash_count == CRASHES_KEPT)
+  if (s->crash_count == CRASHES_MAX)
     crash_remove (q, s, 0);
   crash = &s->crashes[s->crash_count++];
   *crash = (struct crash){ endpoint, state, now_ms };
@@ -211,7 +211,7 @@
   TAILQ_FOREACH (s, &q->suspects, entry)
   {
     const struct crash *crash
-        = s->until_ms != 0 ? crash_find (s, endpoint) : NULL;
+        = s->expires_ms != 0 ? crash_find (s, endpoint) : NULL;
 
     if (crash != NULL && crash->state != CRASH_PENDING)
       return true;
@@ -220,7 +220,7 @@
 }
 
 static bool
-counts (const struct beryl_quarantine *q, const struct crash *crash)
+is_unexplained (const struct beryl_quarantine *q, const struct crash *crash)
 {
   return crash->state != CRASH_PENDING && !is_explained (q, crash->endpoint);
 }
@@ -231,19 +231,20 @@
   uint32_t count = 0;
 
   for (uint32_t i = 0; i < s->crash_count; i++)
-    count += counts (q, &s->crashes[i]);
+    count += is_unexplained (q, &s->crashes[i]);
   return count;
 }
 
 static bool
-ran_at_all_of (const struct beryl_quarantine *q, struct suspect *other,
-               const struct suspect *s)
+ran_at_all_crashes (const struct beryl_quarantine *q, struct suspect *other,
+                    const struct suspect *s)
 {
   for (uint32_t i = 0; i < s->crash_count; i++)
     {
       const struct crash *crash = &s->crashes[i];
 
-      if (counts (q, crash) && crash_find (other, crash->endpoint) == NULL)
+      if (is_unexplained (q, crash)
+          && crash_find (other, crash->endpoint) == NULL)
         return false;
     }
   return true;
@@ -256,16 +257,16 @@
   struct suspect *other = NULL;
 
   TAILQ_FOREACH (other, &q->suspects, entry)
-  if (other != s && other->until_ms == 0 && ran_at_all_of (q, other, s))
+  if (other != s && other->expires_ms == 0 && ran_at_all_crashes (q, other, s))
     return true;
   return false;
 }
 
 static bool
-has_own_crash (const struct suspect *s)
+has_confirmed_crash (const struct suspect *s)
 {
   for (uint32_t i = 0; i < s->crash_count; i++)
-    if (s->crashes[i].state == CRASH_OWN)
+    if (s->crashes[i].state == CRASH_CONFIRMED)
       return true;
   return false;
 }
@@ -273,24 +274,25 @@
 /* Whoever saw one of the crashes answers for the record. */
 static void
 quarantine_begin (struct beryl_quarantine *q, struct suspect *s,
-                  int64_t left_ms, enum beryl_quarantine_cause cause,
+                  int64_t remaining_ms, enum beryl_quarantine_cause cause,
                   int64_t now_ms)
 {
-  if (cause == BERYL_QUARANTINE_FROM_PEER && has_own_crash (s))
+  if (cause == BERYL_QUARANTINE_FROM_PEER && has_confirmed_crash (s))
     cause = BERYL_QUARANTINE_CRASHES;
-  s->until_ms = now_ms + left_ms;
+  s->expires_ms = now_ms + remaining_ms;
   s->quarantined_ms = now_ms;
   q->quarantined++;
   q->changed = true;
-  q->owner->impl->changed (q->owner, s->fingerprint, left_ms, cause, now_ms);
+  q->owner->impl->changed (q->owner, s->fingerprint, remaining_ms, cause,
+                           now_ms);
 }
 
 static void
 quarantine_end (struct beryl_quarantine *q, struct suspect *s,
                 enum beryl_quarantine_cause cause, int64_t now_ms)
 {
-  s->until_ms = 0;
-  s->on_record = false;
+  s->expires_ms = 0;
+  s->in_store = false;
   q->quarantined--;
   q->owner->impl->changed (q->owner, s->fingerprint, 0, cause, now_ms);
 }
@@ -301,10 +303,11 @@
 {
   uint32_t count;
 
-  if (s->until_ms != 0)
+  if (s->expires_ms != 0)
     return;
   count = count_unexplained (q, s);
-  if (count > CRASHES_MOST || (count == CRASHES_MOST && !is_ambiguous (q, s)))
+  if (count > CRASH_THRESHOLD
+      || (count == CRASH_THRESHOLD && !is_ambiguous (q, s)))
     quarantine_begin (q, s, QUARANTINE_MS, cause, now_ms);
 }
 
@@ -320,7 +323,7 @@
   const struct answered *answered = answered_slot (q, fingerprint);
 
   return answered->fingerprint == fingerprint
-         && now_ms - answered->at_ms < ANSWERED_MS;
+         && now_ms - answered->at_ms < ANSWERED_TTL_MS;
 }
 
 void
@@ -346,7 +349,7 @@
   if (crash == NULL || crash->state != CRASH_PENDING
       || now_ms - crash->since_ms > CONFIRM_MS)
     return false;
-  crash->state = CRASH_OWN;
+  crash->state = CRASH_CONFIRMED;
   crash->since_ms = now_ms;
   q->pending--;
   q->changed = true;
@@ -381,7 +384,7 @@
   while (s->crash_count > 0)
     crash_remove (q, s, 0);
   s->cleared_ms = now_ms;
-  if (s->until_ms != 0)
+  if (s->expires_ms != 0)
     quarantine_end (q, s, cause, now_ms);
 }
 
@@ -392,10 +395,10 @@
   struct suspect *s = suspect_find (q, fingerprint);
 
   *answered_slot (q, fingerprint) = (struct answered){ fingerprint, now_ms };
-  if (s == NULL || (s->crash_count == 0 && s->until_ms == 0))
+  if (s == NULL || (s->crash_count == 0 && s->expires_ms == 0))
     return;
   suspect_clear (q, s, BERYL_QUARANTINE_ANSWERED, now_ms);
-  s->cleared_here = true;
+  s->cleared_locally = true;
   q->changed = true;
 }
 
@@ -408,7 +411,7 @@
   if (q->quarantined == 0)
     return 0;
   s = suspect_find (q, fingerprint);
-  return s != NULL && s->until_ms > now_ms ? s->until_ms - now_ms : 0;
+  return s != NULL && s->expires_ms > now_ms ? s->expires_ms - now_ms : 0;
 }
 
 bool
@@ -421,54 +424,58 @@
 }
 
 static bool
-is_new (int64_t since_ms, int64_t now_ms)
+is_recent (int64_t since_ms, int64_t now_ms)
 {
-  return since_ms != 0 && now_ms - since_ms < TELL_MS;
+  return since_ms != 0 && now_ms - since_ms < ANNOUNCE_MS;
 }
 
 static void
-write_suspect (const struct suspect *s, struct beryl_quarantine_update *news,
-               int64_t now_ms)
+export_suspect (const struct suspect *s,
+                struct beryl_quarantine_update *update, int64_t now_ms)
 {
   for (uint32_t i = 0; i < s->crash_count; i++)
     {
       const struct crash *crash = &s->crashes[i];
 
-      if (crash->state == CRASH_OWN && is_new (crash->since_ms, now_ms)
-          && news->crash_count < BERYL_CRASHES_MAX)
-        news->crashes[news->crash_count++]
+      if (crash->state == CRASH_CONFIRMED
+          && is_recent (crash->since_ms, now_ms)
+          && update->crash_count < BERYL_CRASHES_MAX)
+        update->crashes[update->crash_count++]
             = (struct beryl_crash){ s->fingerprint, crash->endpoint };
     }
-  if (s->cleared_here && is_new (s->cleared_ms, now_ms)
-      && news->cleared_count < BERYL_CLEARED_MAX)
-    news->cleared[news->cleared_count++] = s->fingerprint;
+  if (s->cleared_locally && is_recent (s->cleared_ms, now_ms)
+      && update->cleared_count < BERYL_CLEARED_MAX)
+    update->cleared[update->cleared_count++] = s->fingerprint;
 }
 
 static void
-write_quarantined (const struct suspect *s,
-                   struct beryl_quarantine_update *news, int64_t now_ms)
+export_quarantined (const struct suspect *s,
+                    struct beryl_quarantine_update *update, int64_t now_ms)
 {
-  if (s->until_ms > now_ms && news->quarantined_count < BERYL_QUARANTINED_MAX)
-    news->quarantined[news->quarantined_count++] = (struct beryl_quarantined){
-      s->fingerprint, (uint32_t)((s->until_ms - now_ms + 999) / 1000)
-    };
+  if (s->expires_ms > now_ms
+      && update->quarantined_count < BERYL_QUARANTINED_MAX)
+    update->quarantined[update->quarantined_count++]
+        = (struct beryl_quarantined){
+            s->fingerprint, (uint32_t)((s->expires_ms - now_ms + 999) / 1000)
+          };
 }
 
 /* What was told goes behind the others, so that each has its turn. */
 static void
-write_older (struct beryl_quarantine *q, struct beryl_quarantine_update *news,
-             int64_t now_ms)
+export_older (struct beryl_quarantine *q,
+              struct beryl_quarantine_update *update, int64_t now_ms)
 {
   uint32_t left = q->count;
   struct suspect *s, *next;
 
   for (s = TAILQ_FIRST (&q->suspects);
-       left-- > 0 && news->quarantined_count < BERYL_QUARANTINED_MAX; s = next)
+       left-- > 0 && update->quarantined_count < BERYL_QUARANTINED_MAX;
+       s = next)
     {
       next = TAILQ_NEXT (s, entry);
-      if (s->until_ms == 0 || is_new (s->quarantined_ms, now_ms))
+      if (s->expires_ms == 0 || is_recent (s->quarantined_ms, now_ms))
         continue;
-      write_quarantined (s, news, now_ms);
+      export_quarantined (s, update, now_ms);
       TAILQ_REMOVE (&q->suspects, s, entry);
       TAILQ_INSERT_TAIL (&q->suspects, s, entry);
     }
@@ -476,62 +483,65 @@
 
 bool
 beryl_quarantine_build_update (struct beryl_quarantine *q,
-                               struct beryl_quarantine_update *news, bool all,
-                               int64_t now_ms)
+                               struct beryl_quarantine_update *update,
+                               bool all, int64_t now_ms)
 {
   struct suspect *s = NULL;
 
-  *news = (struct beryl_quarantine_update){ 0 };
+  *update = (struct beryl_quarantine_update){ 0 };
   if (q->count == 0)
     return false;
   TAILQ_FOREACH_REVERSE (s, &q->suspects, suspect_list, entry)
   {
-    write_suspect (s, news, now_ms);
-    if (is_new (s->quarantined_ms, now_ms))
-      write_quarantined (s, news, now_ms);
+    export_suspect (s, update, now_ms);
+    if (is_recent (s->quarantined_ms, now_ms))
+      export_quarantined (s, update, now_ms);
   }
   if (all)
-    write_older (q, news, now_ms);
-  return news->crash_count + news->cleared_count + news->quarantined_count > 0;
+    export_older (q, update, now_ms);
+  return update->crash_count + update->cleared_count
+             + update->quarantined_count
+         > 0;
 }
 
 static bool
 was_cleared (const struct suspect *s, int64_t now_ms)
 {
   return s != NULL && s->cleared_ms != 0
-         && now_ms - s->cleared_ms < CLEARED_MS;
+         && now_ms - s->cleared_ms < CLEARED_TTL_MS;
 }
 
 /* A peer suspects what was answered here: it hears so. */
 static bool
-vouch (struct beryl_quarantine *q, uint64_t fingerprint, int64_t now_ms)
+clear_if_answered (struct beryl_quarantine *q, uint64_t fingerprint,
+                   int64_t now_ms)
 {
   struct suspect *s;
 
   if (!was_answered (q, fingerprint, now_ms))
     return false;
   s = suspect_get (q, fingerprint);
-  if (!is_new (s->cleared_ms, now_ms))
+  if (!is_recent (s->cleared_ms, now_ms))
     q->changed = true;
   s->cleared_ms = now_ms;
-  s->cleared_here = true;
+  s->cleared_locally = true;
   return true;
 }
 
 static void
-take_crash (struct beryl_quarantine *q, const struct beryl_crash *told,
-            int64_t now_ms)
+apply_crash (struct beryl_quarantine *q, const struct beryl_crash *reported,
+             int64_t now_ms)
 {
-  struct suspect *s = suspect_find (q, told->fingerprint);
+  struct suspect *s = suspect_find (q, reported->fingerprint);
   struct crash *crash;
 
-  if (told->fingerprint == 0 || was_cleared (s, now_ms)
-      || vouch (q, told->fingerprint, now_ms))
+  if (reported->fingerprint == 0 || was_cleared (s, now_ms)
+      || clear_if_answered (q, reported->fingerprint, now_ms))
     return;
-  s = suspect_get (q, told->fingerprint);
-  crash = crash_find (s, told->endpoint);
+  s = suspect_get (q, reported->fingerprint);
+  crash = crash_find (s, reported->endpoint);
   if (crash == NULL)
-    crash_add (q, s, told->endpoint, CRASH_FROM_PEER, now_ms);
+    crash_add (q, s, reported->endpoint, CRASH_FROM_PEER, now_ms);
   else if (crash->state == CRASH_PENDING)
     {
       crash->state = CRASH_FROM_PEER;
@@ -543,38 +553,40 @@
 }
 
 static void
-take_quarantined (struct beryl_quarantine *q, uint64_t fingerprint,
-                  int64_t left_ms, enum beryl_quarantine_cause cause,
-                  int64_t now_ms)
+apply_quarantined (struct beryl_quarantine *q, uint64_t fingerprint,
+                   int64_t remaining_ms, enum beryl_quarantine_cause cause,
+                   int64_t now_ms)
 {
   struct suspect *s = suspect_find (q, fingerprint);
 
-  if (fingerprint == 0 || left_ms <= 0 || was_cleared (s, now_ms)
-      || (s != NULL && s->until_ms != 0) || vouch (q, fingerprint, now_ms))
+  if (fingerprint == 0 || remaining_ms <= 0 || was_cleared (s, now_ms)
+      || (s != NULL && s->expires_ms != 0)
+      || clear_if_answered (q, fingerprint, now_ms))
     return;
-  if (left_ms > QUARANTINE_MS)
-    left_ms = QUARANTINE_MS;
-  quarantine_begin (q, suspect_get (q, fingerprint), left_ms, cause, now_ms);
+  if (remaining_ms > QUARANTINE_MS)
+    remaining_ms = QUARANTINE_MS;
+  quarantine_begin (q, suspect_get (q, fingerprint), remaining_ms, cause,
+                    now_ms);
 }
 
 void
 beryl_quarantine_apply_update (struct beryl_quarantine *q,
-                               const struct beryl_quarantine_update *news,
+                               const struct beryl_quarantine_update *update,
                                int64_t now_ms)
 {
-  for (size_t i = 0; i < news->cleared_count; i++)
+  for (size_t i = 0; i < update->cleared_count; i++)
     {
-      struct suspect *s = suspect_find (q, news->cleared[i]);
+      struct suspect *s = suspect_find (q, update->cleared[i]);
 
       if (s != NULL && !was_cleared (s, now_ms))
         suspect_clear (q, s, BERYL_QUARANTINE_ANSWERED, now_ms);
     }
-  for (size_t i = 0; i < news->quarantined_count; i++)
-    take_quarantined (q, news->quarantined[i].fingerprint,
-                      (int64_t)news->quarantined[i].remaining_s * 1000,
-                      BERYL_QUARANTINE_FROM_PEER, now_ms);
-  for (size_t i = 0; i < news->crash_count; i++)
-    take_crash (q, &news->crashes[i], now_ms);
+  for (size_t i = 0; i < update->quarantined_count; i++)
+    apply_quarantined (q, update->quarantined[i].fingerprint,
+                       (int64_t)update->quarantined[i].remaining_s * 1000,
+                       BERYL_QUARANTINE_FROM_PEER, now_ms);
+  for (size_t i = 0; i < update->crash_count; i++)
+    apply_crash (q, &update->crashes[i], now_ms);
 }
 
 bool
@@ -588,16 +600,17 @@
 
 bool
 beryl_quarantine_record_read (struct beryl_quarantine *q, uint64_t fingerprint,
-                              int64_t left_ms, int64_t now_ms)
+                              int64_t remaining_ms, int64_t now_ms)
 {
   struct suspect *s;
 
-  take_quarantined (q, fingerprint, left_ms, BERYL_QUARANTINE_STORED, now_ms);
+  apply_quarantined (q, fingerprint, remaining_ms, BERYL_QUARANTINE_STORED,
+                     now_ms);
   s = suspect_find (q, fingerprint);
-  if (s == NULL || s->until_ms == 0)
+  if (s == NULL || s->expires_ms == 0)
     return false;
-  s->on_record = true;
-  s->listed = true;
+  s->in_store = true;
+  s->seen_in_store = true;
   return true;
 }
 
@@ -608,13 +621,13 @@
 
   TAILQ_FOREACH (s, &q->suspects, entry)
   {
-    if (s->on_record && !s->listed)
+    if (s->in_store && !s->seen_in_store)
       {
         suspect_clear (q, s, BERYL_QUARANTINE_LIFTED, now_ms);
-        s->cleared_here = true;
+        s->cleared_locally = true;
         q->changed = true;
       }
-    s->listed = false;
+    s->seen_in_store = false;
   }
 }
 
@@ -624,10 +637,10 @@
   for (uint32_t i = s->crash_count; i > 0; i--)
     {
       const struct crash *crash = &s->crashes[i - 1];
-      int64_t kept_ms
-          = crash->state == CRASH_PENDING ? CONFIRM_MS : CRASH_KEPT_MS;
+      int64_t ttl_ms
+          = crash->state == CRASH_PENDING ? CONFIRM_MS : CRASH_TTL_MS;
 
-      if (now_ms - crash->since_ms > kept_ms)
+      if (now_ms - crash->since_ms > ttl_ms)
         crash_remove (q, s, i - 1);
     }
 }
@@ -640,7 +653,7 @@
   quarantine_end (q, s, BERYL_QUARANTINE_EXPIRED, now_ms);
   while (s->crash_count > 0)
     crash_remove (q, s, 0);
-  for (uint32_t i = 1; i < CRASHES_MOST; i++)
+  for (uint32_t i = 1; i < CRASH_THRESHOLD; i++)
     crash_add (q, s, (uint32_t)s->fingerprint + i, CRASH_FROM_PEER, now_ms);
 }
 
@@ -649,17 +662,18 @@
 {
   struct suspect *s, *next;
 
-  if (now_ms - q->expired_ms < EXPIRE_MS)
+  if (now_ms - q->last_expire_ms < EXPIRE_INTERVAL_MS)
     return;
-  q->expired_ms = now_ms;
+  q->last_expire_ms = now_ms;
   for (s = TAILQ_FIRST (&q->suspects); s != NULL; s = next)
     {
       next = TAILQ_NEXT (s, entry);
-      if (s->until_ms != 0 && now_ms >= s->until_ms)
+      if (s->expires_ms != 0 && now_ms >= s->expires_ms)
         begin_probation (q, s, now_ms);
-      else if (s->until_ms == 0)
+      else if (s->expires_ms == 0)
         expire_crashes (q, s, now_ms);
-      if (s->until_ms == 0 && s->crash_count == 0 && !was_cleared (s, now_ms))
+      if (s->expires_ms == 0 && s->crash_count == 0
+          && !was_cleared (s, now_ms))
         suspect_free (q, s);
     }
 }
--- a/libberyl/relay/announce.c
+++ b/libberyl/relay/announce.c
@@ -1,15 +1,15 @@
 #include "beryl/announce.h"
 
 /* A sign of life comes so often at least, less often in a large fleet. */
-#define LIFE_MS 500
-#define LIFE_NODE_MS 10
+#define HEARTBEAT_MS 500
+#define HEARTBEAT_PER_NODE_MS 10
 /* Peers in other data centres hear of changes so often at most. */
-#define FAR_MS 250
+#define REMOTE_INTERVAL_MS 250
 
 static int64_t
-at_least (int64_t least, int64_t value)
+max_ms (int64_t a_ms, int64_t b_ms)
 {
-  return value > least ? value : least;
+  return b_ms > a_ms ? b_ms : a_ms;
 }
 
 int64_t
@@ -17,28 +17,28 @@
 {
   int64_t nodes = (int64_t)a->local_count + a->remote_count;
 
-  return at_least (LIFE_MS, nodes * LIFE_NODE_MS);
+  return max_ms (HEARTBEAT_MS, nodes * HEARTBEAT_PER_NODE_MS);
 }
 
 bool
 beryl_announce_includes_remote (const struct beryl_announce *a, int64_t now_ms)
 {
-  return now_ms - a->announced_remote_ms >= FAR_MS;
+  return now_ms - a->announced_remote_ms >= REMOTE_INTERVAL_MS;
 }
 
 bool
 beryl_announce_due (const struct beryl_announce *a, int64_t now_ms)
 {
-  bool far_missed = a->announced_remote_ms != a->announced_ms;
+  bool remote_pending = a->announced_remote_ms != a->announced_ms;
 
   return now_ms - a->announced_ms >= beryl_announce_interval_ms (a)
-         || (far_missed && beryl_announce_includes_remote (a, now_ms));
+         || (remote_pending && beryl_announce_includes_remote (a, now_ms));
 }
 
 void
-beryl_announce_done (struct beryl_announce *a, bool far, int64_t now_ms)
+beryl_announce_done (struct beryl_announce *a, bool remote, int64_t now_ms)
 {
   a->announced_ms = now_ms;
-  if (far)
+  if (remote)
     a->announced_remote_ms = now_ms;
 }
--- a/libberyl/relay/relay.c
+++ b/libberyl/relay/relay.c
@@ -3,21 +3,21 @@
 #include <stdlib.h>
 
 /* Smaller data centres have as many watchers as nodes, or nearly so. */
-#define NODES_LEAST 8
+#define MIN_NODES 8
 /* Parts of the time in which a change must be known: what a follower waits for
  * watchers that fell silent, before its own look, and how often a watcher is
  * answered.  Each follower hears two watchers, so that one that is lost makes
  * none of them look. */
-#define SILENCE_PART 0.4
-#define ANSWER_PART 0.3
+#define SILENCE_FRACTION 0.4
+#define POLL_FRACTION 0.3
 
 struct beryl_relay
 {
   int64_t leave_ms;
   uint32_t nodes;
-  bool stands;
-  bool heard;
-  int64_t heard_ms;
+  bool elected;
+  bool fed;
+  int64_t fed_ms;
 };
 
 struct beryl_relay *
@@ -37,29 +37,29 @@
 }
 
 void
-beryl_relay_set_group (struct beryl_relay *relay, uint32_t nodes, bool stands)
+beryl_relay_set_group (struct beryl_relay *relay, uint32_t nodes, bool elected)
 {
   relay->nodes = nodes;
-  relay->stands = stands;
+  relay->elected = elected;
 }
 
 void
 beryl_relay_note_update (struct beryl_relay *relay, int64_t now_ms)
 {
-  relay->heard = true;
-  relay->heard_ms = now_ms;
+  relay->fed = true;
+  relay->fed_ms = now_ms;
 }
 
 enum beryl_relay_role
 beryl_relay_role (const struct beryl_relay *relay, int64_t now_ms)
 {
-  int64_t silence_ms = (int64_t)(SILENCE_PART * (double)relay->leave_ms);
+  int64_t silence_ms = (int64_t)(SILENCE_FRACTION * (double)relay->leave_ms);
 
-  if (relay->nodes < NODES_LEAST)
+  if (relay->nodes < MIN_NODES)
     return BERYL_RELAY_STANDALONE;
-  if (relay->stands)
+  if (relay->elected)
     return BERYL_RELAY_WATCHER;
-  if (relay->heard && now_ms - relay->heard_ms < silence_ms)
+  if (relay->fed && now_ms - relay->fed_ms < silence_ms)
     return BERYL_RELAY_FOLLOWER;
   return BERYL_RELAY_STANDALONE;
 }
@@ -68,9 +68,9 @@
 beryl_relay_poll_timeout_ms (const struct beryl_relay *relay,
                              int64_t spacing_ms)
 {
-  int64_t answer_ms = (int64_t)(ANSWER_PART * (double)relay->leave_ms);
+  int64_t poll_ms = (int64_t)(POLL_FRACTION * (double)relay->leave_ms);
 
-  return answer_ms > spacing_ms ? answer_ms - spacing_ms : 1;
+  return poll_ms > spacing_ms ? poll_ms - spacing_ms : 1;
 }
 
 const char *
--- a/libberyl/router/baselines.c
+++ b/libberyl/router/baselines.c
@@ -38,7 +38,7 @@
                     const struct router_list *list, bool prefill,
                     int64_t now_ms)
 {
-  uint32_t turn = prefill ? s->turn++ : s->decode_turn++;
+  uint32_t turn = prefill ? s->prefill_turn++ : s->decode_turn++;
   return list->items[turn % list->count];
 }
 
@@ -60,8 +60,9 @@
 }
 
 static uint32_t
-choose_of_two (struct beryl_router *r, struct router_service *s,
-               const struct router_list *list, bool prefill, int64_t now_ms)
+choose_two_choices (struct beryl_router *r, struct router_service *s,
+                    const struct router_list *list, bool prefill,
+                    int64_t now_ms)
 {
   uint32_t a = list->items[random_next (&r->random) % list->count];
   uint32_t b = list->items[random_next (&r->random) % list->count];
@@ -103,9 +104,9 @@
       router_refuse (plan, "deadline", 1000);
       return;
     }
-  const struct router_list *last = job->plain ? &s->plain : &s->decode;
+  const struct router_list *list = job->plain ? &s->plain : &s->decode;
   uint32_t decode
-      = choose_allowed (r, s, last, choose, false, job, ROUTER_NONE, now_ms);
+      = choose_allowed (r, s, list, choose, false, job, ROUTER_NONE, now_ms);
   uint32_t prefill = ROUTER_NONE;
   if (!job->plain)
     prefill = choose_allowed (r, s, &s->prefill, choose, true, job,
@@ -178,4 +179,4 @@
 BASELINE (random)
 BASELINE (round_robin)
 BASELINE (least_reported)
-BASELINE (of_two)
+BASELINE (two_choices)
--- a/libberyl/router/cost.c
+++ b/libberyl/router/cost.c
@@ -37,7 +37,7 @@
 double
 cost_decode_ms (const struct router_service *s, uint32_t max_tokens, double z)
 {
-  double part = estimate_mean_quantile (&s->length, z);
+  double part = estimate_mean_plus_sd (&s->length_ratio, z);
   part = fmin (1, fmax (0.01, part));
   double batch = fmax (full_batch (s), ROUTER_DEFAULT_SLOTS);
   return part * max_tokens * estimate_line_at (&s->interval_ms, batch);
--- a/libberyl/router/estimate.c
+++ b/libberyl/router/estimate.c
@@ -3,7 +3,7 @@
 #include "estimate.h"
 
 /* An observation's weight halves after about 70 more. */
-#define LINE_FADE 0.99
+#define LINE_DECAY 0.99
 #define MEAN_GAIN 0.05
 
 void
@@ -23,7 +23,7 @@
   if (line->weight > 1)
     line->spread += MEAN_GAIN * weight
                     * (fabs (y - estimate_line_at (line, x)) - line->spread);
-  double keep = line->weight > 2 ? 1 - (1 - LINE_FADE) * weight : 1;
+  double keep = line->weight > 2 ? 1 - (1 - LINE_DECAY) * weight : 1;
   line->weight = line->weight * keep + weight;
   line->x = line->x * keep + weight * x;
   line->y = line->y * keep + weight * y;
@@ -60,13 +60,13 @@
 }
 
 double
-estimate_mean_quantile (const struct estimate_mean *mean, double z)
+estimate_mean_plus_sd (const struct estimate_mean *mean, double z)
 {
   return mean->mean + z * sqrt (mean->variance);
 }
 
 uint32_t
-estimate_poisson_floor (double mu, double certainty)
+estimate_poisson_quantile (double mu, double certainty)
 {
   double term = exp (-mu);
   double below = term; /* P (X < k + 1) */
--- a/libberyl/router/estimate.h
+++ b/libberyl/router/estimate.h
@@ -37,10 +37,10 @@
 void estimate_mean_add (struct estimate_mean *mean, double value);
 
 /** Return the mean plus Z standard deviations. */
-double estimate_mean_quantile (const struct estimate_mean *mean, double z);
+double estimate_mean_plus_sd (const struct estimate_mean *mean, double z);
 
 /** Return the largest K for which a Poisson variable of mean MU is at least
  * K with probability CERTAINTY or more. */
-uint32_t estimate_poisson_floor (double mu, double certainty);
+uint32_t estimate_poisson_quantile (double mu, double certainty);
 
 #endif
--- a/libberyl/router/fleet.c
+++ b/libberyl/router/fleet.c
@@ -9,13 +9,13 @@
 /* Free slots are counted again this often; longer lists less often, so that
  * the work for a decision does not grow with the fleet. */
 #define REFRESH_MS 50
-#define REFRESH_LIST 128
+#define REFRESH_LIST_STEP 128
 
 /* Endpoints looked at for slots to borrow. */
-#define SPARE_SAMPLE 128
+#define BORROW_SAMPLE 128
 
 /* How late decodes begin, until it is known: mean and standard deviation. */
-#define LATE_MS 100
+#define BIND_DELAY_MS 100
 
 #define FAILURES_TO_EJECT 3
 #define EJECT_BASE_MS 1000
@@ -64,10 +64,10 @@
 }
 
 void
-fleet_note_busy (struct router_endpoint *e, int64_t now_ms)
+fleet_record_busy (struct router_endpoint *e, int64_t now_ms)
 {
-  e->recent[e->recent_next++ % ROUTER_RECENT]
-      = (struct router_recent){ now_ms, 0, (int32_t)e->busy };
+  e->changes[e->change_count++ % ROUTER_CHANGES_MAX]
+      = (struct router_change){ now_ms, 0, (int32_t)e->busy };
 }
 
 /* Own busy slots at the time of the last report.  Changes older than the
@@ -76,13 +76,13 @@
 busy_when_reported (const struct router_endpoint *e)
 {
   int32_t busy = (int32_t)e->busy;
-  for (uint32_t i = 1; i <= ROUTER_RECENT && i <= e->recent_next; i++)
+  for (uint32_t i = 1; i <= ROUTER_CHANGES_MAX && i <= e->change_count; i++)
     {
-      const struct router_recent *c
-          = &e->recent[(e->recent_next - i) % ROUTER_RECENT];
-      if (c->busy < 0)
+      const struct router_change *c
+          = &e->changes[(e->change_count - i) % ROUTER_CHANGES_MAX];
+      if (c->busy_slots < 0)
         continue;
-      busy = c->busy;
+      busy = c->busy_slots;
       if (c->at_ms <= e->report.measured_ms)
         break;
     }
@@ -117,37 +117,38 @@
 /* Slots nobody seems to use are lent: each node takes its part of them, so
  * that nodes with the same old report do not all take the same slot. */
 static int32_t
-spare_slots (struct beryl_router *r, const struct router_service *s,
-             int64_t now_ms)
+borrowable_slots (struct beryl_router *r, const struct router_service *s,
+                  int64_t now_ms)
 {
   size_t count = s->decode.count;
-  size_t looks = count < SPARE_SAMPLE ? count : SPARE_SAMPLE;
-  size_t at = count > looks ? random_next (&r->random) % count : 0;
-  double spare = 0;
-  for (size_t i = 0; i < looks; i++)
+  size_t sample = count < BORROW_SAMPLE ? count : BORROW_SAMPLE;
+  size_t at = count > sample ? random_next (&r->random) % count : 0;
+  double borrowable = 0;
+  for (size_t i = 0; i < sample; i++)
     {
       const struct router_endpoint *e
           = &r->endpoints[s->decode.items[(at + i) % count]];
       if (!e->reported || !fleet_usable (e, now_ms)
           || now_ms - e->report.measured_ms > ROUTER_REPORT_MAX_AGE_MS)
         continue;
-      spare += fleet_free_slots (e, now_ms) - fleet_free_own (e, now_ms);
+      borrowable += fleet_free_slots (e, now_ms) - fleet_free_own (e, now_ms);
     }
-  if (looks > 0)
-    spare *= (double)count / (double)looks;
+  if (sample > 0)
+    borrowable *= (double)count / (double)sample;
   if (r->member_count > 1)
-    spare /= (double)r->member_count;
-  return (int32_t)spare;
+    borrowable /= (double)r->member_count;
+  return (int32_t)borrowable;
 }
 
 void
 fleet_refresh (struct beryl_router *r, struct router_service *s,
                int64_t now_ms)
 {
-  int64_t turns = 1 + (int64_t)(s->own.count / REFRESH_LIST);
-  if (now_ms - s->refreshed_ms < turns * REFRESH_MS && s->refreshed_ms != 0)
+  int64_t turns = 1 + (int64_t)(s->own.count / REFRESH_LIST_STEP);
+  if (now_ms - s->slots_counted_ms < turns * REFRESH_MS
+      && s->slots_counted_ms != 0)
     return;
-  s->refreshed_ms = now_ms;
+  s->slots_counted_ms = now_ms;
   s->free_own = 0;
   for (size_t i = 0; i < s->own.count; i++)
     {
@@ -155,7 +156,7 @@
       if (fleet_usable (e, now_ms))
         s->free_own += (int32_t)fleet_free_own (e, now_ms);
     }
-  s->spare = spare_slots (r, s, now_ms);
+  s->borrowable = borrowable_slots (r, s, now_ms);
 }
 
 static const struct router_list *
@@ -169,11 +170,12 @@
 /* An endpoint that fails again and again is left out for a while, but never
  * the last one: a wrong suspicion must not take a whole service away. */
 void
-fleet_failed (struct beryl_router *r, uint32_t endpoint, int64_t now_ms)
+fleet_record_failure (struct beryl_router *r, uint32_t endpoint,
+                      int64_t now_ms)
 {
   struct router_endpoint *e = &r->endpoints[endpoint];
-  e->failures++;
-  if (e->failures < FAILURES_TO_EJECT || !e->config)
+  e->consecutive_failures++;
+  if (e->consecutive_failures < FAILURES_TO_EJECT || !e->config)
     return;
   const struct router_list *list
       = list_with (&r->services[e->service], e->config->role);
@@ -183,17 +185,18 @@
       usable++;
   if (usable <= 1)
     return;
-  int64_t span = EJECT_BASE_MS;
-  for (uint32_t i = FAILURES_TO_EJECT; i < e->failures; i++)
-    span = span < EJECT_MAX_MS / 2 ? span * 2 : EJECT_MAX_MS;
-  e->ejected_until_ms = now_ms + span;
-  r->services[e->service].refreshed_ms = 0;
+  int64_t ejection_ms = EJECT_BASE_MS;
+  for (uint32_t i = FAILURES_TO_EJECT; i < e->consecutive_failures; i++)
+    ejection_ms
+        = ejection_ms < EJECT_MAX_MS / 2 ? ejection_ms * 2 : EJECT_MAX_MS;
+  e->ejected_until_ms = now_ms + ejection_ms;
+  r->services[e->service].slots_counted_ms = 0;
 }
 
 void
-fleet_worked (struct router_endpoint *e)
+fleet_record_success (struct router_endpoint *e)
 {
-  e->failures = 0;
+  e->consecutive_failures = 0;
   e->ejected_until_ms = 0;
 }
 
@@ -209,7 +212,8 @@
 
 /* Take over what is known about an endpoint under its old number. */
 static void
-endpoint_keep (struct router_endpoint *e, const struct router_endpoint *old)
+endpoint_carry_over (struct router_endpoint *e,
+                     const struct router_endpoint *old)
 {
   const struct beryl_endpoint *config = e->config;
   uint32_t slots = e->slots;
@@ -270,23 +274,23 @@
   estimate_line_init (&s->prefill_ms, 5, 0.1, 8000);
   estimate_line_init (&s->interval_ms, 25, 0.75, 20);
   estimate_line_init (&s->transfer_ms, 2, 0.4, 400);
-  estimate_mean_init (&s->length, 0.6, 0.25);
+  estimate_mean_init (&s->length_ratio, 0.6, 0.25);
   estimate_mean_init (&s->decode_ms, 5000, 2500);
-  estimate_mean_init (&s->late_ms, LATE_MS, LATE_MS);
+  estimate_mean_init (&s->bind_delay_ms, BIND_DELAY_MS, BIND_DELAY_MS);
 }
 
 static void
-service_keep (struct router_service *s, const struct router_service *old)
+service_carry_over (struct router_service *s, const struct router_service *old)
 {
   s->prefill_ms = old->prefill_ms;
   s->interval_ms = old->interval_ms;
   s->transfer_ms = old->transfer_ms;
-  s->length = old->length;
+  s->length_ratio = old->length_ratio;
   s->decode_ms = old->decode_ms;
-  s->late_ms = old->late_ms;
+  s->bind_delay_ms = old->bind_delay_ms;
   memcpy (s->answer_ms, old->answer_ms, sizeof s->answer_ms);
   s->unbound = old->unbound;
-  s->patient = old->patient;
+  s->non_urgent = old->non_urgent;
   s->decoding = old->decoding;
 }
 
@@ -304,7 +308,7 @@
       service_init (s);
       const struct router_service *old = router_service_find (r, s->name);
       if (old)
-        service_keep (s, old);
+        service_carry_over (s, old);
     }
   return true;
 }
@@ -332,7 +336,7 @@
       endpoint_init (e, &config->endpoints[i]);
       uint32_t old = fleet_find (r, e->name);
       if (old != ROUTER_NONE)
-        endpoint_keep (e, &r->endpoints[old]);
+        endpoint_carry_over (e, &r->endpoints[old]);
       e->service = service;
     }
   qsort (endpoints, n, sizeof *endpoints, by_name);
@@ -439,29 +443,29 @@
   free (old);
   if (!lists_build (r))
     return false;
-  fleet_share (r);
+  fleet_assign_shares (r);
   return true;
 }
 
 /* A quarter of a plain service's limit is kept for urgent calls. */
 static uint32_t
-patient_slots (uint32_t max_concurrent)
+non_urgent_slots (uint32_t max_concurrent)
 {
   uint32_t headroom = (max_concurrent + 3) / 4;
   return max_concurrent - headroom;
 }
 
 void
-fleet_share (struct beryl_router *r)
+fleet_assign_shares (struct beryl_router *r)
 {
   uint64_t own = shares_hash (r->node);
   for (size_t i = 0; i < r->service_count; i++)
     {
       struct router_service *s = &r->services[i];
       s->own_slots = 0;
-      s->patient_slots = 0;
+      s->non_urgent_slots = 0;
       s->own.count = 0;
-      s->refreshed_ms = 0;
+      s->slots_counted_ms = 0;
     }
   for (size_t i = 0; i < r->endpoint_count; i++)
     {
@@ -469,11 +473,11 @@
       struct router_service *s = &r->services[e->service];
       uint32_t slots = e->slots;
       if (e->config->role == BERYL_ROLE_SERVICE)
-        slots = patient_slots (s->config->max_concurrent);
+        slots = non_urgent_slots (s->config->max_concurrent);
       e->share = shares_of_node (e->name_hash, slots, own, r->members,
                                  r->member_count);
       if (e->config->role == BERYL_ROLE_SERVICE)
-        s->patient_slots += e->share;
+        s->non_urgent_slots += e->share;
       if (e->share == 0 || !(e->config->role & BERYL_ROLE_DECODE))
         continue;
       s->own_slots += e->share;
--- a/libberyl/router/organisation.c
+++ b/libberyl/router/organisation.c
@@ -34,8 +34,8 @@
 }
 
 static void
-take_over (struct beryl_router *r, struct router_organisation *all,
-           size_t count)
+carry_over (struct beryl_router *r, struct router_organisation *all,
+            size_t count)
 {
   r->active_weight = 0;
   for (size_t i = 0; i < count; i++)
@@ -45,7 +45,7 @@
         continue;
       all[i].open = r->organisations[old].open;
       all[i].tokens = r->organisations[old].tokens;
-      all[i].filled_ms = r->organisations[old].filled_ms;
+      all[i].refilled_ms = r->organisations[old].refilled_ms;
       if (all[i].open > 0)
         r->active_weight += all[i].config->weight;
     }
@@ -77,7 +77,7 @@
       all[i].tokens = config->organisations[i].requests_per_s;
     }
   qsort (all, count, sizeof *all, by_name);
-  take_over (r, all, count);
+  carry_over (r, all, count);
   for (size_t i = 0; i < r->ticket_count; i++)
     if (r->tickets[i].phase != ROUTER_PHASE_FREE)
       r->tickets[i].organisation
@@ -114,7 +114,7 @@
 }
 
 double
-organisation_fair_part (const struct beryl_router *r, uint32_t organisation)
+organisation_fair_share (const struct beryl_router *r, uint32_t organisation)
 {
   if (organisation == ROUTER_NONE)
     return 1;
@@ -125,7 +125,7 @@
 
 /* This node's part of a limit of the whole system, rounded up. */
 static uint32_t
-part_of_limit (const struct beryl_router *r, uint32_t limit)
+node_limit (const struct beryl_router *r, uint32_t limit)
 {
   uint32_t nodes = r->member_count > 1 ? (uint32_t)r->member_count : 1;
   return (limit + nodes - 1) / nodes;
@@ -136,9 +136,9 @@
             int64_t *retry_after_ms)
 {
   double burst = fmax (1, rate_per_s);
-  double gained = (double)(now_ms - o->filled_ms) * rate_per_s / 1000;
+  double gained = (double)(now_ms - o->refilled_ms) * rate_per_s / 1000;
   o->tokens = fmin (burst, o->tokens + gained);
-  o->filled_ms = now_ms;
+  o->refilled_ms = now_ms;
   if (o->tokens < 1)
     {
       *retry_after_ms = (int64_t)ceil ((1 - o->tokens) * 1000 / rate_per_s);
@@ -149,20 +149,20 @@
 }
 
 const char *
-organisation_check (struct beryl_router *r, uint32_t organisation,
+organisation_admit (struct beryl_router *r, uint32_t organisation,
                     int64_t now_ms, int64_t *retry_after_ms)
 {
   if (organisation == ROUTER_NONE)
     return NULL;
   struct router_organisation *o = &r->organisations[organisation];
   const struct beryl_organisation *c = o->config;
-  if (c->max_concurrent > 0 && o->open >= part_of_limit (r, c->max_concurrent))
+  if (c->max_concurrent > 0 && o->open >= node_limit (r, c->max_concurrent))
     {
       *retry_after_ms = 1000;
       return "concurrency_limit";
     }
   if (c->requests_per_s > 0
-      && !take_token (o, part_of_limit (r, c->requests_per_s), now_ms,
+      && !take_token (o, node_limit (r, c->requests_per_s), now_ms,
                       retry_after_ms))
     return "rate_limit";
   return NULL;
--- a/libberyl/router/pair.c
+++ b/libberyl/router/pair.c
@@ -5,7 +5,7 @@
 #include "private.h"
 
 /* Prefill engines looked at in a large pool, beside those with a prefix. */
-#define SAMPLE 16
+#define PREFILL_SAMPLE 16
 
 /* Decode engines looked at in a large pool. */
 #define DECODE_SAMPLE 32
@@ -28,7 +28,7 @@
 };
 
 static void
-note_alternative (struct search *q, const struct pair *p)
+record_alternative (struct search *q, const struct pair *p)
 {
   struct beryl_plan *plan = q->plan;
   uint32_t at = plan->alternative_count;
@@ -51,9 +51,9 @@
 }
 
 static uint32_t
-believed_tokens (const struct router_service *s,
-                 const struct router_endpoint *e, uint32_t blocks,
-                 uint32_t prompt_tokens)
+expected_cached_tokens (const struct router_service *s,
+                        const struct router_endpoint *e, uint32_t blocks,
+                        uint32_t prompt_tokens)
 {
   uint32_t block = s->model ? s->model->block_tokens : 0;
   double tokens = (double)blocks * block * e->cache_trust;
@@ -68,7 +68,8 @@
       || !(e->config->role & BERYL_ROLE_PREFILL) || fleet_excluded (q->job, e))
     return;
   struct pair p = { .prefill = number, .decode = q->decode };
-  p.cached_tokens = believed_tokens (q->s, e, blocks, q->job->prompt_tokens);
+  p.cached_tokens
+      = expected_cached_tokens (q->s, e, blocks, q->job->prompt_tokens);
   p.prefill_cost_ms
       = cost_prefill_ms (q->s, q->job->prompt_tokens - p.cached_tokens);
   const struct router_endpoint *d
@@ -78,7 +79,7 @@
                      + cost_transfer_ms (q->s, e, d, q->job->prompt_tokens);
   if (strcmp (e->config->data_centre, q->r->data_centre) != 0)
     p.first_token_ms += OTHER_DATA_CENTRE_MS;
-  note_alternative (q, &p);
+  record_alternative (q, &p);
   if (q->found && q->best.first_token_ms <= p.first_token_ms)
     return;
   q->best = p;
@@ -101,7 +102,7 @@
   size_t known = prefix_index_lookup (q->r->prefix, q->job->block_hashes,
                                       q->job->block_count, q->now_ms, matches);
   const struct router_list *list = &q->s->prefill;
-  if (list->count <= SAMPLE)
+  if (list->count <= PREFILL_SAMPLE)
     {
       for (size_t i = 0; i < list->count; i++)
         try_prefill (q, list->items[i],
@@ -110,7 +111,7 @@
     }
   for (size_t i = 0; i < known; i++)
     try_prefill (q, matches[i].endpoint, matches[i].blocks);
-  for (size_t i = 0; i < SAMPLE; i++)
+  for (size_t i = 0; i < PREFILL_SAMPLE; i++)
     {
       uint32_t number = list->items[random_next (&q->r->random) % list->count];
       try_prefill (q, number, blocks_of (matches, known, number));
@@ -122,11 +123,11 @@
                uint32_t refused_by, int64_t now_ms)
 {
   size_t count = s->own.count;
-  size_t looks = count < DECODE_SAMPLE ? count : DECODE_SAMPLE;
+  size_t sample = count < DECODE_SAMPLE ? count : DECODE_SAMPLE;
   size_t at = count ? random_next (&r->random) % count : 0;
   uint32_t best = ROUTER_NONE;
   double best_score = 0;
-  for (size_t i = 0; i < count && (i < looks || best == ROUTER_NONE); i++)
+  for (size_t i = 0; i < count && (i < sample || best == ROUTER_NONE); i++)
     {
       uint32_t number = s->own.items[(at + i) % count];
       const struct router_endpoint *e = &r->endpoints[number];
@@ -148,15 +149,15 @@
 }
 
 static uint32_t
-most_free_spare (struct beryl_router *r, const struct router_service *s,
+most_borrowable (struct beryl_router *r, const struct router_service *s,
                  uint32_t refused_by, int64_t now_ms)
 {
   const struct router_list *list = &s->decode;
-  size_t looks = list->count < DECODE_SAMPLE ? list->count : DECODE_SAMPLE;
+  size_t sample = list->count < DECODE_SAMPLE ? list->count : DECODE_SAMPLE;
   size_t at = list->count ? random_next (&r->random) % list->count : 0;
   uint32_t best = ROUTER_NONE;
   uint32_t best_free = 0;
-  for (size_t i = 0; i < looks; i++)
+  for (size_t i = 0; i < sample; i++)
     {
       uint32_t number = list->items[(at + i) % list->count];
       const struct router_endpoint *e = &r->endpoints[number];
@@ -178,7 +179,7 @@
 {
   uint32_t best = most_free_own (r, s, refused_by, now_ms);
   if (best == ROUTER_NONE && may_borrow)
-    best = most_free_spare (r, s, refused_by, now_ms);
+    best = most_borrowable (r, s, refused_by, now_ms);
   return best;
 }
 
--- a/libberyl/router/plain.c
+++ b/libberyl/router/plain.c
@@ -9,7 +9,7 @@
 #define RETRY_AFTER_MS 500
 
 /* Calls at an endpoint of another data centre look this much busier. */
-#define OTHER_DATA_CENTRE 0.5
+#define OTHER_DATA_CENTRE_CALLS 0.5
 
 /* Calls at E: own ones, and what others had when it was last reported. */
 static double
@@ -33,9 +33,9 @@
     return true;
   if (urgent)
     return e->busy < s->config->max_concurrent;
-  if (s->patient_slots == 0)
-    return s->patient == 0;
-  return e->patient < e->share;
+  if (s->non_urgent_slots == 0)
+    return s->non_urgent == 0;
+  return e->non_urgent < e->share;
 }
 
 static uint32_t
@@ -54,9 +54,9 @@
       if (!fleet_usable (e, now_ms) || fleet_excluded (job, e)
           || !has_room (s, e, urgent))
         continue;
-      double cost = calls_at (e, now_ms) + e->failures;
+      double cost = calls_at (e, now_ms) + e->consecutive_failures;
       if (strcmp (e->config->data_centre, r->data_centre) != 0)
-        cost += OTHER_DATA_CENTRE;
+        cost += OTHER_DATA_CENTRE_CALLS;
       if (plan->alternative_count < BERYL_ALTERNATIVES_MAX)
         {
           struct beryl_alternative *a
@@ -111,8 +111,8 @@
   ticket_take_slot (r, t, endpoint, now_ms);
   if (job->call_class != BERYL_CLASS_URGENT)
     {
-      r->endpoints[endpoint].patient++;
-      r->services[service].patient++;
+      r->endpoints[endpoint].non_urgent++;
+      r->services[service].non_urgent++;
     }
   plan->verdict = BERYL_VERDICT_START;
   plan->ticket = t->id;
@@ -125,31 +125,31 @@
 /* A long call that would be cut by its deadline is not started: endpoints
  * go on with cut calls, which then take the room of calls still in time. */
 static bool
-too_late (const struct router_service *s, const struct beryl_job *job,
-          int64_t now_ms)
+misses_deadline (const struct router_service *s, const struct beryl_job *job,
+                 int64_t now_ms)
 {
   double slack = (double)job->deadline_ms - (double)now_ms;
   if (job->call_class == BERYL_CLASS_URGENT)
     return slack <= 0;
-  return slack <= estimate_mean_quantile (&s->answer_ms[job->call_class], 1);
+  return slack <= estimate_mean_plus_sd (&s->answer_ms[job->call_class], 1);
 }
 
 /* By how much a long call with AHEAD others before it would miss its
  * deadline; 0 if it fits.  Refusing it now keeps the queue short enough to
  * be useful. */
 static int64_t
-missing_time_ms (const struct router_service *s, const struct beryl_job *job,
-                 size_t ahead, int64_t now_ms)
+deadline_overrun_ms (const struct router_service *s,
+                     const struct beryl_job *job, size_t ahead, int64_t now_ms)
 {
   if (job->call_class == BERYL_CLASS_URGENT || s->config->max_concurrent == 0
       || ahead == 0)
     return 0;
   const struct estimate_mean *answer = &s->answer_ms[job->call_class];
-  double slots = fmax (1, s->patient_slots);
+  double slots = fmax (1, s->non_urgent_slots);
   double wait = (double)ahead / slots * answer->mean;
   double slack = (double)job->deadline_ms - (double)now_ms;
-  double missing = wait + estimate_mean_quantile (answer, 1) - slack;
-  return missing > 0 ? (int64_t)ceil (missing) : 0;
+  double overrun = wait + estimate_mean_plus_sd (answer, 1) - slack;
+  return overrun > 0 ? (int64_t)ceil (overrun) : 0;
 }
 
 void
@@ -157,7 +157,7 @@
             int64_t now_ms, struct beryl_plan *plan)
 {
   struct router_service *s = router_service_find (r, job->service);
-  if (too_late (s, job, now_ms))
+  if (misses_deadline (s, job, now_ms))
     {
       refuse (r, job, "deadline", plan);
       return;
@@ -176,10 +176,10 @@
   };
   uint32_t best = ROUTER_NONE;
   size_t ahead = waiting_ahead (r, &w);
-  int64_t missing_ms = missing_time_ms (s, job, ahead, now_ms);
-  if (missing_ms > 0 && waiting_find (r, job->request) == SIZE_MAX)
+  int64_t overrun_ms = deadline_overrun_ms (s, job, ahead, now_ms);
+  if (overrun_ms > 0 && waiting_find (r, job->request) == SIZE_MAX)
     {
-      router_refuse (plan, "no_capacity", missing_ms);
+      router_refuse (plan, "no_capacity", overrun_ms);
       return;
     }
   if (ahead == 0)
--- a/libberyl/router/planned.c
+++ b/libberyl/router/planned.c
@@ -16,25 +16,25 @@
 #define RETRY_AFTER_MAX_MS 30000
 
 /* Waiting jobs per own slot from which fair parts are enforced. */
-#define FAIR_CONTENDED 0.5
+#define CONTENDED_JOBS_PER_SLOT 0.5
 
 /* What an organisation may have open at a node: never less than this, and
  * this many times its fair part, since demand comes unevenly. */
-#define FAIR_LEAST 2
+#define FAIR_MIN_OPEN 2
 #define FAIR_FACTOR 1.5
 
 /* A job waits here rather than in an engine's queue if more than this is
  * queued there: here it keeps its order and its choice of engine. */
-#define PREFILL_AHEAD_MS 400
+#define PREFILL_BACKLOG_MAX_MS 400
 
 /* Standard deviations of an answer's length that must fit before its deadline.
  * With fewer, some answers are cut off by it after they have begun. */
-#define LENGTH_MARGIN 2.0
+#define LENGTH_DEVIATIONS 2.0
 
 /* Standard deviations of what a decode has begun later than planned. */
-#define LATE_MARGIN 2.0
+#define BIND_DELAY_DEVIATIONS 2.0
 
-#define UNCERTAIN 0.3
+#define SLOT_MISS_PROBABILITY 0.3
 
 /* How certain a slot must be before a prefill starts for it.  The objective
  * sets it: a prefill without a slot is wasted, a slot that waits for its
@@ -43,7 +43,7 @@
 slot_certainty (const struct router_service *s)
 {
   double w = 1 + s->config->waste_weight;
-  return 1 - UNCERTAIN / (w * w);
+  return 1 - SLOT_MISS_PROBABILITY / (w * w);
 }
 
 static bool
@@ -63,7 +63,7 @@
 expected_slots (const struct router_service *s, double lead_ms)
 {
   double mu = departures_per_ms (s) * (lead_ms + KV_WAIT_MS);
-  return (int32_t)estimate_poisson_floor (mu, slot_certainty (s));
+  return (int32_t)estimate_poisson_quantile (mu, slot_certainty (s));
 }
 
 static bool
@@ -94,19 +94,20 @@
  * behind those of other nodes, which are known late, and then wait for a slot.
  * Without it the decode begins so late that the deadline cuts the answer. */
 static double
-spare_ms (const struct router_service *s)
+bind_margin_ms (const struct router_service *s)
 {
-  return fmax (0, estimate_mean_quantile (&s->late_ms, LATE_MARGIN));
+  return fmax (
+      0, estimate_mean_plus_sd (&s->bind_delay_ms, BIND_DELAY_DEVIATIONS));
 }
 
 static int32_t
-room (const struct beryl_router *r, const struct router_service *s,
-      const struct beryl_job *job, double lead_ms)
+available_slots (const struct beryl_router *r, const struct router_service *s,
+                 const struct beryl_job *job, double lead_ms)
 {
   int32_t n = s->free_own;
   /* Bound early, a slot that another node has taken costs the prefill. */
   if (r->late_binding)
-    n += (s->spare > 0 ? s->spare : 0) + expected_slots (s, lead_ms)
+    n += (s->borrowable > 0 ? s->borrowable : 0) + expected_slots (s, lead_ms)
          - (int32_t)s->unbound;
   return n - headroom (s, job);
 }
@@ -139,15 +140,16 @@
 /* An organisation may fill the slots and the queue up to its fair part;
  * checked only while jobs wait, so that no slot idles for fairness' sake. */
 static bool
-over_fair_part (const struct beryl_router *r, const struct router_service *s,
-                uint32_t organisation, size_t queue)
+exceeds_fair_share (const struct beryl_router *r,
+                    const struct router_service *s, uint32_t organisation,
+                    size_t queue)
 {
   if (organisation == ROUTER_NONE)
     return false;
   double jobs = (double)(s->own_slots + queue);
   return r->organisations[organisation].open >= fmax (
-             FAIR_LEAST,
-             FAIR_FACTOR * organisation_fair_part (r, organisation) * jobs);
+             FAIR_MIN_OPEN,
+             FAIR_FACTOR * organisation_fair_share (r, organisation) * jobs);
 }
 
 static void
@@ -177,8 +179,8 @@
   t->planned_ms = p->first_token_ms;
   ticket_reserve (r, t, p->decode);
   ticket_start_prefill (r, t, p->prefill, p->prefill_cost_ms, now_ms);
-  prefix_index_learn (r->prefix, job->block_hashes, job->block_count,
-                      p->prefill, now_ms);
+  prefix_index_add_chain (r->prefix, job->block_hashes, job->block_count,
+                          p->prefill, now_ms);
   plan->verdict = BERYL_VERDICT_START;
   plan->ticket = t->id;
   plan->prefill = r->endpoints[p->prefill].config->name;
@@ -212,10 +214,10 @@
 }
 
 /* What is known about a job when it is planned. */
-struct outlook
+struct job_forecast
 {
-  bool known;  /* it waited already */
-  bool served; /* some engine can prefill it */
+  bool queued;             /* it waited already */
+  bool has_prefill_engine; /* some engine can prefill it */
   struct pair pair;
   size_t queue; /* waiting jobs of its service */
   size_t ahead; /* those before it */
@@ -236,27 +238,29 @@
     .call_class = job->call_class,
     .deadline_ms = job->deadline_ms,
   };
-  size_t known = waiting_find (r, job->request);
-  w.over_share = known != SIZE_MAX ? r->waiting[known].over_share
-                                   : over_fair_part (r, s, w.organisation, 0);
+  size_t queued = waiting_find (r, job->request);
+  w.over_share = queued != SIZE_MAX
+                     ? r->waiting[queued].over_share
+                     : exceeds_fair_share (r, s, w.organisation, 0);
   return w;
 }
 
 static void
-look_ahead (struct beryl_router *r, struct router_service *s,
-            const struct beryl_job *job, const struct router_waiting *w,
-            int64_t now_ms, struct outlook *o, struct beryl_plan *plan)
+forecast_job (struct beryl_router *r, struct router_service *s,
+              const struct beryl_job *job, const struct router_waiting *w,
+              int64_t now_ms, struct job_forecast *o, struct beryl_plan *plan)
 {
-  o->known = waiting_find (r, job->request) != SIZE_MAX;
-  o->served = pair_choose (r, s, job, ROUTER_NONE, now_ms, &o->pair, plan);
-  if (!o->served)
+  o->queued = waiting_find (r, job->request) != SIZE_MAX;
+  o->has_prefill_engine
+      = pair_choose (r, s, job, ROUTER_NONE, now_ms, &o->pair, plan);
+  if (!o->has_prefill_engine)
     o->pair.first_token_ms = cost_prefill_ms (s, job->prompt_tokens);
   o->queue = waiting_of_service (r, w->service);
   o->ahead = waiting_ahead (r, w);
-  o->slots = room (r, s, job, o->pair.first_token_ms);
+  o->slots = available_slots (r, s, job, o->pair.first_token_ms);
   o->slack_ms = (double)job->deadline_ms - (double)now_ms;
-  o->need_ms = o->pair.first_token_ms + spare_ms (s)
-               + cost_decode_ms (s, job->max_tokens, LENGTH_MARGIN);
+  o->need_ms = o->pair.first_token_ms + bind_margin_ms (s)
+               + cost_decode_ms (s, job->max_tokens, LENGTH_DEVIATIONS);
   o->wait_ms = wait_ms (s, o->ahead, o->slots);
 }
 
@@ -264,25 +268,25 @@
  * queue.  False if the job may go on. */
 static bool
 refused (struct beryl_router *r, const struct router_service *s,
-         const struct router_waiting *w, const struct outlook *o,
+         const struct router_waiting *w, const struct job_forecast *o,
          struct beryl_plan *plan)
 {
-  double missing_ms = o->wait_ms + o->need_ms - o->slack_ms;
+  double overrun_ms = o->wait_ms + o->need_ms - o->slack_ms;
   if (o->need_ms > o->slack_ms)
     {
       refuse (r, w->request, w->organisation, plan, "deadline",
               retry_after (wait_ms (s, o->queue, o->slots)));
       return true;
     }
-  if (o->known)
+  if (o->queued)
     return false;
-  if (missing_ms > 0)
+  if (overrun_ms > 0)
     {
-      router_refuse (plan, "no_capacity", retry_after (missing_ms));
+      router_refuse (plan, "no_capacity", retry_after (overrun_ms));
       return true;
     }
-  if (contended (s, o->queue, FAIR_CONTENDED)
-      && over_fair_part (r, s, w->organisation, o->queue))
+  if (contended (s, o->queue, CONTENDED_JOBS_PER_SLOT)
+      && exceeds_fair_share (r, s, w->organisation, o->queue))
     {
       router_refuse (plan, "fair_share", retry_after (o->wait_ms));
       return true;
@@ -297,22 +301,24 @@
   struct router_service *s = router_service_find (r, job->service);
   fleet_refresh (r, s, now_ms);
   struct router_waiting w = waiting_entry (r, s, job);
-  struct outlook o;
-  look_ahead (r, s, job, &w, now_ms, &o, plan);
+  struct job_forecast o;
+  forecast_job (r, s, job, &w, now_ms, &o, plan);
   if (refused (r, s, &w, &o, plan))
     return;
-  bool soon = o.served && o.pair.backlog_ms <= PREFILL_AHEAD_MS;
-  if (soon && (int64_t)o.ahead < o.slots
+  bool backlog_is_short
+      = o.has_prefill_engine && o.pair.backlog_ms <= PREFILL_BACKLOG_MAX_MS;
+  if (backlog_is_short && (int64_t)o.ahead < o.slots
       && try_start (r, s, job, &o.pair, now_ms, plan))
     return;
   wait_for_slot (r, &w, o.ahead, now_ms, plan);
-  if (!o.served)
+  if (!o.has_prefill_engine)
     plan->reason = "no_endpoint";
 }
 
 /* KV caches of this service that will expire before T's. */
 static int32_t
-more_pressing (const struct beryl_router *r, const struct router_ticket *t)
+count_expiring_earlier (const struct beryl_router *r,
+                        const struct router_ticket *t)
 {
   int32_t n = 0;
   for (size_t i = 0; i < r->ticket_count; i++)
@@ -330,10 +336,10 @@
  * has text that it cannot use, and the slot was taken from a job that would
  * have ended.  Nothing of it has gone out yet, so that it can be refused. */
 static bool
-ends_in_time (const struct beryl_router *r, const struct router_service *s,
-              const struct router_ticket *t, int64_t now_ms)
+finishes_in_time (const struct beryl_router *r, const struct router_service *s,
+                  const struct router_ticket *t, int64_t now_ms)
 {
-  double need_ms = cost_decode_ms (s, t->max_tokens, LENGTH_MARGIN);
+  double need_ms = cost_decode_ms (s, t->max_tokens, LENGTH_DEVIATIONS);
   if (t->prefill != ROUTER_NONE)
     need_ms += cost_transfer_ms (s, &r->endpoints[t->prefill], NULL,
                                  t->prompt_tokens);
@@ -347,24 +353,24 @@
 {
   struct router_service *s = &r->services[t->service];
   fleet_refresh (r, s, now_ms);
-  double late_ms = (double)(now_ms - t->started_ms) - t->planned_ms;
-  if (!ends_in_time (r, s, t, now_ms))
+  double delay_ms = (double)(now_ms - t->started_ms) - t->planned_ms;
+  if (!finishes_in_time (r, s, t, now_ms))
     {
-      estimate_mean_add (&s->late_ms, late_ms);
+      estimate_mean_add (&s->bind_delay_ms, delay_ms);
       router_refuse (plan, "deadline", RETRY_AFTER_MIN_MS);
       return;
     }
   bool last_chance = now_ms + KV_MARGIN_MS >= kv_expires_ms;
-  int32_t slots = s->free_own + (s->spare > 0 ? s->spare : 0);
+  int32_t slots = s->free_own + (s->borrowable > 0 ? s->borrowable : 0);
   uint32_t decode = ROUTER_NONE;
   /* The oldest KV cache goes first: given to whoever asks first, a free slot
    * may go to a young one while an old one expires. */
-  if (last_chance || more_pressing (r, t) < slots)
-    decode = pair_choose_decode (r, s, s->spare > 0 || last_chance, refused_by,
-                                 now_ms);
+  if (last_chance || count_expiring_earlier (r, t) < slots)
+    decode = pair_choose_decode (r, s, s->borrowable > 0 || last_chance,
+                                 refused_by, now_ms);
   if (decode != ROUTER_NONE)
     {
-      estimate_mean_add (&s->late_ms, late_ms);
+      estimate_mean_add (&s->bind_delay_ms, delay_ms);
       plan->verdict = BERYL_VERDICT_START;
       plan->decode = r->endpoints[decode].config->name;
       ticket_unreserve (r, t);
--- a/libberyl/router/prefill.c
+++ b/libberyl/router/prefill.c
@@ -16,13 +16,13 @@
   double tokens = (double)e->report.prefill_queue_tokens;
   double left = tokens > 0 ? estimate_line_at (&s->prefill_ms, tokens) : 0;
   left = fmax (0, left - (double)age);
-  for (uint32_t i = 1; i <= ROUTER_RECENT && i <= e->recent_next; i++)
+  for (uint32_t i = 1; i <= ROUTER_CHANGES_MAX && i <= e->change_count; i++)
     {
-      const struct router_recent *c
-          = &e->recent[(e->recent_next - i) % ROUTER_RECENT];
+      const struct router_change *c
+          = &e->changes[(e->change_count - i) % ROUTER_CHANGES_MAX];
       if (c->at_ms <= e->report.measured_ms)
         break;
-      if (c->busy < 0)
+      if (c->busy_slots < 0)
         left += c->cost_ms;
     }
   return left;
@@ -41,8 +41,8 @@
 {
   e->prefills++;
   e->prefill_free_ms = fmax (e->prefill_free_ms, (double)now_ms) + cost_ms;
-  e->recent[e->recent_next++ % ROUTER_RECENT]
-      = (struct router_recent){ now_ms, cost_ms, -1 };
+  e->changes[e->change_count++ % ROUTER_CHANGES_MAX]
+      = (struct router_change){ now_ms, cost_ms, -1 };
 }
 
 void
--- a/libberyl/router/prefix.c
+++ b/libberyl/router/prefix.c
@@ -9,7 +9,7 @@
 #define WAYS 4
 
 /* Unseen blocks that one prompt adds. */
-#define LEARN_BLOCKS 24
+#define NEW_BLOCKS_MAX 24
 
 struct entry
 {
@@ -102,11 +102,11 @@
 }
 
 void
-prefix_index_learn (struct prefix_index *index, const uint64_t *blocks,
-                    size_t block_count, uint32_t endpoint, int64_t now_ms)
+prefix_index_add_chain (struct prefix_index *index, const uint64_t *blocks,
+                        size_t block_count, uint32_t endpoint, int64_t now_ms)
 {
   size_t unseen = 0;
-  for (size_t i = 0; i < block_count && unseen < LEARN_BLOCKS; i++)
+  for (size_t i = 0; i < block_count && unseen < NEW_BLOCKS_MAX; i++)
     {
       if (!find (index, blocks[i]))
         unseen++;
@@ -135,7 +135,7 @@
 }
 
 void
-prefix_index_forget (struct prefix_index *index, uint32_t endpoint)
+prefix_index_remove_endpoint (struct prefix_index *index, uint32_t endpoint)
 {
   for (size_t i = 0; i < index->sets * WAYS; i++)
     drop_holder (&index->entries[i], endpoint);
--- a/libberyl/router/prefix.h
+++ b/libberyl/router/prefix.h
@@ -40,12 +40,13 @@
 /** Note that ENDPOINT will hold the chain BLOCKS.  Blocks never seen before
  * are added a few at a time: a document's own blocks seldom come again, and
  * a preamble is known whole after a few of them. */
-void prefix_index_learn (struct prefix_index *index, const uint64_t *blocks,
-                         size_t block_count, uint32_t endpoint,
-                         int64_t now_ms);
+void prefix_index_add_chain (struct prefix_index *index,
+                             const uint64_t *blocks, size_t block_count,
+                             uint32_t endpoint, int64_t now_ms);
 
 /** Forget all that ENDPOINT holds. */
-void prefix_index_forget (struct prefix_index *index, uint32_t endpoint);
+void prefix_index_remove_endpoint (struct prefix_index *index,
+                                   uint32_t endpoint);
 
 /** Rewrite endpoint numbers after a change of configuration: NUMBERS[old]
  * is the new one or UINT32_MAX. */
--- a/libberyl/router/private.h
+++ b/libberyl/router/private.h
@@ -21,14 +21,14 @@
 #define ROUTER_REPORT_MAX_AGE_MS 2000
 
 /** Changes remembered per endpoint, to compare with lagged reports. */
-#define ROUTER_RECENT 16
+#define ROUTER_CHANGES_MAX 16
 
 /** Something this node did at an endpoint at AT_MS. */
-struct router_recent
+struct router_change
 {
   int64_t at_ms;
-  double cost_ms; /**< of a prefill it started; 0 for a slot change */
-  int32_t busy;   /**< own busy slots after a slot change; -1 otherwise */
+  double cost_ms;     /**< of a prefill it started; 0 for a slot change */
+  int32_t busy_slots; /**< own busy slots after a slot change; -1 otherwise */
 };
 
 /** An endpoint as this node sees it. */
@@ -42,18 +42,18 @@
   uint32_t share;         /**< slots that belong to this node */
   uint32_t busy;          /**< own streams in slots */
   uint32_t reserved;      /**< own tickets in prefill that will come here */
-  uint32_t patient;       /**< plain services: own calls that are not urgent */
+  uint32_t non_urgent;    /**< plain services: own calls that are not urgent */
   uint32_t prefills;      /**< own, unfinished */
   double prefill_free_ms; /**< when the own prefills are done */
-  struct router_recent recent[ROUTER_RECENT];
-  uint32_t recent_next;
+  struct router_change changes[ROUTER_CHANGES_MAX];
+  uint32_t change_count;
   bool reported;
   struct beryl_load_report report; /**< without the name */
   bool cache_known;
   bool cache_gap;
   uint64_t cache_sequence;
-  double cache_trust; /**< share of predicted hits that were true */
-  uint32_t failures;  /**< in a row */
+  double cache_trust;            /**< share of predicted hits that were true */
+  uint32_t consecutive_failures; /**< in a row */
   int64_t ejected_until_ms;
 };
 
@@ -73,24 +73,24 @@
   struct router_list prefill;
   struct router_list decode;
   struct router_list plain;
-  struct router_list own; /**< decode endpoints with a share */
-  uint32_t own_slots;     /**< sum of the shares */
-  uint32_t patient_slots; /**< plain services: sum of the shares */
-  uint32_t patient;       /**< plain services: own calls, not urgent */
-  uint32_t unbound;       /**< tickets in prefill without a decode engine */
-  uint32_t decoding;      /**< own streams in slots */
-  int32_t free_own;       /**< usable free slots of the shares */
-  int32_t spare;          /**< slots that may be borrowed now */
-  int64_t refreshed_ms;
-  uint32_t turn; /**< of round robin over prefill engines */
+  struct router_list own;    /**< decode endpoints with a share */
+  uint32_t own_slots;        /**< sum of the shares */
+  uint32_t non_urgent_slots; /**< plain services: sum of the shares */
+  uint32_t non_urgent;       /**< plain services: own calls, not urgent */
+  uint32_t unbound;          /**< tickets in prefill without a decode engine */
+  uint32_t decoding;         /**< own streams in slots */
+  int32_t free_own;          /**< usable free slots of the shares */
+  int32_t borrowable;        /**< slots that may be borrowed now */
+  int64_t slots_counted_ms;
+  uint32_t prefill_turn; /**< of round robin over prefill engines */
   uint32_t decode_turn;
-  struct estimate_line prefill_ms;  /**< by uncached tokens */
-  struct estimate_line interval_ms; /**< between tokens, by batch */
-  struct estimate_line transfer_ms; /**< by KV megabytes */
-  struct estimate_mean length;      /**< tokens made / tokens allowed */
-  struct estimate_mean decode_ms;   /**< whole decodes */
+  struct estimate_line prefill_ms;   /**< by uncached tokens */
+  struct estimate_line interval_ms;  /**< between tokens, by batch */
+  struct estimate_line transfer_ms;  /**< by KV megabytes */
+  struct estimate_mean length_ratio; /**< tokens made / tokens allowed */
+  struct estimate_mean decode_ms;    /**< whole decodes */
   /** From the planned first token to the binding of a decode engine. */
-  struct estimate_mean late_ms;
+  struct estimate_mean bind_delay_ms;
   /** Plain services: answer times by class. */
   struct estimate_mean answer_ms[BERYL_CLASS_BATCH + 1];
 };
@@ -101,7 +101,7 @@
   const struct beryl_organisation *config;
   uint32_t open; /**< waiting jobs and tickets */
   double tokens; /**< of the rate limit's bucket */
-  int64_t filled_ms;
+  int64_t refilled_ms;
 };
 
 /** Phases of a ticket. */
@@ -128,7 +128,7 @@
   uint32_t max_tokens;
   uint32_t cached_tokens; /**< predicted */
   double prefill_cost_ms;
-  bool prefill_alone; /**< nothing was queued before it */
+  bool prefill_unqueued; /**< nothing was queued before it */
   int64_t deadline_ms;
   int64_t started_ms;
   double planned_ms; /**< from the start to the first token */
@@ -186,8 +186,8 @@
   size_t free_ticket_count;
   struct router_waiting *waiting; /**< in serving order */
   size_t waiting_count;
-  size_t waiting_size;
-  int64_t kick_ms; /**< capacity came free at this time */
+  size_t waiting_capacity;
+  int64_t capacity_freed_ms; /**< capacity came free at this time */
   struct prefix_index *prefix;
 };
 
@@ -200,18 +200,19 @@
 /* fleet.c: endpoints, their reports and shares */
 bool fleet_build (struct beryl_router *r, const struct beryl_config *config);
 void fleet_release (struct beryl_router *r);
-void fleet_share (struct beryl_router *r);
+void fleet_assign_shares (struct beryl_router *r);
 uint32_t fleet_find (const struct beryl_router *r, const char *name);
 bool fleet_usable (const struct router_endpoint *e, int64_t now_ms);
 bool fleet_excluded (const struct beryl_job *job,
                      const struct router_endpoint *e);
-void fleet_note_busy (struct router_endpoint *e, int64_t now_ms);
+void fleet_record_busy (struct router_endpoint *e, int64_t now_ms);
 uint32_t fleet_free_slots (const struct router_endpoint *e, int64_t now_ms);
 uint32_t fleet_free_own (const struct router_endpoint *e, int64_t now_ms);
 void fleet_refresh (struct beryl_router *r, struct router_service *s,
                     int64_t now_ms);
-void fleet_failed (struct beryl_router *r, uint32_t endpoint, int64_t now_ms);
-void fleet_worked (struct router_endpoint *e);
+void fleet_record_failure (struct beryl_router *r, uint32_t endpoint,
+                           int64_t now_ms);
+void fleet_record_success (struct router_endpoint *e);
 
 /* prefill.c: queues and costs of prefills */
 double prefill_backlog_ms (const struct router_service *s,
@@ -228,8 +229,8 @@
 void ticket_close (struct beryl_router *r, struct router_ticket *t);
 void ticket_take_slot (struct beryl_router *r, struct router_ticket *t,
                        uint32_t endpoint, int64_t now_ms);
-void ticket_give_slot (struct beryl_router *r, struct router_ticket *t,
-                       int64_t now_ms);
+void ticket_release_slot (struct beryl_router *r, struct router_ticket *t,
+                          int64_t now_ms);
 void ticket_reserve (struct beryl_router *r, struct router_ticket *t,
                      uint32_t endpoint);
 void ticket_unreserve (struct beryl_router *r, struct router_ticket *t);
@@ -242,10 +243,10 @@
 uint32_t organisation_find (const struct beryl_router *r, const char *name);
 void organisation_opened (struct beryl_router *r, uint32_t organisation);
 void organisation_closed (struct beryl_router *r, uint32_t organisation);
-const char *organisation_check (struct beryl_router *r, uint32_t organisation,
+const char *organisation_admit (struct beryl_router *r, uint32_t organisation,
                                 int64_t now_ms, int64_t *retry_after_ms);
-double organisation_fair_part (const struct beryl_router *r,
-                               uint32_t organisation);
+double organisation_fair_share (const struct beryl_router *r,
+                                uint32_t organisation);
 
 /* waiting.c */
 size_t waiting_find (const struct beryl_router *r, uint64_t request);
@@ -288,7 +289,7 @@
 extern const struct router_policy router_policy_random;
 extern const struct router_policy router_policy_round_robin;
 extern const struct router_policy router_policy_least_reported;
-extern const struct router_policy router_policy_of_two;
+extern const struct router_policy router_policy_two_choices;
 
 void plain_plan (struct beryl_router *r, const struct beryl_job *job,
                  int64_t now_ms, struct beryl_plan *plan);
--- a/libberyl/router/router.c
+++ b/libberyl/router/router.c
@@ -20,7 +20,7 @@
   [BERYL_POLICY_RANDOM] = &router_policy_random,
   [BERYL_POLICY_ROUND_ROBIN] = &router_policy_round_robin,
   [BERYL_POLICY_LEAST_REPORTED] = &router_policy_least_reported,
-  [BERYL_POLICY_TWO_CHOICES] = &router_policy_of_two,
+  [BERYL_POLICY_TWO_CHOICES] = &router_policy_two_choices,
   /* Exact: the planned policy, alone before all engines. */
   [BERYL_POLICY_EXACT] = &router_policy_planned,
 };
@@ -36,7 +36,7 @@
   snprintf (r->data_centre, sizeof r->data_centre, "%s", data_centre);
   r->policy = policies[policy];
   r->random = seed;
-  r->kick_ms = BERYL_NEVER_MS;
+  r->capacity_freed_ms = BERYL_NEVER_MS;
   r->prefix = prefix_index_create (PREFIX_ENTRIES);
   if (!r->prefix)
     {
@@ -86,7 +86,7 @@
   /* The old configuration is still valid here: names are read from it. */
   organisation_build (r, config);
   fleet_build (r, config);
-  r->kick_ms = now_ms;
+  r->capacity_freed_ms = now_ms;
 }
 
 void
@@ -101,8 +101,8 @@
   free (r->members);
   r->members = members;
   r->member_count = node_count;
-  fleet_share (r);
-  r->kick_ms = now_ms;
+  fleet_assign_shares (r);
+  r->capacity_freed_ms = now_ms;
 }
 
 void
@@ -163,7 +163,7 @@
   if (number == ROUTER_NONE)
     return;
   struct router_endpoint *e = &r->endpoints[number];
-  prefix_index_forget (r->prefix, number);
+  prefix_index_remove_endpoint (r->prefix, number);
   for (size_t i = 0; i < block_count; i++)
     prefix_index_add (r->prefix, blocks[i], number, now_ms);
   e->cache_known = true;
@@ -182,11 +182,11 @@
 /* The kick is spent once the first waiting job is planned again: whoever
  * plans the others in the same turn sees the same capacity. */
 static void
-spend_kick (struct beryl_router *r, uint64_t request, int64_t now_ms)
+clear_capacity_freed (struct beryl_router *r, uint64_t request, int64_t now_ms)
 {
-  if (r->kick_ms <= now_ms
+  if (r->capacity_freed_ms <= now_ms
       && (r->waiting_count == 0 || r->waiting[0].request == request))
-    r->kick_ms = BERYL_NEVER_MS;
+    r->capacity_freed_ms = BERYL_NEVER_MS;
 }
 
 void
@@ -194,7 +194,7 @@
                    int64_t now_ms, struct beryl_plan *plan)
 {
   *plan = (struct beryl_plan){ 0 };
-  spend_kick (r, job->request, now_ms);
+  clear_capacity_freed (r, job->request, now_ms);
   if (!router_service_find (r, job->service))
     {
       router_refuse (plan, "no_service", 0);
@@ -203,7 +203,7 @@
   int64_t after = 0;
   const char *limit = NULL;
   if (waiting_find (r, job->request) == SIZE_MAX)
-    limit = organisation_check (r, organisation_find (r, job->organisation),
+    limit = organisation_admit (r, organisation_find (r, job->organisation),
                                 now_ms, &after);
   if (limit)
     {
@@ -239,7 +239,7 @@
     }
   if (t->phase == ROUTER_PHASE_DECODE)
     {
-      ticket_give_slot (r, t, now_ms);
+      ticket_release_slot (r, t, now_ms);
       t->decode = ROUTER_NONE;
       t->phase = ROUTER_PHASE_UNBOUND;
       r->services[t->service].unbound++;
@@ -263,10 +263,10 @@
 }
 
 static void
-learn_prefill (struct router_service *s, const struct router_ticket *t,
-               uint32_t cached_tokens, int64_t now_ms)
+record_prefill_time (struct router_service *s, const struct router_ticket *t,
+                     uint32_t cached_tokens, int64_t now_ms)
 {
-  if (!t->prefill_alone)
+  if (!t->prefill_unqueued)
     return;
   uint32_t uncached = t->prompt_tokens > cached_tokens
                           ? t->prompt_tokens - cached_tokens
@@ -280,15 +280,15 @@
 }
 
 static void
-learn_trust (struct router_endpoint *e, const struct router_ticket *t,
-             uint32_t cached_tokens)
+record_cache_hits (struct router_endpoint *e, const struct router_ticket *t,
+                   uint32_t cached_tokens)
 {
   if (t->cached_tokens == 0)
     return;
-  double right = (double)cached_tokens / t->cached_tokens;
-  if (right > 1)
-    right = 1;
-  e->cache_trust += TRUST_GAIN * (right - e->cache_trust);
+  double hit_ratio = (double)cached_tokens / t->cached_tokens;
+  if (hit_ratio > 1)
+    hit_ratio = 1;
+  e->cache_trust += TRUST_GAIN * (hit_ratio - e->cache_trust);
 }
 
 void
@@ -306,12 +306,12 @@
     {
       struct router_endpoint *e = &r->endpoints[t->prefill];
       prefill_ended (e, now_ms);
-      fleet_worked (e);
-      learn_trust (e, t, cached_tokens);
+      fleet_record_success (e);
+      record_cache_hits (e, t, cached_tokens);
     }
   if (t->service == ROUTER_NONE)
     return;
-  learn_prefill (&r->services[t->service], t, cached_tokens, now_ms);
+  record_prefill_time (&r->services[t->service], t, cached_tokens, now_ms);
   if (r->late_binding || t->decode == ROUTER_NONE)
     return;
   uint32_t decode = t->decode;
@@ -330,7 +330,7 @@
   t->first_token_ms = now_ms;
   t->last_token_ms = now_ms;
   if (t->decode != ROUTER_NONE)
-    fleet_worked (&r->endpoints[t->decode]);
+    fleet_record_success (&r->endpoints[t->decode]);
   if (t->service != ROUTER_NONE)
     estimate_line_add (&r->services[t->service].transfer_ms,
                        (double)t->kv_bytes / 1e6,
@@ -362,31 +362,31 @@
 end_decode (struct beryl_router *r, struct router_ticket *t,
             enum beryl_release how, int64_t now_ms)
 {
-  ticket_give_slot (r, t, now_ms);
+  ticket_release_slot (r, t, now_ms);
   if (t->service == ROUTER_NONE || t->first_token_ms == 0)
     return;
   struct router_service *s = &r->services[t->service];
   estimate_mean_add (&s->decode_ms, (double)(now_ms - t->exported_ms));
   if (how == BERYL_RELEASE_DONE && t->max_tokens > 0)
-    estimate_mean_add (&s->length, (double)t->tokens / t->max_tokens);
+    estimate_mean_add (&s->length_ratio, (double)t->tokens / t->max_tokens);
 }
 
 static void
 end_plain (struct beryl_router *r, struct router_ticket *t,
            enum beryl_release how, int64_t now_ms)
 {
-  ticket_give_slot (r, t, now_ms);
+  ticket_release_slot (r, t, now_ms);
   if (t->call_class != BERYL_CLASS_URGENT && t->service != ROUTER_NONE
-      && r->services[t->service].patient > 0)
-    r->services[t->service].patient--;
+      && r->services[t->service].non_urgent > 0)
+    r->services[t->service].non_urgent--;
   if (t->decode == ROUTER_NONE)
     return;
   struct router_endpoint *e = &r->endpoints[t->decode];
-  if (t->call_class != BERYL_CLASS_URGENT && e->patient > 0)
-    e->patient--;
+  if (t->call_class != BERYL_CLASS_URGENT && e->non_urgent > 0)
+    e->non_urgent--;
   if (how != BERYL_RELEASE_DONE)
     return;
-  fleet_worked (e);
+  fleet_record_success (e);
   if (t->service != ROUTER_NONE)
     estimate_mean_add (&r->services[t->service].answer_ms[t->call_class],
                        (double)(now_ms - t->started_ms));
@@ -403,7 +403,7 @@
   uint32_t failed
       = failed_endpoint ? fleet_find (r, failed_endpoint) : ROUTER_NONE;
   if (failed != ROUTER_NONE && how == BERYL_RELEASE_FAILED)
-    fleet_failed (r, failed, now_ms);
+    fleet_record_failure (r, failed, now_ms);
   if (t->phase == ROUTER_PHASE_PREFILL && t->prefill != ROUTER_NONE)
     prefill_ended (&r->endpoints[t->prefill], now_ms);
   if (t->phase == ROUTER_PHASE_PREFILL || t->phase == ROUTER_PHASE_UNBOUND)
@@ -412,7 +412,7 @@
     end_decode (r, t, how, now_ms);
   else
     end_plain (r, t, how, now_ms);
-  r->kick_ms = now_ms;
+  r->capacity_freed_ms = now_ms;
   ticket_close (r, t);
 }
 
@@ -421,7 +421,7 @@
 {
   if (r->waiting_count == 0)
     return BERYL_NEVER_MS;
-  int64_t next = r->kick_ms;
+  int64_t next = r->capacity_freed_ms;
   for (size_t i = 0; i < r->waiting_count; i++)
     if (r->waiting[i].retry_at_ms < next)
       next = r->waiting[i].retry_at_ms;
--- a/libberyl/router/ticket.c
+++ b/libberyl/router/ticket.c
@@ -81,7 +81,7 @@
   struct router_endpoint *e = &r->endpoints[endpoint];
   t->decode = endpoint;
   e->busy++;
-  fleet_note_busy (e, now_ms);
+  fleet_record_busy (e, now_ms);
   if (t->service == ROUTER_NONE)
     return;
   struct router_service *s = &r->services[t->service];
@@ -89,23 +89,23 @@
   if (e->busy + e->reserved <= e->share)
     s->free_own--;
   else
-    s->spare--;
+    s->borrowable--;
 }
 
 void
-ticket_give_slot (struct beryl_router *r, struct router_ticket *t,
-                  int64_t now_ms)
+ticket_release_slot (struct beryl_router *r, struct router_ticket *t,
+                     int64_t now_ms)
 {
   if (t->service != ROUTER_NONE && r->services[t->service].decoding > 0)
     r->services[t->service].decoding--;
-  r->kick_ms = now_ms;
+  r->capacity_freed_ms = now_ms;
   if (t->decode == ROUTER_NONE)
     return;
   struct router_endpoint *e = &r->endpoints[t->decode];
   if (e->busy == 0)
     return;
   e->busy--;
-  fleet_note_busy (e, now_ms);
+  fleet_record_busy (e, now_ms);
   if (t->service != ROUTER_NONE && e->busy + e->reserved < e->share)
     r->services[t->service].free_own++;
 }
@@ -118,7 +118,7 @@
   const struct router_service *s = &r->services[t->service];
   t->prefill = prefill;
   t->prefill_cost_ms = cost_ms;
-  t->prefill_alone = prefill_backlog_ms (s, e, now_ms) < 1;
+  t->prefill_unqueued = prefill_backlog_ms (s, e, now_ms) < 1;
   prefill_started (e, cost_ms, now_ms);
 }
 
@@ -138,7 +138,7 @@
   if (e->busy + e->reserved <= e->share)
     s->free_own--;
   else
-    s->spare--;
+    s->borrowable--;
 }
 
 void
--- a/libberyl/router/waiting.c
+++ b/libberyl/router/waiting.c
@@ -50,15 +50,15 @@
 bool
 waiting_insert (struct beryl_router *r, const struct router_waiting *w)
 {
-  if (r->waiting_count == r->waiting_size)
+  if (r->waiting_count == r->waiting_capacity)
     {
-      size_t size = r->waiting_size ? r->waiting_size * 2 : 16;
+      size_t size = r->waiting_capacity ? r->waiting_capacity * 2 : 16;
       struct router_waiting *waiting
           = realloc (r->waiting, size * sizeof *waiting);
       if (!waiting)
         return false;
       r->waiting = waiting;
-      r->waiting_size = size;
+      r->waiting_capacity = size;
     }
   size_t at = 0;
   while (at < r->waiting_count && before (&r->waiting[at], w))
@@ -79,7 +79,7 @@
 }
 
 static bool
-same_place (const struct router_waiting *a, const struct router_waiting *b)
+same_position (const struct router_waiting *a, const struct router_waiting *b)
 {
   return a->service == b->service && a->call_class == b->call_class
          && a->over_share == b->over_share && a->deadline_ms == b->deadline_ms;
@@ -89,7 +89,7 @@
 waiting_put (struct beryl_router *r, const struct router_waiting *w)
 {
   size_t at = waiting_find (r, w->request);
-  if (at != SIZE_MAX && same_place (&r->waiting[at], w))
+  if (at != SIZE_MAX && same_position (&r->waiting[at], w))
     {
       r->waiting[at].retry_at_ms = w->retry_at_ms;
       return;
--- a/libberyl/stages/stages.c
+++ b/libberyl/stages/stages.c
@@ -6,30 +6,30 @@
 /* How far each pool may be filled by the same flow.  Requests that come
  * together queue for prefill, and its queue adds to the time of the first
  * event; decode memory is foreseen and kept from running over. */
-#define PREFILL_FILL 0.75
-#define DECODE_FILL 0.85
+#define PREFILL_UTILIZATION 0.75
+#define DECODE_UTILIZATION 0.85
 /* A pool is changed if it is off by more than this many engines, for so
  * long: a change takes an engine away for longer. */
-#define OFF_ENGINES 1.0
-#define OFF_MS 8000
+#define IMBALANCE_ENGINES 1.0
+#define IMBALANCE_MS 8000
 /* The first orders come at once: before the first requests a change costs
  * nothing, and later ones go by what was measured. */
-#define FIRST_MS 500
+#define INITIAL_DELAY_MS 500
 /* Before the mix was seen engines go this part of the way from what operators
  * set up to what is assumed; either may be wrong. */
-#define ASSUMED_PART 0.5
+#define ASSUMED_WEIGHT 0.5
 /* Orders within this of the first one belong to it. */
-#define FIRST_ORDERS_MS 4000
+#define INITIAL_PHASE_MS 4000
 /* Part of the engines that may be changing at a time. */
-#define CHANGING_PART 0.25
+#define CHANGING_FRACTION 0.25
 
 struct beryl_stages
 {
-  int64_t off_since_ms; /* 0: sizes are right */
-  bool too_many;        /* since then prefill engines; otherwise too few */
-  int64_t first_ms;     /* of the first order; 0: none yet */
-  size_t found_prefill; /* engines that read prompts before it */
-  bool measured;        /* the orders since then are by a measured mix */
+  int64_t imbalance_since_ms; /* 0: sizes are right */
+  bool prefill_surplus;   /* since then prefill engines; otherwise too few */
+  int64_t first_order_ms; /* of the first order; 0: none yet */
+  size_t initial_prefill; /* engines that read prompts before it */
+  bool measured;          /* the orders since then are by a measured mix */
 };
 
 struct beryl_stages *
@@ -50,10 +50,10 @@
 {
   double prefill_ms = mix->prompt_tokens * mix->prefill_ms_per_token;
   double run_ms = mix->output_tokens * mix->decode_ms_per_token;
-  double run_part
+  double run_fraction
       = (mix->prompt_tokens + mix->output_tokens / 2) / (double)mix->kv_tokens;
-  double prefill = prefill_ms / PREFILL_FILL;
-  double decode = run_ms * run_part / DECODE_FILL;
+  double prefill = prefill_ms / PREFILL_UTILIZATION;
+  double decode = run_ms * run_fraction / DECODE_UTILIZATION;
 
   if (mix->kv_tokens == 0 || prefill + decode <= 0)
     return (double)count / 2;
@@ -98,39 +98,40 @@
 /* What PREFILL should be, kept off the ends: without an engine of one kind
  * nothing is served apart. */
 static double
-wanted_prefill (const struct beryl_stages *stages,
+target_prefill (const struct beryl_stages *stages,
                 const struct beryl_generation_mix *mix, size_t count)
 {
-  double wanted = beryl_stages_prefill_target (mix, count);
-  double found = (double)stages->found_prefill;
+  double target = beryl_stages_prefill_target (mix, count);
+  double initial = (double)stages->initial_prefill;
 
   if (!mix->measured)
-    wanted = found + ASSUMED_PART * (wanted - found);
-  return fmin (fmax (wanted, 1), (double)count - 1);
+    target = initial + ASSUMED_WEIGHT * (target - initial);
+  return fmin (fmax (target, 1), (double)count - 1);
 }
 
 /* Notes what there was before the first order, and that the first ones by a
  * measured mix are first ones again. */
 static void
-note_state (struct beryl_stages *stages,
-            const struct beryl_generation_mix *mix, const struct pools *pools)
+update_baseline (struct beryl_stages *stages,
+                 const struct beryl_generation_mix *mix,
+                 const struct pools *pools)
 {
   if (mix->measured && !stages->measured)
     {
       stages->measured = true;
-      stages->first_ms = 0;
+      stages->first_order_ms = 0;
     }
-  if (stages->first_ms == 0)
-    stages->found_prefill = pools->prefill;
+  if (stages->first_order_ms == 0)
+    stages->initial_prefill = pools->prefill;
 }
 
 static int64_t
-patience_ms (const struct beryl_stages *stages, int64_t now_ms)
+delay_ms (const struct beryl_stages *stages, int64_t now_ms)
 {
-  bool first
-      = stages->first_ms == 0 || now_ms - stages->first_ms < FIRST_ORDERS_MS;
+  bool initial_phase = stages->first_order_ms == 0
+                       || now_ms - stages->first_order_ms < INITIAL_PHASE_MS;
 
-  return first ? FIRST_MS : OFF_MS;
+  return initial_phase ? INITIAL_DELAY_MS : IMBALANCE_MS;
 }
 
 bool
@@ -140,31 +141,33 @@
                    int64_t now_ms, struct beryl_stage_order *order)
 {
   struct pools pools = count_pools (engines, count);
-  double off;
+  double imbalance;
   const struct beryl_stage_engine *engine;
 
   if (count < 2)
     return false;
-  note_state (stages, mix, &pools);
-  off = (double)pools.prefill - wanted_prefill (stages, mix, count);
-  if (fabs (off) < OFF_ENGINES)
+  update_baseline (stages, mix, &pools);
+  imbalance = (double)pools.prefill - target_prefill (stages, mix, count);
+  if (fabs (imbalance) < IMBALANCE_ENGINES)
     {
-      stages->off_since_ms = 0;
+      stages->imbalance_since_ms = 0;
       return false;
     }
-  if (stages->off_since_ms == 0 || stages->too_many != (off > 0))
-    stages->off_since_ms = now_ms;
-  stages->too_many = off > 0;
-  if (now_ms - stages->off_since_ms < patience_ms (stages, now_ms)
-      || (double)pools.changing >= CHANGING_PART * (double)count)
+  if (stages->imbalance_since_ms == 0
+      || stages->prefill_surplus != (imbalance > 0))
+    stages->imbalance_since_ms = now_ms;
+  stages->prefill_surplus = imbalance > 0;
+  if (now_ms - stages->imbalance_since_ms < delay_ms (stages, now_ms)
+      || (double)pools.changing >= CHANGING_FRACTION * (double)count)
     return false;
-  engine = least_used (engines, count,
-                       off > 0 ? BERYL_STAGE_PREFILL : BERYL_STAGE_DECODE);
+  engine
+      = least_used (engines, count,
+                    imbalance > 0 ? BERYL_STAGE_PREFILL : BERYL_STAGE_DECODE);
   if (engine == NULL)
     return false;
   order->id = engine->id;
-  order->stage = off > 0 ? BERYL_STAGE_DECODE : BERYL_STAGE_PREFILL;
-  if (stages->first_ms == 0)
-    stages->first_ms = now_ms;
+  order->stage = imbalance > 0 ? BERYL_STAGE_DECODE : BERYL_STAGE_PREFILL;
+  if (stages->first_order_ms == 0)
+    stages->first_order_ms = now_ms;
   return true;
 }
--- a/tests/limits/test_limits.c
+++ b/tests/limits/test_limits.c
@@ -9,8 +9,8 @@
 #define KIND 1
 #define NODES_MAX 400
 /* What a node has to tell goes out after so long, and takes its way. */
-#define TELL_MS 20
-#define WAY_MS 8
+#define SEND_DELAY_MS 20
+#define LATENCY_MS 8
 #define WINDOW_MS 4000
 #define RUN_MS 24000
 #define SENDS_MAX 20000
@@ -21,15 +21,15 @@
 {
   struct beryl_limits *nodes[NODES_MAX];
   uint32_t count;
-  struct beryl_limit_cluster terms;
-  double lost;  /* part of the datagrams */
-  uint32_t cut; /* nodes from this number on hear only each other */
-  int64_t tell_ms[NODES_MAX]; /* 0: nothing to tell */
+  struct beryl_limit_cluster cluster;
+  double loss;           /* part of the datagrams */
+  uint32_t partition_at; /* nodes from this number on hear only each other */
+  int64_t send_due_ms[NODES_MAX]; /* 0: nothing to tell */
   struct
   {
     int64_t at_ms;
     uint32_t from;
-    struct beryl_limits_update news;
+    struct beryl_limits_update update;
   } queue[QUEUE_MAX];
   uint32_t queue_first, queue_end;
   int64_t sends[SENDS_MAX];
@@ -54,8 +54,8 @@
 setup (void)
 {
   memset (&fleet, 0, sizeof fleet);
-  fleet.terms.reachable_fraction = 1;
-  fleet.cut = NODES_MAX;
+  fleet.cluster.reachable_fraction = 1;
+  fleet.partition_at = NODES_MAX;
   now_ms = 100000;
   random_state = 1;
 }
@@ -68,7 +68,7 @@
 }
 
 static void
-hear (uint32_t node, double per_s, int64_t sent_ms)
+observe (uint32_t node, double per_s, int64_t sent_ms)
 {
   struct beryl_rate_limit limit
       = { .advertised = per_s >= 0,
@@ -85,35 +85,36 @@
   for (uint32_t i = 0; i < count; i++)
     {
       fleet.nodes[i] = beryl_limits_create ();
-      hear (i, per_s, now_ms);
+      observe (i, per_s, now_ms);
     }
 }
 
 static bool
 allowed (uint32_t node)
 {
-  return beryl_limits_allow (fleet.nodes[node], ENDPOINT, &fleet.terms,
+  return beryl_limits_allow (fleet.nodes[node], ENDPOINT, &fleet.cluster,
                              chance (), now_ms);
 }
 
 static void
 send_one (uint32_t node)
 {
-  beryl_limits_record_send (fleet.nodes[node], ENDPOINT, &fleet.terms, now_ms);
+  beryl_limits_record_send (fleet.nodes[node], ENDPOINT, &fleet.cluster,
+                            now_ms);
   ck_assert_uint_lt (fleet.send_count, SENDS_MAX);
   fleet.sends[fleet.send_count++] = now_ms;
 }
 
 static void
-tell (uint32_t node)
+send_update (uint32_t node)
 {
-  struct beryl_limits_update news = { .node = node + 1 };
+  struct beryl_limits_update update = { .node = node + 1 };
 
-  if (!beryl_limits_build_update (fleet.nodes[node], &news, false, now_ms))
+  if (!beryl_limits_build_update (fleet.nodes[node], &update, false, now_ms))
     return;
-  fleet.queue[fleet.queue_end % QUEUE_MAX].at_ms = now_ms + WAY_MS;
+  fleet.queue[fleet.queue_end % QUEUE_MAX].at_ms = now_ms + LATENCY_MS;
   fleet.queue[fleet.queue_end % QUEUE_MAX].from = node;
-  fleet.queue[fleet.queue_end++ % QUEUE_MAX].news = news;
+  fleet.queue[fleet.queue_end++ % QUEUE_MAX].update = update;
 }
 
 static void
@@ -126,10 +127,11 @@
       uint32_t from = fleet.queue[at].from;
 
       for (uint32_t i = 0; i < fleet.count; i++)
-        if (i != from && (i < fleet.cut) == (from < fleet.cut)
-            && chance () >= fleet.lost)
-          beryl_limits_apply_update (fleet.nodes[i], &fleet.queue[at].news,
-                                     &fleet.terms, now_ms);
+        if (i != from
+            && (i < fleet.partition_at) == (from < fleet.partition_at)
+            && chance () >= fleet.loss)
+          beryl_limits_apply_update (fleet.nodes[i], &fleet.queue[at].update,
+                                     &fleet.cluster, now_ms);
     }
 }
 
@@ -140,7 +142,8 @@
 {
   int64_t end_ms = now_ms + RUN_MS;
 
-  fleet.terms.concurrent_requests = per_s * (TELL_MS + WAY_MS) / 1000;
+  fleet.cluster.concurrent_requests
+      = per_s * (SEND_DELAY_MS + LATENCY_MS) / 1000;
   for (; now_ms < end_ms; now_ms++)
     {
       deliver ();
@@ -152,44 +155,44 @@
             send_one (node);
         }
       for (uint32_t i = 0; i < fleet.count; i++)
-        if (fleet.tell_ms[i] != 0 && now_ms >= fleet.tell_ms[i])
+        if (fleet.send_due_ms[i] != 0 && now_ms >= fleet.send_due_ms[i])
           {
-            fleet.tell_ms[i] = 0;
-            tell (i);
+            fleet.send_due_ms[i] = 0;
+            send_update (i);
           }
-        else if (fleet.tell_ms[i] == 0
+        else if (fleet.send_due_ms[i] == 0
                  && beryl_limits_has_changes (fleet.nodes[i]))
-          fleet.tell_ms[i] = now_ms + TELL_MS;
+          fleet.send_due_ms[i] = now_ms + SEND_DELAY_MS;
     }
 }
 
 static uint32_t
-most_in_window (void)
+max_in_window (void)
 {
-  uint32_t most = 0;
+  uint32_t max = 0;
 
   for (uint32_t first = 0, last = 0; last < fleet.send_count; last++)
     {
       while (fleet.sends[last] - fleet.sends[first] >= WINDOW_MS)
         first++;
-      if (last - first + 1 > most)
-        most = last - first + 1;
+      if (last - first + 1 > max)
+        max = last - first + 1;
     }
-  return most;
+  return max;
 }
 
 static void
-assert_kept (double per_s)
+assert_limit_kept (double per_s)
 {
-  ck_assert_msg (most_in_window () <= 1.5 * per_s * WINDOW_MS / 1000 + 5,
-                 "%u in some window, %u in all", most_in_window (),
+  ck_assert_msg (max_in_window () <= 1.5 * per_s * WINDOW_MS / 1000 + 5,
+                 "%u in some window, %u in all", max_in_window (),
                  fleet.send_count);
 }
 
 static void
-assert_used (double per_s, double part)
+assert_capacity_used (double per_s, double fraction)
 {
-  ck_assert_msg (fleet.send_count >= part * per_s * RUN_MS / 1000,
+  ck_assert_msg (fleet.send_count >= fraction * per_s * RUN_MS / 1000,
                  "only %u sends", fleet.send_count);
 }
 
@@ -201,9 +204,9 @@
 {
   open_fleet (8, rates[_i]);
   run (60);
-  assert_kept (rates[_i]);
+  assert_limit_kept (rates[_i]);
   if (rates[_i] < 10)
-    assert_used (rates[_i], 0.7);
+    assert_capacity_used (rates[_i], 0.7);
 }
 END_TEST
 
@@ -213,8 +216,8 @@
 {
   open_fleet (NODES_MAX, rates[_i]);
   run (500);
-  assert_kept (rates[_i]);
-  assert_used (rates[_i], 0.6);
+  assert_limit_kept (rates[_i]);
+  assert_capacity_used (rates[_i], 0.6);
 }
 END_TEST
 
@@ -223,7 +226,7 @@
 {
   open_fleet (8, 8.8);
   run (4);
-  assert_used (4, 0.8);
+  assert_capacity_used (4, 0.8);
 }
 END_TEST
 
@@ -231,9 +234,9 @@
 START_TEST (test_lost_datagrams)
 {
   open_fleet (8, rates[_i]);
-  fleet.lost = 0.05;
+  fleet.loss = 0.05;
   run (60);
-  assert_kept (rates[_i]);
+  assert_limit_kept (rates[_i]);
 }
 END_TEST
 
@@ -241,23 +244,24 @@
 START_TEST (test_partition)
 {
   open_fleet (8, rates[_i]);
-  fleet.cut = 4;
-  fleet.terms.reachable_fraction = 0.5;
+  fleet.partition_at = 4;
+  fleet.cluster.reachable_fraction = 0.5;
   run (60);
-  assert_kept (rates[_i]);
+  assert_limit_kept (rates[_i]);
 }
 END_TEST
 
 /* A node that has had no answer of the endpoint does not know its limit. */
 START_TEST (test_told_by_peers)
 {
-  struct beryl_limits_update news = { .node = 1 };
+  struct beryl_limits_update update = { .node = 1 };
 
   open_fleet (1, 3);
   fleet.nodes[fleet.count++] = beryl_limits_create ();
   now_ms += 10;
-  ck_assert (beryl_limits_build_update (fleet.nodes[0], &news, true, now_ms));
-  beryl_limits_apply_update (fleet.nodes[1], &news, &fleet.terms, now_ms);
+  ck_assert (
+      beryl_limits_build_update (fleet.nodes[0], &update, true, now_ms));
+  beryl_limits_apply_update (fleet.nodes[1], &update, &fleet.cluster, now_ms);
   ck_assert (beryl_limits_get (fleet.nodes[1], ENDPOINT).advertised);
   ck_assert (!allowed (1));
 }
@@ -271,16 +275,16 @@
 
   open_fleet (2, 3);
   now_ms += 100;
-  hear (0, 3, now_ms - 50);
+  observe (0, 3, now_ms - 50);
   beryl_limits_build_update (fleet.nodes[0], &old, true, now_ms);
   now_ms += 10;
-  hear (1, -1, now_ms - 5);
+  observe (1, -1, now_ms - 5);
   ck_assert (!beryl_limits_get (fleet.nodes[1], ENDPOINT).advertised);
   old.items[0].age_ms += 10;
-  beryl_limits_apply_update (fleet.nodes[1], &old, &fleet.terms, now_ms);
+  beryl_limits_apply_update (fleet.nodes[1], &old, &fleet.cluster, now_ms);
   ck_assert (!beryl_limits_get (fleet.nodes[1], ENDPOINT).advertised);
   beryl_limits_build_update (fleet.nodes[1], &new, true, now_ms);
-  beryl_limits_apply_update (fleet.nodes[0], &new, &fleet.terms, now_ms);
+  beryl_limits_apply_update (fleet.nodes[0], &new, &fleet.cluster, now_ms);
   ck_assert (!beryl_limits_get (fleet.nodes[0], ENDPOINT).advertised);
   ck_assert (allowed (0));
 }
@@ -291,7 +295,7 @@
 {
   open_fleet (1, 3);
   now_ms += 20;
-  hear (0, -1, now_ms - 100);
+  observe (0, -1, now_ms - 100);
   ck_assert (beryl_limits_get (fleet.nodes[0], ENDPOINT).advertised);
 }
 END_TEST
@@ -316,7 +320,7 @@
   open_fleet (8, 0);
   run (60);
   ck_assert_uint_ge (fleet.send_count, 1);
-  ck_assert_uint_le (most_in_window (), 5);
+  ck_assert_uint_le (max_in_window (), 5);
 }
 END_TEST
 
--- a/tests/quarantine/test_quarantine.c
+++ b/tests/quarantine/test_quarantine.c
@@ -6,7 +6,7 @@
 
 #define NODES 3
 #define CULPRIT 100
-#define NEIGHBOUR 200
+#define BYSTANDER 200
 
 struct node
 {
@@ -60,16 +60,17 @@
 }
 
 static void
-tell (int from, int to)
+send_update (int from, int to)
 {
-  struct beryl_quarantine_update news;
+  struct beryl_quarantine_update update;
 
-  beryl_quarantine_build_update (nodes[from].quarantine, &news, true, now_ms);
-  beryl_quarantine_apply_update (nodes[to].quarantine, &news, now_ms);
+  beryl_quarantine_build_update (nodes[from].quarantine, &update, true,
+                                 now_ms);
+  beryl_quarantine_apply_update (nodes[to].quarantine, &update, now_ms);
 }
 
 static bool
-holds (int n, uint64_t fingerprint)
+is_quarantined (int n, uint64_t fingerprint)
 {
   return beryl_quarantine_remaining_ms (nodes[n].quarantine, fingerprint,
                                         now_ms)
@@ -81,12 +82,12 @@
 {
   crash (0, CULPRIT, 1);
   crash (0, CULPRIT, 2);
-  ck_assert (!holds (0, CULPRIT));
+  ck_assert (!is_quarantined (0, CULPRIT));
   ck_assert (beryl_quarantine_is_suspect (nodes[0].quarantine, CULPRIT));
   crash (0, CULPRIT, 3);
-  ck_assert (holds (0, CULPRIT));
+  ck_assert (is_quarantined (0, CULPRIT));
   ck_assert_int_eq (nodes[0].cause, BERYL_QUARANTINE_CRASHES);
-  ck_assert (!holds (0, NEIGHBOUR));
+  ck_assert (!is_quarantined (0, BYSTANDER));
 }
 END_TEST
 
@@ -96,10 +97,10 @@
   for (int i = 0; i < 5; i++)
     {
       crash (0, CULPRIT, 1);
-      tell (0, 1);
+      send_update (0, 1);
     }
-  ck_assert (!holds (0, CULPRIT));
-  ck_assert (!holds (1, CULPRIT));
+  ck_assert (!is_quarantined (0, CULPRIT));
+  ck_assert (!is_quarantined (1, CULPRIT));
 }
 END_TEST
 
@@ -109,11 +110,11 @@
 {
   for (uint32_t i = 1; i <= 10; i++)
     beryl_quarantine_run_broken (nodes[0].quarantine, CULPRIT, i, now_ms);
-  ck_assert (!holds (0, CULPRIT));
+  ck_assert (!is_quarantined (0, CULPRIT));
   now_ms += 60000;
   for (uint32_t i = 1; i <= 10; i++)
     beryl_quarantine_endpoint_ended (nodes[0].quarantine, i, now_ms);
-  ck_assert (!holds (0, CULPRIT));
+  ck_assert (!is_quarantined (0, CULPRIT));
   beryl_quarantine_expire (nodes[0].quarantine, now_ms);
   ck_assert (beryl_quarantine_empty (nodes[0].quarantine));
 }
@@ -125,24 +126,24 @@
   for (int n = 0; n < NODES; n++)
     crash (n, CULPRIT, (uint32_t)n + 1);
   for (int n = 1; n < NODES; n++)
-    tell (n, 0);
-  ck_assert (holds (0, CULPRIT));
+    send_update (n, 0);
+  ck_assert (is_quarantined (0, CULPRIT));
   /* Who saw one of them answers for the record. */
   ck_assert_int_eq (nodes[0].cause, BERYL_QUARANTINE_CRASHES);
-  tell (0, 1);
-  ck_assert (holds (1, CULPRIT));
+  send_update (0, 1);
+  ck_assert (is_quarantined (1, CULPRIT));
   ck_assert_int_eq (nodes[1].cause, BERYL_QUARANTINE_CRASHES);
 }
 END_TEST
 
 /* A node that was away when it happened is never told. */
-START_TEST (test_node_comes_late)
+START_TEST (test_late_joining_node)
 {
   for (uint32_t i = 1; i <= 3; i++)
     crash (0, CULPRIT, i);
   now_ms += 600000;
-  tell (0, 1);
-  ck_assert (holds (1, CULPRIT));
+  send_update (0, 1);
+  ck_assert (is_quarantined (1, CULPRIT));
   ck_assert_int_eq (nodes[1].cause, BERYL_QUARANTINE_FROM_PEER);
 }
 END_TEST
@@ -153,14 +154,14 @@
 {
   for (uint32_t i = 1; i <= 2; i++)
     {
-      beryl_quarantine_run_broken (nodes[0].quarantine, NEIGHBOUR, i, now_ms);
+      beryl_quarantine_run_broken (nodes[0].quarantine, BYSTANDER, i, now_ms);
       crash (0, CULPRIT, i);
     }
   crash (0, CULPRIT, 3);
-  ck_assert (holds (0, CULPRIT));
-  crash (0, NEIGHBOUR, 7);
-  crash (0, NEIGHBOUR, 8);
-  ck_assert (!holds (0, NEIGHBOUR));
+  ck_assert (is_quarantined (0, CULPRIT));
+  crash (0, BYSTANDER, 7);
+  crash (0, BYSTANDER, 8);
+  ck_assert (!is_quarantined (0, BYSTANDER));
 }
 END_TEST
 
@@ -170,14 +171,14 @@
 {
   for (uint32_t i = 1; i <= 3; i++)
     {
-      beryl_quarantine_run_broken (nodes[0].quarantine, NEIGHBOUR, i, now_ms);
+      beryl_quarantine_run_broken (nodes[0].quarantine, BYSTANDER, i, now_ms);
       crash (0, CULPRIT, i);
     }
-  ck_assert (!holds (0, NEIGHBOUR));
-  ck_assert (!holds (0, CULPRIT));
+  ck_assert (!is_quarantined (0, BYSTANDER));
+  ck_assert (!is_quarantined (0, CULPRIT));
   crash (0, CULPRIT, 4);
-  ck_assert (holds (0, CULPRIT));
-  ck_assert (!holds (0, NEIGHBOUR));
+  ck_assert (is_quarantined (0, CULPRIT));
+  ck_assert (!is_quarantined (0, BYSTANDER));
 }
 END_TEST
 
@@ -185,15 +186,15 @@
  * after. */
 START_TEST (test_answered_in_between)
 {
-  crash (0, NEIGHBOUR, 1);
-  crash (0, NEIGHBOUR, 2);
-  tell (0, 1);
-  beryl_quarantine_run_answered (nodes[0].quarantine, NEIGHBOUR, now_ms);
-  tell (0, 1);
-  crash (0, NEIGHBOUR, 3);
-  crash (1, NEIGHBOUR, 3);
-  ck_assert (!holds (0, NEIGHBOUR));
-  ck_assert (!holds (1, NEIGHBOUR));
+  crash (0, BYSTANDER, 1);
+  crash (0, BYSTANDER, 2);
+  send_update (0, 1);
+  beryl_quarantine_run_answered (nodes[0].quarantine, BYSTANDER, now_ms);
+  send_update (0, 1);
+  crash (0, BYSTANDER, 3);
+  crash (1, BYSTANDER, 3);
+  ck_assert (!is_quarantined (0, BYSTANDER));
+  ck_assert (!is_quarantined (1, BYSTANDER));
 }
 END_TEST
 
@@ -202,17 +203,17 @@
 START_TEST (test_answer_ends_quarantine)
 {
   for (uint32_t i = 1; i <= 3; i++)
-    crash (0, NEIGHBOUR, i);
-  tell (0, 1);
-  ck_assert (holds (1, NEIGHBOUR));
+    crash (0, BYSTANDER, i);
+  send_update (0, 1);
+  ck_assert (is_quarantined (1, BYSTANDER));
   now_ms += 2000;
-  beryl_quarantine_run_answered (nodes[1].quarantine, NEIGHBOUR, now_ms);
-  tell (1, 0);
-  ck_assert (!holds (0, NEIGHBOUR));
+  beryl_quarantine_run_answered (nodes[1].quarantine, BYSTANDER, now_ms);
+  send_update (1, 0);
+  ck_assert (!is_quarantined (0, BYSTANDER));
   /* What others still tell does not bring it back. */
-  tell (0, 1);
-  ck_assert (!holds (1, NEIGHBOUR));
-  ck_assert (!beryl_quarantine_record_read (nodes[1].quarantine, NEIGHBOUR,
+  send_update (0, 1);
+  ck_assert (!is_quarantined (1, BYSTANDER));
+  ck_assert (!beryl_quarantine_record_read (nodes[1].quarantine, BYSTANDER,
                                             1000, now_ms));
 }
 END_TEST
@@ -221,32 +222,32 @@
  * and is refused everywhere. */
 START_TEST (test_popular_request)
 {
-  beryl_quarantine_run_answered (nodes[0].quarantine, NEIGHBOUR, now_ms);
+  beryl_quarantine_run_answered (nodes[0].quarantine, BYSTANDER, now_ms);
   now_ms += 1000;
   for (uint32_t i = 1; i <= 5; i++)
     {
-      crash (0, NEIGHBOUR, i);
-      crash (1, NEIGHBOUR, i);
+      crash (0, BYSTANDER, i);
+      crash (1, BYSTANDER, i);
     }
-  ck_assert (!holds (0, NEIGHBOUR));
+  ck_assert (!is_quarantined (0, BYSTANDER));
   /* The other has not answered it yet, and hears that it is well. */
-  ck_assert (holds (1, NEIGHBOUR));
-  tell (1, 0);
-  ck_assert (!holds (0, NEIGHBOUR));
-  tell (0, 1);
-  ck_assert (!holds (1, NEIGHBOUR));
-  tell (1, 0);
-  ck_assert (!holds (0, NEIGHBOUR));
+  ck_assert (is_quarantined (1, BYSTANDER));
+  send_update (1, 0);
+  ck_assert (!is_quarantined (0, BYSTANDER));
+  send_update (0, 1);
+  ck_assert (!is_quarantined (1, BYSTANDER));
+  send_update (1, 0);
+  ck_assert (!is_quarantined (0, BYSTANDER));
 }
 END_TEST
 
 /* All nodes were killed, and what is on record is not used. */
-START_TEST (test_on_record)
+START_TEST (test_stored_record)
 {
   ck_assert (beryl_quarantine_record_read (nodes[0].quarantine, CULPRIT, 50000,
                                            now_ms));
   beryl_quarantine_records_synced (nodes[0].quarantine, now_ms);
-  ck_assert (holds (0, CULPRIT));
+  ck_assert (is_quarantined (0, CULPRIT));
   ck_assert_int_eq (nodes[0].cause, BERYL_QUARANTINE_STORED);
 }
 END_TEST
@@ -258,30 +259,30 @@
     crash (0, CULPRIT, i);
   /* Not yet on record: its absence tells nothing. */
   beryl_quarantine_records_synced (nodes[0].quarantine, now_ms);
-  ck_assert (holds (0, CULPRIT));
+  ck_assert (is_quarantined (0, CULPRIT));
   beryl_quarantine_record_read (nodes[0].quarantine, CULPRIT, 50000, now_ms);
   beryl_quarantine_records_synced (nodes[0].quarantine, now_ms);
-  ck_assert (holds (0, CULPRIT));
-  tell (0, 1);
+  ck_assert (is_quarantined (0, CULPRIT));
+  send_update (0, 1);
   beryl_quarantine_records_synced (nodes[0].quarantine, now_ms);
-  ck_assert (!holds (0, CULPRIT));
+  ck_assert (!is_quarantined (0, CULPRIT));
   ck_assert_int_eq (nodes[0].cause, BERYL_QUARANTINE_LIFTED);
-  tell (0, 1);
-  ck_assert (!holds (1, CULPRIT));
+  send_update (0, 1);
+  ck_assert (!is_quarantined (1, CULPRIT));
 }
 END_TEST
 
 /* A request that was tried again after its time crashes three more. */
-START_TEST (test_tried_again)
+START_TEST (test_retry_after_expiry)
 {
   for (uint32_t i = 1; i <= 3; i++)
     crash (0, CULPRIT, i);
   now_ms += INT64_C (25) * 3600 * 1000;
   beryl_quarantine_expire (nodes[0].quarantine, now_ms);
-  ck_assert (!holds (0, CULPRIT));
+  ck_assert (!is_quarantined (0, CULPRIT));
   ck_assert_int_eq (nodes[0].cause, BERYL_QUARANTINE_EXPIRED);
   crash (0, CULPRIT, 9);
-  ck_assert (holds (0, CULPRIT));
+  ck_assert (is_quarantined (0, CULPRIT));
 }
 END_TEST
 
@@ -293,7 +294,7 @@
     crash (0, CULPRIT, i);
   for (uint64_t i = 0; i < 5000; i++)
     crash (0, 1000 + i, 10 + (uint32_t)i % 7);
-  ck_assert (holds (0, CULPRIT));
+  ck_assert (is_quarantined (0, CULPRIT));
   ck_assert_uint_le (beryl_quarantine_suspect_count (nodes[0].quarantine),
                      512);
 }
@@ -308,7 +309,7 @@
   ck_assert_uint_eq (beryl_quarantine_count (nodes[0].quarantine), 100);
   now_ms += 10000;
   for (int i = 0; i < 7; i++)
-    tell (0, 1);
+    send_update (0, 1);
   ck_assert_uint_eq (beryl_quarantine_count (nodes[1].quarantine), 100);
 }
 END_TEST
@@ -324,15 +325,15 @@
   tcase_add_test (tcase, test_one_crash_counts_once);
   tcase_add_test (tcase, test_broken_connections);
   tcase_add_test (tcase, test_crashes_at_different_nodes);
-  tcase_add_test (tcase, test_node_comes_late);
+  tcase_add_test (tcase, test_late_joining_node);
   tcase_add_test (tcase, test_explained_crashes);
   tcase_add_test (tcase, test_same_three_endpoints);
   tcase_add_test (tcase, test_answered_in_between);
   tcase_add_test (tcase, test_answer_ends_quarantine);
   tcase_add_test (tcase, test_popular_request);
-  tcase_add_test (tcase, test_on_record);
+  tcase_add_test (tcase, test_stored_record);
   tcase_add_test (tcase, test_lifted);
-  tcase_add_test (tcase, test_tried_again);
+  tcase_add_test (tcase, test_retry_after_expiry);
   tcase_add_test (tcase, test_many_suspects);
   tcase_add_test (tcase, test_many_quarantined);
   suite_add_tcase (suite, tcase);
--- a/tests/relay/test_announce.c
+++ b/tests/relay/test_announce.c
@@ -5,36 +5,36 @@
  * looked at as often as the node itself does. */
 struct sent
 {
-  uint32_t near;
-  uint32_t far;
-  int64_t longest_far_ms; /* between two that went to all */
+  uint32_t local;
+  uint32_t remote;
+  int64_t max_remote_gap_ms; /* between two that went to all */
 };
 
 #define DURATION_MS 60000
-#define LOOK_MS 100
+#define CHECK_MS 100
 /* Changes of 100 ms, taken together until the interval is over. */
-#define FAR_LATEST_MS 300
+#define MAX_REMOTE_GAP_MS 300
 
 static struct sent
-announce_for (uint32_t near_count, uint32_t far_count, int64_t change_ms)
+announce_for (uint32_t local_count, uint32_t remote_count, int64_t change_ms)
 {
   struct beryl_announce a
-      = { .local_count = near_count, .remote_count = far_count };
+      = { .local_count = local_count, .remote_count = remote_count };
   struct sent sent = { 0 };
 
   for (int64_t now_ms = 10; now_ms < DURATION_MS; now_ms += 10)
     {
       bool changed = change_ms != 0 && now_ms % change_ms == 0;
-      bool looks = now_ms % LOOK_MS == 0;
-      bool far = beryl_announce_includes_remote (&a, now_ms);
+      bool checks = now_ms % CHECK_MS == 0;
+      bool remote = beryl_announce_includes_remote (&a, now_ms);
 
-      if (!changed && !(looks && beryl_announce_due (&a, now_ms)))
+      if (!changed && !(checks && beryl_announce_due (&a, now_ms)))
         continue;
-      if (far && now_ms - a.announced_remote_ms > sent.longest_far_ms)
-        sent.longest_far_ms = now_ms - a.announced_remote_ms;
-      sent.near++;
-      sent.far += far;
-      beryl_announce_done (&a, far, now_ms);
+      if (remote && now_ms - a.announced_remote_ms > sent.max_remote_gap_ms)
+        sent.max_remote_gap_ms = now_ms - a.announced_remote_ms;
+      sent.local++;
+      sent.remote += remote;
+      beryl_announce_done (&a, remote, now_ms);
     }
   return sent;
 }
@@ -43,18 +43,21 @@
  * of other data centres take them too, and must know what runs there. */
 START_TEST (test_peak_in_a_large_fleet)
 {
-  ck_assert_int_le (announce_for (17, 83, 100).longest_far_ms, FAR_LATEST_MS);
-  ck_assert_int_le (announce_for (49, 246, 100).longest_far_ms, FAR_LATEST_MS);
-  ck_assert_int_le (announce_for (40, 360, 100).longest_far_ms, FAR_LATEST_MS);
+  ck_assert_int_le (announce_for (17, 83, 100).max_remote_gap_ms,
+                    MAX_REMOTE_GAP_MS);
+  ck_assert_int_le (announce_for (49, 246, 100).max_remote_gap_ms,
+                    MAX_REMOTE_GAP_MS);
+  ck_assert_int_le (announce_for (40, 360, 100).max_remote_gap_ms,
+                    MAX_REMOTE_GAP_MS);
   /* And not each change costs a message to each of them. */
-  ck_assert_uint_le (announce_for (49, 246, 10).far, DURATION_MS / 250);
+  ck_assert_uint_le (announce_for (49, 246, 10).remote, DURATION_MS / 250);
 }
 END_TEST
 
 /* Peers of the own data centre hear of each change at once. */
-START_TEST (test_near_peers_hear_at_once)
+START_TEST (test_local_peers_are_told_at_once)
 {
-  ck_assert_uint_ge (announce_for (49, 246, 100).near, DURATION_MS / 100 - 1);
+  ck_assert_uint_ge (announce_for (49, 246, 100).local, DURATION_MS / 100 - 1);
 }
 END_TEST
 
@@ -75,13 +78,13 @@
 END_TEST
 
 /* A fleet at rest, and a small one: signs of life twice a second. */
-START_TEST (test_signs_of_life)
+START_TEST (test_heartbeats)
 {
   struct beryl_announce small = { .local_count = 3, .remote_count = 4 };
 
   ck_assert_int_eq (beryl_announce_interval_ms (&small), 500);
-  ck_assert_uint_ge (announce_for (3, 4, 0).far, DURATION_MS / 600);
-  ck_assert_uint_le (announce_for (49, 246, 0).far, DURATION_MS / 2900);
+  ck_assert_uint_ge (announce_for (3, 4, 0).remote, DURATION_MS / 600);
+  ck_assert_uint_le (announce_for (49, 246, 0).remote, DURATION_MS / 2900);
 }
 END_TEST
 
@@ -92,9 +95,9 @@
   TCase *tcase = tcase_create ("announce");
 
   tcase_add_test (tcase, test_peak_in_a_large_fleet);
-  tcase_add_test (tcase, test_near_peers_hear_at_once);
+  tcase_add_test (tcase, test_local_peers_are_told_at_once);
   tcase_add_test (tcase, test_last_change_reaches_all);
-  tcase_add_test (tcase, test_signs_of_life);
+  tcase_add_test (tcase, test_heartbeats);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/relay/test_relay.c
+++ b/tests/relay/test_relay.c
@@ -5,11 +5,11 @@
 #define SPACING_MS 400
 
 static struct beryl_relay *
-relay_of (uint32_t nodes, bool stands)
+relay_of (uint32_t nodes, bool elected)
 {
   struct beryl_relay *relay = beryl_relay_create (LEAVE_MS);
 
-  beryl_relay_set_group (relay, nodes, stands);
+  beryl_relay_set_group (relay, nodes, elected);
   return relay;
 }
 
@@ -27,7 +27,7 @@
 END_TEST
 
 /* Guards against a node that rests before anybody feeds it. */
-START_TEST (test_nobody_heard_yet)
+START_TEST (test_not_fed_yet)
 {
   struct beryl_relay *relay = relay_of (50, false);
 
@@ -58,7 +58,7 @@
 
 /* Guards against followers that look by themselves whenever one of two
  * watchers is late by a part of its interval. */
-START_TEST (test_watcher_is_answered_in_time)
+START_TEST (test_poll_timeout_within_silence)
 {
   for (int64_t leave_ms = 1000; leave_ms <= 8000; leave_ms += 500)
     {
@@ -84,9 +84,9 @@
   TCase *tcase = tcase_create ("relay");
 
   tcase_add_test (tcase, test_small_data_centre);
-  tcase_add_test (tcase, test_nobody_heard_yet);
+  tcase_add_test (tcase, test_not_fed_yet);
   tcase_add_test (tcase, test_silent_watchers);
-  tcase_add_test (tcase, test_watcher_is_answered_in_time);
+  tcase_add_test (tcase, test_poll_timeout_within_silence);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/router/test_engine_model.c
+++ b/tests/router/test_engine_model.c
@@ -82,7 +82,7 @@
 }
 
 static const struct engine_output *
-nth (enum engine_output_type type, size_t n)
+nth_output (enum engine_output_type type, size_t n)
 {
   for (size_t i = 0; i < seen.count; i++)
     if (seen.all[i].type == type && n-- == 0)
@@ -137,12 +137,14 @@
   engine_model_advance (engine, 10);
   engine_model_imported (engine, (struct beryl_stream_id){ 1, 2 }, &kv, 0, 10);
   engine_model_advance (engine, 1000);
-  const struct engine_output *first = nth (ENGINE_OUTPUT_DECODE_DONE, 0);
-  const struct engine_output *second = nth (ENGINE_OUTPUT_DECODE_DONE, 1);
+  const struct engine_output *first
+      = nth_output (ENGINE_OUTPUT_DECODE_DONE, 0);
+  const struct engine_output *second
+      = nth_output (ENGINE_OUTPUT_DECODE_DONE, 1);
   ck_assert_uint_eq (first->stream.counter, 1);
   ck_assert_int_eq (first->at_ms, 110);
   ck_assert_int_eq (second->at_ms, 140);
-  ck_assert_int_eq (nth (ENGINE_OUTPUT_TOKENS, 0)->at_ms, 30);
+  ck_assert_int_eq (nth_output (ENGINE_OUTPUT_TOKENS, 0)->at_ms, 30);
   ck_assert_int_eq (engine_model_next_ms (engine), BERYL_NEVER_MS);
 }
 END_TEST
@@ -158,13 +160,15 @@
   engine_model_advance (engine, 40);
   prefill (2, 30, BERYL_CLASS_NORMAL, b, 3, 100);
   engine_model_advance (engine, 200);
-  ck_assert_int_eq (nth (ENGINE_OUTPUT_PREFILL_DONE, 1)->at_ms, 120);
-  ck_assert_uint_eq (nth (ENGINE_OUTPUT_PREFILL_DONE, 1)->cached_tokens, 20);
+  ck_assert_int_eq (nth_output (ENGINE_OUTPUT_PREFILL_DONE, 1)->at_ms, 120);
+  ck_assert_uint_eq (nth_output (ENGINE_OUTPUT_PREFILL_DONE, 1)->cached_tokens,
+                     20);
   prefill (3, 40, BERYL_CLASS_NORMAL, c, 4, 200);
   engine_model_advance (engine, 300);
   prefill (4, 30, BERYL_CLASS_NORMAL, a, 3, 300);
   engine_model_advance (engine, 400);
-  ck_assert_uint_eq (nth (ENGINE_OUTPUT_PREFILL_DONE, 3)->cached_tokens, 0);
+  ck_assert_uint_eq (nth_output (ENGINE_OUTPUT_PREFILL_DONE, 3)->cached_tokens,
+                     0);
 
   struct engine_cache_change changes[32];
   size_t n
@@ -189,17 +193,17 @@
   for (uint64_t i = 1; i <= 3; i++)
     prefill (i, 30, BERYL_CLASS_NORMAL, NULL, 0, 0);
   engine_model_advance (engine, 120); /* done at 40, 80 and 120 */
-  uint64_t first = nth (ENGINE_OUTPUT_PREFILL_DONE, 0)->handle;
-  uint64_t second = nth (ENGINE_OUTPUT_PREFILL_DONE, 1)->handle;
+  uint64_t first = nth_output (ENGINE_OUTPUT_PREFILL_DONE, 0)->handle;
+  uint64_t second = nth_output (ENGINE_OUTPUT_PREFILL_DONE, 1)->handle;
   ck_assert_int_eq (engine_model_export (engine, first, NULL, &stream, 530),
                     ENGINE_OK);
   ck_assert_uint_eq (stream.counter, 1);
   ck_assert_int_eq (
       engine_model_export (engine, second, &stream, &stream, 530), ENGINE_OK);
   engine_model_advance (engine, 700);
-  ck_assert_int_eq (nth (ENGINE_OUTPUT_TRANSFER_DONE, 0)->at_ms, 560);
-  ck_assert_int_eq (nth (ENGINE_OUTPUT_TRANSFER_DONE, 1)->at_ms, 590);
-  uint64_t third = nth (ENGINE_OUTPUT_PREFILL_DONE, 2)->handle;
+  ck_assert_int_eq (nth_output (ENGINE_OUTPUT_TRANSFER_DONE, 0)->at_ms, 560);
+  ck_assert_int_eq (nth_output (ENGINE_OUTPUT_TRANSFER_DONE, 1)->at_ms, 590);
+  uint64_t third = nth_output (ENGINE_OUTPUT_PREFILL_DONE, 2)->handle;
   ck_assert_int_eq (engine_model_export (engine, third, NULL, &stream, 700),
                     ENGINE_GONE);
   /* the first was read by nobody in the end, the third expired */
@@ -220,8 +224,9 @@
   engine_model_load (engine, &load, 10);
   ck_assert_uint_eq (load.prefill_queue, 1);
   engine_model_advance (engine, 1000);
-  ck_assert_int_eq (nth (ENGINE_OUTPUT_PREFILL_DONE, 0)->at_ms, 50);
-  ck_assert_uint_eq (nth (ENGINE_OUTPUT_PREFILL_DONE, 0)->stream.counter, 3);
+  ck_assert_int_eq (nth_output (ENGINE_OUTPUT_PREFILL_DONE, 0)->at_ms, 50);
+  ck_assert_uint_eq (
+      nth_output (ENGINE_OUTPUT_PREFILL_DONE, 0)->stream.counter, 3);
 }
 END_TEST
 
