--- a/include/beryl/announce.h
+++ b/include/beryl/announce.h
@@ -1,11 +1,11 @@
 /** @file
- * When a node announces what it runs, and to whom.
+ * Decides when a node announces its runs, and to which peers.
  *
- * Engines are chosen in the own data centre first, so that its nodes hear of
- * each change at once.  The others hear of several together: bytes between
- * data centres are paid for.  Their interval does not grow with the fleet,
- * since at a peak each node takes engines of all data centres, and one that
- * knows of others' runs too late sends what an engine has no room for.
+ * Engines of the own data centre are chosen first, so local peers are told of
+ * each change at once.  Remote peers get batched announcements, since traffic
+ * between data centres is charged.  The remote interval does not grow with the
+ * fleet: at peak load nodes use engines of all data centres, and outdated
+ * knowledge of their runs overcommits engines.
  */
 #ifndef BERYL_ANNOUNCE_H
 #define BERYL_ANNOUNCE_H
@@ -13,29 +13,29 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Times of what was announced; zero-initialise. */
+/** Announcement state; zero-initialise. */
 struct beryl_announce
 {
   uint32_t local_count;  /**< nodes of this data centre, this one included */
-  uint32_t remote_count; /**< nodes of the others */
-  int64_t announced_ms;  /**< to peers of this data centre */
-  int64_t announced_remote_ms; /**< to all */
+  uint32_t remote_count; /**< nodes of other data centres */
+  int64_t announced_ms;  /**< last announcement */
+  int64_t announced_remote_ms; /**< last announcement to all peers */
 };
 
-/** Return the time in which a live node announces something. */
+/** Return the interval at which a live node announces something. */
 int64_t beryl_announce_interval_ms (const struct beryl_announce *announce);
 
-/** Whether something has to be announced although nothing changed here since
- * the last time: as a sign of life, or to peers in other data centres. */
+/** Return whether an announcement is due without a local change: as a
+ * heartbeat, or to send earlier changes to remote peers. */
 bool beryl_announce_due (const struct beryl_announce *announce,
                          int64_t now_ms);
 
-/** Whether what is announced now goes to all peers. */
+/** Return whether an announcement made now goes to all peers. */
 bool beryl_announce_includes_remote (const struct beryl_announce *announce,
                                      int64_t now_ms);
 
-/** Something was announced, to all peers if FAR. */
-void beryl_announce_done (struct beryl_announce *announce, bool far,
+/** Record an announcement, to all peers if REMOTE. */
+void beryl_announce_done (struct beryl_announce *announce, bool remote,
                           int64_t now_ms);
 
 #endif
--- a/include/beryl/clock.h
+++ b/include/beryl/clock.h
@@ -1,8 +1,8 @@
 /** @file
  * Monotonic time in milliseconds.
  *
- * Parts of libberyl never read a clock: every event carries the time.  The
- * daemons read a real clock; tests use a virtual one.
+ * Modules of libberyl never read a clock: every event carries the time.
+ * Daemons use a real clock, tests a virtual one.
  */
 #ifndef BERYL_CLOCK_H
 #define BERYL_CLOCK_H
@@ -26,7 +26,7 @@
   const struct beryl_clock_impl *impl;
 };
 
-/** A time that never comes: no deadline, no timer. */
+/** Time that is never reached: no deadline, no timer. */
 #define BERYL_NEVER_MS INT64_MAX
 
 /** Return the clock's time in milliseconds. */
@@ -38,7 +38,7 @@
 /** Create a clock on CLOCK_BOOTTIME, which also counts while suspended. */
 struct beryl_clock *beryl_clock_create_real (void);
 
-/** Create a clock that only moves by beryl_clock_advance_ms. */
+/** Create a clock that is moved only by beryl_clock_advance_ms. */
 struct beryl_clock *beryl_clock_create_virtual (int64_t start_ms);
 
 /** Move a virtual clock forward by DELTA_MS, which must not be negative. */
--- a/include/beryl/engine_load.h
+++ b/include/beryl/engine_load.h
@@ -1,10 +1,10 @@
 /** @file
- * What the nodes tell each other of their generations at engines, so that
- * each can foresee every engine's memory.
+ * Messages by which nodes share their generations, so that each can predict
+ * every engine's memory use.
  *
- * Growth is deterministic (a token takes the same time whatever else runs)
- * and only the length is uncertain, so that one note of a run's beginning
- * lets every node follow it for its whole life.
+ * Memory grows deterministically (a token takes the same time whatever else
+ * runs) and only the output length is uncertain, so that one message at the
+ * start of a run lets every node track it to its end.
  */
 #ifndef BERYL_ENGINE_LOAD_H
 #define BERYL_ENGINE_LOAD_H
@@ -13,60 +13,63 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** One generation of one node. */
+/** Generation run of one node. */
 struct beryl_engine_run
 {
-  uint32_t engine;  /**< beryl_live_hash of it; 0: waits for one */
-  uint32_t service; /**< the number of its service's name, while it waits */
+  uint32_t engine;  /**< beryl_live_hash of the engine; 0: waiting for one */
+  uint32_t service; /**< beryl_name_hash of the service, while waiting */
   uint32_t prompt_tokens;
   uint32_t expected_tokens;  /**< estimate of the whole output */
-  uint32_t generated_tokens; /**< so far */
-  bool started;              /**< it streams; otherwise it is only reserved */
-  bool suspect;              /**< its engine may crash by it */
-  uint32_t prefill_engine;   /**< that reads its prompt now; 0: none */
-  uint32_t prompt_hash;      /**< stands for its prompt; 0: not known */
+  uint32_t generated_tokens; /**< tokens generated so far */
+  bool started;              /**< streaming; false: only reserved */
+  bool suspect;              /**< may crash its engine */
+  uint32_t prefill_engine;   /**< beryl_live_hash of the engine that runs its
+                                prefill; 0: none */
+  uint32_t prompt_hash;      /**< hash of its prompt; 0: unknown */
 };
 
-/** Return the number that stands for the name of a node or a service in
- * messages; beryl_live_hash is for endpoints. */
+/** Return the hash that identifies a node or service name in messages;
+ * beryl_live_hash is for endpoints. */
 uint32_t beryl_name_hash (const char *id);
 
-/** Most runs in one message; a node with more tells the newest. */
+/** Maximum number of runs in one message; a node with more sends the newest.
+ */
 #define BERYL_ENGINE_RUNS_MAX 128
 
-/** Most endpoints of one kind in one message; what is left out is told with
+/** Maximum number of endpoints of one kind in one message; others follow in
  * the next one. */
 #define BERYL_ENDPOINT_SET_MAX 64
 
-/** Numbers of endpoints (beryl_live_hash). */
+/** Set of endpoints by beryl_live_hash. */
 struct beryl_endpoint_set
 {
   uint32_t hashes[BERYL_ENDPOINT_SET_MAX];
   size_t count;
 };
 
-/** What a node knows of endpoints before the list of them shows it. */
+/** Endpoint changes that a node knows of before the endpoint list shows them.
+ */
 struct beryl_endpoint_updates
 {
-  /** Engines that it has ordered to another stage. */
+  /** Engines that the node has ordered to change their stage. */
   struct beryl_endpoint_set changing;
-  /** Their addresses are used by another process: they have ended. */
+  /** Endpoints that have ended: another process uses their address. */
   struct beryl_endpoint_set replaced;
-  /** They did not accept a connection of it a moment ago. */
+  /** Endpoints to which a recent connection attempt of the node failed. */
   struct beryl_endpoint_set unreachable;
 };
 
-/** A node's question to another for repeats that the other does not need, or
- * the answer to it. */
+/** Request to another node for part of its unused repeat budget, or the reply.
+ */
 struct beryl_repeat_transfer
 {
-  uint32_t node;    /**< whom it is for: the number of its name */
-  uint32_t service; /**< the number of its name */
-  uint32_t count;   /**< wanted at most, or lent */
-  uint32_t serial;  /**< of the question; the answer repeats it */
+  uint32_t node;    /**< beryl_name_hash of the recipient */
+  uint32_t service; /**< beryl_name_hash of the service */
+  uint32_t count;   /**< maximum requested, or number granted */
+  uint32_t serial;  /**< serial number of the request, echoed by the reply */
 };
 
-/** Most questions, or answers, in one message. */
+/** Maximum number of requests, or replies, in one message. */
 #define BERYL_REPEAT_TRANSFERS_MAX 16
 
 struct beryl_repeat_transfers
@@ -75,20 +78,20 @@
   size_t count;
 };
 
-/** What a node has learned of one service's generations. */
+/** Statistics of a node about one service's generations. */
 struct beryl_generation_profile
 {
-  uint32_t service;       /**< the number of its name */
-  uint32_t arrived;       /**< generations that the means below are of */
-  uint32_t prompt_tokens; /**< mean */
-  uint32_t output_tokens; /**< mean of what they are expected to make */
-  uint32_t prefills;      /**< that the pace of prefill is learned from */
+  uint32_t service;       /**< beryl_name_hash of the service */
+  uint32_t arrived;       /**< number of generations in the means below */
+  uint32_t prompt_tokens; /**< mean prompt size */
+  uint32_t output_tokens; /**< mean expected output */
+  uint32_t prefills;      /**< number of prefills in prefill_ns_per_token */
   uint32_t prefill_ns_per_token;
-  uint32_t streams; /**< that the pace of decode is learned from */
+  uint32_t streams; /**< number of streams in decode_ns_per_token */
   uint32_t decode_ns_per_token;
 };
 
-/** Most services in one message. */
+/** Maximum number of services in one message. */
 #define BERYL_GENERATION_PROFILES_MAX 4
 
 struct beryl_generation_profiles
@@ -97,7 +100,7 @@
   size_t count;
 };
 
-/** Add NUMBER unless SET is full. */
-void beryl_endpoint_set_add (struct beryl_endpoint_set *set, uint32_t number);
+/** Add HASH unless SET is full. */
+void beryl_endpoint_set_add (struct beryl_endpoint_set *set, uint32_t hash);
 
 #endif
--- a/include/beryl/findings.h
+++ b/include/beryl/findings.h
@@ -1,5 +1,5 @@
 /** @file
- * Findings about an input file, collected with their place and reported
+ * Problems found in an input file, collected with their positions and reported
  * together instead of stopping at the first.
  */
 #ifndef BERYL_FINDINGS_H
@@ -8,7 +8,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** One problem in an input; line and column count from 1, 0 is unknown. */
+/** Problem in an input; line and column count from 1, 0 is unknown. */
 struct beryl_finding
 {
   char *file;
@@ -26,7 +26,7 @@
 /** Release FINDINGS; NULL is allowed. */
 void beryl_findings_destroy (struct beryl_findings *findings);
 
-/** Add a finding; FILE may be NULL.  The text is copied. */
+/** Add a finding; FILE may be NULL.  Strings are copied. */
 void beryl_findings_add (struct beryl_findings *findings, const char *file,
                          uint32_t line, uint32_t column, const char *format,
                          ...) __attribute__ ((format (printf, 5, 6)));
--- a/include/beryl/limits.h
+++ b/include/beryl/limits.h
@@ -1,11 +1,12 @@
 /** @file
- * Endpoints that take only so many requests a second from all nodes together.
+ * Distributed rate limiting of endpoints that advertise a rate limit for all
+ * nodes together.
  *
- * Each node follows one token bucket for each of them: it refills at the
- * endpoint's rate, and whoever sends takes a token and tells the others, so
- * that all follow the same bucket some milliseconds apart.  A send that two
- * nodes make at the same moment is paid for by both later.  A node that hears
- * only some of the others uses only their part of the rate.
+ * Each node tracks one token bucket per limited endpoint, refilled at the
+ * advertised rate.  A sender takes a token and announces it, so that all nodes
+ * track the same bucket with a delay of some milliseconds.  Two nodes that use
+ * the same token overdraw the bucket, which later refills pay back.  A node
+ * that reaches only some of the others uses only their fraction of the rate.
  *
  * No I/O.  Not thread-safe.
  */
@@ -20,87 +21,91 @@
 
 struct beryl_limits;
 
-/** What a node knows of the others. */
+/** Cluster state that limits depend on. */
 struct beryl_limit_cluster
 {
-  double reachable_fraction;  /**< of the nodes that can be heard, 0 to 1 */
-  double concurrent_requests; /**< requests of all nodes that choose before
-                     they hear of each other's choices */
+  double reachable_fraction;  /**< fraction of the nodes that can be reached, 0
+                                 to 1 */
+  double concurrent_requests; /**< expected requests of all nodes within one
+                                 propagation delay */
 };
 
-/** Create without any limit. */
+/** Create an instance without limits. */
 struct beryl_limits *beryl_limits_create (void);
 
 /** Release; NULL is allowed. */
 void beryl_limits_destroy (struct beryl_limits *limits);
 
-/** An answer of the endpoint with this number, to a request that was sent at
- * SENT_MS, named LIMIT.  KIND (not 0) stands for the kind of answer: not all
- * of them may name limits, so that only one of the same kind tells that there
- * is none any more.  Returns whether the limit is another one than before. */
+/** Record that ENDPOINT answered a request sent at SENT_MS and advertised
+ * LIMIT or none.  ANSWER_KIND (not 0) identifies the kind of answer: not all
+ * kinds carry limits, so that only an answer of the same kind can end one.
+ * Returns whether the limit changed. */
 bool beryl_limits_observe (struct beryl_limits *limits, uint32_t endpoint,
-                           uint32_t kind, const struct beryl_rate_limit *limit,
+                           uint32_t answer_kind,
+                           const struct beryl_rate_limit *limit,
                            int64_t sent_ms, int64_t now_ms);
 
-/** Whether a request may go to the endpoint now.  CHANCE, from 0 to 1, is
- * drawn by the caller for each request. */
+/** Return whether a request may be sent to the endpoint now.  CHANCE is a
+ * random number from 0 to 1, drawn by the caller for each request. */
 bool beryl_limits_allow (struct beryl_limits *limits, uint32_t endpoint,
-                         const struct beryl_limit_cluster *terms,
+                         const struct beryl_limit_cluster *cluster,
                          double chance, int64_t now_ms);
 
-/** A request goes there. */
+/** Take a token for a request that is sent to the endpoint. */
 void beryl_limits_record_send (struct beryl_limits *limits, uint32_t endpoint,
-                               const struct beryl_limit_cluster *terms,
+                               const struct beryl_limit_cluster *cluster,
                                int64_t now_ms);
 
-/** Return after how long a request may go to the endpoint, 0 if it may now. */
+/** Return the delay until a request may be sent to the endpoint, 0 if it may
+ * be sent now. */
 int64_t beryl_limits_wait_ms (struct beryl_limits *limits, uint32_t endpoint,
-                              const struct beryl_limit_cluster *terms,
+                              const struct beryl_limit_cluster *cluster,
                               int64_t now_ms);
 
-/** Return the endpoint's limit; not named if there is none. */
+/** Return the endpoint's limit; not advertised if there is none. */
 struct beryl_rate_limit beryl_limits_get (const struct beryl_limits *limits,
                                           uint32_t endpoint);
 
-/** What a node tells of one endpoint. */
+/** State of one endpoint's limit at a node. */
 struct beryl_limit_item
 {
   uint32_t endpoint;
   bool advertised;
-  uint32_t answer_kind; /**< of the answers that name it */
+  uint32_t answer_kind; /**< kind of answer that carries the limit */
   uint32_t milli_per_s;
-  uint32_t age_ms; /**< since an answer named it, or none */
-  uint32_t sent;   /**< requests of this node to it so far; wraps around */
+  uint32_t age_ms; /**< age of the last answer that confirmed this state */
+  uint32_t sent;   /**< counter of requests sent by this node; wraps around */
 };
 
-/** Most endpoints in one message; what is left out is told with a later one.
- */
+/** Maximum number of endpoints in one message; others follow in later
+ * messages. */
 #define BERYL_LIMIT_ITEMS_MAX 16
 
-/** What a node tells its peers. */
+/** Update that a node sends to its peers. */
 struct beryl_limits_update
 {
-  uint32_t node; /**< the number of its name */
+  uint32_t node; /**< beryl_name_hash of the sender */
   struct beryl_limit_item items[BERYL_LIMIT_ITEMS_MAX];
   size_t count;
 };
 
-/** Write what changed since the last message, or with ALL, in turns, the
- * rest; false if that is nothing.  NODE is set by the caller. */
+/** Collect the items that changed since the last call; ALL fills the message
+ * with the others in rotation.  NODE is set by the caller.  Returns false if
+ * there are no items. */
 bool beryl_limits_build_update (struct beryl_limits *limits,
-                                struct beryl_limits_update *news, bool all,
+                                struct beryl_limits_update *update, bool all,
                                 int64_t now_ms);
 
-/** Take what a peer tells. */
+/** Apply an update from a peer. */
 void beryl_limits_apply_update (struct beryl_limits *limits,
-                                const struct beryl_limits_update *news,
-                                const struct beryl_limit_cluster *terms,
+                                const struct beryl_limits_update *update,
+                                const struct beryl_limit_cluster *cluster,
                                 int64_t now_ms);
 
-/** Whether something has changed that is to be told. */
+/** Return whether there are changes to announce. */
 bool beryl_limits_has_changes (const struct beryl_limits *limits);
 
-/** Return the number of endpoints that name a limit. */
+/** Return the number of endpoints with a limit. */
 uint32_t beryl_limits_count (const struct beryl_limits *limits);
 
 #endif
--- a/include/beryl/live.h
+++ b/include/beryl/live.h
@@ -1,10 +1,10 @@
 /** @file
- * The endpoints that service discovery shows at present, and what this node
- * has learned from its own calls to them.
+ * Endpoints that service discovery lists, and their health as observed by this
+ * node's own requests.
  *
- * Discovery says who exists and who is leaving; outcomes say who works.  An
- * endpoint that fails is avoided, not forgotten: it gets a trial from time to
- * time, and the last one of a service is never left out.
+ * Discovery tells which endpoints exist and which are leaving; outcomes tell
+ * which work.  A failing endpoint is avoided rather than removed: it is probed
+ * from time to time, and the last endpoint of a service is never excluded.
  *
  * No I/O.  Not thread-safe.
  */
@@ -17,180 +17,185 @@
 
 #include "beryl/ids.h"
 
-/** What an engine is set to do at present. */
+/** Current stage of an engine. */
 enum beryl_stage
 {
-  BERYL_STAGE_NONE, /**< a plain service's process */
+  BERYL_STAGE_NONE, /**< process of a plain service */
   BERYL_STAGE_PREFILL,
   BERYL_STAGE_DECODE,
 };
 
-/** One endpoint as discovery tells of it. */
+/** Endpoint as listed by discovery. */
 struct beryl_live_info
 {
-  char id[BERYL_NAME_BYTES]; /**< kept when the process starts again */
+  char id[BERYL_NAME_BYTES]; /**< unchanged when the process restarts */
   char service[BERYL_NAME_BYTES];
-  char address[48]; /**< IP number */
+  char address[48]; /**< IP address */
   uint16_t port;
   char data_centre[BERYL_NAME_BYTES];
-  uint32_t slots; /**< requests at a time; 0: unknown */
-  bool leaving;   /**< takes no new work */
+  uint32_t slots; /**< concurrent requests; 0: unknown */
+  bool leaving;   /**< accepts no new work */
   enum beryl_stage stage;
-  /** When this life of the process began, in Unix milliseconds of its own
-   * clock; 0: not told.  A process may start again under its id, so that the
-   * two together name one life.  Compared for being the same, never with the
-   * time here: clocks differ and jump. */
+  /** Start of the process, in Unix milliseconds of its own clock; 0: not
+   * reported.  A process may restart under its id, so the two together
+   * identify one incarnation.  Compared for equality only, never with local
+   * time: clocks differ and jump. */
   uint64_t process_start_ms;
-  uint64_t revision; /**< of this news */
+  uint64_t revision; /**< revision of this entry */
 };
 
-/** Former lives of an endpoint that are remembered. */
+/** Number of previous incarnations of an endpoint that are remembered. */
 #define BERYL_LIVE_PREVIOUS_MAX 4
 
-/** The most that an endpoint takes from all nodes together. */
+/** Rate limit that an endpoint advertises for all nodes together. */
 struct beryl_rate_limit
 {
-  bool advertised;      /**< otherwise it takes whatever it has room for */
-  uint32_t milli_per_s; /**< thousandths of a request a second */
+  bool advertised;      /**< false: no limit */
+  uint32_t milli_per_s; /**< in thousandths of a request per second */
 };
 
-/** One endpoint. */
+/** Endpoint with the state learned about it. */
 struct beryl_live
 {
   struct beryl_live_info info;
-  bool gone; /**< left the list; kept while work is open there */
-  /** Its entry has lapsed with an outage of the list; it counts as gone from
-   * then on unless it is back.  0: not so. */
+  bool gone; /**< left the list; kept while it has open exchanges */
+  /** When an entry that lapsed during an outage of the list counts as gone,
+   * unless it is back by then; 0: not lapsed. */
   int64_t lapsed_until_ms;
-  /** When an answer showed that another process has its address, which proves
-   * that this one has ended; 0: none did. */
+  /** When an answer showed that another process has the address, which proves
+   * that this incarnation has ended; 0: never. */
   int64_t replaced_ms;
-  int64_t unreachable_ms; /**< last connection of this node that it did not
-                             accept; 0: none since an answer */
+  int64_t unreachable_ms; /**< last failed connection attempt of this node; 0:
+                             none since an answer */
   int64_t answered_ms;    /**< last answer to this node; 0: none */
   uint32_t
-      suspected_by;     /**< the peer that could not reach it last; a number */
-  int64_t suspected_ms; /**< when that was told */
-  int64_t leaving_since_ms; /**< when it was first known to leave; 0: it does
-                               not */
-  int64_t stage_change_until_ms; /**< an engine that was ordered to another
-                                    stage */
-  uint32_t open_exchanges;       /**< exchanges of this node */
-  int64_t
-      last_failure_ms; /**< time of the last failure; 0: none since success */
-  uint32_t consecutive_failures; /**< in a row */
+      suspected_by; /**< hash of the peer that last reported it unreachable */
+  int64_t suspected_ms;     /**< time of that report */
+  int64_t leaving_since_ms; /**< when it was first known to be leaving; 0: it
+                               is not */
+  int64_t stage_change_until_ms; /**< until when an ordered stage change may
+                                    take */
+  uint32_t open_exchanges;       /**< of this node */
+  int64_t last_failure_ms;       /**< last failure; 0: none since a success */
+  uint32_t consecutive_failures;
   int64_t avoid_until_ms;
-  int64_t last_probe_ms;   /**< last trial while avoided */
-  double response_time_ms; /**< usual time to an answer; 0: unknown */
-  double failure_rate;     /**< recent share of failures, 0 to 1 */
-  int64_t
-      oldest_open_ms; /**< since when the oldest open request waits; 0: none */
-  double unreported_tokens;    /**< used there by runs that nobody told of */
-  int64_t unreported_since_ms; /**< when that was learned */
+  int64_t last_probe_ms;   /**< last probe while avoided */
+  double response_time_ms; /**< typical response time; 0: unknown */
+  double failure_rate;     /**< recent fraction of failures, 0 to 1 */
   int64_t
-      combined_run_ms;   /**< when it was last given a prompt to read itself */
-  int64_t full_until_ms; /**< it said it has no room; do not ask before */
-  uint32_t open_prefills;       /**< this node has open there */
-  uint64_t open_prefill_tokens; /**< of these */
-  /** Births of lives before this one under the same id, the newest first; what
-   * they say may still come late.  0: none. */
+      oldest_open_ms; /**< start of the oldest unanswered request; 0: none */
+  double unreported_tokens; /**< estimated memory used by runs that no node
+                               reported */
+  int64_t unreported_updated_ms; /**< when unreported_tokens was updated */
+  int64_t combined_run_ms;       /**< when it was last given a prompt without a
+                                    separate prefill */
+  int64_t full_until_ms;  /**< do not ask again before; it answered that it is
+                             full */
+  uint32_t open_prefills; /**< open prefills of this node */
+  uint64_t open_prefill_tokens; /**< prompt tokens of the open prefills */
+  /** process_start_ms of previous incarnations under the same id, newest
+   * first; late messages may still name them.  0: none. */
   uint64_t previous_starts_ms[BERYL_LIVE_PREVIOUS_MAX];
 };
 
 struct beryl_live_set;
 
-/** Create an empty set.  LEAVE_MS is how long after an endpoint left the list
- * it may still get work. */
+/** Create an empty set.  An endpoint may still get work for LEAVE_MS after it
+ * left the list. */
 struct beryl_live_set *beryl_live_set_create (int64_t leave_ms);
 
 /** Release the set; NULL is allowed. */
-void beryl_live_set_destroy (struct beryl_live_set *lives);
+void beryl_live_set_destroy (struct beryl_live_set *set);
 
-/** Return the number that stands for this life of an endpoint in messages. */
+/** Return the hash that identifies this incarnation of an endpoint in
+ * messages. */
 uint32_t beryl_live_hash (const struct beryl_live *live);
 
-/** Take news of an endpoint that came at NOW_MS; older ones than known, and
- * those of a former life, are ignored.  One that has started again is a new
- * endpoint, of which nothing is known; the former one is replaced and gone.
- * Returns the endpoint. */
-struct beryl_live *beryl_live_set_put (struct beryl_live_set *lives,
+/** Add or update an endpoint listed at NOW_MS and return it.  Entries older
+ * than the known one and those of a previous incarnation are ignored.  A
+ * restarted process becomes a new endpoint without history; the previous one
+ * is marked replaced and gone. */
+struct beryl_live *beryl_live_set_put (struct beryl_live_set *set,
                                        const struct beryl_live_info *info,
                                        int64_t now_ms);
 
-/** The endpoint left the list.  Entries are kept alive by the endpoints, so
- * that an outage of the list makes those of healthy ones lapse; they are back
- * within seconds of its end.  One that leaves right after an outage is kept
- * for as long as it may get work. */
-void beryl_live_set_remove (struct beryl_live_set *lives, const char *id,
+/** Record that the endpoint left the list.  Endpoints keep their own entries
+ * alive, so that an outage of the list makes healthy ones lapse; they return
+ * within seconds of its end.  One that disappears right after an outage is
+ * therefore kept for as long as it may get work. */
+void beryl_live_set_remove (struct beryl_live_set *set, const char *id,
                             int64_t now_ms);
 
-/** The entry of ID names no endpoint any more: what stands there was not
- * written by it.  Unlike a removed one it is not kept. */
-void beryl_live_set_reject (struct beryl_live_set *lives, const char *id,
+/** Record that the entry of ID was not written by its endpoint.  Unlike a
+ * removed endpoint it is not kept. */
+void beryl_live_set_reject (struct beryl_live_set *set, const char *id,
                             int64_t now_ms);
 
-/** The list was read or confirmed whole at NOW_MS. */
-void beryl_live_set_synced (struct beryl_live_set *lives, int64_t now_ms);
+/** Record that the complete list was read or confirmed at NOW_MS. */
+void beryl_live_set_synced (struct beryl_live_set *set, int64_t now_ms);
 
-/** Return when the list was read or confirmed last; 0: never. */
-int64_t beryl_live_set_synced_ms (const struct beryl_live_set *lives);
+/** Return when the list was last read or confirmed; 0: never. */
+int64_t beryl_live_set_synced_ms (const struct beryl_live_set *set);
 
-/** Let go of lapsed endpoints whose time is over; true if there were any. */
-bool beryl_live_set_expire (struct beryl_live_set *lives, int64_t now_ms);
+/** Drop lapsed endpoints whose time is over.  Returns whether there were any.
+ */
+bool beryl_live_set_expire (struct beryl_live_set *set, int64_t now_ms);
 
-/** Find by id, also one that is gone but has open work; NULL if unknown. */
-struct beryl_live *beryl_live_set_find (const struct beryl_live_set *lives,
+/** Find an endpoint by id, including one that is gone but has open exchanges;
+ * NULL if unknown. */
+struct beryl_live *beryl_live_set_find (const struct beryl_live_set *set,
                                         const char *id);
 
-/** Return the number of endpoints, gone ones with open work included, and
+/** Return the number of endpoints, gone ones with open exchanges included, and
  * endpoint I; indices change with put, remove and close. */
-size_t beryl_live_set_count (const struct beryl_live_set *lives);
-struct beryl_live *beryl_live_set_get (const struct beryl_live_set *lives,
+size_t beryl_live_set_count (const struct beryl_live_set *set);
+struct beryl_live *beryl_live_set_get (const struct beryl_live_set *set,
                                        size_t i);
 
-/** Whether new work may go to LIVE at all. */
+/** Return whether new work may be sent to LIVE. */
 bool beryl_live_accepts_work (const struct beryl_live *live);
 
-/** Whether work that only LIVE can do may still go to it: it takes work, or is
- * known to leave for less time than such endpoints may get some. */
-bool beryl_live_set_allows_bound_work (const struct beryl_live_set *lives,
+/** Return whether work that only LIVE can do may be sent to it: it accepts
+ * work, or it has been leaving for less than the set's LEAVE_MS. */
+bool beryl_live_set_allows_bound_work (const struct beryl_live_set *set,
                                        const struct beryl_live *live,
                                        int64_t now_ms);
 
-/** Whether LIVE, an engine, is being changed to another stage. */
+/** Return whether the engine LIVE is changing its stage. */
 bool beryl_live_stage_changing (const struct beryl_live *live, int64_t now_ms);
 
-/** An exchange with LIVE begins. */
+/** Record the start of an exchange with LIVE. */
 void beryl_live_open (struct beryl_live *live);
 
-/** It ended; a gone endpoint without open work is released. */
-void beryl_live_close (struct beryl_live_set *lives, struct beryl_live *live);
+/** Record the end of an exchange; a gone endpoint without open exchanges is
+ * released. */
+void beryl_live_close (struct beryl_live_set *set, struct beryl_live *live);
 
-/** What became of an exchange. */
+/** Outcome of an exchange. */
 enum beryl_live_outcome
 {
   BERYL_LIVE_ANSWERED,
-  BERYL_LIVE_FAILED,    /**< an error of its own */
-  BERYL_LIVE_BROKEN,    /**< reset, garbled or cut */
+  BERYL_LIVE_FAILED,    /**< error response of the endpoint */
+  BERYL_LIVE_BROKEN,    /**< connection reset, malformed or truncated answer */
   BERYL_LIVE_TIMED_OUT, /**< no answer in the usual time, or no connection */
 };
 
-/** Learn from an outcome after TOOK_MS. */
+/** Update the health of LIVE from an outcome after TOOK_MS. */
 void beryl_live_record_outcome (struct beryl_live *live,
                                 enum beryl_live_outcome outcome,
                                 int64_t took_ms, int64_t now_ms);
 
-/** Another process has answered at LIVE's address. */
+/** Record that another process answered at LIVE's address. */
 void beryl_live_mark_replaced (struct beryl_live *live, int64_t now_ms);
 
-/** LIVE did not accept a connection of this node. */
+/** Record that a connection attempt of this node to LIVE failed. */
 void beryl_live_mark_unreachable (struct beryl_live *live, int64_t now_ms);
 
-/** The peer with number BY could not reach LIVE a moment ago.  True if LIVE is
- * avoided because of that from now on. */
+/** Record that the peer with hash BY could not reach LIVE.  Returns whether
+ * LIVE is avoided from now on because of that. */
 bool beryl_live_suspect (struct beryl_live *live, uint32_t by, int64_t now_ms);
 
-/** Whether LIVE is avoided at present, and whether a trial of it is due. */
+/** Return whether LIVE is avoided, and whether a probe of it is due. */
 bool beryl_live_avoided (const struct beryl_live *live, int64_t now_ms);
 bool beryl_live_probe_due (const struct beryl_live *live, int64_t now_ms);
 
--- a/include/beryl/relay.h
+++ b/include/beryl/relay.h
@@ -1,11 +1,11 @@
 /** @file
- * Which nodes of a data centre watch the list of endpoints, and which are fed
- * by them.
+ * Decides which nodes of a data centre watch the endpoint list and which
+ * receive it from them.
  *
- * A change of a watched list costs one call a watcher, so that a fleet in
- * which every node watches makes nodes times changes of them.  A few nodes of
- * each data centre watch and pass on what they see, also that nothing changed.
- * A node that hears none of them for a while watches by itself.
+ * Each change of a watched list costs one call per watcher, so the cost grows
+ * with the number of watching nodes.  A few nodes of each data centre watch
+ * and relay what they see, including that nothing changed.  A node that
+ * receives nothing from them for a while watches by itself.
  */
 #ifndef BERYL_RELAY_H
 #define BERYL_RELAY_H
@@ -13,41 +13,42 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** What a node does. */
+/** Role of a node. */
 enum beryl_relay_role
 {
-  BERYL_RELAY_STANDALONE, /**< watches, for itself only */
-  BERYL_RELAY_WATCHER,    /**< watches, and passes on what it sees */
-  BERYL_RELAY_FOLLOWER,   /**< is fed, and makes no calls */
+  BERYL_RELAY_STANDALONE, /**< watches for itself only */
+  BERYL_RELAY_WATCHER,    /**< watches and relays what it sees */
+  BERYL_RELAY_FOLLOWER, /**< receives the list from watchers and makes no calls
+                         */
 };
 
 struct beryl_relay;
 
-/** Create for a node that has to know of a leaving endpoint LEAVE_MS after the
- * list shows it. */
+/** Create the relay state of a node that must learn of a leaving endpoint
+ * within LEAVE_MS after the list shows it. */
 struct beryl_relay *beryl_relay_create (int64_t leave_ms);
 
 /** Release RELAY; NULL is allowed. */
 void beryl_relay_destroy (struct beryl_relay *relay);
 
-/** The data centre has NODES live ones, this one included; STANDS: this one is
- * among those that are to watch. */
+/** Set the number of live nodes in the data centre, this one included, and
+ * whether this node is elected to watch. */
 void beryl_relay_set_group (struct beryl_relay *relay, uint32_t nodes,
-                            bool stands);
+                            bool elected);
 
-/** A watcher of the data centre passed on that it has been answered. */
+/** Record an update relayed by a watcher of the data centre. */
 void beryl_relay_note_update (struct beryl_relay *relay, int64_t now_ms);
 
-/** Return what this node does at NOW_MS. */
+/** Return the role of this node at NOW_MS. */
 enum beryl_relay_role beryl_relay_role (const struct beryl_relay *relay,
                                         int64_t now_ms);
 
-/** Return how long a call of a watcher waits for a change, if calls follow
+/** Return how long a watcher's call waits for a change if calls follow
  * SPACING_MS after an answer. */
 int64_t beryl_relay_poll_timeout_ms (const struct beryl_relay *relay,
                                      int64_t spacing_ms);
 
-/** Return a name for logs. */
+/** Return the stable name of ROLE for logs. */
 const char *beryl_relay_role_name (enum beryl_relay_role role);
 
 #endif
--- a/include/beryl/stages.h
+++ b/include/beryl/stages.h
@@ -1,11 +1,10 @@
 /** @file
- * How many engines of a service read prompts and how many produce tokens.
+ * Splits the engines of a service between prefill and decode.
  *
- * Both pools are sized so that the same flow of requests fills them alike:
- * prefill by time, decode by memory over time.  The ratio depends on the
- * requests' sizes and the engines' speeds, which are measured, not on how
- * many requests there are.  A change takes an engine away for seconds, so
- * that small or passing differences change nothing.
+ * The split loads both pools equally under the same request rate: prefill by
+ * time, decode by memory over time.  It depends on measured request sizes and
+ * engine speeds, not on the number of requests.  A stage change takes an
+ * engine out of service for seconds, so small or short imbalances are ignored.
  *
  * No I/O.  Not thread-safe.
  */
@@ -18,35 +17,35 @@
 
 #include "beryl/live.h"
 
-/** What generations of a service are like; means. */
+/** Mean properties of a service's generations. */
 struct beryl_generation_mix
 {
   double prompt_tokens;
   double output_tokens;
   double prefill_ms_per_token;
   double decode_ms_per_token;
-  uint64_t kv_tokens; /**< memory of an engine; 0: unknown */
-  bool measured;      /**< seen, not assumed */
-  /** What the pace of prefill is put together from, for logs. */
+  uint64_t kv_tokens; /**< KV cache capacity of an engine; 0: unknown */
+  bool measured;      /**< measured rather than assumed */
+  /** Samples behind prefill_ms_per_token, for logs. */
   struct
   {
-    uint32_t nodes;    /**< that have seen a prefill */
-    uint32_t prefills; /**< that count */
+    uint32_t nodes;    /**< nodes with at least one prefill */
+    uint32_t prefills; /**< prefills in the mean */
     double min_ms_per_token,
-        max_ms_per_token; /**< of single nodes, in ms a token */
+        max_ms_per_token; /**< range of the per-node means */
   } prefill_samples;
 };
 
-/** One engine. */
+/** Engine of the service. */
 struct beryl_stage_engine
 {
   const char *id;
   enum beryl_stage stage;
-  bool changing;        /**< an order is on its way */
-  uint64_t used_tokens; /**< of its memory, as far as is known */
+  bool changing;        /**< a stage change is in progress */
+  uint64_t used_tokens; /**< KV cache in use, as far as known */
 };
 
-/** An order to give. */
+/** Order to change an engine's stage. */
 struct beryl_stage_order
 {
   const char *id;
@@ -55,18 +54,18 @@
 
 struct beryl_stages;
 
-/** Create a planner of one service. */
+/** Create the stage planner of one service. */
 struct beryl_stages *beryl_stages_create (void);
 
 /** Release; NULL is allowed. */
 void beryl_stages_destroy (struct beryl_stages *stages);
 
-/** Return how many of COUNT engines should read prompts, unrounded. */
+/** Return the target number of prefill engines among COUNT, unrounded. */
 double beryl_stages_prefill_target (const struct beryl_generation_mix *mix,
                                     size_t count);
 
-/** Look at the engines; true if ORDER, which borrows from ENGINES, should be
- * given now. */
+/** Compare the engines with the target split.  Returns true if ORDER, which
+ * borrows from ENGINES, is to be sent now. */
 bool beryl_stages_plan (struct beryl_stages *stages,
                         const struct beryl_generation_mix *mix,
                         const struct beryl_stage_engine *engines, size_t count,
--- a/libberyl/forward/engines.c
+++ b/libberyl/forward/engines.c
@@ -70,7 +70,7 @@
 static double
 hidden_at (const struct beryl_live *live, int64_t now_ms, int64_t ahead_ms)
 {
-  double age_ms = (double)(now_ms - live->unreported_since_ms + ahead_ms);
+  double age_ms = (double)(now_ms - live->unreported_updated_ms + ahead_ms);
 
   return live->unreported_tokens > 0
              ? live->unreported_tokens * exp (-age_ms / HIDDEN_FADE_MS)
@@ -124,7 +124,7 @@
   double known;
 
   live->unreported_tokens = hidden_at (live, now_ms, 0);
-  live->unreported_since_ms = now_ms;
+  live->unreported_updated_ms = now_ms;
   engine_curve (f, r->service, live, now_ms, &curve);
   known = curve.tokens[0] - live->unreported_tokens;
   if (granted)
