--- a/libberyl/base/buffer.h
+++ b/libberyl/base/buffer.h
@@ -1,5 +1,5 @@
 /** @file
- * A growing run of bytes.
+ * Growable byte buffer.
  */
 #ifndef BERYL_BASE_BUFFER_H
 #define BERYL_BASE_BUFFER_H
@@ -7,7 +7,7 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/** Bytes; zero-initialise. */
+/** Buffer; zero-initialise. */
 struct buffer
 {
   char *bytes;
@@ -15,7 +15,7 @@
   size_t capacity;
 };
 
-/** Append; false without memory. */
+/** Append COUNT bytes.  Returns false if out of memory. */
 bool buffer_append (struct buffer *buffer, const void *bytes, size_t count);
 
 /** Release the bytes. */
--- a/libberyl/base/guard.h
+++ b/libberyl/base/guard.h
@@ -1,54 +1,65 @@
 /** @file
- * Guards that a test build can take out one at a time.
+ * Guards that a mutation test can disable one at a time.
  *
  * BERYL_GUARD (ID, CONDITION) is CONDITION.  In a build with BERYL_MUTANTS it
- * is true while beryl_mutant is ID, as if the guard had never been written;
- * the history checker must then find a broken invariant (docs/mutants.md).
+ * is true while beryl_mutant is ID, as if the guard did not exist; the history
+ * checker must then find a violated invariant (docs/mutants.md).
  */
 #ifndef BERYL_BASE_GUARD_H
 #define BERYL_BASE_GUARD_H
 
-/** Guards; the numbers are the rows of docs/mutants.md. */
+/** Guard ids; the numbers are the rows of docs/mutants.md. */
 enum beryl_guard
 {
   BERYL_GUARD_NONE,
-  BERYL_GUARD_KEY_ORGANISATION, /**< a key belongs to its organisation */
-  BERYL_GUARD_KEY_INCARNATION,  /**< only the named incarnation runs a key */
-  BERYL_GUARD_KEY_RUNNING,      /**< a running key is not run again */
-  BERYL_GUARD_KEY_ENDED,        /**< an ended key is not run again */
-  BERYL_GUARD_KEY_BODY,         /**< a key belongs to one body */
-  BERYL_GUARD_RETRY_SAFE,       /**< retry only what may be repeated */
-  BERYL_GUARD_MAY_HAVE_RUN,     /**< an earlier try counts in the outcome */
-  BERYL_GUARD_ATTEMPT,          /**< bytes of another attempt are dropped */
-  BERYL_GUARD_OFFSET_DEDUPE,    /**< bytes are delivered once */
-  BERYL_GUARD_OFFSET_ORDER,     /**< early bytes wait for the gap */
-  BERYL_GUARD_WHOLE,            /**< an end without all bytes is no end */
-  BERYL_GUARD_MIX,              /**< after the first byte only a resume */
-  BERYL_GUARD_HOLD_FIRST,       /**< a hold is recorded before it is made */
-  BERYL_GUARD_CANCEL_GONE,      /**< a gone caller's holds are cancelled */
-  BERYL_GUARD_CANCEL_REPEAT,    /**< a cancel is repeated until confirmed */
-  BERYL_GUARD_CANCEL_SETTLE,    /**< an early confirmation is not final */
-  BERYL_GUARD_DRAIN_WAIT,       /**< a stop waits for open requests */
-  BERYL_GUARD_CLAIM_FIRST,      /**< no byte goes out before the claim */
-  BERYL_GUARD_CLAIM_CREATE,     /**< a segment is created only if absent */
-  BERYL_GUARD_CLAIM_NONCE,      /**< a lost reply is settled by read-back */
-  BERYL_GUARD_CLAIM_REREAD,     /**< a lost race reads before it writes */
-  BERYL_GUARD_CLAIM_OUTAGE,     /**< unavailable only if surely not written */
-  BERYL_GUARD_CLAIM_DUPLICATE,  /**< one batch holds a key once */
-  BERYL_GUARD_CLAIM_HOME,       /**< only the home writes */
-  BERYL_GUARD_CLAIM_REPLY,    /**< a reply belongs to one ask of one process */
-  BERYL_GUARD_CLAIM_VERIFIED, /**< no grant from an old view of the log */
-  BERYL_GUARD_KEY_OWNED,      /**< an ungranted free key is not this node's */
-  BERYL_GUARD_FORWARDED_KEY,  /**< a forwarded key is never run anew */
-  BERYL_GUARD_CHECKPOINT_WHOLE, /**< segments go only after a checkpoint */
-  BERYL_GUARD_WAKE_REST,        /**< a woken process reads before it plans */
-  BERYL_GUARD_DEATH_HEARD,      /**< who is heard is not dead */
-  BERYL_GUARD_CLEANUP_SETTLE,   /**< as CANCEL_SETTLE, for the dead */
+  BERYL_GUARD_KEY_ORGANISATION, /**< a key is scoped to its organisation */
+  BERYL_GUARD_KEY_INCARNATION,  /**< a key is run only by the incarnation it
+                                   names */
+  BERYL_GUARD_KEY_RUNNING, /**< a key with a running request is not run again
+                            */
+  BERYL_GUARD_KEY_ENDED, /**< a key with a finished request is not run again */
+  BERYL_GUARD_KEY_BODY,  /**< a key is tied to one request body */
+  BERYL_GUARD_RETRY_SAFE,    /**< only repeatable requests are retried */
+  BERYL_GUARD_MAY_HAVE_RUN,  /**< earlier attempts count in the outcome */
+  BERYL_GUARD_ATTEMPT,       /**< bytes of other attempts are dropped */
+  BERYL_GUARD_OFFSET_DEDUPE, /**< duplicate bytes are dropped */
+  BERYL_GUARD_OFFSET_ORDER,  /**< out-of-order bytes wait for the missing ones
+                              */
+  BERYL_GUARD_WHOLE, /**< a stream ends only when all bytes have arrived */
+  BERYL_GUARD_MIX,   /**< after the first byte a stream may only be resumed */
+  BERYL_GUARD_HOLD_FIRST,  /**< a hold is recorded before it is created */
+  BERYL_GUARD_CANCEL_GONE, /**< holds are cancelled when the caller disconnects
+                            */
+  BERYL_GUARD_CANCEL_REPEAT, /**< a cancel is repeated until confirmed */
+  BERYL_GUARD_CANCEL_SETTLE, /**< an early confirmation of a cancel is not
+                                final */
+  BERYL_GUARD_DRAIN_WAIT,    /**< shutdown waits for open requests */
+  BERYL_GUARD_CLAIM_FIRST,  /**< no byte is sent before the claim is granted */
+  BERYL_GUARD_CLAIM_CREATE, /**< a claim segment is created only if absent */
+  BERYL_GUARD_CLAIM_NONCE,  /**< a lost reply is resolved by reading back the
+                               nonce */
+  BERYL_GUARD_CLAIM_REREAD, /**< the loser of a write race reads before it
+                               writes */
+  BERYL_GUARD_CLAIM_OUTAGE, /**< unavailable is reported only if surely not
+                               written */
+  BERYL_GUARD_CLAIM_DUPLICATE, /**< a batch contains a key only once */
+  BERYL_GUARD_CLAIM_HOME,      /**< only the home node writes */
+  BERYL_GUARD_CLAIM_REPLY, /**< a reply matches one request of one process */
+  BERYL_GUARD_CLAIM_VERIFIED, /**< no grant from a stale view of the log */
+  BERYL_GUARD_KEY_OWNED, /**< a free key without a grant is not owned by this
+                            node */
+  BERYL_GUARD_FORWARDED_KEY, /**< a forwarded key is never run as a new one */
+  BERYL_GUARD_CHECKPOINT_WHOLE, /**< segments are deleted only after a
+                                   checkpoint */
+  BERYL_GUARD_WAKE_REST,        /**< a resumed process reads before it plans */
+  BERYL_GUARD_DEATH_HEARD,      /**< a node that is heard from is not dead */
+  BERYL_GUARD_CLEANUP_SETTLE, /**< as CANCEL_SETTLE, for streams of dead nodes
+                               */
   BERYL_GUARD_COUNT,
 };
 
 #ifdef BERYL_MUTANTS
-/** The guard taken out; only test builds have it. */
+/** Id of the disabled guard; test builds only. */
 extern int beryl_mutant;
 #define BERYL_GUARD(id, condition) (beryl_mutant == (id) || (condition))
 #else
--- a/libberyl/base/map.c
+++ b/libberyl/base/map.c
@@ -73,7 +73,7 @@
 }
 
 /* Moves later entries of the probe sequence into the hole, so that no
- * deleted-entry markers pile up. */
+ * tombstones accumulate. */
 void
 map_remove (struct map *map, struct map_key key)
 {
@@ -111,13 +111,13 @@
 }
 
 struct map_key
-map_key_number (uint64_t number)
+map_key_from_number (uint64_t number)
 {
   return (struct map_key){ .high = number };
 }
 
 struct map_key
-map_key_digest (const char *scope, const char *name)
+map_key_from_digest (const char *scope, const char *name)
 {
   unsigned char digest[EVP_MAX_MD_SIZE] = { 0 };
   struct map_key key;
--- a/libberyl/base/random.c
+++ b/libberyl/base/random.c
@@ -12,8 +12,8 @@
 }
 
 double
-random_part (uint64_t *state)
+random_unit (uint64_t *state)
 {
-  /* As many bits as a double holds. */
+  /* A double has a 53-bit mantissa. */
   return (double)(random_next (state) >> 11) * 0x1p-53;
 }
--- a/libberyl/forward/backlog.c
+++ b/libberyl/forward/backlog.c
@@ -63,7 +63,7 @@
 static int64_t
 drawn_ms (struct beryl_forward *f, int64_t most_ms)
 {
-  double part = 1 - RETRY_LAST_PART * random_part (&f->random);
+  double part = 1 - RETRY_LAST_PART * random_unit (&f->random);
 
   return (int64_t)(part * (double)most_ms);
 }
--- a/libberyl/forward/forward.c
+++ b/libberyl/forward/forward.c
@@ -176,7 +176,7 @@
   x->started_ms = now_ms;
   x->tokens = start->tokens;
   TAILQ_INSERT_TAIL (&f->exchanges, x, entry);
-  map_put (&f->exchanges_by_id, map_key_number (x->id), x);
+  map_put (&f->exchanges_by_id, map_key_from_number (x->id), x);
   beryl_live_open (live);
   if (x->kind == BERYL_EXCHANGE_PREFILL)
     {
@@ -207,7 +207,7 @@
   else if (r != NULL && r->second == x)
     r->second = NULL;
   TAILQ_REMOVE (&f->exchanges, x, entry);
-  map_remove (&f->exchanges_by_id, map_key_number (x->id));
+  map_remove (&f->exchanges_by_id, map_key_from_number (x->id));
   if (x->kind == BERYL_EXCHANGE_PREFILL)
     {
       x->live->open_prefills--;
@@ -335,13 +335,13 @@
 static struct request *
 request_find (struct beryl_forward *f, uint64_t handle)
 {
-  return map_get (&f->requests_by_handle, map_key_number (handle));
+  return map_get (&f->requests_by_handle, map_key_from_number (handle));
 }
 
 static struct exchange *
 exchange_find (struct beryl_forward *f, uint64_t id)
 {
-  return map_get (&f->exchanges_by_id, map_key_number (id));
+  return map_get (&f->exchanges_by_id, map_key_from_number (id));
 }
 
 void
--- a/libberyl/forward/place.c
+++ b/libberyl/forward/place.c
@@ -160,7 +160,7 @@
 {
   double at_once
       = (double)backlog_waiting (f, r, now_ms) * NEWS_MS / ASK_AGAIN_MS;
-  double chance = random_part (&f->random);
+  double chance = random_unit (&f->random);
 
   return at_once > places && chance * at_once > places;
 }
--- a/libberyl/forward/rates.c
+++ b/libberyl/forward/rates.c
@@ -95,7 +95,7 @@
     return true;
   terms = terms_of (f, s, now_ms);
   return beryl_limits_allow (f->limits, beryl_live_hash (live), &terms,
-                             random_part (&f->random), now_ms);
+                             random_unit (&f->random), now_ms);
 }
 
 void
@@ -135,7 +135,7 @@
     return 0;
   if (least_ms < RETRY_LEAST_MS)
     least_ms = RETRY_LEAST_MS;
-  return (int64_t)((1 + random_part (&f->random)) * (double)least_ms);
+  return (int64_t)((1 + random_unit (&f->random)) * (double)least_ms);
 }
 
 struct beryl_limits *
--- a/libberyl/forward/request.c
+++ b/libberyl/forward/request.c
@@ -10,7 +10,7 @@
 forward_request_free (struct beryl_forward *f, struct request *r)
 {
   TAILQ_REMOVE (&f->requests, r, entry);
-  map_remove (&f->requests_by_handle, map_key_number (r->facts.request));
+  map_remove (&f->requests_by_handle, map_key_from_number (r->facts.request));
   beryl_routes_unref (r->routes);
   buffer_clear (&r->held);
   event_splitter_clear (&r->events);
@@ -262,7 +262,7 @@
                      const struct beryl_route *route)
 {
   struct request *r = calloc (1, sizeof *r);
-  double point = random_part (&f->random);
+  double point = random_unit (&f->random);
 
   r->facts = *facts;
   r->facts.host = NULL;
@@ -278,7 +278,7 @@
   r->due_ms = r->timeout_ms;
   r->last_event = facts->last_event;
   TAILQ_INSERT_TAIL (&f->requests, r, entry);
-  map_put (&f->requests_by_handle, map_key_number (facts->request), r);
+  map_put (&f->requests_by_handle, map_key_from_number (facts->request), r);
   f->open++;
   return r;
 }
--- a/libberyl/forward/run_index.c
+++ b/libberyl/forward/run_index.c
@@ -7,13 +7,13 @@
 const struct run_list *
 run_index_find (const struct run_index *index, uint32_t number)
 {
-  return map_get (&index->lists, map_key_number (number));
+  return map_get (&index->lists, map_key_from_number (number));
 }
 
 static struct run_list *
 list_of (struct run_index *index, uint32_t number)
 {
-  struct map_key key = map_key_number (number);
+  struct map_key key = map_key_from_number (number);
   struct run_list *list = map_get (&index->lists, key);
 
   if (list != NULL)
@@ -43,7 +43,7 @@
 static void
 list_release (struct run_index *index, uint32_t number, struct run_list *list)
 {
-  map_remove (&index->lists, map_key_number (number));
+  map_remove (&index->lists, map_key_from_number (number));
   free (list->items);
   free (list);
 }
@@ -52,7 +52,8 @@
 run_index_remove (struct run_index *index, uint32_t number,
                   const struct book_peer *peer, uint32_t at)
 {
-  struct run_list *list = map_get (&index->lists, map_key_number (number));
+  struct run_list *list
+      = map_get (&index->lists, map_key_from_number (number));
 
   if (list == NULL)
     return;
--- a/libberyl/limits/limits.c
+++ b/libberyl/limits/limits.c
@@ -3,20 +3,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Endpoints whose limits are known, and nodes that send to one of them. */
+/* Maximum number of endpoints with limits, and of senders tracked per
+ * endpoint. */
 #define LIMITS_MAX 128
 #define SENDERS_MAX 512
-/* An endpoint that names less still gets a request now and then: only its
- * answer can tell that it takes more. */
+/* Lower bound of the rate: an endpoint with a limit near zero still gets a
+ * request now and then, since only its answer can raise the limit. */
 #define MIN_MILLI_PER_S 100
-/* What a bucket holds at most: what refills it in so long, or one request. */
+/* Bucket capacity: the refill of this time, but at least one request. */
 #define BUCKET_MS 500
-/* Nobody has had an answer for so long: what is known is dropped. */
+/* A limit is dropped after this time without an answer at any node. */
 #define STALE_MS INT64_C (600000)
-/* A limit that has ended is told for so long; datagrams may be lost. */
+/* Changes are announced for this long, since datagrams may be lost. */
 #define ANNOUNCE_MS 3000
 
-/* What another node has told of its sends. */
+/* Last send counter announced by another node. */
 struct sender
 {
   uint32_t node;
@@ -27,23 +28,23 @@
 {
   uint32_t endpoint;
   struct beryl_rate_limit rate;
-  uint32_t answer_kind; /* of the answers that name it */
-  int64_t changed_ms;   /* it names a limit, or names none any more */
-  int64_t confirmed_ms; /* of the newest answer that is known of */
-  double tokens;        /* below 0: more was sent than it takes */
+  uint32_t answer_kind; /* kind of answer that carries the limit */
+  int64_t changed_ms;   /* when the limit began or ended */
+  int64_t confirmed_ms; /* time of the newest known answer */
+  double tokens;        /* negative if overdrawn */
   int64_t refilled_ms;
-  uint32_t sent; /* by this node */
-  bool changed;  /* since it was written last */
+  uint32_t sent; /* requests sent by this node */
+  bool changed;  /* changed since the last export */
   struct sender *senders;
   uint32_t sender_count;
-  uint32_t sender_evict; /* to be replaced once there are as many as may be */
+  uint32_t sender_evict; /* next entry to replace when the table is full */
 };
 
 struct beryl_limits
 {
   struct limit items[LIMITS_MAX];
   uint32_t count;
-  uint32_t next_export; /* whose turn it is to be written again */
+  uint32_t next_export; /* rotation position of full exports */
 };
 
 struct beryl_limits *
@@ -91,7 +92,7 @@
     }
 }
 
-/* The one that was silent for longest goes if there are too many. */
+/* Evicts the limit with the oldest answer if the table is full. */
 static struct limit *
 limit_add (struct beryl_limits *limits, uint32_t endpoint, int64_t now_ms)
 {
@@ -122,8 +123,8 @@
          && (!a->advertised || a->milli_per_s == b->milli_per_s);
 }
 
-/* The bucket of one that begins to name a limit is empty: what it got just
- * before was more than it takes. */
+/* A new limit starts with an empty bucket: the endpoint advertised it because
+ * it had just received too much. */
 static bool
 limit_set (struct limit *limit, const struct beryl_rate_limit *rate,
            int64_t confirmed_ms, int64_t now_ms)
@@ -144,8 +145,8 @@
   return true;
 }
 
-/* An answer without a limit to a request from before it was named tells
- * nothing: answers overtake each other. */
+/* Answers can overtake each other: one without a limit is ignored if its
+ * request was sent before the limit was first advertised. */
 bool
 beryl_limits_observe (struct beryl_limits *limits, uint32_t endpoint,
                       uint32_t answer_kind,
@@ -193,9 +194,9 @@
     limit->tokens = capacity;
 }
 
-/* Other nodes see the same token at the same moment.  Of all requests that
- * might take it before their nodes hear of each other as many do, on the mean,
- * as there are tokens. */
+/* Other nodes see the same token at the same moment.  Of all requests that may
+ * compete for it before their nodes learn of each other's sends, on average as
+ * many pass as there are tokens. */
 bool
 beryl_limits_allow (struct beryl_limits *limits, uint32_t endpoint,
                     const struct beryl_limit_cluster *cluster, double chance,
@@ -322,9 +323,9 @@
   return sender;
 }
 
-/* How many sends of NODE are new by its count SENT.  What it sent before it
- * was first heard is long paid for, all but the last one; a smaller count than
- * before is that of another life. */
+/* Returns the number of new sends of NODE by its counter SENT.  Sends before
+ * the first contact are already accounted for, except the last one.  A smaller
+ * counter means that the node has restarted. */
 static uint32_t
 count_new_sends (struct limit *limit, uint32_t node, uint32_t sent)
 {
--- a/libberyl/planner/arrange.c
+++ b/libberyl/planner/arrange.c
@@ -2,7 +2,7 @@
 
 #include "private.h"
 
-/* Share of a service's warm engines that may be changed at a time. */
+/* At most 1 / CHANGE_DIVISOR of a service's warm engines change at a time. */
 #define CHANGE_DIVISOR 4
 
 static bool
@@ -25,7 +25,7 @@
   return engine_is_warm (e, s) && strcmp (e->version, s->model->version) == 0;
 }
 
-/* Whether the order says something else than the engine's report. */
+/* Returns whether the engine's report differs from its order. */
 static bool
 is_changing (const struct engine *e)
 {
@@ -56,9 +56,9 @@
   e->reason = reason;
 }
 
-/* Loads start one after the other at the pace of the weight store: all at
- * once would make each of them slow, and the first waiting call would wait
- * for the last load. */
+/* Loads are started at the pace of the weight store: parallel loads would slow
+ * each other down, and the first waiting call would wait for the last of them.
+ */
 static bool
 load_may_start (struct beryl_planner *p, const struct service *s,
                 int64_t now_ms)
@@ -96,7 +96,8 @@
   return e->endpoint->role;
 }
 
-/* A cold engine in the data centre that has fewest. */
+/* Returns a cold engine in the data centre with the fewest engines of the
+ * service. */
 static struct engine *
 pick_cold (struct beryl_planner *p, const struct service *s)
 {
@@ -120,7 +121,8 @@
   return best;
 }
 
-/* A warm engine in the data centre that has most; old versions first. */
+/* Returns a warm engine in the data centre with the most engines of the
+ * service; outdated versions first. */
 static struct engine *
 pick_surplus (struct beryl_planner *p, const struct service *s)
 {
@@ -146,9 +148,9 @@
 
 struct engine_counts
 {
-  uint32_t warm;     /* serving now, any version */
-  uint32_t assigned; /* ordered to serve, serving or not */
-  uint32_t changing; /* between two states */
+  uint32_t warm;     /* serving now, in any version */
+  uint32_t assigned; /* ordered to serve, whether serving or not */
+  uint32_t changing; /* loading, or not yet at the ordered state */
   uint32_t prefill;  /* ordered to prefill */
   uint32_t outdated; /* serving an old version */
 };
@@ -206,11 +208,11 @@
       s->surplus_since_ms = now_ms;
       s->surplus_peak = s->target;
     }
-  /* Down to the most that was wanted meanwhile: a load that swings needs its
-   * engines again in a moment. */
+  /* Shrinks only to the peak target since the surplus began: a fluctuating
+   * load needs its engines again soon. */
   if (s->target > s->surplus_peak)
     s->surplus_peak = s->target;
-  /* What rests has rested for long already. */
+  /* A target of zero has already waited for the idle timeout. */
   if (s->target > 0
       && now_ms - s->surplus_since_ms < p->settings.shrink_delay_ms)
     return;
@@ -226,9 +228,10 @@
     engine_order (e, "", "", 0, "shrink");
 }
 
-/* The old version serves until the new one is warm elsewhere: a spare is
- * loaded first (it is then one too many, and an old one is the first to
- * go).  Without a spare one engine at a time changes, but never the last. */
+/* The old version serves until the new one is warm elsewhere: a spare engine
+ * loads it first, and the resulting surplus is taken from the old version.
+ * Without a spare, engines change one at a time, but never the last warm one.
+ */
 static void
 roll_out (struct beryl_planner *p, struct service *s,
           const struct engine_counts *t, int64_t now_ms)
@@ -259,8 +262,8 @@
     }
 }
 
-/* Adopts what the engines serve already: a new planner must not order all
- * engines anew, which would drop their caches. */
+/* Adopts what the engines already serve: a new planner must not reload all
+ * engines, which would drop their caches. */
 static void
 adopt (struct beryl_planner *p, const struct service *s)
 {
@@ -273,8 +276,8 @@
     }
 }
 
-/* A role change drops the engine's cache, so it is made only if the split
- * is off by more than one engine, and one at a time. */
+/* A role change drops the engine's cache, so roles change one at a time and
+ * only if the split is off by more than one engine. */
 static void
 rebalance (struct beryl_planner *p, struct service *s,
            const struct engine_counts *t)
@@ -320,7 +323,8 @@
     roll_out (p, s, &t, now_ms);
   if (t.assigned > s->target)
     {
-      /* The surplus of a roll-out is the old version, which is not kept. */
+      /* The surplus of a roll-out is the old version, which is removed without
+       * delay. */
       if (t.outdated > 0 && t.warm > s->target && t.changing == 0)
         {
           s->surplus_since_ms = now_ms - p->settings.shrink_delay_ms;
--- a/libberyl/planner/planner.c
+++ b/libberyl/planner/planner.c
@@ -125,8 +125,8 @@
       p->settings.sizing, p->settings.step_ms, p->settings.horizon_ms);
   s->nodes = calloc (DEMAND_NODES_MAX, sizeof *s->nodes);
   s->step_end_ms = now_ms + p->settings.step_ms;
-  /* A planner that has just taken over knows no demand yet; it must not
-   * take it for none. */
+  /* A new planner has no demand reports yet; that must not count as absence of
+   * demand. */
   s->last_demand_ms = now_ms;
   return s->decode_sizer != NULL && s->prefill_sizer != NULL
          && s->nodes != NULL;
@@ -205,7 +205,7 @@
   (void)now_ms;
   if (e == NULL)
     return;
-  /* One that does not answer is neither warm nor a spare. */
+  /* An engine that does not answer is neither warm nor a spare. */
   if (state->model == NULL)
     {
       e->known = false;
@@ -271,8 +271,8 @@
          || strcmp (e->version, e->ordered_version) != 0;
 }
 
-/* Repeats orders until the reports show them: an order or its answer may be
- * lost, and an engine may restart empty. */
+/* Repeats orders until the engines' reports match: an order or its answer may
+ * be lost, and an engine may restart empty. */
 static void
 orders_send (struct beryl_planner *p, int64_t now_ms)
 {
@@ -303,8 +303,8 @@
     {
       struct service *s = &p->services[i];
 
-      /* Silence is not rest: without reports nothing is known of the demand,
-       * and unloading what serves would refuse it. */
+      /* Missing reports are not absence of demand: unloading the engines would
+       * refuse calls that do arrive. */
       if (!s->reported)
         continue;
       service_size (p, s, now_ms);
--- a/libberyl/planner/private.h
+++ b/libberyl/planner/private.h
@@ -1,29 +1,29 @@
 /** @file
- * Engines and services as the planner sees them.
+ * Internal state of the planner.
  */
 #ifndef LIBBERYL_PLANNER_PRIVATE_H
 #define LIBBERYL_PLANNER_PRIVATE_H
 
 #include "beryl/planner.h"
 
-/** One engine. */
+/** Engine with its reported and ordered state. */
 struct engine
 {
-  const struct beryl_endpoint *endpoint; /* of the configuration */
+  const struct beryl_endpoint *endpoint; /* its configuration */
   char name[BERYL_NAME_BYTES];
   char model[BERYL_NAME_BYTES];
   char version[BERYL_NAME_BYTES];
   enum beryl_role role;
   bool loading;
   bool ready;
-  bool known; /* has answered */
-  /* The order that is on its way. */
+  bool known; /* has answered its last state query */
+  /* The current order. */
   char ordered_model[BERYL_NAME_BYTES];
   char ordered_version[BERYL_NAME_BYTES];
   enum beryl_role ordered_role;
   bool ordered;
   const char *reason;
-  int64_t order_sent_ms; /* last sending */
+  int64_t order_sent_ms; /* when it was last sent; 0: not yet */
 };
 
 /** Demand of one service at one node. */
@@ -47,20 +47,21 @@
   struct beryl_sizer *prefill_sizer;
   struct node_demand *nodes;
   size_t node_count;
-  bool reported;         /* some node has told its demand */
+  bool reported;         /* at least one node has reported demand */
   uint64_t step_tokens;  /* prompt tokens in this step */
   uint64_t step_arrived; /* calls in this step */
-  double running_sum;    /* for the mean of the step */
+  double running_sum;    /* sum of running and waiting calls over the step's
+                            samples */
   uint32_t running_count;
   int64_t step_end_ms;
-  int64_t last_demand_ms; /* of the last demand */
-  double decode_load;     /* to prepare for, in streams */
-  double prefill_load;    /* in engines */
-  uint32_t target;        /* engines */
+  int64_t last_demand_ms; /* time of the last demand */
+  double decode_load;     /* predicted, in concurrent streams */
+  double prefill_load;    /* predicted, in engines */
+  uint32_t target;        /* target number of engines */
   uint32_t target_prefill;
-  double running_mean;      /* smoothed: single calls are noise */
-  int64_t surplus_since_ms; /* since when there are too many; 0: are not */
-  uint32_t surplus_peak;    /* the most that was wanted since then */
+  double running_mean; /* running calls, smoothed against single-call noise */
+  int64_t surplus_since_ms; /* start of the surplus; 0: none */
+  uint32_t surplus_peak;    /* highest target since then */
 };
 
 struct beryl_planner
@@ -72,24 +73,25 @@
   size_t engine_count;
   struct service *services;
   size_t service_count;
-  int64_t next_load_ms; /* when the weight store may serve another load */
+  int64_t
+      next_load_ms; /* earliest start of the next load from the weight store */
 };
 
-/** Find a service; NULL if there is none. */
+/** Return the service with this name, or NULL. */
 struct service *planner_service (const struct beryl_planner *p,
                                  const char *name);
 
-/** Copy a name; NULL gives "". */
+/** Copy a name, truncated if needed; NULL gives "". */
 void copy_name (char to[BERYL_NAME_BYTES], const char *from);
 
-/** Update the sizes that SERVICE needs. */
+/** Update the target numbers of engines of SERVICE. */
 void service_size (struct beryl_planner *p, struct service *s, int64_t now_ms);
 
-/** Order what brings SERVICE's engines to its sizes. */
+/** Order the changes that bring SERVICE's engines to the targets. */
 void service_arrange (struct beryl_planner *p, struct service *s,
                       int64_t now_ms);
 
-/** Whether ENGINE is warm for the service's model in any version. */
+/** Return whether ENGINE is warm for the service's model in any version. */
 bool engine_is_warm (const struct engine *e, const struct service *s);
 
 #endif
--- a/libberyl/planner/save.c
+++ b/libberyl/planner/save.c
@@ -4,7 +4,7 @@
 
 #include "private.h"
 
-/* Digits of a saved load: hundredths of a stream do not matter. */
+/* Loads are saved as integers in hundredths, which is precise enough. */
 #define LOAD_SCALE 100
 
 static json_t *
--- a/libberyl/planner/size.c
+++ b/libberyl/planner/size.c
@@ -3,11 +3,11 @@
 
 #include "private.h"
 
-/* A node that has not reported for so long counts no more. */
+/* Demand reports older than this are ignored. */
 #define REPORT_TTL_MS 15000
-/* Below this the calls of a step are no demand. */
+/* A predicted load below this counts as no demand. */
 #define LOAD_EPSILON 0.01
-/* Share of a new second in the mean of running calls. */
+/* Weight of a new sample in the running mean. */
 #define RUNNING_GAIN 0.1
 
 static void
@@ -99,8 +99,8 @@
   return count;
 }
 
-/* Spread over D data centres, the loss of one leaves (D-1)/D of the engines;
- * a service that needs several must still have enough then. */
+/* With D data centres, the loss of one leaves (D-1)/D of the engines; a
+ * service that needs several engines must still have enough then. */
 static uint32_t
 with_redundancy (uint32_t engines, uint32_t data_centres)
 {
@@ -138,7 +138,7 @@
       && s->decode_load < LOAD_EPSILON)
     decode = prefill = 0;
   s->target = (uint32_t)ceil (decode + prefill);
-  /* The first waiting call must find an engine on its way. */
+  /* Scales up from zero for the first call. */
   if (s->target == 0
       && now_ms - s->last_demand_ms < p->settings.idle_timeout_ms)
     s->target = 1;
--- a/libberyl/planner/sizer.c
+++ b/libberyl/planner/sizer.c
@@ -3,16 +3,17 @@
 #include "beryl/planner.h"
 
 #define DAY_MS 86400000
-/* Share of a new day in the profile of a time of day. */
+/* Weight of a new day in the profile. */
 #define PROFILE_GAIN 0.4
-/* Errors that correct the forecast, as in BARISTA. */
+/* Number of recent load/forecast ratios that the correction averages, as in
+ * BARISTA. */
 #define RATIOS_MAX 5
-/* Bounds of the correction: a broken profile must not rule. */
+/* Bounds of the correction, so that a wrong profile cannot dominate. */
 #define CORRECTION_MIN 0.5
 #define CORRECTION_MAX 2.0
-/* Profile of a time of day that was not seen yet. */
+/* Load of a step that has not been observed yet. */
 #define UNKNOWN (-1.0)
-/* Loads below this are noise in a ratio. */
+/* Ratios to loads below this are noise. */
 #define LOAD_MIN 0.5
 
 struct beryl_sizer
@@ -22,7 +23,7 @@
   int64_t horizon_ms;
   size_t steps;
   double profile[BERYL_SIZER_STEPS_MAX]; /* load by time of day */
-  double ratios[RATIOS_MAX];             /* of load to forecast */
+  double ratios[RATIOS_MAX];             /* recent ratios of load to profile */
   size_t ratio_count;
 };
 
@@ -98,7 +99,7 @@
   return sum > CORRECTION_MAX ? CORRECTION_MAX : sum;
 }
 
-/* The most that the profile shows until an engine ordered now is warm. */
+/* Returns the peak of the profile until an engine ordered now is warm. */
 static double
 forecast (const struct beryl_sizer *s, int64_t day_ms, double load)
 {
--- a/libberyl/quarantine/quarantine.c
+++ b/libberyl/quarantine/quarantine.c
@@ -5,35 +5,36 @@
 
 #include "../base/map.h"
 
-/* Endpoints that end under a request before it goes to no other; one more if
- * another request ran at the same ones, since either may be the cause. */
+/* Crashes that quarantine a request; one more is needed if another request ran
+ * at the same endpoints, since either may be the cause. */
 #define CRASH_THRESHOLD 3
-/* Endings that are kept of one request, more than it needs: they explain what
- * happened to others. */
+/* Crashes kept per request.  More than the threshold, because they explain
+ * crashes of other requests. */
 #define CRASHES_MAX 8
-/* Requests that are remembered. */
+/* Maximum number of tracked requests. */
 #define SUSPECTS_MAX 512
-/* A run that broke off is blamed on an end of its endpoint that shows within
+/* A broken run counts as a crash if its endpoint is found to have ended within
  * this time. */
 #define CONFIRM_MS 5000
-/* Endings that are older do not count. */
+/* Older crashes do not count. */
 #define CRASH_TTL_MS INT64_C (3600000)
 #define QUARANTINE_MS INT64_C (86400000)
-/* Answered requests that are remembered, and for how long they stand above
- * suspicion: many callers may send the same one, and it runs at all endpoints
- * of a rack that fails. */
+/* Answered requests that are remembered, and how long they are not suspected:
+ * many callers may send the same request, so that it runs at all endpoints of
+ * a failing rack. */
 #define ANSWERED_SLOTS 1024
 #define ANSWERED_TTL_MS 60000
-/* How often it is looked for what is over. */
+/* Interval between expiry scans. */
 #define EXPIRE_INTERVAL_MS 1000
-/* What is new is told for so long; datagrams may be lost. */
+/* Changes are announced for this long, since datagrams may be lost. */
 #define ANNOUNCE_MS 3000
-/* A request that was cleared is not quarantined by what peers still tell. */
+/* Reports of peers cannot quarantine a request for this long after it was
+ * cleared. */
 #define CLEARED_TTL_MS 60000
 
 enum crash_state
 {
-  CRASH_PENDING,   /* a run broke off; the endpoint may be well */
+  CRASH_PENDING,   /* a run broke off; the endpoint may be healthy */
   CRASH_CONFIRMED, /* the endpoint has ended */
   CRASH_FROM_PEER,
 };
@@ -49,14 +50,14 @@
 {
   TAILQ_ENTRY (suspect) entry;
   uint64_t fingerprint;
-  struct crash crashes[CRASHES_MAX]; /* the oldest first */
+  struct crash crashes[CRASHES_MAX]; /* oldest first */
   uint32_t crash_count;
   int64_t cleared_ms;     /* 0: never */
-  bool cleared_locally;   /* by an answer that this node has seen */
-  int64_t expires_ms;     /* in quarantine; 0: not */
-  int64_t quarantined_ms; /* since when this node knows */
+  bool cleared_locally;   /* cleared by an answer at this node */
+  int64_t expires_ms;     /* end of the quarantine; 0: not quarantined */
+  int64_t quarantined_ms; /* when this node learned of it */
   bool in_store;
-  bool seen_in_store; /* in the list of records that is being read */
+  bool seen_in_store; /* part of the record list being read */
 };
 
 TAILQ_HEAD (suspect_list, suspect);
@@ -70,14 +71,14 @@
 struct beryl_quarantine
 {
   struct beryl_quarantine_owner *owner;
-  struct suspect_list suspects; /* what was seen last comes last */
+  struct suspect_list suspects; /* most recently seen last */
   struct map by_fingerprint;
-  uint32_t count;       /* of suspects, those in quarantine included */
-  uint32_t quarantined; /* of these */
-  uint32_t pending;     /* endings that are not confirmed */
+  uint32_t count;       /* suspects, including quarantined ones */
+  uint32_t quarantined; /* quarantined ones among them */
+  uint32_t pending;     /* unconfirmed crashes */
   bool changed;
-  struct answered answered[ANSWERED_SLOTS]; /* by fingerprint */
-  int64_t last_expire_ms; /* when it was last looked for what is over */
+  struct answered answered[ANSWERED_SLOTS]; /* indexed by fingerprint */
+  int64_t last_expire_ms;                   /* last expiry scan */
 };
 
 const char *
@@ -114,7 +115,7 @@
   while (s->crash_count > 0)
     crash_remove (q, s, 0);
   TAILQ_REMOVE (&q->suspects, s, entry);
-  map_remove (&q->by_fingerprint, map_key_number (s->fingerprint));
+  map_remove (&q->by_fingerprint, map_key_from_number (s->fingerprint));
   q->quarantined -= s->expires_ms != 0;
   q->count--;
   free (s);
@@ -142,11 +143,11 @@
 static struct suspect *
 suspect_find (const struct beryl_quarantine *q, uint64_t fingerprint)
 {
-  return map_get (&q->by_fingerprint, map_key_number (fingerprint));
+  return map_get (&q->by_fingerprint, map_key_from_number (fingerprint));
 }
 
-/* Returns who is forgotten first: those in quarantine are kept for as long as
- * there are others. */
+/* Returns the entry to evict: quarantined requests only if there are no
+ * others. */
 static struct suspect *
 eviction_candidate (const struct beryl_quarantine *q)
 {
@@ -174,7 +175,7 @@
   s = calloc (1, sizeof *s);
   s->fingerprint = fingerprint;
   TAILQ_INSERT_TAIL (&q->suspects, s, entry);
-  map_put (&q->by_fingerprint, map_key_number (fingerprint), s);
+  map_put (&q->by_fingerprint, map_key_from_number (fingerprint), s);
   q->count++;
   return s;
 }
@@ -202,7 +203,8 @@
   return crash;
 }
 
-/* Whether a request in quarantine ran at the endpoint when it ended. */
+/* Returns whether a quarantined request ran at the endpoint when it crashed.
+ */
 static bool
 is_explained (const struct beryl_quarantine *q, uint32_t endpoint)
 {
@@ -250,7 +252,8 @@
   return true;
 }
 
-/* Whether another request explains as much as S does. */
+/* Returns whether another request ran at all endpoints whose crashes count
+ * against S. */
 static bool
 is_ambiguous (const struct beryl_quarantine *q, const struct suspect *s)
 {
@@ -271,7 +274,8 @@
   return false;
 }
 
-/* Whoever saw one of the crashes answers for the record. */
+/* A node that observed one of the crashes itself reports cause CRASHES, which
+ * makes it write the record. */
 static void
 quarantine_begin (struct beryl_quarantine *q, struct suspect *s,
                   int64_t remaining_ms, enum beryl_quarantine_cause cause,
@@ -339,7 +343,8 @@
     crash_add (q, s, endpoint, CRASH_PENDING, now_ms);
 }
 
-/* Confirms what S had at the endpoint; returns whether there was something. */
+/* Confirms a pending crash of S at the endpoint.  Returns whether there was
+ * one. */
 static bool
 confirm (struct beryl_quarantine *q, struct suspect *s, uint32_t endpoint,
          int64_t now_ms)
@@ -356,8 +361,8 @@
   return true;
 }
 
-/* All are confirmed before any is judged: what one explains does not count
- * against the others. */
+/* All crashes are confirmed before any request is checked: a crash that one
+ * request explains does not count against the others. */
 bool
 beryl_quarantine_endpoint_ended (struct beryl_quarantine *q, uint32_t endpoint,
                                  int64_t now_ms)
@@ -460,7 +465,7 @@
           };
 }
 
-/* What was told goes behind the others, so that each has its turn. */
+/* Exported entries move to the end of the list, so that all take turns. */
 static void
 export_older (struct beryl_quarantine *q,
               struct beryl_quarantine_update *update, int64_t now_ms)
@@ -511,7 +516,8 @@
          && now_ms - s->cleared_ms < CLEARED_TTL_MS;
 }
 
-/* A peer suspects what was answered here: it hears so. */
+/* Clears a request that a peer suspects but this node has seen answered, and
+ * announces that. */
 static bool
 clear_if_answered (struct beryl_quarantine *q, uint64_t fingerprint,
                    int64_t now_ms)
@@ -645,8 +651,9 @@
     }
 }
 
-/* After its time it is tried again, and one more crash brings it back: it
- * keeps endings, less one, at numbers that no endpoint has. */
+/* After its quarantine a request may run again, and one more crash quarantines
+ * it again: it keeps one crash less than the threshold, at hashes that match
+ * no endpoint. */
 static void
 begin_probation (struct beryl_quarantine *q, struct suspect *s, int64_t now_ms)
 {
--- a/libberyl/relay/announce.c
+++ b/libberyl/relay/announce.c
@@ -1,9 +1,9 @@
 #include "beryl/announce.h"
 
-/* A sign of life comes so often at least, less often in a large fleet. */
+/* Heartbeat interval: at least this long, and longer in a large fleet. */
 #define HEARTBEAT_MS 500
 #define HEARTBEAT_PER_NODE_MS 10
-/* Peers in other data centres hear of changes so often at most. */
+/* Minimum interval between announcements to other data centres. */
 #define REMOTE_INTERVAL_MS 250
 
 static int64_t
--- a/libberyl/relay/relay.c
+++ b/libberyl/relay/relay.c
@@ -2,12 +2,12 @@
 
 #include <stdlib.h>
 
-/* Smaller data centres have as many watchers as nodes, or nearly so. */
+/* In smaller data centres nearly every node would be a watcher. */
 #define MIN_NODES 8
-/* Parts of the time in which a change must be known: what a follower waits for
- * watchers that fell silent, before its own look, and how often a watcher is
- * answered.  Each follower hears two watchers, so that one that is lost makes
- * none of them look. */
+/* Fractions of the time in which a change must be known: how long a follower
+ * waits for silent watchers before it reads the list itself, and how often a
+ * watcher's call is answered.  Each follower hears two watchers, so the loss
+ * of one makes no follower read the list. */
 #define SILENCE_FRACTION 0.4
 #define POLL_FRACTION 0.3
 
--- a/libberyl/requests/admit.c
+++ b/libberyl/requests/admit.c
@@ -15,7 +15,7 @@
   if (request == NULL)
     return NULL;
   if (!call_copy (&request->call, call)
-      || !map_put (&requests->by_handle, map_key_number (call->request),
+      || !map_put (&requests->by_handle, map_key_from_number (call->request),
                    request))
     {
       call_clear (&request->call);
--- a/libberyl/requests/answer.c
+++ b/libberyl/requests/answer.c
@@ -225,7 +225,8 @@
 
   if (!BERYL_GUARD (BERYL_GUARD_CANCEL_GONE, detachable))
     return false;
-  map_remove (&requests->by_handle, map_key_number (request->call.request));
+  map_remove (&requests->by_handle,
+              map_key_from_number (request->call.request));
   request->caller_gone = true;
   request->call.deadline_ms = now_ms + DETACHED_MS;
   requests_due_by (requests, request->call.deadline_ms);
@@ -240,7 +241,8 @@
 {
   if (request_detach (requests, request, now_ms))
     return;
-  map_remove (&requests->by_handle, map_key_number (request->call.request));
+  map_remove (&requests->by_handle,
+              map_key_from_number (request->call.request));
   request->caller_gone = true;
   request_fail (requests, request, BERYL_PROBLEM_DEADLINE, 0, "caller gone",
                 now_ms);
--- a/libberyl/requests/attempt.c
+++ b/libberyl/requests/attempt.c
@@ -19,7 +19,7 @@
   exchange->request = request;
   exchange->attempt = request->attempt;
   snprintf (exchange->endpoint, sizeof exchange->endpoint, "%s", endpoint);
-  if (!map_put (&requests->by_exchange, map_key_number (exchange->id),
+  if (!map_put (&requests->by_exchange, map_key_from_number (exchange->id),
                 exchange))
     {
       free (exchange);
@@ -36,7 +36,7 @@
 
   if (exchange == NULL)
     return;
-  map_remove (&requests->by_exchange, map_key_number (exchange->id));
+  map_remove (&requests->by_exchange, map_key_from_number (exchange->id));
   request->exchange = NULL;
   free (exchange);
 }
--- a/libberyl/requests/claims.c
+++ b/libberyl/requests/claims.c
@@ -125,7 +125,7 @@
 {
   uint64_t call = ++claims->last_call;
 
-  map_put (&claims->calls, map_key_number (call), shard);
+  map_put (&claims->calls, map_key_from_number (call), shard);
   return call;
 }
 
@@ -378,7 +378,7 @@
                                    BERYL_CLAIM_UNAVAILABLE, 0);
       return;
     }
-  waiting->key = map_key_digest (organisation, key);
+  waiting->key = map_key_from_digest (organisation, key);
   waiting->body_hash = body_hash;
   waiting->incarnation = claims->settings.incarnation;
   waiting->id = request;
@@ -424,9 +424,9 @@
 static struct shard *
 call_take (struct beryl_claims *claims, uint64_t call)
 {
-  struct shard *shard = map_get (&claims->calls, map_key_number (call));
+  struct shard *shard = map_get (&claims->calls, map_key_from_number (call));
 
-  map_remove (&claims->calls, map_key_number (call));
+  map_remove (&claims->calls, map_key_from_number (call));
   return shard;
 }
 
--- a/libberyl/requests/records.c
+++ b/libberyl/requests/records.c
@@ -15,7 +15,7 @@
   const char *scope
       = BERYL_GUARD (BERYL_GUARD_KEY_ORGANISATION, false) ? "" : organisation;
 
-  return map_get (&requests->by_key, map_key_digest (scope, key));
+  return map_get (&requests->by_key, map_key_from_digest (scope, key));
 }
 
 static struct map_key
@@ -25,7 +25,7 @@
                           ? ""
                           : call->organisation;
 
-  return map_key_digest (scope, call->key);
+  return map_key_from_digest (scope, call->key);
 }
 
 /* A free key that was not granted to this node may belong to another node's
@@ -70,7 +70,7 @@
     record->body_hash = call_body_hash (call);
   record->outcome = BERYL_OUTCOME_PENDING;
   record->delivered = false;
-  record->id = map_key_digest (call->organisation, call->request_id);
+  record->id = map_key_from_digest (call->organisation, call->request_id);
   map_put (&requests->by_id, record->id, record);
   return record;
 }
@@ -79,7 +79,7 @@
 record_drop_answer (struct beryl_requests *requests, struct record *record)
 {
   if (record->reader != 0)
-    map_remove (&requests->by_reader, map_key_number (record->reader));
+    map_remove (&requests->by_reader, map_key_from_number (record->reader));
   record->reader = 0;
   if (record->answer == NULL)
     return;
@@ -146,7 +146,7 @@
       if (record->answer != NULL && !request->caller_gone)
         {
           record->reader = request->call.request;
-          map_put (&requests->by_reader, map_key_number (record->reader),
+          map_put (&requests->by_reader, map_key_from_number (record->reader),
                    record);
         }
     }
@@ -159,11 +159,11 @@
                      const struct beryl_event *event)
 {
   struct record *record
-      = map_get (&requests->by_reader, map_key_number (event->request));
+      = map_get (&requests->by_reader, map_key_from_number (event->request));
 
   if (record == NULL)
     return;
-  map_remove (&requests->by_reader, map_key_number (event->request));
+  map_remove (&requests->by_reader, map_key_from_number (event->request));
   record->reader = 0;
   if (event->type == BERYL_EVENT_CALLER_DRAINED)
     record->delivered = true;
@@ -241,9 +241,9 @@
 record_of_fetch (struct beryl_requests *requests,
                  const struct beryl_event *event)
 {
-  struct record *record
-      = map_get (&requests->by_id, map_key_digest (event->fetch.organisation,
-                                                   event->fetch.request_id));
+  struct record *record = map_get (
+      &requests->by_id, map_key_from_digest (event->fetch.organisation,
+                                             event->fetch.request_id));
 
   if (record == NULL)
     record = record_of_key (requests, event->fetch.organisation,
@@ -276,7 +276,7 @@
       return;
     }
   record->reader = event->request;
-  map_put (&requests->by_reader, map_key_number (record->reader), record);
+  map_put (&requests->by_reader, map_key_from_number (record->reader), record);
   answer_send (requests, event->request, answer, event->fetch.offset);
 }
 
--- a/libberyl/requests/requests.c
+++ b/libberyl/requests/requests.c
@@ -52,7 +52,8 @@
   else
     requests->last = request->previous;
   if (!request->caller_gone)
-    map_remove (&requests->by_handle, map_key_number (request->call.request));
+    map_remove (&requests->by_handle,
+                map_key_from_number (request->call.request));
   requests->open--;
   request_free (request);
 }
@@ -95,7 +96,7 @@
 request_of (const struct beryl_requests *requests,
             const struct beryl_event *event)
 {
-  return map_get (&requests->by_handle, map_key_number (event->request));
+  return map_get (&requests->by_handle, map_key_from_number (event->request));
 }
 
 /* An exchange that was closed may still have events on their way: the late
@@ -105,7 +106,8 @@
 exchange_of (const struct beryl_requests *requests,
              const struct beryl_event *event)
 {
-  return map_get (&requests->by_exchange, map_key_number (event->exchange));
+  return map_get (&requests->by_exchange,
+                  map_key_from_number (event->exchange));
 }
 
 static void
--- a/libberyl/router/baselines.c
+++ b/libberyl/router/baselines.c
@@ -1,9 +1,10 @@
 #include "../base/random.h"
 #include "private.h"
 
-/* The baselines choose at once, without reservation or admission. */
+/* Baseline policies choose immediately, without reservation or admission
+ * control. */
 
-/* How much is reported or known to be at an endpoint. */
+/* Reported load: queued prefill tokens or decodes. */
 static double
 reported_load (const struct router_endpoint *e, bool prefill)
 {
@@ -72,8 +73,8 @@
              : b;
 }
 
-/* Choose, leaving out endpoints that failed or just refused, if others are
- * left. */
+/* Choose an endpoint; ones that are unusable, excluded or have just refused
+ * only if no other is found. */
 static uint32_t
 choose_allowed (struct beryl_router *r, struct router_service *s,
                 const struct router_list *list, choose_fn *choose,
--- a/libberyl/router/cost.c
+++ b/libberyl/router/cost.c
@@ -25,8 +25,8 @@
   return rate ? fmax (learned, bytes * 1000 / (double)rate) : learned;
 }
 
-/* Batches are taken as full: a job that is planned when engines are empty
- * must still meet its deadline when they fill up. */
+/* Assumes full batches: a job planned while engines are empty must still meet
+ * its deadline when they fill up. */
 static double
 full_batch (const struct router_service *s)
 {
--- a/libberyl/router/estimate.c
+++ b/libberyl/router/estimate.c
@@ -2,7 +2,7 @@
 
 #include "estimate.h"
 
-/* An observation's weight halves after about 70 more. */
+/* The weight of an observation halves after about 70 further ones. */
 #define LINE_DECAY 0.99
 #define MEAN_GAIN 0.05
 
@@ -39,7 +39,7 @@
   if (det <= 1e-9 * line->weight * line->xx)
     return fmax (0, mean);
   double b = (line->weight * line->xy - line->x * line->y) / det;
-  if (b < 0) /* noise: costs do not fall with size */
+  if (b < 0) /* noise: costs do not decrease with size */
     return fmax (0, mean);
   return fmax (0, mean + b * (x - line->x / line->weight));
 }
--- a/libberyl/router/fleet.c
+++ b/libberyl/router/fleet.c
@@ -6,15 +6,15 @@
 #include "private.h"
 #include "shares.h"
 
-/* Free slots are counted again this often; longer lists less often, so that
- * the work for a decision does not grow with the fleet. */
+/* Interval at which free slots are counted; longer for long lists, so that the
+ * work per decision does not grow with the fleet. */
 #define REFRESH_MS 50
 #define REFRESH_LIST_STEP 128
 
-/* Endpoints looked at for slots to borrow. */
+/* Endpoints sampled for slots to borrow. */
 #define BORROW_SAMPLE 128
 
-/* How late decodes begin, until it is known: mean and standard deviation. */
+/* Initial mean and standard deviation of the bind delay. */
 #define BIND_DELAY_MS 100
 
 #define FAILURES_TO_EJECT 3
@@ -70,8 +70,9 @@
       = (struct router_change){ now_ms, 0, (int32_t)e->busy };
 }
 
-/* Own busy slots at the time of the last report.  Changes older than the
- * ring are lost; then the oldest one known is the best guess. */
+/* Returns this node's busy slots at the time of the last report.  If older
+ * changes are lost from the ring, the oldest known one is the best estimate.
+ */
 static uint32_t
 busy_when_reported (const struct router_endpoint *e)
 {
@@ -114,8 +115,9 @@
   return own < all ? own : all;
 }
 
-/* Slots nobody seems to use are lent: each node takes its part of them, so
- * that nodes with the same old report do not all take the same slot. */
+/* Unused slots of other nodes are lent: each node counts only its fraction of
+ * them, so that nodes with the same old report do not all take the same slot.
+ */
 static int32_t
 borrowable_slots (struct beryl_router *r, const struct router_service *s,
                   int64_t now_ms)
@@ -167,8 +169,9 @@
   return role == BERYL_ROLE_PREFILL ? &s->prefill : &s->decode;
 }
 
-/* An endpoint that fails again and again is left out for a while, but never
- * the last one: a wrong suspicion must not take a whole service away. */
+/* Ejects an endpoint after repeated failures, with exponential backoff, but
+ * never the last usable one: a false suspicion must not make a service
+ * unavailable. */
 void
 fleet_record_failure (struct beryl_router *r, uint32_t endpoint,
                       int64_t now_ms)
@@ -210,7 +213,7 @@
   e->cache_trust = 1;
 }
 
-/* Take over what is known about an endpoint under its old number. */
+/* Copies the state of an endpoint from the previous configuration. */
 static void
 endpoint_carry_over (struct router_endpoint *e,
                      const struct router_endpoint *old)
@@ -266,8 +269,8 @@
   r->endpoint_count = 0;
 }
 
-/* Start values for a service never seen: they only have to be of the right
- * size until a few dozen requests have corrected them. */
+/* Initial estimates of an unknown service.  They only need the right order of
+ * magnitude until a few dozen requests have corrected them. */
 static void
 service_init (struct router_service *s)
 {
@@ -361,7 +364,7 @@
   return ok;
 }
 
-/* Tickets and the prefix index name endpoints by number. */
+/* Tickets and the prefix index refer to endpoints by index. */
 static void
 renumber (struct beryl_router *r, const struct router_endpoint *old,
           size_t old_count)
@@ -447,7 +450,7 @@
   return true;
 }
 
-/* A quarter of a plain service's limit is kept for urgent calls. */
+/* Reserves a quarter of a plain service's limit for urgent calls. */
 static uint32_t
 non_urgent_slots (uint32_t max_concurrent)
 {
--- a/libberyl/router/organisation.c
+++ b/libberyl/router/organisation.c
@@ -123,7 +123,7 @@
   return all > 0 ? o->config->weight / all : 1;
 }
 
-/* This node's part of a limit of the whole system, rounded up. */
+/* This node's share of a system-wide limit, rounded up. */
 static uint32_t
 node_limit (const struct beryl_router *r, uint32_t limit)
 {
--- a/libberyl/router/pair.c
+++ b/libberyl/router/pair.c
@@ -4,14 +4,15 @@
 #include "../base/random.h"
 #include "private.h"
 
-/* Prefill engines looked at in a large pool, beside those with a prefix. */
+/* Prefill engines sampled in a large pool, in addition to those that hold a
+ * prefix. */
 #define PREFILL_SAMPLE 16
 
-/* Decode engines looked at in a large pool. */
+/* Decode engines sampled in a large pool. */
 #define DECODE_SAMPLE 32
 
-/* A prefill in another data centre costs its round trip and the switch of
- * the KV transfer to a longer way. */
+/* Cost of a prefill in another data centre: its round trip and the longer path
+ * of the KV transfer. */
 #define OTHER_DATA_CENTRE_MS 2.0
 
 struct search
--- a/libberyl/router/plain.c
+++ b/libberyl/router/plain.c
@@ -8,10 +8,11 @@
 #define RETRY_MS 60
 #define RETRY_AFTER_MS 500
 
-/* Calls at an endpoint of another data centre look this much busier. */
+/* Load added to endpoints of other data centres, in calls. */
 #define OTHER_DATA_CENTRE_CALLS 0.5
 
-/* Calls at E: own ones, and what others had when it was last reported. */
+/* Calls at E: own ones, or the number in its last report if that is larger and
+ * recent. */
 static double
 calls_at (const struct router_endpoint *e, int64_t now_ms)
 {
@@ -22,9 +23,9 @@
   return calls;
 }
 
-/* Long work uses only this node's part of an endpoint's limit, so that
- * headroom is left for urgent calls.  Where nodes outnumber the slots, a node
- * without any may still have one call in all. */
+/* Non-urgent calls use only this node's share of an endpoint's limit, which
+ * leaves headroom for urgent calls.  Where nodes outnumber the slots, a node
+ * without a share may still have one such call at a time. */
 static bool
 has_room (const struct router_service *s, const struct router_endpoint *e,
           bool urgent)
@@ -122,8 +123,8 @@
   plan->reason = "least_loaded";
 }
 
-/* A long call that would be cut by its deadline is not started: endpoints
- * go on with cut calls, which then take the room of calls still in time. */
+/* A non-urgent call that its deadline would cut off is not started: endpoints
+ * continue cut-off calls, which take capacity from calls still in time. */
 static bool
 misses_deadline (const struct router_service *s, const struct beryl_job *job,
                  int64_t now_ms)
@@ -134,9 +135,9 @@
   return slack <= estimate_mean_plus_sd (&s->answer_ms[job->call_class], 1);
 }
 
-/* By how much a long call with AHEAD others before it would miss its
- * deadline; 0 if it fits.  Refusing it now keeps the queue short enough to
- * be useful. */
+/* Returns by how much a non-urgent call with AHEAD others before it would miss
+ * its deadline, or 0.  Refusing it now keeps the queue short enough to be
+ * useful. */
 static int64_t
 deadline_overrun_ms (const struct router_service *s,
                      const struct beryl_job *job, size_t ahead, int64_t now_ms)
--- a/libberyl/router/planned.c
+++ b/libberyl/router/planned.c
@@ -2,11 +2,11 @@
 
 #include "private.h"
 
-/* The KV cache of a finished prefill waits this long for a slot at most;
+/* Maximum time that the KV cache of a finished prefill waits for a slot;
  * engines keep it for less than a second. */
 #define KV_WAIT_MS 500
 
-/* A decode must be under way this long before the KV cache expires. */
+/* A decode must have started this long before the KV cache expires. */
 #define KV_MARGIN_MS 120
 
 #define HEAD_RETRY_MS 20
@@ -15,30 +15,31 @@
 #define RETRY_AFTER_MIN_MS 200
 #define RETRY_AFTER_MAX_MS 30000
 
-/* Waiting jobs per own slot from which fair parts are enforced. */
+/* Waiting jobs per own slot above which fair shares are enforced. */
 #define CONTENDED_JOBS_PER_SLOT 0.5
 
-/* What an organisation may have open at a node: never less than this, and
- * this many times its fair part, since demand comes unevenly. */
+/* Open jobs allowed per organisation at a node: at least FAIR_MIN_OPEN, and
+ * FAIR_FACTOR times its fair share, since demand is uneven. */
 #define FAIR_MIN_OPEN 2
 #define FAIR_FACTOR 1.5
 
-/* A job waits here rather than in an engine's queue if more than this is
- * queued there: here it keeps its order and its choice of engine. */
+/* Maximum backlog of a prefill engine that gets new jobs.  Jobs wait here
+ * rather than in an engine's queue, because here they keep their order and
+ * their choice of engine. */
 #define PREFILL_BACKLOG_MAX_MS 400
 
-/* Standard deviations of an answer's length that must fit before its deadline.
- * With fewer, some answers are cut off by it after they have begun. */
+/* Standard deviations of the answer length that must fit before the deadline.
+ * With fewer, the deadline cuts some answers off midway. */
 #define LENGTH_DEVIATIONS 2.0
 
-/* Standard deviations of what a decode has begun later than planned. */
+/* Standard deviations of the bind delay that are added as margin. */
 #define BIND_DELAY_DEVIATIONS 2.0
 
 #define SLOT_MISS_PROBABILITY 0.3
 
-/* How certain a slot must be before a prefill starts for it.  The objective
- * sets it: a prefill without a slot is wasted, a slot that waits for its
- * prefill is lost goodput. */
+/* Required probability of a free slot when a prefill starts.  It follows from
+ * the objective: a prefill without a slot is wasted, and a slot that waits for
+ * a prefill is lost goodput. */
 static double
 slot_certainty (const struct router_service *s)
 {
@@ -58,7 +59,7 @@
   return s->decoding / fmax (1, s->decode_ms.mean);
 }
 
-/* Slots expected to come free while a prefill that starts now runs. */
+/* Slots expected to become free while a prefill that starts now runs. */
 static int32_t
 expected_slots (const struct router_service *s, double lead_ms)
 {
@@ -77,7 +78,7 @@
   return false;
 }
 
-/* Slots kept back from JOB: for urgent calls, and from batch calls so that
+/* Slots reserved from JOB: for urgent calls, and from batch calls, so that
  * they are the first to go without. */
 static int32_t
 headroom (const struct router_service *s, const struct beryl_job *job)
@@ -90,9 +91,10 @@
   return kept;
 }
 
-/* Time that a job must have to spare when it starts: its prefill may stand
- * behind those of other nodes, which are known late, and then wait for a slot.
- * Without it the decode begins so late that the deadline cuts the answer. */
+/* Time margin that a job needs when it starts: its prefill may queue behind
+ * those of other nodes, which are known late, and then wait for a slot.
+ * Without it the decode starts so late that the deadline cuts the answer off.
+ */
 static double
 bind_margin_ms (const struct router_service *s)
 {
@@ -105,7 +107,8 @@
                  const struct beryl_job *job, double lead_ms)
 {
   int32_t n = s->free_own;
-  /* Bound early, a slot that another node has taken costs the prefill. */
+  /* With early binding, a slot that another node has taken wastes the prefill.
+   */
   if (r->late_binding)
     n += (s->borrowable > 0 ? s->borrowable : 0) + expected_slots (s, lead_ms)
          - (int32_t)s->unbound;
@@ -137,8 +140,8 @@
   router_refuse (plan, reason, after_ms);
 }
 
-/* An organisation may fill the slots and the queue up to its fair part;
- * checked only while jobs wait, so that no slot idles for fairness' sake. */
+/* An organisation may fill slots and queue up to its fair share.  Checked only
+ * while jobs wait, so that no slot is left idle for fairness. */
 static bool
 exceeds_fair_share (const struct beryl_router *r,
                     const struct router_service *s, uint32_t organisation,
@@ -191,7 +194,8 @@
   plan->reason = "planned";
 }
 
-/* Look for a pair and start; false if there is no slot or no engine now. */
+/* Choose a pair and start the job.  Returns false if there is no free slot or
+ * no engine. */
 static bool
 try_start (struct beryl_router *r, struct router_service *s,
            const struct beryl_job *job, const struct pair *p, int64_t now_ms,
@@ -213,17 +217,17 @@
   return true;
 }
 
-/* What is known about a job when it is planned. */
+/* Estimates about a job when it is planned. */
 struct job_forecast
 {
-  bool queued;             /* it waited already */
-  bool has_prefill_engine; /* some engine can prefill it */
+  bool queued;             /* already in the queue */
+  bool has_prefill_engine; /* an engine is available for its prefill */
   struct pair pair;
-  size_t queue; /* waiting jobs of its service */
-  size_t ahead; /* those before it */
+  size_t queue; /* jobs of its service that wait */
+  size_t ahead; /* jobs before it in the queue */
   int32_t slots;
   double slack_ms;
-  double need_ms; /* from the start of its prefill to its end */
+  double need_ms; /* from the start of its prefill to the end of its decode */
   double wait_ms;
 };
 
@@ -264,8 +268,8 @@
   o->wait_ms = wait_ms (s, o->ahead, o->slots);
 }
 
-/* Refuse what cannot end in time; new jobs also for their place in the
- * queue.  False if the job may go on. */
+/* Refuse a job that cannot finish in time, and a new one also if the wait or
+ * the fair share rules it out.  Returns false if the job may proceed. */
 static bool
 refused (struct beryl_router *r, const struct router_service *s,
          const struct router_waiting *w, const struct job_forecast *o,
@@ -315,7 +319,7 @@
     plan->reason = "no_endpoint";
 }
 
-/* KV caches of this service that will expire before T's. */
+/* Number of KV caches of the same service that expire before T's. */
 static int32_t
 count_expiring_earlier (const struct beryl_router *r,
                         const struct router_ticket *t)
@@ -331,10 +335,10 @@
   return n;
 }
 
-/* Whether nearly all lengths of T's answer still end in time.  An answer
- * that is begun too late is cut off by its deadline in the middle: the caller
- * has text that it cannot use, and the slot was taken from a job that would
- * have ended.  Nothing of it has gone out yet, so that it can be refused. */
+/* Returns whether nearly all possible lengths of T's answer finish before the
+ * deadline.  An answer that starts too late is cut off midway: the caller
+ * cannot use the text, and the slot was taken from a job that would have
+ * finished.  Nothing has been sent yet, so the job can still be refused. */
 static bool
 finishes_in_time (const struct beryl_router *r, const struct router_service *s,
                   const struct router_ticket *t, int64_t now_ms)
@@ -363,8 +367,8 @@
   bool last_chance = now_ms + KV_MARGIN_MS >= kv_expires_ms;
   int32_t slots = s->free_own + (s->borrowable > 0 ? s->borrowable : 0);
   uint32_t decode = ROUTER_NONE;
-  /* The oldest KV cache goes first: given to whoever asks first, a free slot
-   * may go to a young one while an old one expires. */
+  /* The oldest KV cache is bound first: by order of calls a free slot could go
+   * to a recent one while an old one expires. */
   if (last_chance || count_expiring_earlier (r, t) < slots)
     decode = pair_choose_decode (r, s, s->borrowable > 0 || last_chance,
                                  refused_by, now_ms);
--- a/libberyl/router/prefill.c
+++ b/libberyl/router/prefill.c
@@ -2,8 +2,8 @@
 
 #include "private.h"
 
-/* What is queued before a new prefill: the last report, less what was done
- * since, plus what this node has started since. */
+/* Backlog before a new prefill: the last report, less the work done since,
+ * plus the prefills this node has started since. */
 static double
 reported_backlog_ms (const struct router_service *s,
                      const struct router_endpoint *e, int64_t now_ms)
--- a/libberyl/router/prefix.c
+++ b/libberyl/router/prefix.c
@@ -8,7 +8,7 @@
 
 #define WAYS 4
 
-/* Unseen blocks that one prompt adds. */
+/* New blocks that one prompt adds at most. */
 #define NEW_BLOCKS_MAX 24
 
 struct entry
@@ -16,7 +16,7 @@
   uint64_t block;
   int64_t used_ms;
   uint32_t holders[PREFIX_HOLDERS];
-  uint32_t holder_count; /* 0: the entry is free */
+  uint32_t holder_count; /* 0: free entry */
 };
 
 struct prefix_index
--- a/libberyl/router/private.h
+++ b/libberyl/router/private.h
@@ -1,5 +1,5 @@
 /** @file
- * State shared by the parts of the router.
+ * Internal state of the router.
  */
 #ifndef ROUTER_PRIVATE_H
 #define ROUTER_PRIVATE_H
@@ -14,24 +14,24 @@
 
 #define ROUTER_NONE UINT32_MAX
 
-/** Slots assumed where the configuration names none. */
+/** Slots assumed for endpoints without a configured number. */
 #define ROUTER_DEFAULT_SLOTS 16
 
-/** A report older than this says nothing about free slots. */
+/** Older reports are not used for free slots or backlogs. */
 #define ROUTER_REPORT_MAX_AGE_MS 2000
 
-/** Changes remembered per endpoint, to compare with lagged reports. */
+/** Changes kept per endpoint, to adjust lagged reports. */
 #define ROUTER_CHANGES_MAX 16
 
-/** Something this node did at an endpoint at AT_MS. */
+/** Change that this node made at an endpoint at AT_MS. */
 struct router_change
 {
   int64_t at_ms;
-  double cost_ms;     /**< of a prefill it started; 0 for a slot change */
+  double cost_ms;     /**< cost of a started prefill; 0 for a slot change */
   int32_t busy_slots; /**< own busy slots after a slot change; -1 otherwise */
 };
 
-/** An endpoint as this node sees it. */
+/** Endpoint as seen by this node. */
 struct router_endpoint
 {
   char name[BERYL_NAME_BYTES];
@@ -39,32 +39,32 @@
   const struct beryl_endpoint *config;
   uint32_t service;
   uint32_t slots;
-  uint32_t share;         /**< slots that belong to this node */
-  uint32_t busy;          /**< own streams in slots */
-  uint32_t reserved;      /**< own tickets in prefill that will come here */
-  uint32_t non_urgent;    /**< plain services: own calls that are not urgent */
-  uint32_t prefills;      /**< own, unfinished */
-  double prefill_free_ms; /**< when the own prefills are done */
+  uint32_t share;         /**< slots assigned to this node */
+  uint32_t busy;          /**< own open decodes or plain calls */
+  uint32_t reserved;      /**< slots reserved for own tickets in prefill */
+  uint32_t non_urgent;    /**< plain services: own non-urgent calls */
+  uint32_t prefills;      /**< own unfinished prefills */
+  double prefill_free_ms; /**< expected end of the own prefills */
   struct router_change changes[ROUTER_CHANGES_MAX];
   uint32_t change_count;
   bool reported;
-  struct beryl_load_report report; /**< without the name */
+  struct beryl_load_report report; /**< its endpoint member is NULL */
   bool cache_known;
   bool cache_gap;
   uint64_t cache_sequence;
-  double cache_trust;            /**< share of predicted hits that were true */
-  uint32_t consecutive_failures; /**< in a row */
+  double cache_trust; /**< fraction of predicted hits that were real */
+  uint32_t consecutive_failures;
   int64_t ejected_until_ms;
 };
 
-/** A list of endpoint numbers. */
+/** List of endpoint indices. */
 struct router_list
 {
   uint32_t *items;
   size_t count;
 };
 
-/** A service and what was learned about it. */
+/** Service with its endpoints and estimates. */
 struct router_service
 {
   char name[BERYL_NAME_BYTES];
@@ -73,34 +73,35 @@
   struct router_list prefill;
   struct router_list decode;
   struct router_list plain;
-  struct router_list own;    /**< decode endpoints with a share */
-  uint32_t own_slots;        /**< sum of the shares */
-  uint32_t non_urgent_slots; /**< plain services: sum of the shares */
-  uint32_t non_urgent;       /**< plain services: own calls, not urgent */
+  struct router_list
+      own;            /**< decode endpoints in which this node has a share */
+  uint32_t own_slots; /**< sum of this node's decode shares */
+  uint32_t non_urgent_slots; /**< plain services: sum of this node's shares */
+  uint32_t non_urgent;       /**< plain services: own non-urgent calls */
   uint32_t unbound;          /**< tickets in prefill without a decode engine */
-  uint32_t decoding;         /**< own streams in slots */
-  int32_t free_own;          /**< usable free slots of the shares */
-  int32_t borrowable;        /**< slots that may be borrowed now */
+  uint32_t decoding;         /**< own open decodes */
+  int32_t free_own;          /**< free slots in this node's shares */
+  int32_t borrowable;        /**< slots of other nodes that may be used now */
   int64_t slots_counted_ms;
-  uint32_t prefill_turn; /**< of round robin over prefill engines */
+  uint32_t prefill_turn; /**< round-robin position over prefill engines */
   uint32_t decode_turn;
-  struct estimate_line prefill_ms;   /**< by uncached tokens */
-  struct estimate_line interval_ms;  /**< between tokens, by batch */
-  struct estimate_line transfer_ms;  /**< by KV megabytes */
-  struct estimate_mean length_ratio; /**< tokens made / tokens allowed */
-  struct estimate_mean decode_ms;    /**< whole decodes */
-  /** From the planned first token to the binding of a decode engine. */
+  struct estimate_line prefill_ms;   /**< prefill time by uncached tokens */
+  struct estimate_line interval_ms;  /**< time between tokens by batch size */
+  struct estimate_line transfer_ms;  /**< transfer time by KV megabytes */
+  struct estimate_mean length_ratio; /**< generated tokens / max_tokens */
+  struct estimate_mean decode_ms;    /**< duration of a decode */
+  /** Delay from the planned first token to the binding of a decode engine. */
   struct estimate_mean bind_delay_ms;
-  /** Plain services: answer times by class. */
+  /** Plain services: response times by class. */
   struct estimate_mean answer_ms[BERYL_CLASS_BATCH + 1];
 };
 
-/** An organisation's use at this node. */
+/** Usage of an organisation at this node. */
 struct router_organisation
 {
   const struct beryl_organisation *config;
-  uint32_t open; /**< waiting jobs and tickets */
-  double tokens; /**< of the rate limit's bucket */
+  uint32_t open; /**< number of waiting jobs and tickets */
+  double tokens; /**< token bucket of the rate limit */
   int64_t refilled_ms;
 };
 
@@ -109,12 +110,12 @@
 {
   ROUTER_PHASE_FREE,
   ROUTER_PHASE_PREFILL,
-  ROUTER_PHASE_UNBOUND, /**< prefill done, no slot yet */
+  ROUTER_PHASE_UNBOUND, /**< prefill done, no decode slot yet */
   ROUTER_PHASE_DECODE,
   ROUTER_PHASE_PLAIN,
 };
 
-/** A reservation. */
+/** Reservation of a started job. */
 struct router_ticket
 {
   uint64_t id;
@@ -126,12 +127,12 @@
   enum beryl_class call_class;
   uint32_t prompt_tokens;
   uint32_t max_tokens;
-  uint32_t cached_tokens; /**< predicted */
+  uint32_t cached_tokens; /**< predicted prefix hits */
   double prefill_cost_ms;
-  bool prefill_unqueued; /**< nothing was queued before it */
+  bool prefill_unqueued; /**< started with an empty prefill queue */
   int64_t deadline_ms;
   int64_t started_ms;
-  double planned_ms; /**< from the start to the first token */
+  double planned_ms; /**< planned delay from the start to the first token */
   int64_t exported_ms;
   int64_t first_token_ms;
   int64_t last_token_ms;
@@ -146,14 +147,14 @@
   uint32_t service;
   uint32_t organisation;
   enum beryl_class call_class;
-  bool over_share; /**< its organisation had more than its share */
+  bool over_share; /**< its organisation exceeded its fair share */
   int64_t deadline_ms;
   int64_t retry_at_ms;
 };
 
 struct beryl_router;
 
-/** A policy. */
+/** Scheduling policy. */
 struct router_policy
 {
   void (*plan) (struct beryl_router *r, const struct beryl_job *job,
@@ -179,15 +180,15 @@
   size_t service_count;
   struct router_organisation *organisations; /**< sorted by name */
   size_t organisation_count;
-  double active_weight; /**< of organisations with open jobs */
+  double active_weight; /**< total weight of organisations with open jobs */
   struct router_ticket *tickets;
   size_t ticket_count;
   uint32_t *free_tickets;
   size_t free_ticket_count;
-  struct router_waiting *waiting; /**< in serving order */
+  struct router_waiting *waiting; /**< in scheduling order */
   size_t waiting_count;
   size_t waiting_capacity;
-  int64_t capacity_freed_ms; /**< capacity came free at this time */
+  int64_t capacity_freed_ms; /**< when capacity was last freed */
   struct prefix_index *prefix;
 };
 
@@ -214,7 +215,7 @@
                            int64_t now_ms);
 void fleet_record_success (struct router_endpoint *e);
 
-/* prefill.c: queues and costs of prefills */
+/* prefill.c: prefill backlogs */
 double prefill_backlog_ms (const struct router_service *s,
                            const struct router_endpoint *e, int64_t now_ms);
 void prefill_started (struct router_endpoint *e, double cost_ms,
@@ -258,7 +259,7 @@
 void waiting_put (struct beryl_router *r, const struct router_waiting *w);
 bool waiting_drop (struct beryl_router *r, uint64_t request);
 
-/* cost.c: what a job will take */
+/* cost.c: cost estimates of a job */
 double cost_prefill_ms (const struct router_service *s,
                         uint32_t uncached_tokens);
 double cost_transfer_ms (const struct router_service *s,
@@ -272,9 +273,9 @@
 struct pair
 {
   uint32_t prefill;
-  uint32_t decode; /**< ROUTER_NONE when it is bound late */
+  uint32_t decode; /**< ROUTER_NONE with late binding */
   uint32_t cached_tokens;
-  double backlog_ms; /**< before the prefill begins */
+  double backlog_ms; /**< wait before the prefill starts */
   double prefill_cost_ms;
   double first_token_ms;
 };
--- a/libberyl/router/router.c
+++ b/libberyl/router/router.c
@@ -6,10 +6,10 @@
 #include "private.h"
 #include "shares.h"
 
-/* Blocks that the prefix index remembers. */
+/* Capacity of the prefix index, in blocks. */
 #define PREFIX_ENTRIES 32768
 
-/* Trust in the cache events of an endpoint after a gap. */
+/* Cache trust after a gap in an endpoint's events. */
 #define TRUST_AFTER_GAP 0.7
 #define TRUST_GAIN 0.1
 
@@ -21,7 +21,8 @@
   [BERYL_POLICY_ROUND_ROBIN] = &router_policy_round_robin,
   [BERYL_POLICY_LEAST_REPORTED] = &router_policy_least_reported,
   [BERYL_POLICY_TWO_CHOICES] = &router_policy_two_choices,
-  /* Exact: the planned policy, alone before all engines. */
+  /* Exact: the planned policy as the only node, so that its state is complete.
+   */
   [BERYL_POLICY_EXACT] = &router_policy_planned,
 };
 
@@ -83,7 +84,7 @@
 beryl_router_set_config (struct beryl_router *r,
                          const struct beryl_config *config, int64_t now_ms)
 {
-  /* The old configuration is still valid here: names are read from it. */
+  /* The previous configuration is still valid here: names are read from it. */
   organisation_build (r, config);
   fleet_build (r, config);
   r->capacity_freed_ms = now_ms;
@@ -127,8 +128,9 @@
   e->reported = true;
 }
 
-/* Late events may repeat what is known; a jump forward is a gap: evictions
- * may have been missed, so predicted hits count for less until a resync. */
+/* Late events may repeat known ones.  A gap in the sequence means that
+ * evictions may have been missed, so predicted hits are discounted until a
+ * resync. */
 void
 beryl_router_cache_event (struct beryl_router *r,
                           const struct beryl_cache_event *event,
@@ -179,8 +181,9 @@
   return number != ROUTER_NONE && r->endpoints[number].cache_gap;
 }
 
-/* The kick is spent once the first waiting job is planned again: whoever
- * plans the others in the same turn sees the same capacity. */
+/* Clears the notice of freed capacity once the first waiting job is planned
+ * again: the others that are planned in the same turn see the same capacity.
+ */
 static void
 clear_capacity_freed (struct beryl_router *r, uint64_t request, int64_t now_ms)
 {
@@ -273,8 +276,8 @@
                           : 0;
   double took = (double)(now_ms - t->started_ms);
   double expected = estimate_line_at (&s->prefill_ms, uncached);
-  /* Far longer than expected: somebody else's prefill was probably before
-   * it, though no report said so. */
+  /* Far longer than expected: another node's unreported prefill was probably
+   * queued before it. */
   double weight = took > 1.3 * expected + 20 ? 0.1 : 1;
   estimate_line_add (&s->prefill_ms, uncached, took, weight);
 }
--- a/libberyl/router/shares.h
+++ b/libberyl/router/shares.h
@@ -1,6 +1,6 @@
 /** @file
- * Slot shares: each slot of an endpoint belongs to one node, so that nodes
- * that decide at the same time do not choose the same slot.
+ * Slot shares: each slot of an endpoint is assigned to one node, so that nodes
+ * that decide concurrently do not choose the same slot.
  */
 #ifndef ROUTER_SHARES_H
 #define ROUTER_SHARES_H
--- a/libberyl/router/ticket.c
+++ b/libberyl/router/ticket.c
@@ -26,8 +26,8 @@
   return true;
 }
 
-/* A ticket's number is its place in the low half and a use count in the
- * high half, so that a late event of a closed ticket finds nothing. */
+/* A ticket's id holds its index in the low half and a generation count in the
+ * high half, so that late events of a closed ticket find nothing. */
 struct router_ticket *
 ticket_open (struct beryl_router *r, const struct beryl_job *job,
              uint32_t service, int64_t now_ms)
--- a/libberyl/router/waiting.c
+++ b/libberyl/router/waiting.c
@@ -12,8 +12,8 @@
   return SIZE_MAX;
 }
 
-/* Class first, then organisations within their share, then the earliest
- * deadline. */
+/* Scheduling order: by class, organisations within their share first, then the
+ * earliest deadline. */
 static bool
 before (const struct router_waiting *a, const struct router_waiting *b)
 {
--- a/libberyl/stages/stages.c
+++ b/libberyl/stages/stages.c
@@ -3,33 +3,35 @@
 #include <math.h>
 #include <stdlib.h>
 
-/* How far each pool may be filled by the same flow.  Requests that come
- * together queue for prefill, and its queue adds to the time of the first
- * event; decode memory is foreseen and kept from running over. */
+/* Target utilization of each pool.  Requests that arrive together queue for
+ * prefill, and the queue adds to the time to the first event; decode memory is
+ * predicted and kept from overflowing. */
 #define PREFILL_UTILIZATION 0.75
 #define DECODE_UTILIZATION 0.85
-/* A pool is changed if it is off by more than this many engines, for so
- * long: a change takes an engine away for longer. */
+/* A stage changes if the split is off by at least this many engines for this
+ * long: a change takes an engine out of service for longer. */
 #define IMBALANCE_ENGINES 1.0
 #define IMBALANCE_MS 8000
-/* The first orders come at once: before the first requests a change costs
- * nothing, and later ones go by what was measured. */
+/* Initial orders are sent at once: before the first requests a change is free,
+ * and later orders follow measurements. */
 #define INITIAL_DELAY_MS 500
-/* Before the mix was seen engines go this part of the way from what operators
- * set up to what is assumed; either may be wrong. */
+/* Until the mix is measured, the target moves this fraction of the way from
+ * the configured split to the split of the assumed mix; either may be wrong.
+ */
 #define ASSUMED_WEIGHT 0.5
-/* Orders within this of the first one belong to it. */
+/* Orders within this time after the first one count as initial. */
 #define INITIAL_PHASE_MS 4000
-/* Part of the engines that may be changing at a time. */
+/* Maximum fraction of the engines that change their stage at a time. */
 #define CHANGING_FRACTION 0.25
 
 struct beryl_stages
 {
-  int64_t imbalance_since_ms; /* 0: sizes are right */
-  bool prefill_surplus;   /* since then prefill engines; otherwise too few */
-  int64_t first_order_ms; /* of the first order; 0: none yet */
-  size_t initial_prefill; /* engines that read prompts before it */
-  bool measured;          /* the orders since then are by a measured mix */
+  int64_t imbalance_since_ms; /* 0: balanced */
+  bool prefill_surplus; /* direction of the imbalance: too many prefill engines
+                         */
+  int64_t first_order_ms; /* time of the first order; 0: none yet */
+  size_t initial_prefill; /* prefill engines before the first order */
+  bool measured;          /* orders since then follow a measured mix */
 };
 
 struct beryl_stages *
@@ -63,7 +65,7 @@
 struct pools
 {
   size_t count;
-  size_t prefill; /* as they will be once all orders are carried out */
+  size_t prefill; /* after all pending orders */
   size_t changing;
 };
 
@@ -80,8 +82,8 @@
   return pools;
 }
 
-/* The engine of STAGE with the least memory in use has the least to finish
- * before it can change. */
+/* Returns the engine of STAGE with the least memory in use, which has the
+ * least to finish before it can change. */
 static const struct beryl_stage_engine *
 least_used (const struct beryl_stage_engine *engines, size_t count,
             enum beryl_stage stage)
@@ -95,8 +97,9 @@
   return best;
 }
 
-/* What PREFILL should be, kept off the ends: without an engine of one kind
- * nothing is served apart. */
+/* Returns the target number of prefill engines, at least one and at most all
+ * but one: prefill and decode are separate only if both stages have an engine.
+ */
 static double
 target_prefill (const struct beryl_stages *stages,
                 const struct beryl_generation_mix *mix, size_t count)
@@ -109,8 +112,8 @@
   return fmin (fmax (target, 1), (double)count - 1);
 }
 
-/* Notes what there was before the first order, and that the first ones by a
- * measured mix are first ones again. */
+/* Records the split before the first order.  The first orders after the mix is
+ * measured count as initial again. */
 static void
 update_baseline (struct beryl_stages *stages,
                  const struct beryl_generation_mix *mix,
--- a/tests/requests/test_parts.c
+++ b/tests/requests/test_parts.c
@@ -79,11 +79,11 @@
   static int values[3000];
 
   for (uint64_t i = 0; i < 3000; i++)
-    ck_assert (map_put (&map, map_key_number (i * 7), &values[i]));
+    ck_assert (map_put (&map, map_key_from_number (i * 7), &values[i]));
   for (uint64_t i = 0; i < 3000; i += 3)
-    map_remove (&map, map_key_number (i * 7));
+    map_remove (&map, map_key_from_number (i * 7));
   for (uint64_t i = 0; i < 3000; i++)
-    ck_assert_ptr_eq (map_get (&map, map_key_number (i * 7)),
+    ck_assert_ptr_eq (map_get (&map, map_key_from_number (i * 7)),
                       i % 3 == 0 ? NULL : &values[i]);
   ck_assert_uint_eq (map.count, 2000);
   map_clear (&map);
@@ -93,8 +93,8 @@
 /* "ab" of "c" and "a" of "bc" are different keys. */
 START_TEST (digest_separates_scope_and_name)
 {
-  struct map_key a = map_key_digest ("ab", "c");
-  struct map_key b = map_key_digest ("a", "bc");
+  struct map_key a = map_key_from_digest ("ab", "c");
+  struct map_key b = map_key_from_digest ("a", "bc");
 
   ck_assert (a.high != b.high && a.low != b.low);
 }
