--- a/libberyl/planner/arrange.c
+++ b/libberyl/planner/arrange.c
@@ -15,7 +15,7 @@
 bool
 engine_is_warm (const struct engine *e, const struct service *s)
 {
-  return e->known && e->ready && !e->loading && e->role != 0
+  return e->responding && e->ready && !e->loading && e->role != 0
          && strcmp (e->model, s->model->name) == 0;
 }
 
@@ -109,7 +109,7 @@
       struct engine *e = &p->engines[i];
       uint32_t count;
 
-      if (!is_engine_of (e, s) || !e->known || will_be_warm (e, s)
+      if (!is_engine_of (e, s) || !e->responding || will_be_warm (e, s)
           || engine_is_warm (e, s) || e->loading)
         continue;
       count = count_in_data_centre (p, s, e->endpoint->data_centre);
@@ -271,7 +271,7 @@
     {
       struct engine *e = &p->engines[i];
 
-      if (is_engine_of (e, s) && e->known && !e->ordered)
+      if (is_engine_of (e, s) && e->responding && !e->ordered)
         engine_order (e, e->model, e->version, e->role, "adopted");
     }
 }
--- a/libberyl/planner/planner.c
+++ b/libberyl/planner/planner.c
@@ -208,7 +208,7 @@
   /* An engine that does not answer is neither warm nor a spare. */
   if (state->model == NULL)
     {
-      e->known = false;
+      e->responding = false;
       e->ready = false;
       e->ordered = false;
       return;
@@ -218,7 +218,7 @@
   e->role = state->role;
   e->loading = state->loading;
   e->ready = state->ready;
-  e->known = true;
+  e->responding = true;
 }
 
 static struct node_demand *
@@ -286,7 +286,7 @@
                                    .interrupts = engine_is_interrupted (e),
                                    .reason = e->reason };
 
-      if (!e->ordered || !e->known || order_is_applied (e))
+      if (!e->ordered || !e->responding || order_is_applied (e))
         continue;
       if (e->order_sent_ms != 0
           && now_ms - e->order_sent_ms < p->settings.resend_ms)
--- a/libberyl/planner/private.h
+++ b/libberyl/planner/private.h
@@ -16,7 +16,7 @@
   enum beryl_role role;
   bool loading;
   bool ready;
-  bool known; /* has answered its last state query */
+  bool responding; /* has answered its last state query */
   /* The current order. */
   char ordered_model[BERYL_NAME_BYTES];
   char ordered_version[BERYL_NAME_BYTES];
--- a/libberyl/relay/relay.c
+++ b/libberyl/relay/relay.c
@@ -16,8 +16,8 @@
   int64_t leave_ms;
   uint32_t nodes;
   bool elected;
-  bool fed;
-  int64_t fed_ms;
+  bool has_update;
+  int64_t last_update_ms;
 };
 
 struct beryl_relay *
@@ -46,8 +46,8 @@
 void
 beryl_relay_note_update (struct beryl_relay *relay, int64_t now_ms)
 {
-  relay->fed = true;
-  relay->fed_ms = now_ms;
+  relay->has_update = true;
+  relay->last_update_ms = now_ms;
 }
 
 enum beryl_relay_role
@@ -59,7 +59,7 @@
     return BERYL_RELAY_STANDALONE;
   if (relay->elected)
     return BERYL_RELAY_WATCHER;
-  if (relay->fed && now_ms - relay->fed_ms < silence_ms)
+  if (relay->has_update && now_ms - relay->last_update_ms < silence_ms)
     return BERYL_RELAY_FOLLOWER;
   return BERYL_RELAY_STANDALONE;
 }
--- a/libberyl/router/fleet.c
+++ b/libberyl/router/fleet.c
@@ -22,7 +22,7 @@
 #define EJECT_MAX_MS 30000
 
 static int
-by_name (const void *a, const void *b)
+compare_names (const void *a, const void *b)
 {
   const struct router_endpoint *x = a;
   const struct router_endpoint *y = b;
@@ -342,7 +342,7 @@
         endpoint_carry_over (e, &r->endpoints[old]);
       e->service = service;
     }
-  qsort (endpoints, n, sizeof *endpoints, by_name);
+  qsort (endpoints, n, sizeof *endpoints, compare_names);
   return n;
 }
 
--- a/libberyl/router/organisation.c
+++ b/libberyl/router/organisation.c
@@ -5,7 +5,7 @@
 #include "private.h"
 
 static int
-by_name (const void *a, const void *b)
+compare_names (const void *a, const void *b)
 {
   const struct router_organisation *x = a;
   const struct router_organisation *y = b;
@@ -52,8 +52,8 @@
 }
 
 static uint32_t
-number_in (const struct router_organisation *all, size_t count,
-           const struct beryl_router *r, uint32_t old)
+renumbered (const struct router_organisation *all, size_t count,
+            const struct beryl_router *r, uint32_t old)
 {
   if (old == ROUTER_NONE)
     return ROUTER_NONE;
@@ -76,15 +76,15 @@
       all[i].config = &config->organisations[i];
       all[i].tokens = config->organisations[i].requests_per_s;
     }
-  qsort (all, count, sizeof *all, by_name);
+  qsort (all, count, sizeof *all, compare_names);
   carry_over (r, all, count);
   for (size_t i = 0; i < r->ticket_count; i++)
     if (r->tickets[i].phase != ROUTER_PHASE_FREE)
       r->tickets[i].organisation
-          = number_in (all, count, r, r->tickets[i].organisation);
+          = renumbered (all, count, r, r->tickets[i].organisation);
   for (size_t i = 0; i < r->waiting_count; i++)
     r->waiting[i].organisation
-        = number_in (all, count, r, r->waiting[i].organisation);
+        = renumbered (all, count, r, r->waiting[i].organisation);
   free (r->organisations);
   r->organisations = all;
   r->organisation_count = count;
--- a/libberyl/router/pair.c
+++ b/libberyl/router/pair.c
@@ -88,7 +88,8 @@
 }
 
 static uint32_t
-blocks_of (const struct prefix_match *matches, size_t count, uint32_t number)
+matched_blocks (const struct prefix_match *matches, size_t count,
+                uint32_t number)
 {
   for (size_t i = 0; i < count; i++)
     if (matches[i].endpoint == number)
@@ -107,7 +108,7 @@
     {
       for (size_t i = 0; i < list->count; i++)
         try_prefill (q, list->items[i],
-                     blocks_of (matches, known, list->items[i]));
+                     matched_blocks (matches, known, list->items[i]));
       return;
     }
   for (size_t i = 0; i < known; i++)
@@ -115,7 +116,7 @@
   for (size_t i = 0; i < PREFILL_SAMPLE; i++)
     {
       uint32_t number = list->items[random_next (&q->r->random) % list->count];
-      try_prefill (q, number, blocks_of (matches, known, number));
+      try_prefill (q, number, matched_blocks (matches, known, number));
     }
 }
 
--- a/libberyl/router/waiting.c
+++ b/libberyl/router/waiting.c
@@ -15,7 +15,7 @@
 /* Scheduling order: by class, organisations within their share first, then the
  * earliest deadline. */
 static bool
-before (const struct router_waiting *a, const struct router_waiting *b)
+precedes (const struct router_waiting *a, const struct router_waiting *b)
 {
   if (a->call_class != b->call_class)
     return a->call_class < b->call_class;
@@ -32,7 +32,7 @@
   size_t ahead = 0;
   for (size_t i = 0; i < r->waiting_count; i++)
     if (r->waiting[i].service == w->service
-        && r->waiting[i].request != w->request && before (&r->waiting[i], w))
+        && r->waiting[i].request != w->request && precedes (&r->waiting[i], w))
       ahead++;
   return ahead;
 }
@@ -61,7 +61,7 @@
       r->waiting_capacity = size;
     }
   size_t at = 0;
-  while (at < r->waiting_count && before (&r->waiting[at], w))
+  while (at < r->waiting_count && precedes (&r->waiting[at], w))
     at++;
   memmove (r->waiting + at + 1, r->waiting + at,
            (r->waiting_count - at) * sizeof *r->waiting);
--- a/libberyl/routes/routes.c
+++ b/libberyl/routes/routes.c
@@ -85,10 +85,10 @@
   return false;
 }
 
-/* Hosts are grouped; within one the longest prefix comes first, so that the
- * first match is the answer. */
+/* Orders routes by host, and those of one host by decreasing prefix length, so
+ * that the first match is the longest. */
 static int
-route_order (const void *a, const void *b, void *user)
+compare_routes (const void *a, const void *b, void *user)
 {
   const struct beryl_routes *routes = user;
   const struct beryl_route *left = &routes->routes[*(const uint32_t *)a];
@@ -109,22 +109,22 @@
   for (size_t i = 0; i < routes->route_count; i++)
     routes->by_host[i] = (uint32_t)i;
   qsort_r (routes->by_host, routes->route_count, sizeof (uint32_t),
-           route_order, routes);
+           compare_routes, routes);
 }
 
 /* Compares the first HOST_BYTES bytes of HOST with the whole of NAME. */
 static int
-host_order (const char *name, const char *host, size_t host_bytes)
+compare_host (const char *name, const char *host, size_t host_bytes)
 {
   int order = strncasecmp (name, host, host_bytes);
 
   return order != 0 ? order : name[host_bytes] != '\0';
 }
 
-/* Returns the place of the first route of HOST. */
+/* Returns the position in by_host of the first route of HOST. */
 static size_t
-host_first (const struct beryl_routes *routes, const char *host,
-            size_t host_bytes)
+first_route_of_host (const struct beryl_routes *routes, const char *host,
+                     size_t host_bytes)
 {
   size_t low = 0, high = routes->route_count;
 
@@ -134,7 +134,7 @@
       const struct beryl_route *route
           = &routes->routes[routes->by_host[middle]];
 
-      if (host_order (route->host, host, host_bytes) < 0)
+      if (compare_host (route->host, host, host_bytes) < 0)
         low = middle + 1;
       else
         high = middle;
@@ -148,12 +148,12 @@
 {
   size_t host_bytes = strcspn (host, ":");
 
-  for (size_t i = host_first (routes, host, host_bytes);
+  for (size_t i = first_route_of_host (routes, host, host_bytes);
        i < routes->route_count; i++)
     {
       const struct beryl_route *route = &routes->routes[routes->by_host[i]];
 
-      if (host_order (route->host, host, host_bytes) != 0)
+      if (compare_host (route->host, host, host_bytes) != 0)
         return NULL;
       if (strncmp (path, route->path_prefix, strlen (route->path_prefix)) == 0)
         return route;
--- a/tests/limits/test_limits.c
+++ b/tests/limits/test_limits.c
@@ -8,7 +8,7 @@
 #define ENDPOINT 7
 #define KIND 1
 #define NODES_MAX 400
-/* What a node has to tell goes out after so long, and takes its way. */
+/* Delay until a node sends its changes, and network latency. */
 #define SEND_DELAY_MS 20
 #define LATENCY_MS 8
 #define WINDOW_MS 4000
@@ -16,15 +16,15 @@
 #define SENDS_MAX 20000
 #define QUEUE_MAX 65536
 
-/* A fleet of nodes before one endpoint that names a limit. */
+/* Simulated nodes that send to one endpoint with a rate limit. */
 struct fleet
 {
   struct beryl_limits *nodes[NODES_MAX];
   uint32_t count;
   struct beryl_limit_cluster cluster;
-  double loss;           /* part of the datagrams */
-  uint32_t partition_at; /* nodes from this number on hear only each other */
-  int64_t send_due_ms[NODES_MAX]; /* 0: nothing to tell */
+  double loss;           /* fraction of the datagrams lost */
+  uint32_t partition_at; /* nodes from this index on reach only each other */
+  int64_t send_due_ms[NODES_MAX]; /* 0: nothing to send */
   struct
   {
     int64_t at_ms;
@@ -135,10 +135,10 @@
     }
 }
 
-/* Lets PER_S requests a second arrive at the fleet, each at some node, and has
- * all go to the endpoint that may. */
+/* Simulates PER_S requests per second that arrive at random nodes, and sends
+ * those that are allowed. */
 static void
-run (double per_s)
+simulate (double per_s)
 {
   int64_t end_ms = now_ms + RUN_MS;
 
@@ -199,59 +199,61 @@
 static const double rates[] = { 0.5, 3.8, 8.8, 40 };
 #define RATES 4
 
-/* Each node takes the whole limit for its own. */
+/* Guards against nodes that each use the full limit. */
 START_TEST (test_small_fleet)
 {
   open_fleet (8, rates[_i]);
-  run (60);
+  simulate (60);
   assert_limit_kept (rates[_i]);
   if (rates[_i] < 10)
     assert_capacity_used (rates[_i], 0.7);
 }
 END_TEST
 
-/* Of many nodes all see the same token at the same moment, or each has too
- * small a part to send anything. */
+/* Guards against overload when many nodes see the same token at the same
+ * moment, and against starvation when each node's share is too small to send
+ * anything. */
 START_TEST (test_large_fleet)
 {
   open_fleet (NODES_MAX, rates[_i]);
-  run (500);
+  simulate (500);
   assert_limit_kept (rates[_i]);
   assert_capacity_used (rates[_i], 0.6);
 }
 END_TEST
 
-/* Few requests: the endpoint takes all of them, and gets only a part. */
+/* Guards against throttling at a load well below the limit. */
 START_TEST (test_light_load)
 {
   open_fleet (8, 8.8);
-  run (4);
+  simulate (4);
   assert_capacity_used (4, 0.8);
 }
 END_TEST
 
-/* Datagrams are lost. */
+/* Guards against exceeding the limit when datagrams are lost. */
 START_TEST (test_lost_datagrams)
 {
   open_fleet (8, rates[_i]);
   fleet.loss = 0.05;
-  run (60);
+  simulate (60);
   assert_limit_kept (rates[_i]);
 }
 END_TEST
 
-/* The fleet falls apart, and both halves use the whole limit. */
+/* Guards against both sides of a network partition using the full limit. */
 START_TEST (test_partition)
 {
   open_fleet (8, rates[_i]);
   fleet.partition_at = 4;
   fleet.cluster.reachable_fraction = 0.5;
-  run (60);
+  simulate (60);
   assert_limit_kept (rates[_i]);
 }
 END_TEST
 
-/* A node that has had no answer of the endpoint does not know its limit. */
+/* Guards against a node that ignores a limit because it has had no answer from
+ * the endpoint itself. */
 START_TEST (test_told_by_peers)
 {
   struct beryl_limits_update update = { .node = 1 };
@@ -267,8 +269,8 @@
 }
 END_TEST
 
-/* The endpoint names no limit any more: one that has heard so is overruled by
- * what others heard before. */
+/* Guards against a removed limit being restored by peers whose last answer is
+ * older. */
 START_TEST (test_limit_ends)
 {
   struct beryl_limits_update old = { .node = 1 }, new = { .node = 2 };
@@ -290,7 +292,8 @@
 }
 END_TEST
 
-/* An answer from before the limit was named comes late and ends it. */
+/* Guards against a limit being removed by a late answer to a request sent
+ * before the limit was first advertised. */
 START_TEST (test_late_answer)
 {
   open_fleet (1, 3);
@@ -300,7 +303,8 @@
 }
 END_TEST
 
-/* Answers of another kind name no limits, and end it. */
+/* Guards against a limit being removed by an answer of a kind that never
+ * carries limits. */
 START_TEST (test_other_kind_of_answer)
 {
   struct beryl_rate_limit none = { 0 };
@@ -313,18 +317,18 @@
 }
 END_TEST
 
-/* A limit of zero is kept for ever, since no answer comes that could end it.
- */
+/* Guards against a limit of zero lasting forever because no request gets the
+ * answer that would raise it. */
 START_TEST (test_zero)
 {
   open_fleet (8, 0);
-  run (60);
+  simulate (60);
   ck_assert_uint_ge (fleet.send_count, 1);
   ck_assert_uint_le (max_in_window (), 5);
 }
 END_TEST
 
-/* Endpoints come and go, and memory grows. */
+/* Guards against unbounded memory as endpoints come and go. */
 START_TEST (test_many_endpoints)
 {
   struct beryl_rate_limit limit = { .advertised = true, .milli_per_s = 1000 };
--- a/tests/quarantine/test_quarantine.c
+++ b/tests/quarantine/test_quarantine.c
@@ -12,7 +12,7 @@
 {
   struct beryl_quarantine_owner owner;
   struct beryl_quarantine *quarantine;
-  enum beryl_quarantine_cause cause; /* of the last change */
+  enum beryl_quarantine_cause cause; /* cause of the last change */
   uint32_t changes;
 };
 
@@ -50,7 +50,7 @@
     beryl_quarantine_destroy (nodes[i].quarantine);
 }
 
-/* A run of FINGERPRINT at node N breaks off with its endpoint. */
+/* A run of FINGERPRINT at node N breaks off because its endpoint ended. */
 static void
 crash (int n, uint64_t fingerprint, uint32_t endpoint)
 {
@@ -77,7 +77,8 @@
          > 0;
 }
 
-/* A request under which three endpoints have ended goes to a fourth. */
+/* Guards against a request that crashed three endpoints being sent to a
+ * fourth. */
 START_TEST (test_third_crash)
 {
   crash (0, CULPRIT, 1);
@@ -91,7 +92,8 @@
 }
 END_TEST
 
-/* The same endpoint's end, reported more than once, counts as three. */
+/* Guards against counting one crash repeatedly when it is reported more than
+ * once. */
 START_TEST (test_one_crash_counts_once)
 {
   for (int i = 0; i < 5; i++)
@@ -104,8 +106,8 @@
 }
 END_TEST
 
-/* Connections that break although their endpoints live are taken for
- * crashes. */
+/* Guards against counting broken connections to healthy endpoints as crashes.
+ */
 START_TEST (test_broken_connections)
 {
   for (uint32_t i = 1; i <= 10; i++)
@@ -120,7 +122,8 @@
 }
 END_TEST
 
-/* Each node sees one crash, and none knows enough. */
+/* Guards against missing a crashing request when each node observes only one
+ * crash. */
 START_TEST (test_crashes_at_different_nodes)
 {
   for (int n = 0; n < NODES; n++)
@@ -128,7 +131,7 @@
   for (int n = 1; n < NODES; n++)
     send_update (n, 0);
   ck_assert (is_quarantined (0, CULPRIT));
-  /* Who saw one of them answers for the record. */
+  /* A node that observed a crash writes the record. */
   ck_assert_int_eq (nodes[0].cause, BERYL_QUARANTINE_CRASHES);
   send_update (0, 1);
   ck_assert (is_quarantined (1, CULPRIT));
@@ -136,7 +139,8 @@
 }
 END_TEST
 
-/* A node that was away when it happened is never told. */
+/* Guards against a node that missed the original announcements never learning
+ * of the quarantine. */
 START_TEST (test_late_joining_node)
 {
   for (uint32_t i = 1; i <= 3; i++)
@@ -148,8 +152,8 @@
 }
 END_TEST
 
-/* A request beside the culprit at two of its crashes is blamed for a third
- * that the culprit explains. */
+/* Guards against blaming a request for crashes that another, quarantined
+ * request explains. */
 START_TEST (test_explained_crashes)
 {
   for (uint32_t i = 1; i <= 2; i++)
@@ -165,8 +169,8 @@
 }
 END_TEST
 
-/* Two requests ran at the same three endpoints, and the wrong one is blamed
- * with the right one. */
+/* Guards against quarantining an innocent request that ran at the same three
+ * endpoints as the culprit. */
 START_TEST (test_same_three_endpoints)
 {
   for (uint32_t i = 1; i <= 3; i++)
@@ -182,8 +186,8 @@
 }
 END_TEST
 
-/* A request that was served in between is blamed for crashes before and
- * after. */
+/* Guards against adding up crashes from before and after a successful answer.
+ */
 START_TEST (test_answered_in_between)
 {
   crash (0, BYSTANDER, 1);
@@ -198,8 +202,8 @@
 }
 END_TEST
 
-/* A request that was blamed wrongly is answered by an endpoint, and goes on
- * being refused. */
+/* Guards against refusing a wrongly quarantined request after an endpoint has
+ * answered it. */
 START_TEST (test_answer_ends_quarantine)
 {
   for (uint32_t i = 1; i <= 3; i++)
@@ -210,7 +214,7 @@
   beryl_quarantine_run_answered (nodes[1].quarantine, BYSTANDER, now_ms);
   send_update (1, 0);
   ck_assert (!is_quarantined (0, BYSTANDER));
-  /* What others still tell does not bring it back. */
+  /* Outdated reports of peers do not restore the quarantine. */
   send_update (0, 1);
   ck_assert (!is_quarantined (1, BYSTANDER));
   ck_assert (!beryl_quarantine_record_read (nodes[1].quarantine, BYSTANDER,
@@ -218,8 +222,8 @@
 }
 END_TEST
 
-/* A rack fails: a request that many callers send ran at all of its endpoints,
- * and is refused everywhere. */
+/* Guards against quarantining a request that many callers send, and that
+ * therefore ran at all endpoints of a failing rack. */
 START_TEST (test_popular_request)
 {
   beryl_quarantine_run_answered (nodes[0].quarantine, BYSTANDER, now_ms);
@@ -230,7 +234,7 @@
       crash (1, BYSTANDER, i);
     }
   ck_assert (!is_quarantined (0, BYSTANDER));
-  /* The other has not answered it yet, and hears that it is well. */
+  /* Node 1 has not answered it, and learns from node 0 that it is harmless. */
   ck_assert (is_quarantined (1, BYSTANDER));
   send_update (1, 0);
   ck_assert (!is_quarantined (0, BYSTANDER));
@@ -241,7 +245,7 @@
 }
 END_TEST
 
-/* All nodes were killed, and what is on record is not used. */
+/* Guards against ignoring the stored records after a restart of all nodes. */
 START_TEST (test_stored_record)
 {
   ck_assert (beryl_quarantine_record_read (nodes[0].quarantine, CULPRIT, 50000,
@@ -252,12 +256,12 @@
 }
 END_TEST
 
-/* An operator deletes the record, and nodes go on refusing. */
+/* Guards against refusing a request whose record an operator has deleted. */
 START_TEST (test_lifted)
 {
   for (uint32_t i = 1; i <= 3; i++)
     crash (0, CULPRIT, i);
-  /* Not yet on record: its absence tells nothing. */
+  /* Not stored yet: its absence from the list means nothing. */
   beryl_quarantine_records_synced (nodes[0].quarantine, now_ms);
   ck_assert (is_quarantined (0, CULPRIT));
   beryl_quarantine_record_read (nodes[0].quarantine, CULPRIT, 50000, now_ms);
@@ -272,7 +276,8 @@
 }
 END_TEST
 
-/* A request that was tried again after its time crashes three more. */
+/* Guards against three more crashes by a request that is allowed again after
+ * its quarantine expired. */
 START_TEST (test_retry_after_expiry)
 {
   for (uint32_t i = 1; i <= 3; i++)
@@ -286,8 +291,8 @@
 }
 END_TEST
 
-/* Many crashes make a node forget what is quarantined, or use memory without
- * bound. */
+/* Guards against evicting quarantined requests, and against unbounded memory,
+ * when many requests crash. */
 START_TEST (test_many_suspects)
 {
   for (uint32_t i = 1; i <= 3; i++)
@@ -300,7 +305,8 @@
 }
 END_TEST
 
-/* With more in quarantine than a message holds, some are never told. */
+/* Guards against quarantines that are never announced when there are more than
+ * a message holds. */
 START_TEST (test_many_quarantined)
 {
   for (uint64_t i = 0; i < 100; i++)
--- a/tests/relay/test_announce.c
+++ b/tests/relay/test_announce.c
@@ -1,18 +1,17 @@
 #include "../suite.h"
 #include "beryl/announce.h"
 
-/* What one node announces in a time in which its runs change every so often,
- * looked at as often as the node itself does. */
+/* Announcements that one node makes while its runs change periodically. */
 struct sent
 {
   uint32_t local;
   uint32_t remote;
-  int64_t max_remote_gap_ms; /* between two that went to all */
+  int64_t max_remote_gap_ms; /* between announcements to all peers */
 };
 
 #define DURATION_MS 60000
 #define CHECK_MS 100
-/* Changes of 100 ms, taken together until the interval is over. */
+/* Changes every 100 ms are batched until the interval has passed. */
 #define MAX_REMOTE_GAP_MS 300
 
 static struct sent
@@ -39,8 +38,8 @@
   return sent;
 }
 
-/* Guards against engines that are overfilled in a large fleet: at a peak nodes
- * of other data centres take them too, and must know what runs there. */
+/* Guards against overcommitted engines in a large fleet: at peak load nodes of
+ * other data centres use them too, and must know what runs there. */
 START_TEST (test_peak_in_a_large_fleet)
 {
   ck_assert_int_le (announce_for (17, 83, 100).max_remote_gap_ms,
@@ -49,19 +48,19 @@
                     MAX_REMOTE_GAP_MS);
   ck_assert_int_le (announce_for (40, 360, 100).max_remote_gap_ms,
                     MAX_REMOTE_GAP_MS);
-  /* And not each change costs a message to each of them. */
+  /* Not every change is sent to every peer. */
   ck_assert_uint_le (announce_for (49, 246, 10).remote, DURATION_MS / 250);
 }
 END_TEST
 
-/* Peers of the own data centre hear of each change at once. */
+/* Guards against delayed announcements to peers of the own data centre. */
 START_TEST (test_local_peers_are_told_at_once)
 {
   ck_assert_uint_ge (announce_for (49, 246, 100).local, DURATION_MS / 100 - 1);
 }
 END_TEST
 
-/* Guards against peers elsewhere that never hear of the last change. */
+/* Guards against remote peers that never learn of the last change. */
 START_TEST (test_last_change_reaches_all)
 {
   struct beryl_announce a = { .local_count = 49, .remote_count = 246 };
@@ -77,7 +76,8 @@
 }
 END_TEST
 
-/* A fleet at rest, and a small one: signs of life twice a second. */
+/* An idle fleet sends heartbeats: twice a second in a small one, less often in
+ * a large one. */
 START_TEST (test_heartbeats)
 {
   struct beryl_announce small = { .local_count = 3, .remote_count = 4 };
--- a/tests/relay/test_relay.c
+++ b/tests/relay/test_relay.c
@@ -5,7 +5,7 @@
 #define SPACING_MS 400
 
 static struct beryl_relay *
-relay_of (uint32_t nodes, bool elected)
+create_relay (uint32_t nodes, bool elected)
 {
   struct beryl_relay *relay = beryl_relay_create (LEAVE_MS);
 
@@ -13,10 +13,10 @@
   return relay;
 }
 
-/* A data centre of few nodes gains nothing: all of them watch. */
+/* In a small data centre relaying saves nothing, so all nodes watch. */
 START_TEST (test_small_data_centre)
 {
-  struct beryl_relay *relay = relay_of (3, false);
+  struct beryl_relay *relay = create_relay (3, false);
 
   beryl_relay_note_update (relay, 1000);
   ck_assert_int_eq (beryl_relay_role (relay, 1000), BERYL_RELAY_STANDALONE);
@@ -26,10 +26,11 @@
 }
 END_TEST
 
-/* Guards against a node that rests before anybody feeds it. */
+/* Guards against a node that stops watching before any watcher relays to it.
+ */
 START_TEST (test_not_fed_yet)
 {
-  struct beryl_relay *relay = relay_of (50, false);
+  struct beryl_relay *relay = create_relay (50, false);
 
   ck_assert_int_eq (beryl_relay_role (relay, 0), BERYL_RELAY_STANDALONE);
   ck_assert_int_eq (beryl_relay_role (relay, 10), BERYL_RELAY_STANDALONE);
@@ -41,11 +42,11 @@
 }
 END_TEST
 
-/* Guards against an endpoint that left being used for as long as its watchers
- * are cut off: less than half of the bound may pass before the own look. */
+/* Guards against using an endpoint that has left while the watchers are cut
+ * off: a follower must watch by itself within half of the bound. */
 START_TEST (test_silent_watchers)
 {
-  struct beryl_relay *relay = relay_of (50, false);
+  struct beryl_relay *relay = create_relay (50, false);
 
   beryl_relay_note_update (relay, 1000);
   ck_assert_int_eq (beryl_relay_role (relay, 1000 + LEAVE_MS / 2),
@@ -56,8 +57,8 @@
 }
 END_TEST
 
-/* Guards against followers that look by themselves whenever one of two
- * watchers is late by a part of its interval. */
+/* Guards against followers that watch by themselves whenever one of two
+ * watchers is late by a fraction of its interval. */
 START_TEST (test_poll_timeout_within_silence)
 {
   for (int64_t leave_ms = 1000; leave_ms <= 8000; leave_ms += 500)
--- a/tests/router/fleet_fixture.h
+++ b/tests/router/fleet_fixture.h
@@ -1,12 +1,12 @@
 /** @file
- * A small configuration for tests of the router.
+ * A small configuration for router tests.
  */
 #ifndef TESTS_ROUTER_FLEET_FIXTURE_H
 #define TESTS_ROUTER_FLEET_FIXTURE_H
 
 #include "beryl/config.h"
 
-/** Endpoints p1, p2 (prefill), d1, d2 (decode, SLOTS slots each) of the
+/** Endpoints p1, p2 (prefill) and d1, d2 (decode, SLOTS slots each) of the
  * service "advice", and s1, s2 of the plain service "status". */
 struct fleet_fixture
 {
@@ -17,7 +17,7 @@
   struct beryl_endpoint endpoints[6];
 };
 
-/** Fill FIXTURE; it must not move afterwards. */
+/** Initialise FIXTURE, which must not be moved afterwards. */
 void fleet_fixture_init (struct fleet_fixture *fixture, uint32_t slots);
 
 #endif
--- a/tests/router/test_engine_http.c
+++ b/tests/router/test_engine_http.c
@@ -8,7 +8,7 @@
 #include "text.h"
 #include "../suite.h"
 
-/* One whole call of standin-engine. */
+/* Result of one call to standin-engine. */
 struct result
 {
   struct http_call_handler base;
@@ -161,7 +161,8 @@
   return handle;
 }
 
-/* Join the text of all lines and check their offsets; *DONE is the last. */
+/* Concatenates the text of all lines and checks their offsets; *DONE is the
+ * final line. */
 static char *
 answer_text (const char *body, json_t **done)
 {
@@ -224,9 +225,9 @@
 }
 END_TEST
 
-/* One slot: the second decode is refused as full and has not run; after a
- * cancel of the first the engine holds nothing of it, its reader sees a cut
- * answer, and the second goes through. */
+/* With one slot the second decode is refused as full and does not run.  After
+ * the first is cancelled the engine holds nothing of it, its reader sees a
+ * truncated answer, and the second decode runs. */
 START_TEST (test_full_then_cancel)
 {
   struct result first;
@@ -273,8 +274,8 @@
 }
 END_TEST
 
-/* A former leaseholder wakes up and sends its old order.  An engine that
- * checks refuses it and names the number in force. */
+/* Guards against an outdated order of a former leaseholder: an engine that
+ * checks the fence refuses it and returns the current fence. */
 START_TEST (test_old_fence_is_refused)
 {
   const char *order = "{\"fence\":%d,\"serve\":{\"model\":\"%s\","
--- a/tests/router/test_engine_model.c
+++ b/tests/router/test_engine_model.c
@@ -8,8 +8,8 @@
 
 #define LOG_MAX 4096
 
-/* Costs that are easy to reckon with: a prefill takes 10 ms and 1 ms for
- * each token; a step takes 20 ms and 10 ms for each stream. */
+/* Simple costs: a prefill takes 10 ms plus 1 ms per token, a step takes 20 ms
+ * plus 10 ms per stream. */
 static const struct engine_settings settings = {
   .slots = 2,
   .prefill_queue_max = 3,
@@ -91,9 +91,9 @@
   return NULL;
 }
 
-/* Reckoned by hand: prompts of 40, 20 and 30 tokens arrive at 0, 5 and 6 ms;
- * the last one is urgent.  40 + 10 ms: done at 50.  The urgent one is next:
- * 30 + 10 ms, done at 90; then 20 + 10 ms, done at 120. */
+/* Prompts of 40, 20 and 30 tokens arrive at 0, 5 and 6 ms; the last one is
+ * urgent.  The first takes 40 + 10 ms and is done at 50.  The urgent one
+ * follows with 30 + 10 ms, done at 90; then 20 + 10 ms, done at 120. */
 START_TEST (test_prefill_queue_by_hand)
 {
   ck_assert_int_eq (prefill (1, 40, BERYL_CLASS_NORMAL, NULL, 0, 0),
@@ -123,10 +123,10 @@
 }
 END_TEST
 
-/* Reckoned by hand: one stream alone makes a token each 30 ms; the second
- * one comes at 10 ms, joins after the step that ends at 30 ms, and then both
- * make a token each 40 ms: the first ends at 110 (3 tokens), the second
- * alone makes its last one 30 ms later, at 140. */
+/* One stream alone generates a token every 30 ms.  The second one arrives at
+ * 10 ms and joins after the step that ends at 30 ms; then both generate a
+ * token every 40 ms.  The first ends at 110 ms (3 tokens); the second
+ * generates its last token alone, 30 ms later, at 140 ms. */
 START_TEST (test_batch_by_hand)
 {
   struct engine_kv kv = { .output_tokens = 3 };
@@ -149,8 +149,8 @@
 }
 END_TEST
 
-/* Two prompts with the same first 20 tokens: the second prefill takes 20 ms
- * less.  The cache holds four blocks, so other prompts push them out. */
+/* Two prompts share their first 20 tokens: the second prefill takes 20 ms
+ * less.  The cache holds four blocks, so other prompts evict them. */
 START_TEST (test_prefix_cache_saves_and_evicts)
 {
   const uint64_t a[] = { 1, 2, 3 };
@@ -173,7 +173,8 @@
   struct engine_cache_change changes[32];
   size_t n
       = engine_cache_changes (engine_model_cache (engine), 0, changes, 32);
-  ck_assert_uint_eq (changes[0].block, 3); /* the chain's tail goes first */
+  ck_assert_uint_eq (changes[0].block,
+                     3); /* the tail of the chain is evicted first */
   int held = 0;
   for (size_t i = 0; i < n; i++)
     {
@@ -184,9 +185,9 @@
 }
 END_TEST
 
-/* A KV cache that nobody fetches is gone after 500 ms and counts as wasted;
- * one whose transfer has begun is kept until it ends.  The link sends one
- * after the other: 30 kB take 30 ms each. */
+/* A KV cache that is not fetched expires after 500 ms and counts as wasted;
+ * one whose transfer has begun is kept until it ends.  The link transfers one
+ * cache after the other: 30 kB take 30 ms each. */
 START_TEST (test_export_expires_and_link_is_shared)
 {
   struct beryl_stream_id stream;
@@ -206,14 +207,14 @@
   uint64_t third = nth_output (ENGINE_OUTPUT_PREFILL_DONE, 2)->handle;
   ck_assert_int_eq (engine_model_export (engine, third, NULL, &stream, 700),
                     ENGINE_GONE);
-  /* the first was read by nobody in the end, the third expired */
+  /* nobody used the first in the end, the third expired */
   ck_assert_uint_eq (engine_model_totals (engine)->wasted_prefill_tokens, 60);
   ck_assert_uint_eq (engine_model_totals (engine)->prefill_tokens, 90);
 }
 END_TEST
 
-/* A window of streams is cancelled: a queued and a running prefill go, a
- * stream outside of the window stays. */
+/* Cancelling a range of streams removes a queued and a running prefill; a
+ * stream outside the range stays. */
 START_TEST (test_cancel_window)
 {
   struct engine_load load;
@@ -230,9 +231,9 @@
 }
 END_TEST
 
-/* The reader's connection breaks after the first token.  It reads on with
- * attempt 2 and gets the same stream; attempt 1 gets nothing any more.  A
- * stream that nobody reads ends after a second and holds no slot. */
+/* The reader's connection breaks after the first token.  It resumes with
+ * attempt 2 and gets the same stream; attempt 1 gets nothing more.  A stream
+ * without a reader ends after a second and frees its slot. */
 START_TEST (test_resume_and_unread)
 {
   int reader[2];
@@ -268,8 +269,8 @@
 }
 END_TEST
 
-/* The engine freezes for 100 ms in the middle of a prefill; what was due
- * comes 100 ms later. */
+/* The engine freezes for 100 ms in the middle of a prefill; everything due is
+ * delayed by 100 ms. */
 START_TEST (test_freeze_shifts)
 {
   prefill (1, 40, BERYL_CLASS_NORMAL, NULL, 0, 0);
--- a/tests/router/test_load.c
+++ b/tests/router/test_load.c
@@ -101,7 +101,7 @@
   arrivals_destroy (a);
 }
 
-/* The same seed gives the same run, decision by decision. */
+/* The same seed reproduces a run, decision by decision. */
 START_TEST (test_runs_repeat)
 {
   struct sim_result a, b;
@@ -115,9 +115,9 @@
 }
 END_TEST
 
-/* More jobs come than the engines can decode.  Without admission every
- * caller waits until nearly all deadlines pass; with it, those that cannot
- * be served are told at once and the others get their answers. */
+/* More jobs arrive than the engines can decode.  Without admission control
+ * every caller waits until nearly all deadlines pass; with it, excess jobs are
+ * refused early and the others are answered in time. */
 START_TEST (test_overload_does_not_collapse)
 {
   struct sim_result planned, robin;
@@ -135,10 +135,9 @@
 }
 END_TEST
 
-/* The fleet of the demo at 1.3 of its capacity, deadlines of ten seconds.
- * Callers got most of their answers and were then cut off by their deadline,
- * with no fault about: decodes begun later than planned were begun all the
- * same. */
+/* Guards against answers cut off by their deadline without any fault, because
+ * decodes were started although they began later than planned.  Runs the demo
+ * fleet at 1.3 times its capacity with deadlines of ten seconds. */
 START_TEST (test_overload_cuts_no_answer)
 {
   struct scenario s;
--- a/tests/router/test_load_tool.c
+++ b/tests/router/test_load_tool.c
@@ -17,8 +17,7 @@
   strncat (events, "|", sizeof events - strlen (events) - 1);
 }
 
-/* An answer's events come in pieces that end anywhere; each event is taken
- * once and whole. */
+/* Events split at arbitrary positions are each delivered once and complete. */
 START_TEST (test_sse_in_pieces)
 {
   const char *text = "data: {\"a\":1}\n\n: note\r\ndata: two\r\n\r\n"
@@ -81,9 +80,9 @@
 }
 END_TEST
 
-/* A scenario's name with markup in it must not become markup of the page,
- * and a broken invariant must be said. */
-START_TEST (test_report_is_safe_and_plain)
+/* Guards against markup in a scenario's name becoming markup of the page, and
+ * against hiding a violated invariant. */
+START_TEST (test_report_escapes_markup)
 {
   char page[65536];
   json_t *runs = json_array ();
@@ -111,8 +110,8 @@
   return json;
 }
 
-/* All calls of a run went to one node: the given addresses were used as they
- * stood, not those that discovery names with their weights. */
+/* Guards against sending all calls to one node: the given addresses were used
+ * unchanged instead of the weighted ones from discovery. */
 START_TEST (test_entries_by_weight)
 {
   const struct caller_target seed = { .address = "127.0.0.1", .port = 1 };
@@ -135,7 +134,7 @@
   ck_assert_uint_eq (chosen[2], 750);
   ck_assert_uint_eq (chosen[3], 250);
   json_decref (answer);
-  /* An answer without instances does not take away those that are known. */
+  /* An answer without instances does not remove the known ones. */
   answer = entries_answer ("{\"ttl_ms\":5,\"entries\":[]}");
   ck_assert (!entries_take (e, answer));
   ck_assert_int_eq (entries_ttl_ms (e), 2000);
@@ -145,9 +144,10 @@
 }
 END_TEST
 
-/* A letter went out twice, and no key had been sent that could tell.  Calls
- * that must not run twice have the keys that the scenario asks for; a bound
- * one names the process it was minted for, and others have none. */
+/* Guards against calls that run twice because they carry no idempotency key.
+ * Calls that must not run twice carry the keys that the scenario asks for, a
+ * bound key names the process it was created for, and other calls carry none.
+ */
 START_TEST (test_keys_of_calls)
 {
   struct scenario s;
@@ -185,7 +185,7 @@
   TCase *tc = tcase_create ("load tool");
   tcase_add_test (tc, test_sse_in_pieces);
   tcase_add_test (tc, test_results_count);
-  tcase_add_test (tc, test_report_is_safe_and_plain);
+  tcase_add_test (tc, test_report_escapes_markup);
   tcase_add_test (tc, test_entries_by_weight);
   tcase_add_test (tc, test_keys_of_calls);
   suite_add_tcase (suite, tc);
--- a/tests/router/test_router.c
+++ b/tests/router/test_router.c
@@ -101,9 +101,9 @@
 }
 END_TEST
 
-/* Three slots on each of two engines are busy; the seventh advice must not
- * be prefilled until one of them ends, and then at once.  Otherwise its KV
- * cache would expire before a slot is free. */
+/* Guards against a prefill without a slot, whose KV cache would expire before
+ * one is free.  With all three slots of both engines busy, the seventh job
+ * must wait until a decode ends, and then start at once. */
 START_TEST (test_no_prefill_without_a_slot)
 {
   struct beryl_plan plan, first = { 0 };
@@ -136,10 +136,10 @@
 }
 END_TEST
 
-/* Both prefill engines have long dossiers queued while slots are free.  A
- * further one waits at the node, where it keeps its order, and goes out as
- * soon as a queue is short. */
-START_TEST (test_long_prefill_queue_waits_here)
+/* With long prefill backlogs at both engines a job waits in this node's queue,
+ * where it keeps its order, although slots are free, and starts as soon as a
+ * backlog is short. */
+START_TEST (test_long_prefill_backlog_queues_job)
 {
   struct beryl_plan plan;
   enum beryl_verdict verdict = BERYL_VERDICT_START;
@@ -160,9 +160,9 @@
 }
 END_TEST
 
-/* A caller asks for more than can be done before its deadline.  It is told
- * so at once and when to come back; nothing was started. */
-START_TEST (test_refuses_what_cannot_be_met)
+/* A job that cannot finish before its deadline is refused at once with a retry
+ * time, and nothing is started. */
+START_TEST (test_refuses_infeasible_deadline)
 {
   struct beryl_plan plan;
   struct beryl_job job = model_job (1, "north");
@@ -174,8 +174,8 @@
 }
 END_TEST
 
-/* All slots are taken, and one organisation sends on.  Its queue is cut at
- * its fair part while another organisation's job is still taken. */
+/* With all slots taken, an organisation that keeps sending is refused beyond
+ * its fair share, while a job of another organisation is still queued. */
 START_TEST (test_fair_share)
 {
   struct beryl_plan plan;
@@ -195,7 +195,7 @@
 }
 END_TEST
 
-START_TEST (test_rate_limit_says_when)
+START_TEST (test_rate_limit_returns_retry_time)
 {
   struct beryl_plan plan;
   struct beryl_job job = model_job (1, "limited");
@@ -211,8 +211,8 @@
 }
 END_TEST
 
-/* Long calls fill a plain service.  A counter clerk's urgent call must still
- * go out at once instead of queueing behind them. */
+/* Guards against an urgent call queueing behind non-urgent calls that fill a
+ * plain service. */
 START_TEST (test_urgent_passes_long_calls)
 {
   struct beryl_plan plan;
@@ -231,9 +231,10 @@
 }
 END_TEST
 
-/* Long calls of half a second come faster than they can run.  The queue stays
- * as long as their deadline of one second bears; the next one is refused at
- * once and told when to come back, instead of waiting for nothing. */
+/* Guards against callers that wait in vain: calls of half a second arrive
+ * faster than they can run.  The queue must stay within what their deadline of
+ * one second allows, and the next call is refused at once with a retry time.
+ */
 START_TEST (test_long_calls_are_refused_early)
 {
   struct beryl_plan plan;
@@ -262,9 +263,10 @@
 }
 END_TEST
 
-/* Eight nodes send long calls to two endpoints that run four at once each.
- * Six long calls may run in all; if the nodes without a slot of their own
- * took one more each, a clearance call would wait behind them. */
+/* Guards against non-urgent calls of many nodes using up the headroom for
+ * urgent ones.  Eight nodes send to two endpoints that run four calls each;
+ * six non-urgent calls may run, and the nodes without a slot must not add one
+ * more each. */
 START_TEST (test_long_calls_of_all_nodes_leave_headroom)
 {
   const char *const nodes[]
@@ -296,8 +298,8 @@
 }
 END_TEST
 
-/* One endpoint answers with errors only, then the other one as well.  The
- * first is left out; the last one is kept in use. */
+/* Guards against ejecting the last usable endpoint when first one and then the
+ * other returns only errors. */
 START_TEST (test_never_ejects_the_last)
 {
   struct beryl_plan plan;
@@ -312,9 +314,9 @@
 }
 END_TEST
 
-/* With late binding the slot is chosen after the prefill.  The engine says
- * that it is full, and the KV cache must go to the other one. */
-START_TEST (test_binds_elsewhere_after_a_refusal)
+/* With late binding the slot is chosen after the prefill.  If that engine
+ * refuses as full, the decode must be bound to the other one. */
+START_TEST (test_rebinds_after_refusal)
 {
   struct beryl_plan plan, bound;
   beryl_router_set_late_binding (router, true);
@@ -340,10 +342,10 @@
 }
 END_TEST
 
-/* A caller got most of its answer, then its deadline cut it off, without any
- * fault: the prefill had stood behind those of other nodes, then waited for a
- * slot, and the decode was begun with too little time left. */
-START_TEST (test_no_decode_that_the_deadline_would_cut)
+/* Guards against starting a decode that the deadline would cut off midway: the
+ * prefill queued behind those of other nodes, then waited for a slot, and too
+ * little time was left. */
+START_TEST (test_no_decode_past_its_deadline)
 {
   struct beryl_plan plan, bound;
   beryl_router_set_late_binding (router, true);
@@ -359,7 +361,7 @@
 }
 END_TEST
 
-/* Plans a job that has SPAN_MS at AT_MS and lets its decode begin LATE_MS
+/* Plans a job with a deadline SPAN_MS after AT_MS and binds its decode LATE_MS
  * later than planned. */
 static enum beryl_verdict
 run_late (uint64_t request, int64_t at_ms, int64_t span_ms, int64_t late_ms)
@@ -380,10 +382,11 @@
   return plan.verdict;
 }
 
-/* Decodes begin two seconds later than planned, since other nodes' prefills
- * go first.  Without learning it each job with little time is prefilled and
- * then given up; it must be refused before. */
-START_TEST (test_late_decodes_are_learned)
+/* Guards against prefilling jobs that are then given up.  Decodes start two
+ * seconds later than planned because prefills of other nodes go first; once
+ * that delay is learned, jobs with too little time must be refused before
+ * their prefill. */
+START_TEST (test_bind_delay_is_learned)
 {
   int64_t at_ms = NOW;
   beryl_router_set_late_binding (router, true);
@@ -398,9 +401,9 @@
 }
 END_TEST
 
-/* A preamble was prefilled at one engine a moment ago.  No cache event has
- * come yet, but the next dossier with it must go to the same engine. */
-START_TEST (test_own_routing_is_a_hint)
+/* A request with a preamble that was just prefilled at one engine must go to
+ * the same engine, even before any cache event has arrived. */
+START_TEST (test_own_routing_predicts_cache_hits)
 {
   struct beryl_plan plan;
   uint64_t blocks[20];
@@ -425,8 +428,8 @@
 }
 END_TEST
 
-/* Cache events of an engine are lost.  Its hits count for less until the
- * whole cache has been read again. */
+/* After lost cache events the expected hits of an engine are discounted until
+ * its cache has been resynced. */
 START_TEST (test_gap_lowers_trust)
 {
   struct beryl_plan plan;
@@ -451,8 +454,8 @@
 }
 END_TEST
 
-/* The configuration changes while calls run: d1 is gone, d3 is new.  Tickets
- * at d1 end without harm, and d3 takes work. */
+/* The configuration changes while calls run: d1 is removed and d3 added.
+ * Tickets at d1 must end cleanly, and d3 must get work. */
 START_TEST (test_config_change_keeps_tickets)
 {
   struct beryl_plan plans[2 * SLOTS], plan;
@@ -486,7 +489,7 @@
 }
 END_TEST
 
-/* Every baseline starts at once and takes its ticket back. */
+/* Every baseline policy starts jobs at once and releases their tickets. */
 START_TEST (test_baselines_start)
 {
   const enum beryl_policy policies[]
@@ -522,18 +525,18 @@
   tcase_add_test (tc, test_prefix_hash_is_chained);
   tcase_add_test (tc, test_shares_add_up);
   tcase_add_test (tc, test_no_prefill_without_a_slot);
-  tcase_add_test (tc, test_long_prefill_queue_waits_here);
-  tcase_add_test (tc, test_refuses_what_cannot_be_met);
+  tcase_add_test (tc, test_long_prefill_backlog_queues_job);
+  tcase_add_test (tc, test_refuses_infeasible_deadline);
   tcase_add_test (tc, test_fair_share);
-  tcase_add_test (tc, test_rate_limit_says_when);
+  tcase_add_test (tc, test_rate_limit_returns_retry_time);
   tcase_add_test (tc, test_urgent_passes_long_calls);
   tcase_add_test (tc, test_long_calls_are_refused_early);
   tcase_add_test (tc, test_long_calls_of_all_nodes_leave_headroom);
   tcase_add_test (tc, test_never_ejects_the_last);
-  tcase_add_test (tc, test_binds_elsewhere_after_a_refusal);
-  tcase_add_test (tc, test_no_decode_that_the_deadline_would_cut);
-  tcase_add_test (tc, test_late_decodes_are_learned);
-  tcase_add_test (tc, test_own_routing_is_a_hint);
+  tcase_add_test (tc, test_rebinds_after_refusal);
+  tcase_add_test (tc, test_no_decode_past_its_deadline);
+  tcase_add_test (tc, test_bind_delay_is_learned);
+  tcase_add_test (tc, test_own_routing_predicts_cache_hits);
   tcase_add_test (tc, test_gap_lowers_trust);
   tcase_add_test (tc, test_config_change_keeps_tickets);
   tcase_add_test (tc, test_baselines_start);
