--- a/include/beryl/engine_load.h
+++ b/include/beryl/engine_load.h
@@ -19,7 +19,7 @@
   uint32_t engine;  /**< beryl_live_hash of the engine; 0: waiting for one */
   uint32_t service; /**< beryl_name_hash of the service, while waiting */
   uint32_t prompt_tokens;
-  uint32_t expected_tokens;  /**< estimate of the whole output */
+  uint32_t expected_tokens;  /**< estimate of the total output */
   uint32_t generated_tokens; /**< tokens generated so far */
   bool started;              /**< streaming; false: only reserved */
   bool suspect;              /**< may crash its engine */
--- a/include/beryl/limits.h
+++ b/include/beryl/limits.h
@@ -24,10 +24,10 @@
 /** Cluster state that limits depend on. */
 struct beryl_limit_cluster
 {
-  double reachable_fraction;  /**< fraction of the nodes that can be reached, 0
-                                 to 1 */
-  double concurrent_requests; /**< expected requests of all nodes within one
-                                 propagation delay */
+  double reachable_fraction; /**< fraction of the nodes that can be reached, 0
+                                to 1 */
+  double concurrent;         /**< expected requests of all nodes within one
+                                         propagation delay */
 };
 
 /** Create an instance without limits. */
--- a/include/beryl/live.h
+++ b/include/beryl/live.h
@@ -89,7 +89,7 @@
   int64_t unreported_updated_ms; /**< when unreported_tokens was updated */
   int64_t combined_run_ms;       /**< when it was last given a prompt without a
                                     separate prefill */
-  int64_t full_until_ms;  /**< do not ask again before; it answered that it is
+  int64_t full_until_ms;  /**< do not send work before; it answered that it is
                              full */
   uint32_t open_prefills; /**< open prefills of this node */
   uint64_t open_prefill_tokens; /**< prompt tokens of the open prefills */
--- a/include/beryl/router.h
+++ b/include/beryl/router.h
@@ -49,7 +49,8 @@
   size_t block_count;
   int64_t arrived_ms;
   int64_t deadline_ms;     /**< absolute; BERYL_NEVER_MS: none */
-  uint32_t excluded_count; /**< entries in excluded */
+  uint32_t excluded_count; /**< number of endpoints that already failed the
+                              request */
   const char *const *excluded;
 };
 
--- a/libberyl/base/guard.h
+++ b/libberyl/base/guard.h
@@ -25,15 +25,17 @@
   BERYL_GUARD_OFFSET_DEDUPE, /**< duplicate bytes are dropped */
   BERYL_GUARD_OFFSET_ORDER,  /**< out-of-order bytes wait for the missing ones
                               */
-  BERYL_GUARD_WHOLE, /**< a stream ends only when all bytes have arrived */
-  BERYL_GUARD_MIX,   /**< after the first byte a stream may only be resumed */
+  BERYL_GUARD_COMPLETE, /**< a stream ends only when all bytes have arrived */
+  BERYL_GUARD_RESUME_ONLY, /**< after the first byte a stream may only be
+                              resumed */
   BERYL_GUARD_HOLD_FIRST,  /**< a hold is recorded before it is created */
-  BERYL_GUARD_CANCEL_GONE, /**< holds are cancelled when the caller disconnects
-                            */
-  BERYL_GUARD_CANCEL_REPEAT, /**< a cancel is repeated until confirmed */
-  BERYL_GUARD_CANCEL_SETTLE, /**< an early confirmation of a cancel is not
-                                final */
-  BERYL_GUARD_DRAIN_WAIT,    /**< shutdown waits for open requests */
+  BERYL_GUARD_CANCEL_DISCONNECT, /**< holds are cancelled when the caller
+                                  * disconnects
+                                  */
+  BERYL_GUARD_CANCEL_REPEAT,     /**< a cancel is repeated until confirmed */
+  BERYL_GUARD_CANCEL_SETTLE,     /**< an early confirmation of a cancel is not
+                                    final */
+  BERYL_GUARD_DRAIN_WAIT,        /**< shutdown waits for open requests */
   BERYL_GUARD_CLAIM_FIRST,  /**< no byte is sent before the claim is granted */
   BERYL_GUARD_CLAIM_CREATE, /**< a claim segment is created only if absent */
   BERYL_GUARD_CLAIM_NONCE,  /**< a lost reply is resolved by reading back the
@@ -51,8 +53,8 @@
   BERYL_GUARD_FORWARDED_KEY, /**< a forwarded key is never run as a new one */
   BERYL_GUARD_CHECKPOINT_WHOLE, /**< segments are deleted only after a
                                    checkpoint */
-  BERYL_GUARD_WAKE_REST,        /**< a resumed process reads before it plans */
-  BERYL_GUARD_DEATH_HEARD,      /**< a node that is heard from is not dead */
+  BERYL_GUARD_CATCH_UP,         /**< a resumed process reads before it plans */
+  BERYL_GUARD_DEATH_CONTACT,    /**< a node that is heard from is not dead */
   BERYL_GUARD_CLEANUP_SETTLE, /**< as CANCEL_SETTLE, for streams of dead nodes
                                */
   BERYL_GUARD_COUNT,
--- a/libberyl/base/guard_control.h
+++ b/libberyl/base/guard_control.h
@@ -13,7 +13,7 @@
   BERYL_GUARD_LEASE_WAIT = 101, /**< others wait for the full lease time */
   BERYL_GUARD_LEASE_SENT,       /**< the lease runs from the time of sending */
   BERYL_GUARD_LEASE_EARLY,      /**< the holder stops before its lease ends */
-  BERYL_GUARD_LEASE_OLD_READ,   /**< an older version is ignored */
+  BERYL_GUARD_LEASE_STALE_READ, /**< an older version is ignored */
   BERYL_GUARD_LEASE_SETTLED,    /**< late orders of the former holder settle
                                    before new ones are sent */
   BERYL_GUARD_ACCEPT_CURRENT, /**< a node with an outdated view does not accept
@@ -24,9 +24,10 @@
   BERYL_GUARD_SPREAD_GAP,    /**< log entries are applied without gaps */
   BERYL_GUARD_SPREAD_NEWER,  /**< a snapshot never moves state backwards */
   BERYL_GUARD_MEMBER_SILENT, /**< only a silent member can be declared dead */
-  BERYL_GUARD_MEMBER_LASTING, /**< a member must be absent for some time */
-  BERYL_GUARD_MEMBER_NEWER, /**< messages of a previous incarnation are ignored
-                             */
+  BERYL_GUARD_MEMBER_ABSENCE,     /**< a member must be absent for some time */
+  BERYL_GUARD_MEMBER_INCARNATION, /**< messages of a previous incarnation are
+                                   * ignored
+                                   */
   BERYL_GUARD_MEMBER_REFUTE, /**< a live member refutes its reported death */
 };
 
--- a/libberyl/forward/rates.c
+++ b/libberyl/forward/rates.c
@@ -43,8 +43,7 @@
 
   return (struct beryl_limit_cluster){
     .reachable_fraction = heard_part (f, now_ms),
-    .concurrent_requests
-    = requests * f->nodes * TOLD_MS / (double)repeats.window_ms,
+    .concurrent = requests * f->nodes * TOLD_MS / (double)repeats.window_ms,
   };
 }
 
--- a/libberyl/lease/lease.c
+++ b/libberyl/lease/lease.c
@@ -251,7 +251,7 @@
                const struct beryl_lease_record *record, int64_t now_ms)
 {
   if (lease->seen_any
-      && !BERYL_GUARD (BERYL_GUARD_LEASE_OLD_READ,
+      && !BERYL_GUARD (BERYL_GUARD_LEASE_STALE_READ,
                        record->version > lease->seen.version))
     return;
   lease->seen = *record;
--- a/libberyl/limits/limits.c
+++ b/libberyl/limits/limits.c
@@ -28,10 +28,10 @@
 {
   uint32_t endpoint;
   struct beryl_rate_limit rate;
-  uint32_t answer_kind; /* kind of answer that carries the limit */
-  int64_t changed_ms;   /* when the limit began or ended */
-  int64_t confirmed_ms; /* time of the newest known answer */
-  double tokens;        /* negative if overdrawn */
+  uint32_t answer_kind;   /* kind of answer that carries the limit */
+  int64_t state_since_ms; /* when the limit began or ended */
+  int64_t confirmed_ms;   /* time of the newest known answer */
+  double tokens;          /* below 0 if overdrawn */
   int64_t refilled_ms;
   uint32_t sent; /* requests sent by this node */
   bool changed;  /* changed since the last export */
@@ -109,7 +109,7 @@
     }
   limit = &limits->items[limits->count++];
   *limit = (struct limit){ .endpoint = endpoint,
-                           .changed_ms = now_ms,
+                           .state_since_ms = now_ms,
                            .confirmed_ms = now_ms,
                            .refilled_ms = now_ms };
   return limit;
@@ -135,7 +135,7 @@
   if (rates_equal (&limit->rate, rate))
     return false;
   if (starts || !rate->advertised)
-    limit->changed_ms = now_ms;
+    limit->state_since_ms = now_ms;
   if (starts)
     {
       limit->tokens = 0;
@@ -161,7 +161,7 @@
     limit = limit_add (limits, endpoint, now_ms);
   else if (!rate->advertised
            && (answer_kind != limit->answer_kind
-               || sent_ms <= limit->changed_ms))
+               || sent_ms <= limit->state_since_ms))
     return false;
   limit->answer_kind = answer_kind;
   if (!limit_set (limit, rate, now_ms, now_ms))
@@ -194,7 +194,7 @@
     limit->tokens = capacity;
 }
 
-/* Other nodes see the same token at the same moment.  Of all requests that may
+/* All nodes see the same token at the same time.  Of all requests that may
  * compete for it before their nodes learn of each other's sends, on average as
  * many pass as there are tokens. */
 bool
@@ -207,8 +207,7 @@
   if (limit == NULL || !limit->rate.advertised)
     return true;
   refill (limit, cluster, now_ms);
-  return limit->tokens >= 1
-         && chance * cluster->concurrent_requests <= limit->tokens;
+  return limit->tokens >= 1 && chance * cluster->concurrent <= limit->tokens;
 }
 
 void
@@ -252,7 +251,7 @@
 static bool
 needs_export (const struct limit *limit, int64_t now_ms)
 {
-  return limit->changed || now_ms - limit->changed_ms < ANNOUNCE_MS;
+  return limit->changed || now_ms - limit->state_since_ms < ANNOUNCE_MS;
 }
 
 static void
--- a/libberyl/membership/membership.c
+++ b/libberyl/membership/membership.c
@@ -242,7 +242,7 @@
       || !BERYL_GUARD (BERYL_GUARD_MEMBER_SILENT,
                        slot->member.state == BERYL_MEMBER_SUSPECT
                            && now_ms - slot->suspect_ms >= m->witness_ms)
-      || !BERYL_GUARD (BERYL_GUARD_MEMBER_LASTING,
+      || !BERYL_GUARD (BERYL_GUARD_MEMBER_ABSENCE,
                        now_ms - slot->unlisted_ms >= m->witness_ms))
     return;
   slot->member.state = BERYL_MEMBER_DEAD;
--- a/libberyl/membership/table.c
+++ b/libberyl/membership/table.c
@@ -184,7 +184,7 @@
       slot = table_insert (m, record);
       return slot != NULL && slot_replace (m, slot, record, now_ms);
     }
-  if (!BERYL_GUARD (BERYL_GUARD_MEMBER_NEWER,
+  if (!BERYL_GUARD (BERYL_GUARD_MEMBER_INCARNATION,
                     record->incarnation >= slot->member.incarnation))
     return false;
   if (record->incarnation != slot->member.incarnation)
--- a/libberyl/planner/arrange.c
+++ b/libberyl/planner/arrange.c
@@ -48,8 +48,8 @@
 engine_order (struct engine *e, const char *model, const char *version,
               enum beryl_role role, const char *reason)
 {
-  copy_name (e->ordered_model, model);
-  copy_name (e->ordered_version, version);
+  planner_copy_name (e->ordered_model, model);
+  planner_copy_name (e->ordered_version, version);
   e->ordered_role = role;
   e->ordered = true;
   e->order_sent_ms = 0;
--- a/libberyl/planner/planner.c
+++ b/libberyl/planner/planner.c
@@ -185,7 +185,7 @@
 }
 
 void
-copy_name (char to[BERYL_NAME_BYTES], const char *from)
+planner_copy_name (char to[BERYL_NAME_BYTES], const char *from)
 {
   size_t bytes = from != NULL ? strnlen (from, BERYL_NAME_BYTES - 1) : 0;
 
@@ -213,8 +213,8 @@
       e->ordered = false;
       return;
     }
-  copy_name (e->model, state->model);
-  copy_name (e->version, state->version);
+  planner_copy_name (e->model, state->model);
+  planner_copy_name (e->version, state->version);
   e->role = state->role;
   e->loading = state->loading;
   e->ready = state->ready;
@@ -229,7 +229,7 @@
       return &s->nodes[i];
   if (s->node_count == DEMAND_NODES_MAX)
     return NULL;
-  copy_name (s->nodes[s->node_count].node, node);
+  planner_copy_name (s->nodes[s->node_count].node, node);
   return &s->nodes[s->node_count++];
 }
 
--- a/libberyl/planner/private.h
+++ b/libberyl/planner/private.h
@@ -82,7 +82,7 @@
                                  const char *name);
 
 /** Copy a name, truncated if needed; NULL gives "". */
-void copy_name (char to[BERYL_NAME_BYTES], const char *from);
+void planner_copy_name (char to[BERYL_NAME_BYTES], const char *from);
 
 /** Update the target numbers of engines of SERVICE. */
 void service_size (struct beryl_planner *p, struct service *s, int64_t now_ms);
--- a/libberyl/relay/relay.c
+++ b/libberyl/relay/relay.c
@@ -6,8 +6,8 @@
 #define MIN_NODES 8
 /* Fractions of the time in which a change must be known: how long a follower
  * waits for silent watchers before it reads the list itself, and how often a
- * watcher's call is answered.  Each follower hears two watchers, so the loss
- * of one makes no follower read the list. */
+ * watcher's call is answered.  Each follower is updated by two watchers, so
+ * the loss of one makes no follower read the list. */
 #define SILENCE_FRACTION 0.4
 #define POLL_FRACTION 0.3
 
--- a/libberyl/requests/answer.c
+++ b/libberyl/requests/answer.c
@@ -223,7 +223,7 @@
   bool detachable = request->plain && request->phase == PHASE_SERVICE
                     && request->record != NULL && request->record->keyed;
 
-  if (!BERYL_GUARD (BERYL_GUARD_CANCEL_GONE, detachable))
+  if (!BERYL_GUARD (BERYL_GUARD_CANCEL_DISCONNECT, detachable))
     return false;
   map_remove (&requests->by_handle,
               map_key_from_number (request->call.request));
--- a/libberyl/requests/attempt.c
+++ b/libberyl/requests/attempt.c
@@ -201,7 +201,7 @@
     return "caller gone";
   /* Another engine's continuation differs: after the first byte has gone
    * out, the caller would read two texts as one. */
-  if (!BERYL_GUARD (BERYL_GUARD_MIX, !request->begun))
+  if (!BERYL_GUARD (BERYL_GUARD_RESUME_ONLY, !request->begun))
     return "the answer had begun";
   /* A call that may have run must not run again: a station would be billed
    * twice. */
--- a/libberyl/requests/attempt_event.c
+++ b/libberyl/requests/attempt_event.c
@@ -195,7 +195,7 @@
 
   /* An end before all bytes are there would pass a part for the whole; it
    * is a cut, and the rest is asked for. */
-  if (!BERYL_GUARD (BERYL_GUARD_WHOLE,
+  if (!BERYL_GUARD (BERYL_GUARD_COMPLETE,
                     !sized || request->reassembly.next == whole))
     {
       on_failed (requests, request, true, "bytes are missing", now_ms);
--- a/libberyl/requests/death.c
+++ b/libberyl/requests/death.c
@@ -17,7 +17,7 @@
 {
   return evidence->list_current && !evidence->listed
          && now_ms - evidence->delisted_ms >= BERYL_DEATH_DELISTED_MS
-         && BERYL_GUARD (BERYL_GUARD_DEATH_HEARD,
+         && BERYL_GUARD (BERYL_GUARD_DEATH_CONTACT,
                          now_ms - evidence->last_heard_ms
                              >= BERYL_DEATH_DELISTED_MS);
 }
--- a/libberyl/requests/plan.c
+++ b/libberyl/requests/plan.c
@@ -78,7 +78,7 @@
   bool steady = requests->last_event_ms == INT64_MIN
                 || now_ms - requests->last_event_ms < GAP_MS;
 
-  if (!BERYL_GUARD (BERYL_GUARD_WAKE_REST, steady))
+  if (!BERYL_GUARD (BERYL_GUARD_CATCH_UP, steady))
     requests->plan_from_ms = now_ms + CATCH_UP_MS;
   requests->last_event_ms = now_ms;
 }
--- a/libberyl/router/cost.c
+++ b/libberyl/router/cost.c
@@ -17,12 +17,13 @@
 {
   double bytes = prompt_tokens;
   bytes *= s->model ? s->model->kv_bytes_per_token : 0;
-  double learned = estimate_line_at (&s->transfer_ms, bytes / MEGABYTE);
+  double estimated_ms = estimate_line_at (&s->transfer_ms, bytes / MEGABYTE);
   uint64_t rate = from->config->link_bytes_per_s;
   if (to && to->config->link_bytes_per_s
       && (rate == 0 || to->config->link_bytes_per_s < rate))
     rate = to->config->link_bytes_per_s;
-  return rate ? fmax (learned, bytes * 1000 / (double)rate) : learned;
+  return rate ? fmax (estimated_ms, bytes * 1000 / (double)rate)
+              : estimated_ms;
 }
 
 /* Assumes full batches: a job planned while engines are empty must still meet
@@ -37,8 +38,8 @@
 double
 cost_decode_ms (const struct router_service *s, uint32_t max_tokens, double z)
 {
-  double part = estimate_mean_plus_sd (&s->length_ratio, z);
-  part = fmin (1, fmax (0.01, part));
+  double fraction = estimate_mean_plus_sd (&s->length_ratio, z);
+  fraction = fmin (1, fmax (0.01, fraction));
   double batch = fmax (full_batch (s), ROUTER_DEFAULT_SLOTS);
-  return part * max_tokens * estimate_line_at (&s->interval_ms, batch);
+  return fraction * max_tokens * estimate_line_at (&s->interval_ms, batch);
 }
--- a/libberyl/router/private.h
+++ b/libberyl/router/private.h
@@ -101,7 +101,7 @@
 {
   const struct beryl_organisation *config;
   uint32_t open; /**< number of waiting jobs and tickets */
-  double tokens; /**< token bucket of the rate limit */
+  double tokens; /**< tokens in the rate limit's bucket */
   int64_t refilled_ms;
 };
 
@@ -188,7 +188,8 @@
   struct router_waiting *waiting; /**< in scheduling order */
   size_t waiting_count;
   size_t waiting_capacity;
-  int64_t capacity_freed_ms; /**< when capacity was last freed */
+  int64_t capacity_freed_ms; /**< when capacity was freed for waiting jobs;
+                                BERYL_NEVER_MS: none since the last planning */
   struct prefix_index *prefix;
 };
 
--- a/libberyl/stages/stages.c
+++ b/libberyl/stages/stages.c
@@ -31,7 +31,7 @@
                          */
   int64_t first_order_ms; /* time of the first order; 0: none yet */
   size_t initial_prefill; /* prefill engines before the first order */
-  bool measured;          /* orders since then follow a measured mix */
+  bool measured;          /* the mix has been measured */
 };
 
 struct beryl_stages *
--- a/tests/limits/test_limits.c
+++ b/tests/limits/test_limits.c
@@ -142,8 +142,7 @@
 {
   int64_t end_ms = now_ms + RUN_MS;
 
-  fleet.cluster.concurrent_requests
-      = per_s * (SEND_DELAY_MS + LATENCY_MS) / 1000;
+  fleet.cluster.concurrent = per_s * (SEND_DELAY_MS + LATENCY_MS) / 1000;
   for (; now_ms < end_ms; now_ms++)
     {
       deliver ();
@@ -185,7 +184,7 @@
 assert_limit_kept (double per_s)
 {
   ck_assert_msg (max_in_window () <= 1.5 * per_s * WINDOW_MS / 1000 + 5,
-                 "%u in some window, %u in all", max_in_window (),
+                 "%u sends in one window, %u in total", max_in_window (),
                  fleet.send_count);
 }
 
--- a/tests/relay/test_announce.c
+++ b/tests/relay/test_announce.c
@@ -76,8 +76,8 @@
 }
 END_TEST
 
-/* An idle fleet sends heartbeats: twice a second in a small one, less often in
- * a large one. */
+/* Guards against missing or excessive heartbeats: an idle fleet sends them
+ * twice a second if small, less often if large. */
 START_TEST (test_heartbeats)
 {
   struct beryl_announce small = { .local_count = 3, .remote_count = 4 };
--- a/tests/requests/mutants.c
+++ b/tests/requests/mutants.c
@@ -24,12 +24,13 @@
   = { "OFFSET_DEDUPE", "bytes are delivered once", 3 },
   [BERYL_GUARD_OFFSET_ORDER]
   = { "OFFSET_ORDER", "early bytes wait for the gap", 1 },
-  [BERYL_GUARD_WHOLE] = { "WHOLE", "an end without all bytes is no end", 4 },
-  [BERYL_GUARD_MIX]
+  [BERYL_GUARD_COMPLETE]
+  = { "WHOLE", "an end without all bytes is no end", 4 },
+  [BERYL_GUARD_RESUME_ONLY]
   = { "MIX", "after the first byte there is only a resume", 48 },
   [BERYL_GUARD_HOLD_FIRST]
   = { "HOLD_FIRST", "a hold is recorded before it is made", 1 },
-  [BERYL_GUARD_CANCEL_GONE]
+  [BERYL_GUARD_CANCEL_DISCONNECT]
   = { "CANCEL_GONE", "a gone caller's holds are cancelled", 10 },
   [BERYL_GUARD_CANCEL_REPEAT]
   = { "CANCEL_REPEAT", "a cancel is repeated until confirmed", 15 },
@@ -62,9 +63,9 @@
       "free_key_forwarded_here.txt" },
   [BERYL_GUARD_CHECKPOINT_WHOLE]
   = { "CHECKPOINT_WHOLE", "segments go only after they are folded", 89 },
-  [BERYL_GUARD_WAKE_REST]
+  [BERYL_GUARD_CATCH_UP]
   = { "WAKE_REST", "a woken process reads before it plans", 717 },
-  [BERYL_GUARD_DEATH_HEARD]
+  [BERYL_GUARD_DEATH_CONTACT]
   = { "DEATH_HEARD", "a node that others hear is not dead", 2 },
   [BERYL_GUARD_CLEANUP_SETTLE]
   = { "CLEANUP_SETTLE", "as CANCEL_SETTLE, for a dead process", 3243 },
--- a/tests/router/test_engine_http.c
+++ b/tests/router/test_engine_http.c
@@ -23,38 +23,38 @@
 static struct engine_server *engine;
 
 static void
-take_head (struct http_call_handler *h, struct http_call *call,
-           unsigned int status)
+on_head (struct http_call_handler *h, struct http_call *call,
+         unsigned int status)
 {
   ((struct result *)h)->status = status;
 }
 
 static void
-take_data (struct http_call_handler *h, struct http_call *call,
-           const void *bytes, size_t n)
+on_data (struct http_call_handler *h, struct http_call *call,
+         const void *bytes, size_t n)
 {
   g_string_append_len (((struct result *)h)->body, bytes, (gssize)n);
 }
 
 static void
-take_done (struct http_call_handler *h, struct http_call *call)
+on_done (struct http_call_handler *h, struct http_call *call)
 {
   loop_quit (((struct result *)h)->loop);
 }
 
 static void
-take_failed (struct http_call_handler *h, struct http_call *call, bool sent,
-             const char *reason)
+on_failed (struct http_call_handler *h, struct http_call *call, bool sent,
+           const char *reason)
 {
   ((struct result *)h)->failed = true;
   loop_quit (((struct result *)h)->loop);
 }
 
 static const struct http_call_handler_impl result_impl = {
-  .head = take_head,
-  .data = take_data,
-  .done = take_done,
-  .failed = take_failed,
+  .head = on_head,
+  .data = on_data,
+  .done = on_done,
+  .failed = on_failed,
 };
 
 static struct http_call *
@@ -78,14 +78,15 @@
 
 static json_t *
 call (const char *method, const char *path, const char *body,
-      unsigned int want)
+      unsigned int expected)
 {
   struct result r;
 
   begin (&r, method, path, body);
   loop_run (loop);
   ck_assert (!r.failed);
-  ck_assert_msg (r.status == want, "%s: %u %s", path, r.status, r.body->str);
+  ck_assert_msg (r.status == expected, "%s: %u %s", path, r.status,
+                 r.body->str);
   json_t *json = json_loads (r.body->str, 0, NULL);
   g_string_free (r.body, TRUE);
   return json;
@@ -204,14 +205,14 @@
   char *text = answer_text (r.body->str, &done);
   uint64_t seed = engine_text_seed ("some prompt", 11);
   uint32_t tokens = engine_text_tokens (seed, 50);
-  char want[512];
+  char expected[512];
 
-  engine_text_write (seed, 0, tokens, want);
-  ck_assert_str_eq (text, want);
+  engine_text_write (seed, 0, tokens, expected);
+  ck_assert_str_eq (text, expected);
   ck_assert_ptr_nonnull (done);
   ck_assert_int_eq (
       json_integer_value (json_object_get (done, "answer_bytes")),
-      strlen (want));
+      strlen (expected));
   json_decref (done);
   json_t *truth = call ("GET", "/standin/truth", NULL, 200);
 
--- a/tests/router/test_engine_model.c
+++ b/tests/router/test_engine_model.c
@@ -207,7 +207,7 @@
   uint64_t third = nth_output (ENGINE_OUTPUT_PREFILL_DONE, 2)->handle;
   ck_assert_int_eq (engine_model_export (engine, third, NULL, &stream, 700),
                     ENGINE_GONE);
-  /* nobody used the first in the end, the third expired */
+  /* the first was not used in the end, the third expired */
   ck_assert_uint_eq (engine_model_totals (engine)->wasted_prefill_tokens, 60);
   ck_assert_uint_eq (engine_model_totals (engine)->prefill_tokens, 90);
 }
--- a/tests/router/test_load.c
+++ b/tests/router/test_load.c
@@ -15,10 +15,10 @@
     histogram_record (h, i);
   for (int p = 1; p <= 100; p++)
     {
-      double want = p * 1000.0;
+      double expected = p * 1000.0;
       double got = (double)histogram_percentile_us (h, p);
-      ck_assert_double_ge (got, want);
-      ck_assert_double_le (got, want * 1.01);
+      ck_assert_double_ge (got, expected);
+      ck_assert_double_le (got, expected * 1.01);
     }
   ck_assert_int_eq (histogram_max_us (h), 100000);
   struct histogram *sum = histogram_create ();
@@ -48,8 +48,8 @@
       ck_assert (i == 0 || a->items[i].at_us >= a->items[i - 1].at_us);
       jobs += a->items[i].type == ARRIVAL_LONG;
     }
-  double want = 100 * scenario_capacity_per_s (&s);
-  ck_assert_double_eq_tol ((double)jobs, want, 0.15 * want);
+  double expected = 100 * scenario_capacity_per_s (&s);
+  ck_assert_double_eq_tol ((double)jobs, expected, 0.15 * expected);
   arrivals_destroy (a);
   arrivals_destroy (b);
 }
--- a/tests/router/test_load_tool.c
+++ b/tests/router/test_load_tool.c
@@ -11,7 +11,7 @@
 static char events[256];
 
 static void
-take (const char *data, void *user)
+on_event (const char *data, void *user)
 {
   strncat (events, data, sizeof events - strlen (events) - 1);
   strncat (events, "|", sizeof events - strlen (events) - 1);
@@ -24,7 +24,7 @@
                      "data: [DONE]\n\n";
   for (size_t piece = 1; piece < strlen (text); piece++)
     {
-      struct sse *sse = sse_create (take, NULL);
+      struct sse *sse = sse_create (on_event, NULL);
       events[0] = '\0';
       for (size_t at = 0; at < strlen (text); at += piece)
         {
