--- a/libberyl/planner/sizer.c
+++ b/libberyl/planner/sizer.c
@@ -105,11 +105,10 @@
 {
   double peak = UNKNOWN;
 
-  for (int64_t forecast_load = s->step_ms;
-       forecast_load <= s->horizon_ms + s->step_ms;
-       forecast_load += s->step_ms)
+  for (int64_t ahead_ms = s->step_ms; ahead_ms <= s->horizon_ms + s->step_ms;
+       ahead_ms += s->step_ms)
     {
-      size_t step = step_at (s, day_ms + forecast_load);
+      size_t step = step_at (s, day_ms + ahead_ms);
 
       if (s->profile[step] > peak)
         peak = s->profile[step];
--- a/libberyl/router/planned.c
+++ b/libberyl/router/planned.c
@@ -242,10 +242,9 @@
     .call_class = job->call_class,
     .deadline_ms = job->deadline_ms,
   };
-  size_t queued = waiting_find (r, job->request);
-  w.over_share = queued != SIZE_MAX
-                     ? r->waiting[queued].over_share
-                     : exceeds_fair_share (r, s, w.organisation, 0);
+  size_t at = waiting_find (r, job->request);
+  w.over_share = at != SIZE_MAX ? r->waiting[at].over_share
+                                : exceeds_fair_share (r, s, w.organisation, 0);
   return w;
 }
 
