--- a/include/beryl/forward.h
+++ b/include/beryl/forward.h
@@ -203,7 +203,7 @@
 /** Create an instance. LIVES and OWNER must outlive it. */
 struct beryl_forward *
 beryl_forward_create (const struct beryl_forward_settings *settings,
-                      struct beryl_lives *lives,
+                      struct beryl_live_set *lives,
                       struct beryl_forward_owner *owner);
 
 /** Free FORWARD without calling any action; NULL is allowed. */
@@ -327,7 +327,7 @@
 /** Apply a peer's report of rate limits and of the requests it sends to the
  * limited endpoints. */
 void beryl_forward_peer_limits (struct beryl_forward *forward,
-                                const struct beryl_limits_news *reports,
+                                const struct beryl_limits_update *reports,
                                 int64_t now_ms);
 
 /** The set of endpoints has changed: requests that wait for an engine try
@@ -343,11 +343,11 @@
 /** Add to REPORTS the endpoint states that this node has detected by its own
  * calls; apply those that PEER (or another component of this node) reports. */
 void beryl_forward_endpoint_reports (const struct beryl_forward *forward,
-                                     struct beryl_endpoint_news *reports,
+                                     struct beryl_endpoint_updates *reports,
                                      int64_t now_ms);
 void beryl_forward_peer_endpoint_reports (
     struct beryl_forward *forward, const char *peer,
-    const struct beryl_endpoint_news *reports, int64_t now_ms);
+    const struct beryl_endpoint_updates *reports, int64_t now_ms);
 
 /** Write this node's profiles of its services' generations; apply those of
  * PEER. */
@@ -383,7 +383,7 @@
                            struct beryl_engine_run *runs, size_t most,
                            int64_t now_ms);
 
-/** ENGINE (a beryl_live_number) has the prompt with KEY cached. */
+/** ENGINE (a beryl_live_hash) has the prompt with KEY cached. */
 void beryl_forward_prompt_cached (struct beryl_forward *forward, uint32_t key,
                                   uint32_t engine, int64_t now_ms);
 
--- a/libberyl/base/map.c
+++ b/libberyl/base/map.c
@@ -73,7 +73,7 @@
 }
 
 /* Moves later entries of the probe sequence into the hole, so that no
- * deleted-entry markers pile up. */
+ * tombstones accumulate. */
 void
 map_remove (struct map *map, struct map_key key)
 {
@@ -92,10 +92,10 @@
        i = (i + 1) & (map->capacity - 1))
     {
       size_t home = key_slot (map, map->slots[i].key);
-      size_t reach = (i - home) & (map->capacity - 1);
-      size_t gap = (i - hole) & (map->capacity - 1);
+      size_t probe_distance = (i - home) & (map->capacity - 1);
+      size_t hole_distance = (i - hole) & (map->capacity - 1);
 
-      if (reach < gap)
+      if (probe_distance < hole_distance)
         continue;
       map->slots[hole] = map->slots[i];
       map->slots[i].value = NULL;
@@ -111,13 +111,13 @@
 }
 
 struct map_key
-map_key_number (uint64_t number)
+map_key_from_number (uint64_t number)
 {
   return (struct map_key){ .high = number };
 }
 
 struct map_key
-map_key_digest (const char *scope, const char *name)
+map_key_from_digest (const char *scope, const char *name)
 {
   unsigned char digest[EVP_MAX_MD_SIZE] = { 0 };
   struct map_key key;
--- a/libberyl/forward/answer.c
+++ b/libberyl/forward/answer.c
@@ -72,9 +72,9 @@
   relocate_end (f, r);
   forward_request_count_run (r);
   kv_clear (f, &r->kv);
-  beryl_live_learn (x->endpoint,
-                    error ? BERYL_LIVE_FAILED : BERYL_LIVE_ANSWERED, took_ms,
-                    now_ms);
+  beryl_live_record_outcome (x->endpoint,
+                             error ? BERYL_LIVE_FAILED : BERYL_LIVE_ANSWERED,
+                             took_ms, now_ms);
   if (!forward_request_is_generation (r))
     service_learn_answer_time (r->service, took_ms);
   forward_request_log (f, r, "head", x->endpoint, error ? "error" : "answered",
--- a/libberyl/forward/backlog.c
+++ b/libberyl/forward/backlog.c
@@ -38,7 +38,7 @@
 {
   return r->service->waiting
          + run_table_waiting (&f->run_table,
-                              beryl_engine_number (r->service->name), now_ms);
+                              beryl_name_hash (r->service->name), now_ms);
 }
 
 /* Waiting requests ask once per round, and as many new ones arrive as runs
@@ -66,7 +66,7 @@
 static int64_t
 random_retry_ms (struct beryl_forward *f, int64_t max_ms)
 {
-  double part = 1 - RETRY_RANDOM_PART * random_part (&f->random);
+  double part = 1 - RETRY_RANDOM_PART * random_unit (&f->random);
 
   return (int64_t)(part * (double)max_ms);
 }
--- a/libberyl/forward/balance.c
+++ b/libberyl/forward/balance.c
@@ -24,7 +24,7 @@
 static bool
 engine_is_leaving (const struct request *r)
 {
-  return !beryl_live_takes_work (r->reservation.endpoint);
+  return !beryl_live_accepts_work (r->reservation.endpoint);
 }
 
 /* Returns whether R is the run that its engine would preempt next for lack of
--- a/libberyl/forward/crashes.c
+++ b/libberyl/forward/crashes.c
@@ -92,8 +92,8 @@
   if (fingerprint == 0)
     return;
   crashes_mark_suspect (f, r, now_ms);
-  beryl_quarantine_broke (f->quarantine, fingerprint,
-                          beryl_live_number (endpoint), now_ms);
+  beryl_quarantine_run_broken (f->quarantine, fingerprint,
+                               beryl_live_hash (endpoint), now_ms);
   if (endpoint->replaced_ms != 0)
     crashes_endpoint_ended (f, endpoint, now_ms);
   else if (!is_dialled (f, endpoint))
@@ -104,8 +104,8 @@
 crashes_endpoint_ended (struct beryl_forward *f,
                         const struct beryl_live *endpoint, int64_t now_ms)
 {
-  if (beryl_quarantine_ended (f->quarantine, beryl_live_number (endpoint),
-                              now_ms)
+  if (beryl_quarantine_endpoint_ended (f->quarantine,
+                                       beryl_live_hash (endpoint), now_ms)
       && f->owner->impl->log_endpoint_state != NULL)
     f->owner->impl->log_endpoint_state (f->owner, endpoint, "crashed",
                                         "own call");
@@ -117,7 +117,7 @@
   uint64_t fingerprint = forward_request_fingerprint (f, r);
 
   if (fingerprint != 0)
-    beryl_quarantine_answered (f->quarantine, fingerprint, now_ms);
+    beryl_quarantine_run_answered (f->quarantine, fingerprint, now_ms);
 }
 
 static int64_t
@@ -125,8 +125,8 @@
 {
   if (beryl_quarantine_count (f->quarantine) == 0)
     return 0;
-  return beryl_quarantine_left_ms (f->quarantine,
-                                   forward_request_fingerprint (f, r), now_ms);
+  return beryl_quarantine_remaining_ms (
+      f->quarantine, forward_request_fingerprint (f, r), now_ms);
 }
 
 bool
@@ -172,7 +172,7 @@
     if (other != r && is_there && crashes_is_suspect (other, now_ms))
       return true;
   }
-  return run_table_has_suspect (&f->run_table, beryl_live_number (endpoint),
+  return run_table_has_suspect (&f->run_table, beryl_live_hash (endpoint),
                                 now_ms);
 }
 
--- a/libberyl/forward/endpoint_reports.c
+++ b/libberyl/forward/endpoint_reports.c
@@ -23,7 +23,7 @@
 beryl_endpoint_set_add (struct beryl_endpoint_set *set, uint32_t number)
 {
   if (set->count < BERYL_ENDPOINT_SET_MAX)
-    set->numbers[set->count++] = number;
+    set->hashes[set->count++] = number;
 }
 
 static void
@@ -40,7 +40,7 @@
 {
   if (endpoint->replaced_ms != 0)
     return;
-  beryl_live_replaced (endpoint, now_ms);
+  beryl_live_mark_replaced (endpoint, now_ms);
   crashes_endpoint_ended (f, endpoint, now_ms);
   f->runs_changed = true;
   log_state (f, endpoint, "replaced", "own call");
@@ -50,23 +50,23 @@
 endpoint_report_unreachable (struct beryl_forward *f,
                              struct beryl_live *endpoint, int64_t now_ms)
 {
-  beryl_live_unreachable (endpoint, now_ms);
+  beryl_live_mark_unreachable (endpoint, now_ms);
   f->runs_changed = true;
 }
 
 void
 beryl_forward_endpoint_reports (const struct beryl_forward *f,
-                                struct beryl_endpoint_news *reports,
+                                struct beryl_endpoint_updates *reports,
                                 int64_t now_ms)
 {
-  for (size_t i = 0; i < beryl_lives_count (f->endpoints); i++)
+  for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
     {
-      const struct beryl_live *endpoint = beryl_lives_get (f->endpoints, i);
+      const struct beryl_live *endpoint = beryl_live_set_get (f->endpoints, i);
       uint32_t number;
 
       if (endpoint->replaced_ms == 0 && endpoint->unreachable_ms == 0)
         continue;
-      number = beryl_live_number (endpoint);
+      number = beryl_live_hash (endpoint);
       if (endpoint->replaced_ms != 0)
         {
           if (now_ms - endpoint->replaced_ms < REPLACED_REPORT_MS)
@@ -81,39 +81,39 @@
 set_has (const struct beryl_endpoint_set *set, uint32_t number)
 {
   for (size_t i = 0; i < set->count; i++)
-    if (set->numbers[i] == number)
+    if (set->hashes[i] == number)
       return true;
   return false;
 }
 
 static void
 apply_report (struct beryl_forward *f, const char *peer, uint32_t peer_number,
-              const struct beryl_endpoint_news *reports,
+              const struct beryl_endpoint_updates *reports,
               struct beryl_live *endpoint, int64_t now_ms)
 {
-  uint32_t number = beryl_live_number (endpoint);
+  uint32_t number = beryl_live_hash (endpoint);
 
   if (set_has (&reports->changing, number))
-    endpoint->changing_until_ms = now_ms + CHANGING_AVOID_MS;
+    endpoint->stage_change_until_ms = now_ms + CHANGING_AVOID_MS;
   if (set_has (&reports->replaced, number) && endpoint->replaced_ms == 0)
     {
-      beryl_live_replaced (endpoint, now_ms);
+      beryl_live_mark_replaced (endpoint, now_ms);
       crashes_endpoint_ended (f, endpoint, now_ms);
       log_state (f, endpoint, "replaced", peer);
     }
   if (set_has (&reports->unreachable, number)
-      && beryl_live_doubt (endpoint, peer_number, now_ms))
+      && beryl_live_suspect (endpoint, peer_number, now_ms))
     log_state (f, endpoint, "unreachable", peer);
 }
 
 void
-beryl_forward_peer_endpoint_reports (struct beryl_forward *f, const char *peer,
-                                     const struct beryl_endpoint_news *reports,
-                                     int64_t now_ms)
+beryl_forward_peer_endpoint_reports (
+    struct beryl_forward *f, const char *peer,
+    const struct beryl_endpoint_updates *reports, int64_t now_ms)
 {
-  size_t count = beryl_lives_count (f->endpoints);
-  uint32_t peer_number = beryl_engine_number (peer);
-  struct beryl_endpoint_news accepted = *reports;
+  size_t count = beryl_live_set_count (f->endpoints);
+  uint32_t peer_number = beryl_name_hash (peer);
+  struct beryl_endpoint_updates accepted = *reports;
 
   if (reports->unreachable.count * UNREACHABLE_SHARE > count)
     accepted.unreachable.count = 0;
@@ -123,5 +123,5 @@
     return;
   for (size_t i = 0; i < count; i++)
     apply_report (f, peer, peer_number, &accepted,
-                  beryl_lives_get (f->endpoints, i), now_ms);
+                  beryl_live_set_get (f->endpoints, i), now_ms);
 }
--- a/libberyl/forward/engines.c
+++ b/libberyl/forward/engines.c
@@ -25,8 +25,8 @@
 serves (const struct beryl_live *endpoint, const struct request *r,
         enum beryl_stage stage, int64_t now_ms)
 {
-  return endpoint->info.stage == stage && beryl_live_takes_work (endpoint)
-         && !beryl_live_changing (endpoint, now_ms)
+  return endpoint->info.stage == stage && beryl_live_accepts_work (endpoint)
+         && !beryl_live_stage_changing (endpoint, now_ms)
          && strcmp (endpoint->info.service, r->service->name) == 0;
 }
 
@@ -52,20 +52,20 @@
   const struct beryl_live *endpoint = r->reservation.endpoint;
 
   *run = (struct beryl_engine_run){
-    .engine = endpoint != NULL ? beryl_live_number (endpoint) : 0,
+    .engine = endpoint != NULL ? beryl_live_hash (endpoint) : 0,
     .prompt_tokens = r->params.prompt_tokens,
     .expected_tokens = r->expected_tokens,
-    .made_tokens = made_tokens (r, now_ms),
+    .generated_tokens = made_tokens (r, now_ms),
     .started = r->phase == PHASE_RUNNING,
     .suspect = crashes_is_suspect (r, now_ms),
   };
-  run->prompt_key = r->params.prompt_key;
+  run->prompt_hash = r->params.prompt_key;
   if (endpoint == NULL)
-    run->service = beryl_engine_number (r->service->name);
+    run->service = beryl_name_hash (r->service->name);
   if (r->local_prefill && r->run_events == 0)
     run->prefill_engine = run->engine;
   if (r->phase == PHASE_PREFILLING && r->primary != NULL)
-    run->prefill_engine = beryl_live_number (r->primary->endpoint);
+    run->prefill_engine = beryl_live_hash (r->primary->endpoint);
 }
 
 /* Returns the memory that unknown runs are expected to use AHEAD_MS from now;
@@ -73,10 +73,11 @@
 static double
 hidden_at (const struct beryl_live *endpoint, int64_t now_ms, int64_t ahead_ms)
 {
-  double age_ms = (double)(now_ms - endpoint->hidden_ms + ahead_ms);
+  double age_ms
+      = (double)(now_ms - endpoint->unreported_updated_ms + ahead_ms);
 
-  return endpoint->hidden_tokens > 0
-             ? endpoint->hidden_tokens * exp (-age_ms / HIDDEN_DECAY_MS)
+  return endpoint->unreported_tokens > 0
+             ? endpoint->unreported_tokens * exp (-age_ms / HIDDEN_DECAY_MS)
              : 0;
 }
 
@@ -111,7 +112,7 @@
     memory_forecast_add (forecast, &s->lengths, &run, 0, true);
   }
   run_table_forecast (&f->run_table, forecast, &s->lengths,
-                      beryl_live_number (endpoint), now_ms);
+                      beryl_live_hash (endpoint), now_ms);
   hidden_add (endpoint, now_ms, forecast);
 }
 
@@ -126,16 +127,16 @@
   double usable_tokens = (double)r->config->engine.kv_tokens - tokens;
   double known;
 
-  endpoint->hidden_tokens = hidden_at (endpoint, now_ms, 0);
-  endpoint->hidden_ms = now_ms;
+  endpoint->unreported_tokens = hidden_at (endpoint, now_ms, 0);
+  endpoint->unreported_updated_ms = now_ms;
   engine_forecast (f, r->service, endpoint, now_ms, &forecast);
-  known = forecast.tokens[0] - endpoint->hidden_tokens;
+  known = forecast.tokens[0] - endpoint->unreported_tokens;
   if (granted)
-    endpoint->hidden_tokens
-        = fmin (endpoint->hidden_tokens, fmax (usable_tokens - known, 0));
+    endpoint->unreported_tokens
+        = fmin (endpoint->unreported_tokens, fmax (usable_tokens - known, 0));
   else
-    endpoint->hidden_tokens
-        = fmax (endpoint->hidden_tokens, fmax (usable_tokens - known, 0));
+    endpoint->unreported_tokens
+        = fmax (endpoint->unreported_tokens, fmax (usable_tokens - known, 0));
 }
 
 double
@@ -159,14 +160,14 @@
 worth_asking (const struct beryl_live *endpoint, int64_t now_ms)
 {
   return !beryl_live_avoided (endpoint, now_ms)
-         || beryl_live_trial_due (endpoint, now_ms);
+         || beryl_live_probe_due (endpoint, now_ms);
 }
 
 bool
 engine_has_prompt_cached (const struct request *r,
                           const struct beryl_live *endpoint)
 {
-  return r->warm_engine != 0 && beryl_live_number (endpoint) == r->warm_engine;
+  return r->warm_engine != 0 && beryl_live_hash (endpoint) == r->warm_engine;
 }
 
 /* Chooses an engine from SAMPLE for R; engines outside the data centre
@@ -234,9 +235,9 @@
   double cost;
 
   sample_init (&sample);
-  for (size_t i = 0; i < beryl_lives_count (f->endpoints); i++)
+  for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
     {
-      struct beryl_live *endpoint = beryl_lives_get (f->endpoints, i);
+      struct beryl_live *endpoint = beryl_live_set_get (f->endpoints, i);
 
       if (!may_be_asked (r, endpoint, now_ms)
           || !rates_allows (f, r->service, endpoint, now_ms)
@@ -278,7 +279,7 @@
       best = choose_decode (f, r, false, capacity, now_ms);
     }
   if (best != NULL && beryl_live_avoided (best, now_ms))
-    best->trial_ms = now_ms;
+    best->last_probe_ms = now_ms;
   return best;
 }
 
@@ -291,9 +292,9 @@
   double cost;
 
   sample_init (&sample);
-  for (size_t i = 0; i < beryl_lives_count (f->endpoints); i++)
+  for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
     {
-      struct beryl_live *endpoint = beryl_lives_get (f->endpoints, i);
+      struct beryl_live *endpoint = beryl_live_set_get (f->endpoints, i);
 
       if (serves (endpoint, r, BERYL_STAGE_DECODE, now_ms)
           && endpoint != r->reservation.endpoint
@@ -322,8 +323,8 @@
       && made_tokens (other, now_ms) < made)
     return false;
   return !run_table_has_newer (&f->run_table, &r->service->lengths,
-                               beryl_live_number (r->reservation.endpoint),
-                               made, now_ms);
+                               beryl_live_hash (r->reservation.endpoint), made,
+                               now_ms);
 }
 
 static bool
@@ -340,9 +341,9 @@
 queued_tokens (const struct beryl_forward *f,
                const struct beryl_live *endpoint, int64_t now_ms)
 {
-  uint32_t number = beryl_live_number (endpoint);
+  uint32_t number = beryl_live_hash (endpoint);
 
-  return (double)(endpoint->prefill_tokens
+  return (double)(endpoint->open_prefill_tokens
                   + run_table_prefill_tokens (&f->run_table, number, now_ms));
 }
 
@@ -355,9 +356,9 @@
   double waiting_tokens = 0;
 
   sample_init (&sample);
-  for (size_t i = 0; i < beryl_lives_count (f->endpoints); i++)
+  for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
     {
-      struct beryl_live *endpoint = beryl_lives_get (f->endpoints, i);
+      struct beryl_live *endpoint = beryl_live_set_get (f->endpoints, i);
 
       if (is_usable_prefill (endpoint, r, now_ms)
           && rates_allows (f, r->service, endpoint, now_ms))
@@ -376,8 +377,8 @@
 engine_has_prefill (struct beryl_forward *f, const struct request *r,
                     int64_t now_ms)
 {
-  for (size_t i = 0; i < beryl_lives_count (f->endpoints); i++)
-    if (is_usable_prefill (beryl_lives_get (f->endpoints, i), r, now_ms))
+  for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
+    if (is_usable_prefill (beryl_live_set_get (f->endpoints, i), r, now_ms))
       return true;
   return false;
 }
@@ -388,9 +389,9 @@
 {
   double least_tokens = -1;
 
-  for (size_t i = 0; i < beryl_lives_count (f->endpoints); i++)
+  for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
     {
-      struct beryl_live *endpoint = beryl_lives_get (f->endpoints, i);
+      struct beryl_live *endpoint = beryl_live_set_get (f->endpoints, i);
       double tokens;
 
       if (!is_usable_prefill (endpoint, r, now_ms))
@@ -409,13 +410,13 @@
   const struct request *other = NULL;
   uint32_t runs = 0;
 
-  for (size_t i = 0; i < beryl_lives_count (f->endpoints); i++)
+  for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
     {
-      const struct beryl_live *endpoint = beryl_lives_get (f->endpoints, i);
+      const struct beryl_live *endpoint = beryl_live_set_get (f->endpoints, i);
 
       if (endpoint->info.stage == BERYL_STAGE_DECODE
           && strcmp (endpoint->info.service, r->service->name) == 0)
-        runs += run_table_runs (&f->run_table, beryl_live_number (endpoint),
+        runs += run_table_runs (&f->run_table, beryl_live_hash (endpoint),
                                 now_ms);
     }
   TAILQ_FOREACH (other, &f->requests, entry)
@@ -431,7 +432,7 @@
   run_table_update (&f->run_table, peer, runs, count, now_ms);
   for (size_t i = 0; i < count; i++)
     if (runs[i].started)
-      prompt_locations_record (&f->prompt_locations, runs[i].prompt_key,
+      prompt_locations_record (&f->prompt_locations, runs[i].prompt_hash,
                                runs[i].engine, now_ms);
 }
 
--- a/libberyl/forward/forward.c
+++ b/libberyl/forward/forward.c
@@ -39,7 +39,7 @@
 
 struct beryl_forward *
 beryl_forward_create (const struct beryl_forward_settings *settings,
-                      struct beryl_lives *lives,
+                      struct beryl_live_set *lives,
                       struct beryl_forward_owner *owner)
 {
   struct beryl_forward *f = calloc (1, sizeof *f);
@@ -112,7 +112,7 @@
 forward_service_by_number (const struct beryl_forward *f, uint32_t number)
 {
   for (size_t i = 0; i < f->service_count; i++)
-    if (beryl_engine_number (f->services[i]->name) == number)
+    if (beryl_name_hash (f->services[i]->name) == number)
       return f->services[i];
   return NULL;
 }
@@ -121,7 +121,7 @@
 update_kv_sizes (struct beryl_forward *f, const struct beryl_routes *routes)
 {
   for (size_t i = 0; i < routes->service_count; i++)
-    if (routes->services[i].engines)
+    if (routes->services[i].has_engines)
       forward_service (f, routes->services[i].name)->kv_tokens
           = routes->services[i].engine.kv_tokens;
 }
@@ -178,12 +178,12 @@
   x->started_ms = now_ms;
   x->tokens = start->tokens;
   TAILQ_INSERT_TAIL (&f->exchanges, x, entry);
-  map_put (&f->exchanges_by_id, map_key_number (x->id), x);
+  map_put (&f->exchanges_by_id, map_key_from_number (x->id), x);
   beryl_live_open (endpoint);
   if (x->kind == BERYL_EXCHANGE_PREFILL)
     {
-      endpoint->prefills++;
-      endpoint->prefill_tokens += x->tokens;
+      endpoint->open_prefills++;
+      endpoint->open_prefill_tokens += x->tokens;
     }
   start->exchange = x->id;
   start->request = r != NULL ? r->params.request : 0;
@@ -209,11 +209,11 @@
   else if (r != NULL && r->secondary == x)
     r->secondary = NULL;
   TAILQ_REMOVE (&f->exchanges, x, entry);
-  map_remove (&f->exchanges_by_id, map_key_number (x->id));
+  map_remove (&f->exchanges_by_id, map_key_from_number (x->id));
   if (x->kind == BERYL_EXCHANGE_PREFILL)
     {
-      x->endpoint->prefills--;
-      x->endpoint->prefill_tokens -= x->tokens;
+      x->endpoint->open_prefills--;
+      x->endpoint->open_prefill_tokens -= x->tokens;
     }
   beryl_live_close (f->endpoints, x->endpoint);
   free (x);
@@ -302,8 +302,8 @@
     }
   r = forward_request_new (f, params, route);
   if (!beryl_quarantine_empty (f->quarantine)
-      && beryl_quarantine_suspects (f->quarantine,
-                                    forward_request_fingerprint (f, r)))
+      && beryl_quarantine_is_suspect (f->quarantine,
+                                      forward_request_fingerprint (f, r)))
     crashes_mark_suspect (f, r, now_ms);
   forward_request_count_arrival (f, r->service, now_ms);
   if (r->deadline_ms <= now_ms)
@@ -337,13 +337,13 @@
 static struct request *
 request_find (struct beryl_forward *f, uint64_t handle)
 {
-  return map_get (&f->requests_by_handle, map_key_number (handle));
+  return map_get (&f->requests_by_handle, map_key_from_number (handle));
 }
 
 static struct exchange *
 exchange_find (struct beryl_forward *f, uint64_t id)
 {
-  return map_get (&f->exchanges_by_id, map_key_number (id));
+  return map_get (&f->exchanges_by_id, map_key_from_number (id));
 }
 
 void
@@ -437,10 +437,10 @@
       endpoint_report_unreachable (f, x->endpoint, now_ms);
       crashes_endpoint_ended (f, x->endpoint, now_ms);
     }
-  beryl_live_learn (x->endpoint,
-                    how == BERYL_FAILURE_CONNECT ? BERYL_LIVE_SILENT
-                                                 : BERYL_LIVE_BROKE,
-                    now_ms - x->started_ms, now_ms);
+  beryl_live_record_outcome (
+      x->endpoint,
+      how == BERYL_FAILURE_CONNECT ? BERYL_LIVE_TIMED_OUT : BERYL_LIVE_BROKEN,
+      now_ms - x->started_ms, now_ms);
   r = x->request;
   kind = x->kind;
   if (r == NULL)
@@ -469,8 +469,8 @@
     {
       if (r->phase == PHASE_RUNNING && r->primary != NULL
           && !r->primary->has_head)
-        beryl_live_learn (r->primary->endpoint, BERYL_LIVE_SILENT,
-                          now_ms - r->primary->started_ms, now_ms);
+        beryl_live_record_outcome (r->primary->endpoint, BERYL_LIVE_TIMED_OUT,
+                                   now_ms - r->primary->started_ms, now_ms);
       forward_request_fail (f, r, BERYL_REFUSAL_DEADLINE, now_ms);
     }
   else if (forward_request_is_generation (r))
--- a/libberyl/forward/generation.c
+++ b/libberyl/forward/generation.c
@@ -115,8 +115,8 @@
   const struct beryl_live *endpoint = r->reservation.endpoint;
 
   if (r->continues_run)
-    return !beryl_lives_may_return (f->endpoints, endpoint, now_ms);
-  return !beryl_live_takes_work (endpoint);
+    return !beryl_live_set_allows_bound_work (f->endpoints, endpoint, now_ms);
+  return !beryl_live_accepts_work (endpoint);
 }
 
 /* Handles that the engine with R's reservation does not run it. */
--- a/libberyl/forward/live.c
+++ b/libberyl/forward/live.c
@@ -38,7 +38,7 @@
    the rest allows for late updates of the list. */
 #define KEEP_SHARE 0.7
 
-struct beryl_lives
+struct beryl_live_set
 {
   struct beryl_live **items;
   size_t count;
@@ -52,7 +52,7 @@
 /* Returns how long after an endpoint was known to leave it may get work from
    this node. */
 static int64_t
-keep_ms (const struct beryl_lives *lives)
+keep_ms (const struct beryl_live_set *lives)
 {
   return (int64_t)(KEEP_SHARE * (double)lives->leave_ms);
 }
@@ -66,25 +66,25 @@
 }
 
 uint32_t
-beryl_live_number (const struct beryl_live *endpoint)
+beryl_live_hash (const struct beryl_live *endpoint)
 {
   const char *id = endpoint->info.id;
 
   return (uint32_t)XXH3_64bits_withSeed (id, strlen (id),
-                                         endpoint->info.born_ms);
+                                         endpoint->info.process_start_ms);
 }
 
-struct beryl_lives *
-beryl_lives_create (int64_t leave_ms)
+struct beryl_live_set *
+beryl_live_set_create (int64_t leave_ms)
 {
-  struct beryl_lives *lives = calloc (1, sizeof *lives);
+  struct beryl_live_set *lives = calloc (1, sizeof *lives);
 
   lives->leave_ms = leave_ms;
   return lives;
 }
 
 void
-beryl_lives_destroy (struct beryl_lives *lives)
+beryl_live_set_destroy (struct beryl_live_set *lives)
 {
   if (lives == NULL)
     return;
@@ -96,13 +96,13 @@
 }
 
 struct beryl_live *
-beryl_lives_find (const struct beryl_lives *lives, const char *id)
+beryl_live_set_find (const struct beryl_live_set *lives, const char *id)
 {
   return map_get (&lives->by_id, id_key (id));
 }
 
 static struct beryl_live *
-lives_add (struct beryl_lives *lives, const char *id)
+lives_add (struct beryl_live_set *lives, const char *id)
 {
   struct beryl_live *endpoint = calloc (1, sizeof *endpoint);
 
@@ -118,7 +118,7 @@
 }
 
 static void
-lives_release (struct beryl_lives *lives, struct beryl_live *endpoint)
+lives_release (struct beryl_live_set *lives, struct beryl_live *endpoint)
 {
   for (size_t i = 0; i < lives->count; i++)
     if (lives->items[i] == endpoint)
@@ -127,25 +127,25 @@
         break;
       }
   /* The id may already belong to a later incarnation. */
-  if (beryl_lives_find (lives, endpoint->info.id) == endpoint)
+  if (beryl_live_set_find (lives, endpoint->info.id) == endpoint)
     map_remove (&lives->by_id, id_key (endpoint->info.id));
   free (endpoint);
 }
 
 static void
-mark_gone (struct beryl_lives *lives, struct beryl_live *endpoint)
+mark_gone (struct beryl_live_set *lives, struct beryl_live *endpoint)
 {
   endpoint->gone = true;
   endpoint->lapsed_until_ms = 0;
-  if (endpoint->open == 0)
+  if (endpoint->open_exchanges == 0)
     lives_release (lives, endpoint);
 }
 
 static bool
 is_former_incarnation (const struct beryl_live *endpoint, uint64_t born_ms)
 {
-  for (size_t i = 0; i < BERYL_LIVE_FORMER_MAX; i++)
-    if (born_ms != 0 && endpoint->former[i] == born_ms)
+  for (size_t i = 0; i < BERYL_LIVE_PREVIOUS_MAX; i++)
+    if (born_ms != 0 && endpoint->previous_starts_ms[i] == born_ms)
       return true;
   return false;
 }
@@ -154,8 +154,8 @@
 has_restarted (const struct beryl_live *endpoint,
                const struct beryl_live_info *info)
 {
-  return endpoint->info.born_ms != 0 && info->born_ms != 0
-         && endpoint->info.born_ms != info->born_ms;
+  return endpoint->info.process_start_ms != 0 && info->process_start_ms != 0
+         && endpoint->info.process_start_ms != info->process_start_ms;
 }
 
 /* An endpoint that has restarted under its id has lost all earlier state:
@@ -164,66 +164,68 @@
    object invalidates them all. Otherwise requests would be sent with handles
    that the new incarnation may have given to other requests. */
 static struct beryl_live *
-replace_incarnation (struct beryl_lives *lives, struct beryl_live *endpoint,
+replace_incarnation (struct beryl_live_set *lives, struct beryl_live *endpoint,
                      int64_t now_ms)
 {
   struct beryl_live *next = lives_add (lives, endpoint->info.id);
 
-  next->former[0] = endpoint->info.born_ms;
-  memcpy (&next->former[1], endpoint->former,
-          sizeof endpoint->former - sizeof endpoint->former[0]);
-  beryl_live_replaced (endpoint, now_ms);
-  endpoint->left_ms = now_ms;
+  next->previous_starts_ms[0] = endpoint->info.process_start_ms;
+  memcpy (&next->previous_starts_ms[1], endpoint->previous_starts_ms,
+          sizeof endpoint->previous_starts_ms
+              - sizeof endpoint->previous_starts_ms[0]);
+  beryl_live_mark_replaced (endpoint, now_ms);
+  endpoint->leaving_since_ms = now_ms;
   mark_gone (lives, endpoint);
   return next;
 }
 
 struct beryl_live *
-beryl_lives_put (struct beryl_lives *lives, const struct beryl_live_info *info,
-                 int64_t now_ms)
+beryl_live_set_put (struct beryl_live_set *lives,
+                    const struct beryl_live_info *info, int64_t now_ms)
 {
-  struct beryl_live *endpoint = beryl_lives_find (lives, info->id);
-  uint64_t born_ms = info->born_ms;
+  struct beryl_live *endpoint = beryl_live_set_find (lives, info->id);
+  uint64_t born_ms = info->process_start_ms;
 
   if (endpoint == NULL)
     endpoint = lives_add (lives, info->id);
   else if (info->revision < endpoint->info.revision
-           || is_former_incarnation (endpoint, info->born_ms))
+           || is_former_incarnation (endpoint, info->process_start_ms))
     return endpoint;
   else if (has_restarted (endpoint, info))
     endpoint = replace_incarnation (lives, endpoint, now_ms);
   else if (born_ms == 0)
-    born_ms = endpoint->info.born_ms;
+    born_ms = endpoint->info.process_start_ms;
   endpoint->info = *info;
-  endpoint->info.born_ms = born_ms;
+  endpoint->info.process_start_ms = born_ms;
   endpoint->gone = false;
   endpoint->lapsed_until_ms = 0;
   if (!info->leaving)
-    endpoint->left_ms = 0;
-  else if (endpoint->left_ms == 0)
-    endpoint->left_ms = now_ms;
+    endpoint->leaving_since_ms = 0;
+  else if (endpoint->leaving_since_ms == 0)
+    endpoint->leaving_since_ms = now_ms;
   return endpoint;
 }
 
 /* Updates arrive before the list is confirmed, so the first update after an
    outage must detect the return itself. */
 static void
-note_return (struct beryl_lives *lives, int64_t now_ms)
+note_return (struct beryl_live_set *lives, int64_t now_ms)
 {
   if (lives->synced_ms != 0 && now_ms - lives->synced_ms >= LIST_OUTAGE_MS)
     lives->returned_ms = now_ms;
 }
 
 void
-beryl_lives_remove (struct beryl_lives *lives, const char *id, int64_t now_ms)
+beryl_live_set_remove (struct beryl_live_set *lives, const char *id,
+                       int64_t now_ms)
 {
-  struct beryl_live *endpoint = beryl_lives_find (lives, id);
+  struct beryl_live *endpoint = beryl_live_set_find (lives, id);
 
   if (endpoint == NULL || endpoint->gone)
     return;
   note_return (lives, now_ms);
-  if (endpoint->left_ms == 0)
-    endpoint->left_ms = now_ms;
+  if (endpoint->leaving_since_ms == 0)
+    endpoint->leaving_since_ms = now_ms;
   if (lives->returned_ms != 0 && now_ms < lives->returned_ms + RELIST_MS
       && !endpoint->info.leaving)
     endpoint->lapsed_until_ms = now_ms + keep_ms (lives);
@@ -232,32 +234,33 @@
 }
 
 void
-beryl_lives_reject (struct beryl_lives *lives, const char *id, int64_t now_ms)
+beryl_live_set_reject (struct beryl_live_set *lives, const char *id,
+                       int64_t now_ms)
 {
-  struct beryl_live *endpoint = beryl_lives_find (lives, id);
+  struct beryl_live *endpoint = beryl_live_set_find (lives, id);
 
   if (endpoint == NULL || endpoint->gone)
     return;
-  if (endpoint->left_ms == 0)
-    endpoint->left_ms = now_ms;
+  if (endpoint->leaving_since_ms == 0)
+    endpoint->leaving_since_ms = now_ms;
   mark_gone (lives, endpoint);
 }
 
 void
-beryl_lives_synced (struct beryl_lives *lives, int64_t now_ms)
+beryl_live_set_synced (struct beryl_live_set *lives, int64_t now_ms)
 {
   note_return (lives, now_ms);
   lives->synced_ms = now_ms;
 }
 
 int64_t
-beryl_lives_synced_ms (const struct beryl_lives *lives)
+beryl_live_set_synced_ms (const struct beryl_live_set *lives)
 {
   return lives->synced_ms;
 }
 
 bool
-beryl_lives_expire (struct beryl_lives *lives, int64_t now_ms)
+beryl_live_set_expire (struct beryl_live_set *lives, int64_t now_ms)
 {
   bool any = false;
 
@@ -274,58 +277,60 @@
 }
 
 size_t
-beryl_lives_count (const struct beryl_lives *lives)
+beryl_live_set_count (const struct beryl_live_set *lives)
 {
   return lives->count;
 }
 
 struct beryl_live *
-beryl_lives_get (const struct beryl_lives *lives, size_t i)
+beryl_live_set_get (const struct beryl_live_set *lives, size_t i)
 {
   return lives->items[i];
 }
 
 bool
-beryl_live_takes_work (const struct beryl_live *endpoint)
+beryl_live_accepts_work (const struct beryl_live *endpoint)
 {
   return !endpoint->gone && !endpoint->info.leaving
          && endpoint->replaced_ms == 0;
 }
 
 bool
-beryl_lives_may_return (const struct beryl_lives *lives,
-                        const struct beryl_live *endpoint, int64_t now_ms)
+beryl_live_set_allows_bound_work (const struct beryl_live_set *lives,
+                                  const struct beryl_live *endpoint,
+                                  int64_t now_ms)
 {
-  return beryl_live_takes_work (endpoint)
-         || (endpoint->left_ms != 0 && endpoint->replaced_ms == 0
-             && now_ms < endpoint->left_ms + keep_ms (lives));
+  return beryl_live_accepts_work (endpoint)
+         || (endpoint->leaving_since_ms != 0 && endpoint->replaced_ms == 0
+             && now_ms < endpoint->leaving_since_ms + keep_ms (lives));
 }
 
 bool
-beryl_live_changing (const struct beryl_live *endpoint, int64_t now_ms)
+beryl_live_stage_changing (const struct beryl_live *endpoint, int64_t now_ms)
 {
-  return now_ms < endpoint->changing_until_ms;
+  return now_ms < endpoint->stage_change_until_ms;
 }
 
 void
 beryl_live_open (struct beryl_live *endpoint)
 {
-  endpoint->open++;
+  endpoint->open_exchanges++;
 }
 
 void
-beryl_live_close (struct beryl_lives *lives, struct beryl_live *endpoint)
+beryl_live_close (struct beryl_live_set *lives, struct beryl_live *endpoint)
 {
-  endpoint->open--;
-  if (endpoint->gone && endpoint->open == 0)
+  endpoint->open_exchanges--;
+  if (endpoint->gone && endpoint->open_exchanges == 0)
     lives_release (lives, endpoint);
 }
 
 static int64_t
 avoid_ms (const struct beryl_live *endpoint)
 {
-  uint32_t doublings
-      = endpoint->faults > AVOID_FAULTS ? endpoint->faults - AVOID_FAULTS : 0;
+  uint32_t doublings = endpoint->consecutive_failures > AVOID_FAULTS
+                           ? endpoint->consecutive_failures - AVOID_FAULTS
+                           : 0;
 
   if (doublings > AVOID_DOUBLINGS_MAX)
     doublings = AVOID_DOUBLINGS_MAX;
@@ -333,43 +338,45 @@
 }
 
 void
-beryl_live_learn (struct beryl_live *endpoint, enum beryl_live_outcome outcome,
-                  int64_t took_ms, int64_t now_ms)
+beryl_live_record_outcome (struct beryl_live *endpoint,
+                           enum beryl_live_outcome outcome, int64_t took_ms,
+                           int64_t now_ms)
 {
   bool failed = outcome != BERYL_LIVE_ANSWERED;
 
-  endpoint->fail_rate
-      += FAIL_WEIGHT * ((failed ? 1.0 : 0.0) - endpoint->fail_rate);
+  endpoint->failure_rate
+      += FAIL_WEIGHT * ((failed ? 1.0 : 0.0) - endpoint->failure_rate);
   if (!failed)
     {
-      endpoint->faults = 0;
-      endpoint->fault_ms = 0;
+      endpoint->consecutive_failures = 0;
+      endpoint->last_failure_ms = 0;
       endpoint->unreachable_ms = 0;
       endpoint->answered_ms = now_ms;
-      if (endpoint->answer_ms == 0)
-        endpoint->answer_ms = (double)took_ms;
-      endpoint->answer_ms
-          += TIME_WEIGHT * ((double)took_ms - endpoint->answer_ms);
-      if (endpoint->fail_rate < AVOID_FAIL_RATE)
+      if (endpoint->response_time_ms == 0)
+        endpoint->response_time_ms = (double)took_ms;
+      endpoint->response_time_ms
+          += TIME_WEIGHT * ((double)took_ms - endpoint->response_time_ms);
+      if (endpoint->failure_rate < AVOID_FAIL_RATE)
         endpoint->avoid_until_ms = 0;
       return;
     }
-  endpoint->faults++;
-  endpoint->fault_ms = now_ms;
-  if (outcome == BERYL_LIVE_SILENT || endpoint->faults >= AVOID_FAULTS
-      || endpoint->fail_rate >= AVOID_FAIL_RATE)
+  endpoint->consecutive_failures++;
+  endpoint->last_failure_ms = now_ms;
+  if (outcome == BERYL_LIVE_TIMED_OUT
+      || endpoint->consecutive_failures >= AVOID_FAULTS
+      || endpoint->failure_rate >= AVOID_FAIL_RATE)
     endpoint->avoid_until_ms = now_ms + avoid_ms (endpoint);
 }
 
 void
-beryl_live_replaced (struct beryl_live *endpoint, int64_t now_ms)
+beryl_live_mark_replaced (struct beryl_live *endpoint, int64_t now_ms)
 {
   if (endpoint->replaced_ms == 0)
     endpoint->replaced_ms = now_ms;
 }
 
 void
-beryl_live_unreachable (struct beryl_live *endpoint, int64_t now_ms)
+beryl_live_mark_unreachable (struct beryl_live *endpoint, int64_t now_ms)
 {
   endpoint->unreachable_ms = now_ms;
 }
@@ -379,22 +386,22 @@
    endpoint that others reach, so reports of two peers are needed, and this
    node's own recent answers override them. */
 bool
-beryl_live_doubt (struct beryl_live *endpoint, uint32_t by, int64_t now_ms)
+beryl_live_suspect (struct beryl_live *endpoint, uint32_t by, int64_t now_ms)
 {
-  bool again = endpoint->doubted_ms != 0 && endpoint->doubted_by != by
-               && now_ms - endpoint->doubted_ms < UNREACHABLE_REPORT_MS;
+  bool again = endpoint->suspected_ms != 0 && endpoint->suspected_by != by
+               && now_ms - endpoint->suspected_ms < UNREACHABLE_REPORT_MS;
   bool was_avoided = beryl_live_avoided (endpoint, now_ms);
 
   if (endpoint->answered_ms != 0
       && now_ms - endpoint->answered_ms < UNREACHABLE_REPORT_MS)
     return false;
-  endpoint->doubted_by = by;
-  endpoint->doubted_ms = now_ms;
+  endpoint->suspected_by = by;
+  endpoint->suspected_ms = now_ms;
   if (!again)
     return false;
   if (endpoint->avoid_until_ms < now_ms + AVOID_MS)
     endpoint->avoid_until_ms = now_ms + AVOID_MS;
-  endpoint->trial_ms = now_ms;
+  endpoint->last_probe_ms = now_ms;
   return !was_avoided;
 }
 
@@ -405,7 +412,7 @@
 static bool
 lapsed_and_failed (const struct beryl_live *endpoint)
 {
-  return endpoint->lapsed_until_ms != 0 && endpoint->fault_ms != 0;
+  return endpoint->lapsed_until_ms != 0 && endpoint->last_failure_ms != 0;
 }
 
 bool
@@ -415,12 +422,13 @@
 }
 
 bool
-beryl_live_trial_due (const struct beryl_live *endpoint, int64_t now_ms)
+beryl_live_probe_due (const struct beryl_live *endpoint, int64_t now_ms)
 {
   return !lapsed_and_failed (endpoint)
-         && (beryl_live_avoided (endpoint, now_ms) || endpoint->fault_ms != 0)
-         && now_ms - endpoint->trial_ms >= TRIAL_INTERVAL_MS
-         && now_ms - endpoint->fault_ms >= TRIAL_INTERVAL_MS;
+         && (beryl_live_avoided (endpoint, now_ms)
+             || endpoint->last_failure_ms != 0)
+         && now_ms - endpoint->last_probe_ms >= TRIAL_INTERVAL_MS
+         && now_ms - endpoint->last_failure_ms >= TRIAL_INTERVAL_MS;
 }
 
 const char *
--- a/libberyl/forward/loans.c
+++ b/libberyl/forward/loans.c
@@ -68,8 +68,8 @@
   s->loan_requested_ms = now_ms;
   s->loan_serial = ++f->last_loan_serial;
   add_transfer (asks, (struct beryl_repeat_transfer){
-                          .node = beryl_engine_number (peer->name),
-                          .service = beryl_engine_number (s->name),
+                          .node = beryl_name_hash (peer->name),
+                          .service = beryl_name_hash (s->name),
                           .count = LOAN_MAX,
                           .serial = s->loan_serial });
 }
@@ -101,11 +101,11 @@
   count = repeat_budget_lend (&s->budget, &limits, max_count, now_ms);
   if (count == 0)
     return;
-  add_transfer (&f->pending_loans, (struct beryl_repeat_transfer){
-                                       .node = beryl_engine_number (peer),
-                                       .service = request->service,
-                                       .count = count,
-                                       .serial = request->serial });
+  add_transfer (&f->pending_loans,
+                (struct beryl_repeat_transfer){ .node = beryl_name_hash (peer),
+                                                .service = request->service,
+                                                .count = count,
+                                                .serial = request->serial });
   f->runs_changed = true;
 }
 
@@ -128,7 +128,7 @@
                               const struct beryl_repeat_transfers *loans,
                               int64_t now_ms)
 {
-  uint32_t own = beryl_engine_number (f->settings.node);
+  uint32_t own = beryl_name_hash (f->settings.node);
 
   for (size_t i = 0; i < asks->count; i++)
     if (asks->items[i].node == own)
--- a/libberyl/forward/placement.c
+++ b/libberyl/forward/placement.c
@@ -59,8 +59,9 @@
 {
   if (r->answer_begun)
     return r->last_event_ms
-           + (r->route->patience_ms > 0 ? r->route->patience_ms
-                                        : RESUME_WAIT_MS);
+           + (r->route->caller_idle_timeout_ms > 0
+                  ? r->route->caller_idle_timeout_ms
+                  : RESUME_WAIT_MS);
   if (latest_start_ms (r) > r->waiting_since_ms)
     return latest_start_ms (r);
   return r->waiting_since_ms + LATE_WAIT_MS;
@@ -162,7 +163,7 @@
 {
   double concurrent_asks = (double)backlog_waiting (f, r, now_ms)
                            * PROPAGATION_MS / ASK_INTERVAL_MS;
-  double chance = random_part (&f->random);
+  double chance = random_unit (&f->random);
 
   return concurrent_asks > free_places
          && chance * concurrent_asks > free_places;
--- a/libberyl/forward/plain.c
+++ b/libberyl/forward/plain.c
@@ -57,7 +57,7 @@
   const struct exchange *x;
   uint32_t count = 0;
 
-  if (endpoint->open == 0)
+  if (endpoint->open_exchanges == 0)
     return 0;
   TAILQ_FOREACH (x, &f->exchanges, entry)
   count += x->endpoint == endpoint && x->kind == BERYL_EXCHANGE_RUN
@@ -72,12 +72,12 @@
 endpoint_cost (struct beryl_forward *f, const struct request *r,
                struct beryl_live *endpoint, int64_t now_ms)
 {
-  double cost = endpoint->open;
+  double cost = endpoint->open_exchanges;
 
   if (strcmp (endpoint->info.data_centre, f->settings.data_centre) != 0)
     cost += REMOTE_COST;
-  cost *= 1 + endpoint->answer_ms / 100;
-  cost += 20 * endpoint->fail_rate;
+  cost *= 1 + endpoint->response_time_ms / 100;
+  cost += 20 * endpoint->failure_rate;
   if (beryl_live_avoided (endpoint, now_ms))
     cost += 1000;
   if (crashes_suspect_at (f, r, endpoint, now_ms))
@@ -93,24 +93,24 @@
 {
   struct beryl_live *best = NULL;
   double best_cost = 0;
-  size_t count = beryl_lives_count (f->endpoints);
+  size_t count = beryl_live_set_count (f->endpoints);
   size_t start = count > 0 ? random_next (&f->random) % count : 0;
 
   for (size_t i = 0; i < count; i++)
     {
       struct beryl_live *endpoint
-          = beryl_lives_get (f->endpoints, (start + i) % count);
+          = beryl_live_set_get (f->endpoints, (start + i) % count);
       double cost;
 
       if (strcmp (endpoint->info.service, r->service->name) != 0
-          || !beryl_live_takes_work (endpoint)
+          || !beryl_live_accepts_work (endpoint)
           || forward_request_was_tried (r, endpoint)
           || !rates_allows (f, r->service, endpoint, now_ms))
         continue;
       cost = endpoint_cost (f, r, endpoint, now_ms);
       /* Only an idempotent request is used for a trial. */
       if (forward_request_is_repeatable (r) && r->sends == 0
-          && beryl_live_trial_due (endpoint, now_ms))
+          && beryl_live_probe_due (endpoint, now_ms))
         cost = -1;
       if (best == NULL || cost < best_cost)
         {
@@ -118,8 +118,8 @@
           best_cost = cost;
         }
     }
-  if (best != NULL && beryl_live_trial_due (best, now_ms))
-    best->trial_ms = now_ms;
+  if (best != NULL && beryl_live_probe_due (best, now_ms))
+    best->last_probe_ms = now_ms;
   return best;
 }
 
@@ -214,7 +214,7 @@
   if (endpoint == NULL || beryl_live_avoided (endpoint, now_ms)
       || !forward_request_take_repeat (f, r, now_ms))
     return;
-  beryl_live_learn (r->primary->endpoint, BERYL_LIVE_SILENT,
-                    now_ms - r->primary->started_ms, now_ms);
+  beryl_live_record_outcome (r->primary->endpoint, BERYL_LIVE_TIMED_OUT,
+                             now_ms - r->primary->started_ms, now_ms);
   plain_send (f, r, endpoint, now_ms);
 }
--- a/libberyl/forward/prefill.c
+++ b/libberyl/forward/prefill.c
@@ -45,9 +45,9 @@
 engine_is_prefilling (struct beryl_forward *f,
                       const struct beryl_live *endpoint, int64_t now_ms)
 {
-  return now_ms - endpoint->alone_ms < LOCAL_SPACING_MS
+  return now_ms - endpoint->combined_run_ms < LOCAL_SPACING_MS
          || run_table_prefill_tokens (&f->run_table,
-                                      beryl_live_number (endpoint), now_ms)
+                                      beryl_live_hash (endpoint), now_ms)
                 > 0;
 }
 
@@ -82,7 +82,7 @@
       || engine_is_prefilling (f, endpoint, now_ms)
       || stream_pause_ms (r, busy_ms) > r->route->gap_objective_ms)
     return false;
-  endpoint->alone_ms = now_ms;
+  endpoint->combined_run_ms = now_ms;
   return true;
 }
 
@@ -103,7 +103,7 @@
       || stream_pause_ms (r, local_prefill_ms (r, resumed_tokens))
              > r->route->gap_objective_ms)
     return false;
-  endpoint->alone_ms = now_ms;
+  endpoint->combined_run_ms = now_ms;
   r->local_prefill = true;
   return true;
 }
@@ -220,7 +220,8 @@
   memcpy (r->kv.handle, result->handle, sizeof r->kv.handle);
   beryl_live_open (x->endpoint);
   forward_request_log (f, r, "prefill", x->endpoint, "done", took_ms, now_ms);
-  beryl_live_learn (x->endpoint, BERYL_LIVE_ANSWERED, took_ms, now_ms);
+  beryl_live_record_outcome (x->endpoint, BERYL_LIVE_ANSWERED, took_ms,
+                             now_ms);
   if (!r->prefilled)
     learn_pace (r->service, x->tokens, took_ms);
   r->prefilled = true;
--- a/libberyl/forward/private.h
+++ b/libberyl/forward/private.h
@@ -166,7 +166,7 @@
 struct beryl_forward
 {
   struct beryl_forward_settings settings;
-  struct beryl_lives *endpoints;
+  struct beryl_live_set *endpoints;
   struct beryl_forward_owner *owner;
   struct beryl_routes *routes; /**< NULL before the first configuration */
   uint32_t nodes;
@@ -202,7 +202,7 @@
 
 /* forward.c */
 struct service *forward_service (struct beryl_forward *f, const char *name);
-/** Return the service whose name hashes to NUMBER (beryl_engine_number), or
+/** Return the service whose name hashes to NUMBER (beryl_name_hash), or
  * NULL. */
 struct service *forward_service_by_number (const struct beryl_forward *f,
                                            uint32_t number);
--- a/libberyl/forward/profile.c
+++ b/libberyl/forward/profile.c
@@ -23,7 +23,7 @@
 
 struct peer_profile
 {
-  uint32_t peer; /* beryl_engine_number of its name */
+  uint32_t peer; /* beryl_name_hash of its name */
   struct beryl_generation_profile profile;
 };
 
@@ -47,7 +47,7 @@
                                                  : s->lengths.ms_per_token;
 
   return (struct beryl_generation_profile){
-    .service = beryl_engine_number (s->name),
+    .service = beryl_name_hash (s->name),
     .arrived = at_most (s->arrived, ARRIVED_WEIGHT_MAX),
     .prompt_tokens = (uint32_t)s->prompt_tokens,
     .output_tokens = (uint32_t)s->output_tokens,
@@ -172,10 +172,11 @@
 {
   if (prefills->count == 0)
     return;
-  mix->prefill_seen.nodes = (uint32_t)prefills->count;
-  mix->prefill_seen.prefills = (uint32_t)prefills->observations;
-  mix->prefill_seen.least = prefills->items[0].ms_per_token;
-  mix->prefill_seen.most = prefills->items[prefills->count - 1].ms_per_token;
+  mix->prefill_samples.nodes = (uint32_t)prefills->count;
+  mix->prefill_samples.prefills = (uint32_t)prefills->observations;
+  mix->prefill_samples.min_ms_per_token = prefills->items[0].ms_per_token;
+  mix->prefill_samples.max_ms_per_token
+      = prefills->items[prefills->count - 1].ms_per_token;
 }
 
 static struct beryl_generation_mix
@@ -276,7 +277,7 @@
 
       if (s == NULL)
         continue;
-      store_profile (&s->peer_profiles, beryl_engine_number (peer),
+      store_profile (&s->peer_profiles, beryl_name_hash (peer),
                      &profiles->items[i]);
       if (++s->peer_profiles.unmerged > s->peer_profiles.count / MERGE_SHARE)
         update_paces (s);
@@ -286,7 +287,7 @@
 void
 profile_remove_peer (struct beryl_forward *f, const char *peer)
 {
-  uint32_t number = beryl_engine_number (peer);
+  uint32_t number = beryl_name_hash (peer);
 
   for (size_t i = 0; i < f->service_count; i++)
     {
--- a/libberyl/forward/rates.c
+++ b/libberyl/forward/rates.c
@@ -39,15 +39,15 @@
                                        : 1;
 }
 
-static struct beryl_limit_terms
+static struct beryl_limit_cluster
 limit_terms (struct beryl_forward *f, struct service *s, int64_t now_ms)
 {
   struct repeat_limits repeats = forward_repeat_limits (f);
   double requests = repeat_budget_requests (&s->budget, &repeats, now_ms);
 
-  return (struct beryl_limit_terms){
-    .part = reachable_share (f, now_ms),
-    .at_once
+  return (struct beryl_limit_cluster){
+    .reachable_fraction = reachable_share (f, now_ms),
+    .concurrent
     = requests * f->nodes * REPORT_DELAY_MS / (double)repeats.window_ms,
   };
 }
@@ -57,12 +57,12 @@
            const char *from)
 {
   struct beryl_rate_limit limit
-      = beryl_limits_get (f->limits, beryl_live_number (endpoint));
+      = beryl_limits_get (f->limits, beryl_live_hash (endpoint));
   char what[40];
 
   if (f->owner->impl->log_endpoint_state == NULL)
     return;
-  if (limit.named)
+  if (limit.advertised)
     snprintf (what, sizeof what, "limited milli_per_s=%u", limit.milli_per_s);
   else
     snprintf (what, sizeof what, "unlimited");
@@ -74,10 +74,10 @@
 rates_learn (struct beryl_forward *f, const struct exchange *x,
              const struct beryl_rate_limit *limit, bool served, int64_t now_ms)
 {
-  if ((limit->named || served)
-      && beryl_limits_heard (f->limits, beryl_live_number (x->endpoint),
-                             1 + (uint32_t)x->kind, limit, x->started_ms,
-                             now_ms))
+  if ((limit->advertised || served)
+      && beryl_limits_observe (f->limits, beryl_live_hash (x->endpoint),
+                               1 + (uint32_t)x->kind, limit, x->started_ms,
+                               now_ms))
     log_limit (f, x->endpoint, "own call");
 }
 
@@ -86,32 +86,34 @@
                   const struct beryl_live *endpoint)
 {
   return beryl_limits_count (f->limits) > 0
-         && beryl_limits_get (f->limits, beryl_live_number (endpoint)).named;
+         && beryl_limits_get (f->limits, beryl_live_hash (endpoint))
+                .advertised;
 }
 
 bool
 rates_allows (struct beryl_forward *f, struct service *s,
               const struct beryl_live *endpoint, int64_t now_ms)
 {
-  struct beryl_limit_terms terms;
+  struct beryl_limit_cluster terms;
 
   if (!rates_is_limited (f, endpoint))
     return true;
   terms = limit_terms (f, s, now_ms);
-  return beryl_limits_allow (f->limits, beryl_live_number (endpoint), &terms,
-                             random_part (&f->random), now_ms);
+  return beryl_limits_allow (f->limits, beryl_live_hash (endpoint), &terms,
+                             random_unit (&f->random), now_ms);
 }
 
 void
 rates_count_sent (struct beryl_forward *f, struct service *s,
                   const struct beryl_live *endpoint, int64_t now_ms)
 {
-  struct beryl_limit_terms terms;
+  struct beryl_limit_cluster terms;
 
   if (!rates_is_limited (f, endpoint))
     return;
   terms = limit_terms (f, s, now_ms);
-  beryl_limits_sent (f->limits, beryl_live_number (endpoint), &terms, now_ms);
+  beryl_limits_record_send (f->limits, beryl_live_hash (endpoint), &terms,
+                            now_ms);
 }
 
 /* Spreads the retries of callers that all nodes refuse. */
@@ -119,19 +121,19 @@
 rates_retry_after_ms (struct beryl_forward *f, struct service *s,
                       int64_t now_ms)
 {
-  struct beryl_limit_terms terms = limit_terms (f, s, now_ms);
+  struct beryl_limit_cluster terms = limit_terms (f, s, now_ms);
   int64_t min_wait_ms = BERYL_NEVER_MS;
 
-  for (size_t i = 0; i < beryl_lives_count (f->endpoints); i++)
+  for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
     {
-      const struct beryl_live *endpoint = beryl_lives_get (f->endpoints, i);
+      const struct beryl_live *endpoint = beryl_live_set_get (f->endpoints, i);
       int64_t wait_ms;
 
       if (strcmp (endpoint->info.service, s->name) != 0
-          || !beryl_live_takes_work (endpoint)
+          || !beryl_live_accepts_work (endpoint)
           || !rates_is_limited (f, endpoint))
         continue;
-      wait_ms = beryl_limits_wait_ms (f->limits, beryl_live_number (endpoint),
+      wait_ms = beryl_limits_wait_ms (f->limits, beryl_live_hash (endpoint),
                                       &terms, now_ms);
       if (wait_ms < min_wait_ms)
         min_wait_ms = wait_ms;
@@ -140,7 +142,7 @@
     return 0;
   if (min_wait_ms < RETRY_MIN_MS)
     min_wait_ms = RETRY_MIN_MS;
-  return (int64_t)((1 + random_part (&f->random)) * (double)min_wait_ms);
+  return (int64_t)((1 + random_unit (&f->random)) * (double)min_wait_ms);
 }
 
 struct beryl_limits *
@@ -152,27 +154,27 @@
 static const struct beryl_live *
 find_endpoint (const struct beryl_forward *f, uint32_t number)
 {
-  for (size_t i = 0; i < beryl_lives_count (f->endpoints); i++)
-    if (beryl_live_number (beryl_lives_get (f->endpoints, i)) == number)
-      return beryl_lives_get (f->endpoints, i);
+  for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
+    if (beryl_live_hash (beryl_live_set_get (f->endpoints, i)) == number)
+      return beryl_live_set_get (f->endpoints, i);
   return NULL;
 }
 
 static void
 apply_limit (struct beryl_forward *f, uint32_t node,
-             const struct beryl_limit_news *item,
-             const struct beryl_limit_terms *terms, int64_t now_ms)
+             const struct beryl_limit_item *item,
+             const struct beryl_limit_cluster *terms, int64_t now_ms)
 {
-  struct beryl_limits_news news
+  struct beryl_limits_update news
       = { .node = node, .items = { *item }, .count = 1 };
   struct beryl_rate_limit before
       = beryl_limits_get (f->limits, item->endpoint);
   struct beryl_rate_limit after;
   const struct beryl_live *endpoint;
 
-  beryl_limits_take (f->limits, &news, terms, now_ms);
+  beryl_limits_apply_update (f->limits, &news, terms, now_ms);
   after = beryl_limits_get (f->limits, item->endpoint);
-  if (before.named == after.named)
+  if (before.advertised == after.advertised)
     return;
   endpoint = find_endpoint (f, item->endpoint);
   if (endpoint != NULL)
@@ -181,10 +183,11 @@
 
 void
 beryl_forward_peer_limits (struct beryl_forward *f,
-                           const struct beryl_limits_news *news,
+                           const struct beryl_limits_update *news,
                            int64_t now_ms)
 {
-  struct beryl_limit_terms terms = { .part = reachable_share (f, now_ms) };
+  struct beryl_limit_cluster terms
+      = { .reachable_fraction = reachable_share (f, now_ms) };
 
   for (size_t i = 0; i < news->count; i++)
     apply_limit (f, news->node, &news->items[i], &terms, now_ms);
--- a/libberyl/forward/request.c
+++ b/libberyl/forward/request.c
@@ -10,7 +10,7 @@
 forward_request_free (struct beryl_forward *f, struct request *r)
 {
   TAILQ_REMOVE (&f->requests, r, entry);
-  map_remove (&f->requests_by_handle, map_key_number (r->params.request));
+  map_remove (&f->requests_by_handle, map_key_from_number (r->params.request));
   beryl_routes_unref (r->routes);
   buffer_clear (&r->buffered);
   event_splitter_clear (&r->events);
@@ -70,7 +70,7 @@
 {
   if (r->reservation.endpoint != NULL && r->event_count > 0)
     prompt_locations_record (&f->prompt_locations, r->params.prompt_key,
-                             beryl_live_number (r->reservation.endpoint),
+                             beryl_live_hash (r->reservation.endpoint),
                              now_ms);
   while (r->primary != NULL)
     forward_exchange_detach (f, r, r->primary);
@@ -153,13 +153,13 @@
 bool
 forward_request_is_generation (const struct request *r)
 {
-  return r->route->generation && r->config->engines;
+  return r->route->generation && r->config->has_engines;
 }
 
 bool
 forward_request_is_movable (const struct request *r)
 {
-  return r->config->engine.moves && r->params.id_exact;
+  return r->config->engine.can_relocate && r->params.id_exact;
 }
 
 bool
@@ -265,7 +265,7 @@
                      const struct beryl_route *route)
 {
   struct request *r = calloc (1, sizeof *r);
-  double point = random_part (&f->random);
+  double point = random_unit (&f->random);
 
   r->params = *params;
   r->params.host = NULL;
@@ -281,7 +281,7 @@
   r->timer_ms = r->deadline_ms;
   r->last_event_id = params->last_event_id;
   TAILQ_INSERT_TAIL (&f->requests, r, entry);
-  map_put (&f->requests_by_handle, map_key_number (params->request), r);
+  map_put (&f->requests_by_handle, map_key_from_number (params->request), r);
   f->open_count++;
   return r;
 }
--- a/libberyl/forward/run_table.c
+++ b/libberyl/forward/run_table.c
@@ -37,7 +37,7 @@
 #define REPORT_MAX_AGE_MS 5000
 
 uint32_t
-beryl_engine_number (const char *id)
+beryl_name_hash (const char *id)
 {
   return (uint32_t)XXH3_64bits (id, strlen (id));
 }
@@ -136,7 +136,7 @@
 {
   double median
       = run->expected_tokens > 0 ? run->expected_tokens : model->tokens_mean;
-  double reported = run->made_tokens;
+  double reported = run->generated_tokens;
   double now = reported + (double)age_ms / model->ms_per_token;
   /* Ends are reported at once, so a run of a reachable peer is still alive; a
      run of a silent peer is known only to have been alive when it was
@@ -291,13 +291,13 @@
   size_t left = 0;
 
   for (size_t k = 0; k < peer->count; k++)
-    left += peer->runs[k].prompt_key != prompt_key;
+    left += peer->runs[k].prompt_hash != prompt_key;
   if (left == peer->count)
     return;
   index_runs (table, peer, run_index_remove);
   left = 0;
   for (size_t k = 0; k < peer->count; k++)
-    if (peer->runs[k].prompt_key != prompt_key)
+    if (peer->runs[k].prompt_hash != prompt_key)
       peer->runs[left++] = peer->runs[k];
   peer->count = left;
   index_runs (table, peer, run_index_add);
@@ -383,8 +383,9 @@
 {
   struct newest *newest = user;
 
-  newest->made = fmin (
-      newest->made, run->made_tokens + (double)age_ms / newest->ms_per_token);
+  newest->made
+      = fmin (newest->made,
+              run->generated_tokens + (double)age_ms / newest->ms_per_token);
 }
 
 bool
--- a/libberyl/forward/stream.c
+++ b/libberyl/forward/stream.c
@@ -120,8 +120,8 @@
       r->timer_ms = stream_timer_ms (r);
       return;
     }
-  beryl_live_learn (r->primary->endpoint, BERYL_LIVE_SILENT, silent_ms,
-                    now_ms);
+  beryl_live_record_outcome (r->primary->endpoint, BERYL_LIVE_TIMED_OUT,
+                             silent_ms, now_ms);
   relocate_start (f, r, "engine_silent", now_ms);
 }
 
--- a/libberyl/limits/limits.c
+++ b/libberyl/limits/limits.c
@@ -3,20 +3,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Endpoints whose limits are known, and nodes that send to one of them. */
+/* Maximum number of endpoints with limits, and of senders tracked per
+ * endpoint. */
 #define LIMITS_MAX 128
 #define SENDERS_MAX 512
-/* An endpoint that names less still gets a request now and then: only its
- * answer can tell that it takes more. */
-#define LEAST_MILLI_PER_S 100
-/* What a bucket holds at most: what refills it in so long, or one request. */
+/* Lower bound of the rate: an endpoint with a limit near zero still gets a
+ * request now and then, since only its answer can raise the limit. */
+#define MIN_MILLI_PER_S 100
+/* Bucket capacity: the refill of this time, but at least one request. */
 #define BUCKET_MS 500
-/* Nobody has had an answer for so long: what is known is dropped. */
-#define SILENT_MS INT64_C (600000)
-/* A limit that has ended is told for so long; datagrams may be lost. */
-#define TELL_MS 3000
+/* A limit is dropped after this time without an answer at any node. */
+#define STALE_MS INT64_C (600000)
+/* Changes are announced for this long, since datagrams may be lost. */
+#define ANNOUNCE_MS 3000
 
-/* What another node has told of its sends. */
+/* Last send counter announced by another node. */
 struct sender
 {
   uint32_t node;
@@ -27,23 +28,23 @@
 {
   uint32_t endpoint;
   struct beryl_rate_limit rate;
-  uint32_t kind;    /* of the answers that name it */
-  int64_t since_ms; /* it names a limit, or names none any more */
-  int64_t heard_ms; /* of the newest answer that is known of */
-  double tokens;    /* below 0: more was sent than it takes */
-  int64_t filled_ms;
-  uint32_t sent; /* by this node */
-  bool changed;  /* since it was written last */
+  uint32_t answer_kind;   /* kind of answer that carries the limit */
+  int64_t state_since_ms; /* when the limit began or ended */
+  int64_t confirmed_ms;   /* time of the newest known answer */
+  double tokens;          /* below 0 if overdrawn */
+  int64_t refilled_ms;
+  uint32_t sent; /* requests sent by this node */
+  bool changed;  /* changed since the last export */
   struct sender *senders;
   uint32_t sender_count;
-  uint32_t sender_next; /* to be replaced once there are as many as may be */
+  uint32_t sender_evict; /* next entry to replace when the table is full */
 };
 
 struct beryl_limits
 {
   struct limit items[LIMITS_MAX];
   uint32_t count;
-  uint32_t turn; /* whose turn it is to be written again */
+  uint32_t next_export; /* rotation position of full exports */
 };
 
 struct beryl_limits *
@@ -84,14 +85,14 @@
   for (uint32_t i = limits->count; i > 0; i--)
     {
       struct limit *limit = &limits->items[i - 1];
-      int64_t kept_ms = limit->rate.named ? SILENT_MS : TELL_MS;
+      int64_t kept_ms = limit->rate.advertised ? STALE_MS : ANNOUNCE_MS;
 
-      if (now_ms - limit->heard_ms > kept_ms)
+      if (now_ms - limit->confirmed_ms > kept_ms)
         limit_remove (limits, limit);
     }
 }
 
-/* The one that was silent for longest goes if there are too many. */
+/* Evicts the limit with the oldest answer if the table is full. */
 static struct limit *
 limit_add (struct beryl_limits *limits, uint32_t endpoint, int64_t now_ms)
 {
@@ -102,63 +103,67 @@
     {
       limit = &limits->items[0];
       for (uint32_t i = 1; i < limits->count; i++)
-        if (limits->items[i].heard_ms < limit->heard_ms)
+        if (limits->items[i].confirmed_ms < limit->confirmed_ms)
           limit = &limits->items[i];
       limit_remove (limits, limit);
     }
   limit = &limits->items[limits->count++];
   *limit = (struct limit){ .endpoint = endpoint,
-                           .since_ms = now_ms,
-                           .heard_ms = now_ms,
-                           .filled_ms = now_ms };
+                           .state_since_ms = now_ms,
+                           .confirmed_ms = now_ms,
+                           .refilled_ms = now_ms };
   return limit;
 }
 
 static bool
-is_same (const struct beryl_rate_limit *a, const struct beryl_rate_limit *b)
+rates_equal (const struct beryl_rate_limit *a,
+             const struct beryl_rate_limit *b)
 {
-  return a->named == b->named
-         && (!a->named || a->milli_per_s == b->milli_per_s);
+  return a->advertised == b->advertised
+         && (!a->advertised || a->milli_per_s == b->milli_per_s);
 }
 
-/* The bucket of one that begins to name a limit is empty: what it got just
- * before was more than it takes. */
+/* A new limit starts with an empty bucket: the endpoint advertised it because
+ * it had just received too much. */
 static bool
 limit_set (struct limit *limit, const struct beryl_rate_limit *rate,
-           int64_t heard_ms, int64_t now_ms)
+           int64_t confirmed_ms, int64_t now_ms)
 {
-  bool begins = rate->named && !limit->rate.named;
+  bool starts = rate->advertised && !limit->rate.advertised;
 
-  limit->heard_ms = heard_ms;
-  if (is_same (&limit->rate, rate))
+  limit->confirmed_ms = confirmed_ms;
+  if (rates_equal (&limit->rate, rate))
     return false;
-  if (begins || !rate->named)
-    limit->since_ms = now_ms;
-  if (begins)
+  if (starts || !rate->advertised)
+    limit->state_since_ms = now_ms;
+  if (starts)
     {
       limit->tokens = 0;
-      limit->filled_ms = now_ms;
+      limit->refilled_ms = now_ms;
     }
   limit->rate = *rate;
   return true;
 }
 
-/* An answer without a limit to a request from before it was named tells
- * nothing: answers overtake each other. */
+/* Answers can overtake each other: one without a limit is ignored if its
+ * request was sent before the limit was first advertised. */
 bool
-beryl_limits_heard (struct beryl_limits *limits, uint32_t endpoint,
-                    uint32_t kind, const struct beryl_rate_limit *rate,
-                    int64_t sent_ms, int64_t now_ms)
+beryl_limits_observe (struct beryl_limits *limits, uint32_t endpoint,
+                      uint32_t answer_kind,
+                      const struct beryl_rate_limit *rate, int64_t sent_ms,
+                      int64_t now_ms)
 {
   struct limit *limit = limit_find (limits, endpoint);
 
-  if (limit == NULL && !rate->named)
+  if (limit == NULL && !rate->advertised)
     return false;
   if (limit == NULL)
     limit = limit_add (limits, endpoint, now_ms);
-  else if (!rate->named && (kind != limit->kind || sent_ms <= limit->since_ms))
+  else if (!rate->advertised
+           && (answer_kind != limit->answer_kind
+               || sent_ms <= limit->state_since_ms))
     return false;
-  limit->kind = kind;
+  limit->answer_kind = answer_kind;
   if (!limit_set (limit, rate, now_ms, now_ms))
     return false;
   limit->changed = true;
@@ -167,53 +172,54 @@
 
 static double
 tokens_per_ms (const struct limit *limit,
-               const struct beryl_limit_terms *terms)
+               const struct beryl_limit_cluster *cluster)
 {
   uint32_t milli_per_s = limit->rate.milli_per_s;
 
-  if (milli_per_s < LEAST_MILLI_PER_S)
-    milli_per_s = LEAST_MILLI_PER_S;
-  return terms->part * milli_per_s / 1e6;
+  if (milli_per_s < MIN_MILLI_PER_S)
+    milli_per_s = MIN_MILLI_PER_S;
+  return cluster->reachable_fraction * milli_per_s / 1e6;
 }
 
 static void
-refill (struct limit *limit, const struct beryl_limit_terms *terms,
+refill (struct limit *limit, const struct beryl_limit_cluster *cluster,
         int64_t now_ms)
 {
-  double per_ms = tokens_per_ms (limit, terms);
-  double most = per_ms * BUCKET_MS > 1 ? per_ms * BUCKET_MS : 1;
+  double per_ms = tokens_per_ms (limit, cluster);
+  double capacity = per_ms * BUCKET_MS > 1 ? per_ms * BUCKET_MS : 1;
 
-  limit->tokens += per_ms * (double)(now_ms - limit->filled_ms);
-  limit->filled_ms = now_ms;
-  if (limit->tokens > most)
-    limit->tokens = most;
+  limit->tokens += per_ms * (double)(now_ms - limit->refilled_ms);
+  limit->refilled_ms = now_ms;
+  if (limit->tokens > capacity)
+    limit->tokens = capacity;
 }
 
-/* Other nodes see the same token at the same moment.  Of all requests that
- * might take it before their nodes hear of each other as many do, on the mean,
- * as there are tokens. */
+/* All nodes see the same token at the same time.  Of all requests that may
+ * compete for it before their nodes learn of each other's sends, on average as
+ * many pass as there are tokens. */
 bool
 beryl_limits_allow (struct beryl_limits *limits, uint32_t endpoint,
-                    const struct beryl_limit_terms *terms, double chance,
+                    const struct beryl_limit_cluster *cluster, double chance,
                     int64_t now_ms)
 {
   struct limit *limit = limit_find (limits, endpoint);
 
-  if (limit == NULL || !limit->rate.named)
+  if (limit == NULL || !limit->rate.advertised)
     return true;
-  refill (limit, terms, now_ms);
-  return limit->tokens >= 1 && chance * terms->at_once <= limit->tokens;
+  refill (limit, cluster, now_ms);
+  return limit->tokens >= 1 && chance * cluster->concurrent <= limit->tokens;
 }
 
 void
-beryl_limits_sent (struct beryl_limits *limits, uint32_t endpoint,
-                   const struct beryl_limit_terms *terms, int64_t now_ms)
+beryl_limits_record_send (struct beryl_limits *limits, uint32_t endpoint,
+                          const struct beryl_limit_cluster *cluster,
+                          int64_t now_ms)
 {
   struct limit *limit = limit_find (limits, endpoint);
 
-  if (limit == NULL || !limit->rate.named)
+  if (limit == NULL || !limit->rate.advertised)
     return;
-  refill (limit, terms, now_ms);
+  refill (limit, cluster, now_ms);
   limit->tokens--;
   limit->sent++;
   limit->changed = true;
@@ -221,16 +227,17 @@
 
 int64_t
 beryl_limits_wait_ms (struct beryl_limits *limits, uint32_t endpoint,
-                      const struct beryl_limit_terms *terms, int64_t now_ms)
+                      const struct beryl_limit_cluster *cluster,
+                      int64_t now_ms)
 {
   struct limit *limit = limit_find (limits, endpoint);
 
-  if (limit == NULL || !limit->rate.named)
+  if (limit == NULL || !limit->rate.advertised)
     return 0;
-  refill (limit, terms, now_ms);
+  refill (limit, cluster, now_ms);
   if (limit->tokens >= 1)
     return 0;
-  return 1 + (int64_t)((1 - limit->tokens) / tokens_per_ms (limit, terms));
+  return 1 + (int64_t)((1 - limit->tokens) / tokens_per_ms (limit, cluster));
 }
 
 struct beryl_rate_limit
@@ -242,20 +249,21 @@
 }
 
 static bool
-is_news (const struct limit *limit, int64_t now_ms)
+needs_export (const struct limit *limit, int64_t now_ms)
 {
-  return limit->changed || now_ms - limit->since_ms < TELL_MS;
+  return limit->changed || now_ms - limit->state_since_ms < ANNOUNCE_MS;
 }
 
 static void
-write_one (struct limit *limit, struct beryl_limits_news *news, int64_t now_ms)
+export_one (struct limit *limit, struct beryl_limits_update *update,
+            int64_t now_ms)
 {
-  int64_t age_ms = now_ms - limit->heard_ms;
+  int64_t age_ms = now_ms - limit->confirmed_ms;
 
-  news->items[news->count++] = (struct beryl_limit_news){
+  update->items[update->count++] = (struct beryl_limit_item){
     .endpoint = limit->endpoint,
-    .named = limit->rate.named,
-    .kind = limit->kind,
+    .advertised = limit->rate.advertised,
+    .answer_kind = limit->answer_kind,
     .milli_per_s = limit->rate.milli_per_s,
     .age_ms = age_ms > 0 ? (uint32_t)age_ms : 0,
     .sent = limit->sent,
@@ -264,32 +272,34 @@
 }
 
 static bool
-is_written (const struct beryl_limits_news *news, uint32_t endpoint)
+is_exported (const struct beryl_limits_update *update, uint32_t endpoint)
 {
-  for (size_t i = 0; i < news->count; i++)
-    if (news->items[i].endpoint == endpoint)
+  for (size_t i = 0; i < update->count; i++)
+    if (update->items[i].endpoint == endpoint)
       return true;
   return false;
 }
 
 bool
-beryl_limits_write (struct beryl_limits *limits,
-                    struct beryl_limits_news *news, bool all, int64_t now_ms)
+beryl_limits_build_update (struct beryl_limits *limits,
+                           struct beryl_limits_update *update, bool all,
+                           int64_t now_ms)
 {
-  news->count = 0;
-  for (uint32_t i = 0; i < limits->count && news->count < BERYL_LIMIT_NEWS_MAX;
-       i++)
-    if (is_news (&limits->items[i], now_ms))
-      write_one (&limits->items[i], news, now_ms);
+  update->count = 0;
   for (uint32_t i = 0;
-       all && i < limits->count && news->count < BERYL_LIMIT_NEWS_MAX; i++)
+       i < limits->count && update->count < BERYL_LIMIT_ITEMS_MAX; i++)
+    if (needs_export (&limits->items[i], now_ms))
+      export_one (&limits->items[i], update, now_ms);
+  for (uint32_t i = 0;
+       all && i < limits->count && update->count < BERYL_LIMIT_ITEMS_MAX; i++)
     {
-      struct limit *limit = &limits->items[limits->turn++ % limits->count];
+      struct limit *limit
+          = &limits->items[limits->next_export++ % limits->count];
 
-      if (!is_written (news, limit->endpoint))
-        write_one (limit, news, now_ms);
+      if (!is_exported (update, limit->endpoint))
+        export_one (limit, update, now_ms);
     }
-  return news->count > 0;
+  return update->count > 0;
 }
 
 static struct sender *
@@ -301,7 +311,7 @@
     if (limit->senders[i].node == node)
       return &limit->senders[i];
   if (limit->sender_count == SENDERS_MAX)
-    sender = &limit->senders[limit->sender_next++ % SENDERS_MAX];
+    sender = &limit->senders[limit->sender_evict++ % SENDERS_MAX];
   else
     {
       limit->senders = realloc (limit->senders, (limit->sender_count + 1)
@@ -312,11 +322,11 @@
   return sender;
 }
 
-/* How many sends of NODE are new by its count SENT.  What it sent before it
- * was first heard is long paid for, all but the last one; a smaller count than
- * before is that of another life. */
+/* Returns the number of new sends of NODE by its counter SENT.  Sends before
+ * the first contact are already accounted for, except the last one.  A smaller
+ * counter means that the node has restarted. */
 static uint32_t
-new_sends (struct limit *limit, uint32_t node, uint32_t sent)
+count_new_sends (struct limit *limit, uint32_t node, uint32_t sent)
 {
   struct sender *sender = sender_get (limit, node);
   uint32_t before = sender->sent;
@@ -328,41 +338,42 @@
 }
 
 static void
-take_one (struct beryl_limits *limits, uint32_t node,
-          const struct beryl_limit_news *told,
-          const struct beryl_limit_terms *terms, int64_t now_ms)
+apply_one (struct beryl_limits *limits, uint32_t node,
+           const struct beryl_limit_item *item,
+           const struct beryl_limit_cluster *cluster, int64_t now_ms)
 {
-  struct beryl_rate_limit rate = { told->named, told->milli_per_s };
-  int64_t heard_ms = now_ms - told->age_ms;
-  struct limit *limit = limit_find (limits, told->endpoint);
+  struct beryl_rate_limit rate = { item->advertised, item->milli_per_s };
+  int64_t confirmed_ms = now_ms - item->age_ms;
+  struct limit *limit = limit_find (limits, item->endpoint);
 
-  if (limit == NULL && (!told->named || told->age_ms > SILENT_MS))
+  if (limit == NULL && (!item->advertised || item->age_ms > STALE_MS))
     return;
   if (limit == NULL)
     {
-      limit = limit_add (limits, told->endpoint, now_ms);
-      limit->heard_ms = heard_ms - 1;
+      limit = limit_add (limits, item->endpoint, now_ms);
+      limit->confirmed_ms = confirmed_ms - 1;
     }
-  if (heard_ms > limit->heard_ms)
+  if (confirmed_ms > limit->confirmed_ms)
     {
-      limit->kind = told->kind;
-      limit_set (limit, &rate, heard_ms, now_ms);
+      limit->answer_kind = item->answer_kind;
+      limit_set (limit, &rate, confirmed_ms, now_ms);
     }
-  refill (limit, terms, now_ms);
-  limit->tokens -= new_sends (limit, node, told->sent);
+  refill (limit, cluster, now_ms);
+  limit->tokens -= count_new_sends (limit, node, item->sent);
 }
 
 void
-beryl_limits_take (struct beryl_limits *limits,
-                   const struct beryl_limits_news *news,
-                   const struct beryl_limit_terms *terms, int64_t now_ms)
+beryl_limits_apply_update (struct beryl_limits *limits,
+                           const struct beryl_limits_update *update,
+                           const struct beryl_limit_cluster *cluster,
+                           int64_t now_ms)
 {
-  for (size_t i = 0; i < news->count; i++)
-    take_one (limits, news->node, &news->items[i], terms, now_ms);
+  for (size_t i = 0; i < update->count; i++)
+    apply_one (limits, update->node, &update->items[i], cluster, now_ms);
 }
 
 bool
-beryl_limits_changed (const struct beryl_limits *limits)
+beryl_limits_has_changes (const struct beryl_limits *limits)
 {
   for (uint32_t i = 0; i < limits->count; i++)
     if (limits->items[i].changed)
@@ -376,6 +387,6 @@
   uint32_t count = 0;
 
   for (uint32_t i = 0; i < limits->count; i++)
-    count += limits->items[i].rate.named;
+    count += limits->items[i].rate.advertised;
   return count;
 }
--- a/libberyl/planner/planner.c
+++ b/libberyl/planner/planner.c
@@ -4,36 +4,36 @@
 #include "private.h"
 
 #define WEIGHT_STORE_BYTES_PER_S 1e9
-#define USE 0.8
-#define SLOTS 20
+#define TARGET_UTILIZATION 0.8
+#define DEFAULT_SLOTS 20
 #define PREFILL_TOKENS_PER_S 8000
 #define STEP_MS 60000
 #define HORIZON_MS 120000
-#define SHRINK_MS 300000
-#define IDLE_MS 600000
-#define REPEAT_MS 5000
+#define SHRINK_DELAY_MS 300000
+#define IDLE_TIMEOUT_MS 600000
+#define RESEND_MS 5000
 
 static void
 settings_default (struct beryl_planner_settings *s)
 {
   if (s->weight_store_bytes_per_s <= 0)
     s->weight_store_bytes_per_s = WEIGHT_STORE_BYTES_PER_S;
-  if (s->use <= 0)
-    s->use = USE;
-  if (s->slots == 0)
-    s->slots = SLOTS;
+  if (s->target_utilization <= 0)
+    s->target_utilization = TARGET_UTILIZATION;
+  if (s->default_slots == 0)
+    s->default_slots = DEFAULT_SLOTS;
   if (s->prefill_tokens_per_s <= 0)
     s->prefill_tokens_per_s = PREFILL_TOKENS_PER_S;
   if (s->step_ms == 0)
     s->step_ms = STEP_MS;
   if (s->horizon_ms == 0)
     s->horizon_ms = HORIZON_MS;
-  if (s->shrink_ms == 0)
-    s->shrink_ms = SHRINK_MS;
-  if (s->idle_ms == 0)
-    s->idle_ms = IDLE_MS;
-  if (s->repeat_ms == 0)
-    s->repeat_ms = REPEAT_MS;
+  if (s->shrink_delay_ms == 0)
+    s->shrink_delay_ms = SHRINK_DELAY_MS;
+  if (s->idle_timeout_ms == 0)
+    s->idle_timeout_ms = IDLE_TIMEOUT_MS;
+  if (s->resend_ms == 0)
+    s->resend_ms = RESEND_MS;
 }
 
 struct beryl_planner *
@@ -125,9 +125,9 @@
       p->settings.sizing, p->settings.step_ms, p->settings.horizon_ms);
   s->nodes = calloc (DEMAND_NODES_MAX, sizeof *s->nodes);
   s->step_end_ms = now_ms + p->settings.step_ms;
-  /* A planner that has just taken over knows no demand yet; it must not
-   * take it for none. */
-  s->demand_ms = now_ms;
+  /* A new planner has no demand reports yet; that must not count as absence of
+   * demand. */
+  s->last_demand_ms = now_ms;
   return s->decode_sizer != NULL && s->prefill_sizer != NULL
          && s->nodes != NULL;
 }
@@ -185,7 +185,7 @@
 }
 
 void
-name_copy (char to[BERYL_NAME_BYTES], const char *from)
+planner_copy_name (char to[BERYL_NAME_BYTES], const char *from)
 {
   size_t bytes = from != NULL ? strnlen (from, BERYL_NAME_BYTES - 1) : 0;
 
@@ -195,8 +195,9 @@
 }
 
 void
-beryl_planner_engine (struct beryl_planner *p,
-                      const struct beryl_engine_state *state, int64_t now_ms)
+beryl_planner_report_engine (struct beryl_planner *p,
+                             const struct beryl_engine_state *state,
+                             int64_t now_ms)
 {
   struct engine *e
       = engine_find (p->engines, p->engine_count, state->endpoint);
@@ -204,56 +205,57 @@
   (void)now_ms;
   if (e == NULL)
     return;
-  /* One that does not answer is neither warm nor a spare. */
+  /* An engine that does not answer is neither warm nor a spare. */
   if (state->model == NULL)
     {
-      e->known = false;
+      e->responding = false;
       e->ready = false;
       e->ordered = false;
       return;
     }
-  name_copy (e->model, state->model);
-  name_copy (e->version, state->version);
+  planner_copy_name (e->model, state->model);
+  planner_copy_name (e->version, state->version);
   e->role = state->role;
   e->loading = state->loading;
   e->ready = state->ready;
-  e->known = true;
+  e->responding = true;
 }
 
 static struct node_demand *
-demand_of (struct service *s, const char *node)
+node_demand_get (struct service *s, const char *node)
 {
   for (size_t i = 0; i < s->node_count; i++)
     if (strcmp (s->nodes[i].node, node) == 0)
       return &s->nodes[i];
   if (s->node_count == DEMAND_NODES_MAX)
     return NULL;
-  name_copy (s->nodes[s->node_count].node, node);
+  planner_copy_name (s->nodes[s->node_count].node, node);
   return &s->nodes[s->node_count++];
 }
 
 void
-beryl_planner_demand (struct beryl_planner *p, const char *node,
-                      const char *service, uint32_t arrived, uint32_t waiting,
-                      uint32_t running, uint64_t prompt_tokens, int64_t now_ms)
+beryl_planner_report_demand (struct beryl_planner *p, const char *node,
+                             const char *service, uint32_t arrived,
+                             uint32_t waiting, uint32_t running,
+                             uint64_t prompt_tokens, int64_t now_ms)
 {
   struct service *s = planner_service (p, service);
-  struct node_demand *demand = s != NULL ? demand_of (s, node) : NULL;
+  struct node_demand *demand = s != NULL ? node_demand_get (s, node) : NULL;
 
   if (demand == NULL)
     return;
   s->reported = true;
   demand->waiting = waiting;
   demand->running = running;
-  demand->told_ms = now_ms;
+  demand->reported_ms = now_ms;
   s->step_arrived += arrived;
   s->step_tokens += prompt_tokens;
   if (arrived + waiting + running > 0)
-    s->demand_ms = now_ms;
+    s->last_demand_ms = now_ms;
 }
 
 static bool
-engine_follows (const struct engine *e)
+order_is_applied (const struct engine *e)
 {
   return strcmp (e->model, e->ordered_model) == 0
          && strcmp (e->version, e->ordered_version) == 0
@@ -269,8 +271,8 @@
          || strcmp (e->version, e->ordered_version) != 0;
 }
 
-/* Repeats orders until the reports show them: an order or its answer may be
- * lost, and an engine may restart empty. */
+/* Repeats orders until the engines' reports match: an order or its answer may
+ * be lost, and an engine may restart empty. */
 static void
 orders_send (struct beryl_planner *p, int64_t now_ms)
 {
@@ -284,11 +286,12 @@
                                    .interrupts = engine_is_interrupted (e),
                                    .reason = e->reason };
 
-      if (!e->ordered || !e->known || engine_follows (e))
+      if (!e->ordered || !e->responding || order_is_applied (e))
         continue;
-      if (e->ordered_ms != 0 && now_ms - e->ordered_ms < p->settings.repeat_ms)
+      if (e->order_sent_ms != 0
+          && now_ms - e->order_sent_ms < p->settings.resend_ms)
         continue;
-      e->ordered_ms = now_ms;
+      e->order_sent_ms = now_ms;
       p->owner->impl->order (p->owner, &order);
     }
 }
@@ -300,8 +303,8 @@
     {
       struct service *s = &p->services[i];
 
-      /* Silence is not rest: without reports nothing is known of the demand,
-       * and unloading what serves would refuse it. */
+      /* Missing reports are not absence of demand: unloading the engines would
+       * refuse calls that do arrive. */
       if (!s->reported)
         continue;
       service_size (p, s, now_ms);
@@ -311,17 +314,18 @@
 }
 
 bool
-beryl_planner_follows (const struct beryl_planner *p, const char *endpoint)
+beryl_planner_order_applied (const struct beryl_planner *p,
+                             const char *endpoint)
 {
   const struct engine *e = engine_find (p->engines, p->engine_count, endpoint);
 
-  return e != NULL && e->ordered && engine_follows (e);
+  return e != NULL && e->ordered && order_is_applied (e);
 }
 
 uint32_t
-beryl_planner_wanted (const struct beryl_planner *p, const char *service)
+beryl_planner_target_count (const struct beryl_planner *p, const char *service)
 {
   const struct service *s = planner_service (p, service);
 
-  return s != NULL ? s->wanted : 0;
+  return s != NULL ? s->target : 0;
 }
--- a/libberyl/planner/save.c
+++ b/libberyl/planner/save.c
@@ -4,7 +4,7 @@
 
 #include "private.h"
 
-/* Digits of a saved load: hundredths of a stream do not matter. */
+/* Loads are saved as integers in hundredths, which is precise enough. */
 #define LOAD_SCALE 100
 
 static json_t *
@@ -54,7 +54,7 @@
     json_int_t load = json_integer_value (value);
 
     if (json_is_integer (value) && load >= 0)
-      beryl_sizer_learn (sizer, i, (double)load / LOAD_SCALE);
+      beryl_sizer_restore_step (sizer, i, (double)load / LOAD_SCALE);
   }
 }
 
@@ -65,15 +65,15 @@
   struct service *s = planner_service (p, service);
   json_t *json = json_loadb (text, bytes_count, JSON_REJECT_DUPLICATES, NULL);
   json_t *step = json_object_get (json, "step_ms");
-  bool fits = s != NULL && json_integer_value (step) == p->settings.step_ms;
+  bool ok = s != NULL && json_integer_value (step) == p->settings.step_ms;
 
-  if (fits)
+  if (ok)
     {
       profile_unpack (s->decode_sizer, json_object_get (json, "decode"));
       profile_unpack (s->prefill_sizer, json_object_get (json, "prefill"));
     }
   json_decref (json);
-  return fits;
+  return ok;
 }
 
 size_t
@@ -83,7 +83,7 @@
 }
 
 const char *
-beryl_planner_service (const struct beryl_planner *p, size_t i)
+beryl_planner_service_name (const struct beryl_planner *p, size_t i)
 {
   return p->services[i].name;
 }
--- a/libberyl/planner/sizer.c
+++ b/libberyl/planner/sizer.c
@@ -3,16 +3,17 @@
 #include "beryl/planner.h"
 
 #define DAY_MS 86400000
-/* Share of a new day in the profile of a time of day. */
+/* Weight of a new day in the profile. */
 #define PROFILE_GAIN 0.4
-/* Errors that correct the forecast, as in BARISTA. */
-#define ERRORS 5
-/* Bounds of the correction: a broken profile must not rule. */
+/* Number of recent load/forecast ratios that the correction averages, as in
+ * BARISTA. */
+#define RATIOS_MAX 5
+/* Bounds of the correction, so that a wrong profile cannot dominate. */
 #define CORRECTION_MIN 0.5
 #define CORRECTION_MAX 2.0
-/* Profile of a time of day that was not seen yet. */
+/* Load of a step that has not been observed yet. */
 #define UNKNOWN (-1.0)
-/* Loads below this are noise in a ratio. */
+/* Ratios to loads below this are noise. */
 #define LOAD_MIN 0.5
 
 struct beryl_sizer
@@ -22,7 +23,7 @@
   int64_t horizon_ms;
   size_t steps;
   double profile[BERYL_SIZER_STEPS_MAX]; /* load by time of day */
-  double ratios[ERRORS];                 /* of load to forecast */
+  double ratios[RATIOS_MAX];             /* recent ratios of load to profile */
   size_t ratio_count;
 };
 
@@ -60,7 +61,7 @@
 }
 
 static void
-profile_learn (struct beryl_sizer *s, size_t step, double load)
+profile_update (struct beryl_sizer *s, size_t step, double load)
 {
   if (s->profile[step] >= 0)
     s->profile[step] += PROFILE_GAIN * (load - s->profile[step]);
@@ -76,7 +77,7 @@
 }
 
 void
-beryl_sizer_learn (struct beryl_sizer *s, size_t step, double load)
+beryl_sizer_restore_step (struct beryl_sizer *s, size_t step, double load)
 {
   if (step < s->steps && load >= 0)
     s->profile[step] = load;
@@ -85,7 +86,7 @@
 static double
 correction (const struct beryl_sizer *s)
 {
-  size_t count = s->ratio_count < ERRORS ? s->ratio_count : ERRORS;
+  size_t count = s->ratio_count < RATIOS_MAX ? s->ratio_count : RATIOS_MAX;
   double sum = 0;
 
   if (count == 0)
@@ -98,25 +99,25 @@
   return sum > CORRECTION_MAX ? CORRECTION_MAX : sum;
 }
 
-/* The most that the profile shows until an engine ordered now is warm. */
+/* Returns the peak of the profile until an engine ordered now is warm. */
 static double
 forecast (const struct beryl_sizer *s, int64_t day_ms, double load)
 {
-  double most = UNKNOWN;
+  double peak = UNKNOWN;
 
-  for (int64_t ahead = s->step_ms; ahead <= s->horizon_ms + s->step_ms;
-       ahead += s->step_ms)
+  for (int64_t ahead_ms = s->step_ms; ahead_ms <= s->horizon_ms + s->step_ms;
+       ahead_ms += s->step_ms)
     {
-      size_t step = step_at (s, day_ms + ahead);
+      size_t step = step_at (s, day_ms + ahead_ms);
 
-      if (s->profile[step] > most)
-        most = s->profile[step];
+      if (s->profile[step] > peak)
+        peak = s->profile[step];
     }
-  return most < 0 ? load : most;
+  return peak < 0 ? load : peak;
 }
 
 static double
-greater (double a, double b)
+max_load (double a, double b)
 {
   return a > b ? a : b;
 }
@@ -125,22 +126,22 @@
 beryl_sizer_step (struct beryl_sizer *s, double load, int64_t day_ms)
 {
   size_t step = step_at (s, day_ms);
-  double ahead;
+  double forecast_load;
 
   if (s->profile[step] > LOAD_MIN)
-    s->ratios[s->ratio_count++ % ERRORS] = load / s->profile[step];
-  ahead = forecast (s, day_ms, load);
-  profile_learn (s, step, load);
+    s->ratios[s->ratio_count++ % RATIOS_MAX] = load / s->profile[step];
+  forecast_load = forecast (s, day_ms, load);
+  profile_update (s, step, load);
   switch (s->sizing)
     {
     case BERYL_SIZING_REACTIVE:
       return load;
     case BERYL_SIZING_FORECAST:
-      return ahead;
+      return forecast_load;
     case BERYL_SIZING_CORRECTED:
-      return ahead * correction (s);
+      return forecast_load * correction (s);
     case BERYL_SIZING_HYBRID:
-      return greater (load, ahead * correction (s));
+      return max_load (load, forecast_load * correction (s));
     }
   return load;
 }
--- a/libberyl/quarantine/quarantine.c
+++ b/libberyl/quarantine/quarantine.c
@@ -5,36 +5,37 @@
 
 #include "../base/map.h"
 
-/* Endpoints that end under a request before it goes to no other; one more if
- * another request ran at the same ones, since either may be the cause. */
-#define CRASHES_MOST 3
-/* Endings that are kept of one request, more than it needs: they explain what
- * happened to others. */
-#define CRASHES_KEPT 8
-/* Requests that are remembered. */
+/* Crashes that quarantine a request; one more is needed if another request ran
+ * at the same endpoints, since either may be the cause. */
+#define CRASH_THRESHOLD 3
+/* Crashes kept per request.  More than the threshold, because they explain
+ * crashes of other requests. */
+#define CRASHES_MAX 8
+/* Maximum number of tracked requests. */
 #define SUSPECTS_MAX 512
-/* A run that broke off is blamed on an end of its endpoint that shows within
+/* A broken run counts as a crash if its endpoint is found to have ended within
  * this time. */
 #define CONFIRM_MS 5000
-/* Endings that are older do not count. */
-#define CRASH_KEPT_MS INT64_C (3600000)
+/* Older crashes do not count. */
+#define CRASH_TTL_MS INT64_C (3600000)
 #define QUARANTINE_MS INT64_C (86400000)
-/* Answered requests that are remembered, and for how long they stand above
- * suspicion: many callers may send the same one, and it runs at all endpoints
- * of a rack that fails. */
+/* Answered requests that are remembered, and how long they are not suspected:
+ * many callers may send the same request, so that it runs at all endpoints of
+ * a failing rack. */
 #define ANSWERED_SLOTS 1024
-#define ANSWERED_MS 60000
-/* How often it is looked for what is over. */
-#define EXPIRE_MS 1000
-/* What is new is told for so long; datagrams may be lost. */
-#define TELL_MS 3000
-/* A request that was cleared is not quarantined by what peers still tell. */
-#define CLEARED_MS 60000
+#define ANSWERED_TTL_MS 60000
+/* Interval between expiry scans. */
+#define EXPIRE_INTERVAL_MS 1000
+/* Changes are announced for this long, since datagrams may be lost. */
+#define ANNOUNCE_MS 3000
+/* Reports of peers cannot quarantine a request for this long after it was
+ * cleared. */
+#define CLEARED_TTL_MS 60000
 
 enum crash_state
 {
-  CRASH_PENDING, /* a run broke off; the endpoint may be well */
-  CRASH_OWN,     /* the endpoint has ended */
+  CRASH_PENDING,   /* a run broke off; the endpoint may be healthy */
+  CRASH_CONFIRMED, /* the endpoint has ended */
   CRASH_FROM_PEER,
 };
 
@@ -49,14 +50,14 @@
 {
   TAILQ_ENTRY (suspect) entry;
   uint64_t fingerprint;
-  struct crash crashes[CRASHES_KEPT]; /* the oldest first */
+  struct crash crashes[CRASHES_MAX]; /* oldest first */
   uint32_t crash_count;
   int64_t cleared_ms;     /* 0: never */
-  bool cleared_here;      /* by an answer that this node has seen */
-  int64_t until_ms;       /* in quarantine; 0: not */
-  int64_t quarantined_ms; /* since when this node knows */
-  bool on_record;
-  bool listed; /* in the list of records that is being read */
+  bool cleared_locally;   /* cleared by an answer at this node */
+  int64_t expires_ms;     /* end of the quarantine; 0: not quarantined */
+  int64_t quarantined_ms; /* when this node learned of it */
+  bool in_store;
+  bool seen_in_store; /* part of the record list being read */
 };
 
 TAILQ_HEAD (suspect_list, suspect);
@@ -70,14 +71,14 @@
 struct beryl_quarantine
 {
   struct beryl_quarantine_owner *owner;
-  struct suspect_list suspects; /* what was seen last comes last */
+  struct suspect_list suspects; /* most recently seen last */
   struct map by_fingerprint;
-  uint32_t count;       /* of suspects, those in quarantine included */
-  uint32_t quarantined; /* of these */
-  uint32_t pending;     /* endings that are not confirmed */
+  uint32_t count;       /* suspects, including quarantined ones */
+  uint32_t quarantined; /* quarantined ones among them */
+  uint32_t pending;     /* unconfirmed crashes */
   bool changed;
-  struct answered answered[ANSWERED_SLOTS]; /* by fingerprint */
-  int64_t expired_ms; /* when it was last looked for what is over */
+  struct answered answered[ANSWERED_SLOTS]; /* indexed by fingerprint */
+  int64_t last_expire_ms;                   /* last expiry scan */
 };
 
 const char *
@@ -114,8 +115,8 @@
   while (s->crash_count > 0)
     crash_remove (q, s, 0);
   TAILQ_REMOVE (&q->suspects, s, entry);
-  map_remove (&q->by_fingerprint, map_key_number (s->fingerprint));
-  q->quarantined -= s->until_ms != 0;
+  map_remove (&q->by_fingerprint, map_key_from_number (s->fingerprint));
+  q->quarantined -= s->expires_ms != 0;
   q->count--;
   free (s);
 }
@@ -142,18 +143,18 @@
 static struct suspect *
 suspect_find (const struct beryl_quarantine *q, uint64_t fingerprint)
 {
-  return map_get (&q->by_fingerprint, map_key_number (fingerprint));
+  return map_get (&q->by_fingerprint, map_key_from_number (fingerprint));
 }
 
-/* Returns who is forgotten first: those in quarantine are kept for as long as
- * there are others. */
+/* Returns the entry to evict: quarantined requests only if there are no
+ * others. */
 static struct suspect *
-first_to_forget (const struct beryl_quarantine *q)
+eviction_candidate (const struct beryl_quarantine *q)
 {
   struct suspect *s = NULL;
 
   TAILQ_FOREACH (s, &q->suspects, entry)
-  if (s->until_ms == 0)
+  if (s->expires_ms == 0)
     return s;
   return TAILQ_FIRST (&q->suspects);
 }
@@ -170,11 +171,11 @@
       return s;
     }
   if (q->count == SUSPECTS_MAX)
-    suspect_free (q, first_to_forget (q));
+    suspect_free (q, eviction_candidate (q));
   s = calloc (1, sizeof *s);
   s->fingerprint = fingerprint;
   TAILQ_INSERT_TAIL (&q->suspects, s, entry);
-  map_put (&q->by_fingerprint, map_key_number (fingerprint), s);
+  map_put (&q->by_fingerprint, map_key_from_number (fingerprint), s);
   q->count++;
   return s;
 }
@@ -194,7 +195,7 @@
 {
   struct crash *crash;
 
-  if (s->crash_count == CRASHES_KEPT)
+  if (s->crash_count == CRASHES_MAX)
     crash_remove (q, s, 0);
   crash = &s->crashes[s->crash_count++];
   *crash = (struct crash){ endpoint, state, now_ms };
@@ -202,7 +203,8 @@
   return crash;
 }
 
-/* Whether a request in quarantine ran at the endpoint when it ended. */
+/* Returns whether a quarantined request ran at the endpoint when it crashed.
+ */
 static bool
 is_explained (const struct beryl_quarantine *q, uint32_t endpoint)
 {
@@ -211,7 +213,7 @@
   TAILQ_FOREACH (s, &q->suspects, entry)
   {
     const struct crash *crash
-        = s->until_ms != 0 ? crash_find (s, endpoint) : NULL;
+        = s->expires_ms != 0 ? crash_find (s, endpoint) : NULL;
 
     if (crash != NULL && crash->state != CRASH_PENDING)
       return true;
@@ -220,7 +222,7 @@
 }
 
 static bool
-counts (const struct beryl_quarantine *q, const struct crash *crash)
+is_unexplained (const struct beryl_quarantine *q, const struct crash *crash)
 {
   return crash->state != CRASH_PENDING && !is_explained (q, crash->endpoint);
 }
@@ -231,66 +233,70 @@
   uint32_t count = 0;
 
   for (uint32_t i = 0; i < s->crash_count; i++)
-    count += counts (q, &s->crashes[i]);
+    count += is_unexplained (q, &s->crashes[i]);
   return count;
 }
 
 static bool
-ran_at_all_of (const struct beryl_quarantine *q, struct suspect *other,
-               const struct suspect *s)
+ran_at_all_crashes (const struct beryl_quarantine *q, struct suspect *other,
+                    const struct suspect *s)
 {
   for (uint32_t i = 0; i < s->crash_count; i++)
     {
       const struct crash *crash = &s->crashes[i];
 
-      if (counts (q, crash) && crash_find (other, crash->endpoint) == NULL)
+      if (is_unexplained (q, crash)
+          && crash_find (other, crash->endpoint) == NULL)
         return false;
     }
   return true;
 }
 
-/* Whether another request explains as much as S does. */
+/* Returns whether another request ran at all endpoints whose crashes count
+ * against S. */
 static bool
 is_ambiguous (const struct beryl_quarantine *q, const struct suspect *s)
 {
   struct suspect *other = NULL;
 
   TAILQ_FOREACH (other, &q->suspects, entry)
-  if (other != s && other->until_ms == 0 && ran_at_all_of (q, other, s))
+  if (other != s && other->expires_ms == 0 && ran_at_all_crashes (q, other, s))
     return true;
   return false;
 }
 
 static bool
-has_own_crash (const struct suspect *s)
+has_confirmed_crash (const struct suspect *s)
 {
   for (uint32_t i = 0; i < s->crash_count; i++)
-    if (s->crashes[i].state == CRASH_OWN)
+    if (s->crashes[i].state == CRASH_CONFIRMED)
       return true;
   return false;
 }
 
-/* Whoever saw one of the crashes answers for the record. */
+/* A node that observed one of the crashes itself reports cause CRASHES, which
+ * makes it write the record. */
 static void
 quarantine_begin (struct beryl_quarantine *q, struct suspect *s,
-                  int64_t left_ms, enum beryl_quarantine_cause cause,
+                  int64_t remaining_ms, enum beryl_quarantine_cause cause,
                   int64_t now_ms)
 {
-  if (cause == BERYL_QUARANTINE_TOLD && has_own_crash (s))
+  if (cause == BERYL_QUARANTINE_FROM_PEER && has_confirmed_crash (s))
     cause = BERYL_QUARANTINE_CRASHES;
-  s->until_ms = now_ms + left_ms;
+  s->expires_ms = now_ms + remaining_ms;
   s->quarantined_ms = now_ms;
   q->quarantined++;
   q->changed = true;
-  q->owner->impl->changed (q->owner, s->fingerprint, left_ms, cause, now_ms);
+  q->owner->impl->changed (q->owner, s->fingerprint, remaining_ms, cause,
+                           now_ms);
 }
 
 static void
 quarantine_end (struct beryl_quarantine *q, struct suspect *s,
                 enum beryl_quarantine_cause cause, int64_t now_ms)
 {
-  s->until_ms = 0;
-  s->on_record = false;
+  s->expires_ms = 0;
+  s->in_store = false;
   q->quarantined--;
   q->owner->impl->changed (q->owner, s->fingerprint, 0, cause, now_ms);
 }
@@ -301,10 +307,11 @@
 {
   uint32_t count;
 
-  if (s->until_ms != 0)
+  if (s->expires_ms != 0)
     return;
   count = count_unexplained (q, s);
-  if (count > CRASHES_MOST || (count == CRASHES_MOST && !is_ambiguous (q, s)))
+  if (count > CRASH_THRESHOLD
+      || (count == CRASH_THRESHOLD && !is_ambiguous (q, s)))
     quarantine_begin (q, s, QUARANTINE_MS, cause, now_ms);
 }
 
@@ -320,12 +327,12 @@
   const struct answered *answered = answered_slot (q, fingerprint);
 
   return answered->fingerprint == fingerprint
-         && now_ms - answered->at_ms < ANSWERED_MS;
+         && now_ms - answered->at_ms < ANSWERED_TTL_MS;
 }
 
 void
-beryl_quarantine_broke (struct beryl_quarantine *q, uint64_t fingerprint,
-                        uint32_t endpoint, int64_t now_ms)
+beryl_quarantine_run_broken (struct beryl_quarantine *q, uint64_t fingerprint,
+                             uint32_t endpoint, int64_t now_ms)
 {
   struct suspect *s;
 
@@ -336,7 +343,8 @@
     crash_add (q, s, endpoint, CRASH_PENDING, now_ms);
 }
 
-/* Confirms what S had at the endpoint; returns whether there was something. */
+/* Confirms a pending crash of S at the endpoint.  Returns whether there was
+ * one. */
 static bool
 confirm (struct beryl_quarantine *q, struct suspect *s, uint32_t endpoint,
          int64_t now_ms)
@@ -346,18 +354,18 @@
   if (crash == NULL || crash->state != CRASH_PENDING
       || now_ms - crash->since_ms > CONFIRM_MS)
     return false;
-  crash->state = CRASH_OWN;
+  crash->state = CRASH_CONFIRMED;
   crash->since_ms = now_ms;
   q->pending--;
   q->changed = true;
   return true;
 }
 
-/* All are confirmed before any is judged: what one explains does not count
- * against the others. */
+/* All crashes are confirmed before any request is checked: a crash that one
+ * request explains does not count against the others. */
 bool
-beryl_quarantine_ended (struct beryl_quarantine *q, uint32_t endpoint,
-                        int64_t now_ms)
+beryl_quarantine_endpoint_ended (struct beryl_quarantine *q, uint32_t endpoint,
+                                 int64_t now_ms)
 {
   struct suspect *s = NULL;
   bool any = false;
@@ -381,39 +389,39 @@
   while (s->crash_count > 0)
     crash_remove (q, s, 0);
   s->cleared_ms = now_ms;
-  if (s->until_ms != 0)
+  if (s->expires_ms != 0)
     quarantine_end (q, s, cause, now_ms);
 }
 
 void
-beryl_quarantine_answered (struct beryl_quarantine *q, uint64_t fingerprint,
-                           int64_t now_ms)
+beryl_quarantine_run_answered (struct beryl_quarantine *q,
+                               uint64_t fingerprint, int64_t now_ms)
 {
   struct suspect *s = suspect_find (q, fingerprint);
 
   *answered_slot (q, fingerprint) = (struct answered){ fingerprint, now_ms };
-  if (s == NULL || (s->crash_count == 0 && s->until_ms == 0))
+  if (s == NULL || (s->crash_count == 0 && s->expires_ms == 0))
     return;
   suspect_clear (q, s, BERYL_QUARANTINE_ANSWERED, now_ms);
-  s->cleared_here = true;
+  s->cleared_locally = true;
   q->changed = true;
 }
 
 int64_t
-beryl_quarantine_left_ms (const struct beryl_quarantine *q,
-                          uint64_t fingerprint, int64_t now_ms)
+beryl_quarantine_remaining_ms (const struct beryl_quarantine *q,
+                               uint64_t fingerprint, int64_t now_ms)
 {
   const struct suspect *s;
 
   if (q->quarantined == 0)
     return 0;
   s = suspect_find (q, fingerprint);
-  return s != NULL && s->until_ms > now_ms ? s->until_ms - now_ms : 0;
+  return s != NULL && s->expires_ms > now_ms ? s->expires_ms - now_ms : 0;
 }
 
 bool
-beryl_quarantine_suspects (const struct beryl_quarantine *q,
-                           uint64_t fingerprint)
+beryl_quarantine_is_suspect (const struct beryl_quarantine *q,
+                             uint64_t fingerprint)
 {
   const struct suspect *s = suspect_find (q, fingerprint);
 
@@ -421,117 +429,125 @@
 }
 
 static bool
-is_new (int64_t since_ms, int64_t now_ms)
+is_recent (int64_t since_ms, int64_t now_ms)
 {
-  return since_ms != 0 && now_ms - since_ms < TELL_MS;
+  return since_ms != 0 && now_ms - since_ms < ANNOUNCE_MS;
 }
 
 static void
-write_suspect (const struct suspect *s, struct beryl_quarantine_news *news,
-               int64_t now_ms)
+export_suspect (const struct suspect *s,
+                struct beryl_quarantine_update *update, int64_t now_ms)
 {
   for (uint32_t i = 0; i < s->crash_count; i++)
     {
       const struct crash *crash = &s->crashes[i];
 
-      if (crash->state == CRASH_OWN && is_new (crash->since_ms, now_ms)
-          && news->crash_count < BERYL_CRASHES_MAX)
-        news->crashes[news->crash_count++]
+      if (crash->state == CRASH_CONFIRMED
+          && is_recent (crash->since_ms, now_ms)
+          && update->crash_count < BERYL_CRASHES_MAX)
+        update->crashes[update->crash_count++]
             = (struct beryl_crash){ s->fingerprint, crash->endpoint };
     }
-  if (s->cleared_here && is_new (s->cleared_ms, now_ms)
-      && news->cleared_count < BERYL_CLEARED_MAX)
-    news->cleared[news->cleared_count++] = s->fingerprint;
+  if (s->cleared_locally && is_recent (s->cleared_ms, now_ms)
+      && update->cleared_count < BERYL_CLEARED_MAX)
+    update->cleared[update->cleared_count++] = s->fingerprint;
 }
 
 static void
-write_quarantined (const struct suspect *s, struct beryl_quarantine_news *news,
-                   int64_t now_ms)
+export_quarantined (const struct suspect *s,
+                    struct beryl_quarantine_update *update, int64_t now_ms)
 {
-  if (s->until_ms > now_ms && news->quarantined_count < BERYL_QUARANTINED_MAX)
-    news->quarantined[news->quarantined_count++] = (struct beryl_quarantined){
-      s->fingerprint, (uint32_t)((s->until_ms - now_ms + 999) / 1000)
-    };
+  if (s->expires_ms > now_ms
+      && update->quarantined_count < BERYL_QUARANTINED_MAX)
+    update->quarantined[update->quarantined_count++]
+        = (struct beryl_quarantined){
+            s->fingerprint, (uint32_t)((s->expires_ms - now_ms + 999) / 1000)
+          };
 }
 
-/* What was told goes behind the others, so that each has its turn. */
+/* Exported entries move to the end of the list, so that all take turns. */
 static void
-write_older (struct beryl_quarantine *q, struct beryl_quarantine_news *news,
-             int64_t now_ms)
+export_older (struct beryl_quarantine *q,
+              struct beryl_quarantine_update *update, int64_t now_ms)
 {
   uint32_t left = q->count;
   struct suspect *s, *next;
 
   for (s = TAILQ_FIRST (&q->suspects);
-       left-- > 0 && news->quarantined_count < BERYL_QUARANTINED_MAX; s = next)
+       left-- > 0 && update->quarantined_count < BERYL_QUARANTINED_MAX;
+       s = next)
     {
       next = TAILQ_NEXT (s, entry);
-      if (s->until_ms == 0 || is_new (s->quarantined_ms, now_ms))
+      if (s->expires_ms == 0 || is_recent (s->quarantined_ms, now_ms))
         continue;
-      write_quarantined (s, news, now_ms);
+      export_quarantined (s, update, now_ms);
       TAILQ_REMOVE (&q->suspects, s, entry);
       TAILQ_INSERT_TAIL (&q->suspects, s, entry);
     }
 }
 
 bool
-beryl_quarantine_write (struct beryl_quarantine *q,
-                        struct beryl_quarantine_news *news, bool all,
-                        int64_t now_ms)
+beryl_quarantine_build_update (struct beryl_quarantine *q,
+                               struct beryl_quarantine_update *update,
+                               bool all, int64_t now_ms)
 {
   struct suspect *s = NULL;
 
-  *news = (struct beryl_quarantine_news){ 0 };
+  *update = (struct beryl_quarantine_update){ 0 };
   if (q->count == 0)
     return false;
   TAILQ_FOREACH_REVERSE (s, &q->suspects, suspect_list, entry)
   {
-    write_suspect (s, news, now_ms);
-    if (is_new (s->quarantined_ms, now_ms))
-      write_quarantined (s, news, now_ms);
+    export_suspect (s, update, now_ms);
+    if (is_recent (s->quarantined_ms, now_ms))
+      export_quarantined (s, update, now_ms);
   }
   if (all)
-    write_older (q, news, now_ms);
-  return news->crash_count + news->cleared_count + news->quarantined_count > 0;
+    export_older (q, update, now_ms);
+  return update->crash_count + update->cleared_count
+             + update->quarantined_count
+         > 0;
 }
 
 static bool
 was_cleared (const struct suspect *s, int64_t now_ms)
 {
   return s != NULL && s->cleared_ms != 0
-         && now_ms - s->cleared_ms < CLEARED_MS;
+         && now_ms - s->cleared_ms < CLEARED_TTL_MS;
 }
 
-/* A peer suspects what was answered here: it hears so. */
+/* Clears a request that a peer suspects but this node has seen answered, and
+ * announces that. */
 static bool
-vouch (struct beryl_quarantine *q, uint64_t fingerprint, int64_t now_ms)
+clear_if_answered (struct beryl_quarantine *q, uint64_t fingerprint,
+                   int64_t now_ms)
 {
   struct suspect *s;
 
   if (!was_answered (q, fingerprint, now_ms))
     return false;
   s = suspect_get (q, fingerprint);
-  if (!is_new (s->cleared_ms, now_ms))
+  if (!is_recent (s->cleared_ms, now_ms))
     q->changed = true;
   s->cleared_ms = now_ms;
-  s->cleared_here = true;
+  s->cleared_locally = true;
   return true;
 }
 
 static void
-take_crash (struct beryl_quarantine *q, const struct beryl_crash *told,
-            int64_t now_ms)
+apply_crash (struct beryl_quarantine *q, const struct beryl_crash *reported,
+             int64_t now_ms)
 {
-  struct suspect *s = suspect_find (q, told->fingerprint);
+  struct suspect *s = suspect_find (q, reported->fingerprint);
   struct crash *crash;
 
-  if (told->fingerprint == 0 || was_cleared (s, now_ms)
-      || vouch (q, told->fingerprint, now_ms))
+  if (reported->fingerprint == 0 || was_cleared (s, now_ms)
+      || clear_if_answered (q, reported->fingerprint, now_ms))
     return;
-  s = suspect_get (q, told->fingerprint);
-  crash = crash_find (s, told->endpoint);
+  s = suspect_get (q, reported->fingerprint);
+  crash = crash_find (s, reported->endpoint);
   if (crash == NULL)
-    crash_add (q, s, told->endpoint, CRASH_FROM_PEER, now_ms);
+    crash_add (q, s, reported->endpoint, CRASH_FROM_PEER, now_ms);
   else if (crash->state == CRASH_PENDING)
     {
       crash->state = CRASH_FROM_PEER;
@@ -539,46 +555,48 @@
     }
   else
     return;
-  check_crashes (q, s, BERYL_QUARANTINE_TOLD, now_ms);
+  check_crashes (q, s, BERYL_QUARANTINE_FROM_PEER, now_ms);
 }
 
 static void
-take_quarantined (struct beryl_quarantine *q, uint64_t fingerprint,
-                  int64_t left_ms, enum beryl_quarantine_cause cause,
-                  int64_t now_ms)
+apply_quarantined (struct beryl_quarantine *q, uint64_t fingerprint,
+                   int64_t remaining_ms, enum beryl_quarantine_cause cause,
+                   int64_t now_ms)
 {
   struct suspect *s = suspect_find (q, fingerprint);
 
-  if (fingerprint == 0 || left_ms <= 0 || was_cleared (s, now_ms)
-      || (s != NULL && s->until_ms != 0) || vouch (q, fingerprint, now_ms))
+  if (fingerprint == 0 || remaining_ms <= 0 || was_cleared (s, now_ms)
+      || (s != NULL && s->expires_ms != 0)
+      || clear_if_answered (q, fingerprint, now_ms))
     return;
-  if (left_ms > QUARANTINE_MS)
-    left_ms = QUARANTINE_MS;
-  quarantine_begin (q, suspect_get (q, fingerprint), left_ms, cause, now_ms);
+  if (remaining_ms > QUARANTINE_MS)
+    remaining_ms = QUARANTINE_MS;
+  quarantine_begin (q, suspect_get (q, fingerprint), remaining_ms, cause,
+                    now_ms);
 }
 
 void
-beryl_quarantine_take (struct beryl_quarantine *q,
-                       const struct beryl_quarantine_news *news,
-                       int64_t now_ms)
+beryl_quarantine_apply_update (struct beryl_quarantine *q,
+                               const struct beryl_quarantine_update *update,
+                               int64_t now_ms)
 {
-  for (size_t i = 0; i < news->cleared_count; i++)
+  for (size_t i = 0; i < update->cleared_count; i++)
     {
-      struct suspect *s = suspect_find (q, news->cleared[i]);
+      struct suspect *s = suspect_find (q, update->cleared[i]);
 
       if (s != NULL && !was_cleared (s, now_ms))
         suspect_clear (q, s, BERYL_QUARANTINE_ANSWERED, now_ms);
     }
-  for (size_t i = 0; i < news->quarantined_count; i++)
-    take_quarantined (q, news->quarantined[i].fingerprint,
-                      (int64_t)news->quarantined[i].left_s * 1000,
-                      BERYL_QUARANTINE_TOLD, now_ms);
-  for (size_t i = 0; i < news->crash_count; i++)
-    take_crash (q, &news->crashes[i], now_ms);
+  for (size_t i = 0; i < update->quarantined_count; i++)
+    apply_quarantined (q, update->quarantined[i].fingerprint,
+                       (int64_t)update->quarantined[i].remaining_s * 1000,
+                       BERYL_QUARANTINE_FROM_PEER, now_ms);
+  for (size_t i = 0; i < update->crash_count; i++)
+    apply_crash (q, &update->crashes[i], now_ms);
 }
 
 bool
-beryl_quarantine_take_changed (struct beryl_quarantine *q)
+beryl_quarantine_fetch_changed (struct beryl_quarantine *q)
 {
   bool changed = q->changed;
 
@@ -587,34 +605,35 @@
 }
 
 bool
-beryl_quarantine_stored (struct beryl_quarantine *q, uint64_t fingerprint,
-                         int64_t left_ms, int64_t now_ms)
+beryl_quarantine_record_read (struct beryl_quarantine *q, uint64_t fingerprint,
+                              int64_t remaining_ms, int64_t now_ms)
 {
   struct suspect *s;
 
-  take_quarantined (q, fingerprint, left_ms, BERYL_QUARANTINE_STORED, now_ms);
+  apply_quarantined (q, fingerprint, remaining_ms, BERYL_QUARANTINE_STORED,
+                     now_ms);
   s = suspect_find (q, fingerprint);
-  if (s == NULL || s->until_ms == 0)
+  if (s == NULL || s->expires_ms == 0)
     return false;
-  s->on_record = true;
-  s->listed = true;
+  s->in_store = true;
+  s->seen_in_store = true;
   return true;
 }
 
 void
-beryl_quarantine_listed (struct beryl_quarantine *q, int64_t now_ms)
+beryl_quarantine_records_synced (struct beryl_quarantine *q, int64_t now_ms)
 {
   struct suspect *s = NULL;
 
   TAILQ_FOREACH (s, &q->suspects, entry)
   {
-    if (s->on_record && !s->listed)
+    if (s->in_store && !s->seen_in_store)
       {
         suspect_clear (q, s, BERYL_QUARANTINE_LIFTED, now_ms);
-        s->cleared_here = true;
+        s->cleared_locally = true;
         q->changed = true;
       }
-    s->listed = false;
+    s->seen_in_store = false;
   }
 }
 
@@ -624,23 +643,24 @@
   for (uint32_t i = s->crash_count; i > 0; i--)
     {
       const struct crash *crash = &s->crashes[i - 1];
-      int64_t kept_ms
-          = crash->state == CRASH_PENDING ? CONFIRM_MS : CRASH_KEPT_MS;
+      int64_t ttl_ms
+          = crash->state == CRASH_PENDING ? CONFIRM_MS : CRASH_TTL_MS;
 
-      if (now_ms - crash->since_ms > kept_ms)
+      if (now_ms - crash->since_ms > ttl_ms)
         crash_remove (q, s, i - 1);
     }
 }
 
-/* After its time it is tried again, and one more crash brings it back: it
- * keeps endings, less one, at numbers that no endpoint has. */
+/* After its quarantine a request may run again, and one more crash quarantines
+ * it again: it keeps one crash less than the threshold, at hashes that match
+ * no endpoint. */
 static void
 begin_probation (struct beryl_quarantine *q, struct suspect *s, int64_t now_ms)
 {
   quarantine_end (q, s, BERYL_QUARANTINE_EXPIRED, now_ms);
   while (s->crash_count > 0)
     crash_remove (q, s, 0);
-  for (uint32_t i = 1; i < CRASHES_MOST; i++)
+  for (uint32_t i = 1; i < CRASH_THRESHOLD; i++)
     crash_add (q, s, (uint32_t)s->fingerprint + i, CRASH_FROM_PEER, now_ms);
 }
 
@@ -649,17 +669,18 @@
 {
   struct suspect *s, *next;
 
-  if (now_ms - q->expired_ms < EXPIRE_MS)
+  if (now_ms - q->last_expire_ms < EXPIRE_INTERVAL_MS)
     return;
-  q->expired_ms = now_ms;
+  q->last_expire_ms = now_ms;
   for (s = TAILQ_FIRST (&q->suspects); s != NULL; s = next)
     {
       next = TAILQ_NEXT (s, entry);
-      if (s->until_ms != 0 && now_ms >= s->until_ms)
+      if (s->expires_ms != 0 && now_ms >= s->expires_ms)
         begin_probation (q, s, now_ms);
-      else if (s->until_ms == 0)
+      else if (s->expires_ms == 0)
         expire_crashes (q, s, now_ms);
-      if (s->until_ms == 0 && s->crash_count == 0 && !was_cleared (s, now_ms))
+      if (s->expires_ms == 0 && s->crash_count == 0
+          && !was_cleared (s, now_ms))
         suspect_free (q, s);
     }
 }
--- a/libberyl/requests/attempt.c
+++ b/libberyl/requests/attempt.c
@@ -19,7 +19,7 @@
   exchange->request = request;
   exchange->attempt = request->attempt;
   snprintf (exchange->endpoint, sizeof exchange->endpoint, "%s", endpoint);
-  if (!map_put (&requests->by_exchange, map_key_number (exchange->id),
+  if (!map_put (&requests->by_exchange, map_key_from_number (exchange->id),
                 exchange))
     {
       free (exchange);
@@ -36,7 +36,7 @@
 
   if (exchange == NULL)
     return;
-  map_remove (&requests->by_exchange, map_key_number (exchange->id));
+  map_remove (&requests->by_exchange, map_key_from_number (exchange->id));
   request->exchange = NULL;
   free (exchange);
 }
@@ -155,7 +155,7 @@
    * more refusal, until the caller is told that every endpoint is full. */
   request->decode_at_ms = BERYL_NEVER_MS;
   if (request->phase == PHASE_PLAN)
-    beryl_router_forget (requests->router, request->call.request);
+    beryl_router_drop_waiting (requests->router, request->call.request);
   if (request->exchange != NULL)
     {
       struct beryl_action action = {
@@ -201,7 +201,7 @@
     return "caller gone";
   /* Another engine's continuation differs: after the first byte has gone
    * out, the caller would read two texts as one. */
-  if (!BERYL_GUARD (BERYL_GUARD_MIX, !request->begun))
+  if (!BERYL_GUARD (BERYL_GUARD_RESUME_ONLY, !request->begun))
     return "the answer had begun";
   /* A call that may have run must not run again: a station would be billed
    * twice. */
--- a/libberyl/router/router.c
+++ b/libberyl/router/router.c
@@ -6,10 +6,10 @@
 #include "private.h"
 #include "shares.h"
 
-/* Blocks that the prefix index remembers. */
+/* Capacity of the prefix index, in blocks. */
 #define PREFIX_ENTRIES 32768
 
-/* Trust in the cache events of an endpoint after a gap. */
+/* Cache trust after a gap in an endpoint's events. */
 #define TRUST_AFTER_GAP 0.7
 #define TRUST_GAIN 0.1
 
@@ -20,8 +20,9 @@
   [BERYL_POLICY_RANDOM] = &router_policy_random,
   [BERYL_POLICY_ROUND_ROBIN] = &router_policy_round_robin,
   [BERYL_POLICY_LEAST_REPORTED] = &router_policy_least_reported,
-  [BERYL_POLICY_TWO_CHOICES] = &router_policy_of_two,
-  /* Exact: the planned policy, alone before all engines. */
+  [BERYL_POLICY_TWO_CHOICES] = &router_policy_two_choices,
+  /* Exact: the planned policy as the only node, so that its state is complete.
+   */
   [BERYL_POLICY_EXACT] = &router_policy_planned,
 };
 
@@ -36,7 +37,7 @@
   snprintf (r->data_centre, sizeof r->data_centre, "%s", data_centre);
   r->policy = policies[policy];
   r->random = seed;
-  r->kick_ms = BERYL_NEVER_MS;
+  r->capacity_freed_ms = BERYL_NEVER_MS;
   r->prefix = prefix_index_create (PREFIX_ENTRIES);
   if (!r->prefix)
     {
@@ -83,10 +84,10 @@
 beryl_router_set_config (struct beryl_router *r,
                          const struct beryl_config *config, int64_t now_ms)
 {
-  /* The old configuration is still valid here: names are read from it. */
+  /* The previous configuration is still valid here: names are read from it. */
   organisation_build (r, config);
   fleet_build (r, config);
-  r->kick_ms = now_ms;
+  r->capacity_freed_ms = now_ms;
 }
 
 void
@@ -101,8 +102,8 @@
   free (r->members);
   r->members = members;
   r->member_count = node_count;
-  fleet_share (r);
-  r->kick_ms = now_ms;
+  fleet_assign_shares (r);
+  r->capacity_freed_ms = now_ms;
 }
 
 void
@@ -127,8 +128,9 @@
   e->reported = true;
 }
 
-/* Late events may repeat what is known; a jump forward is a gap: evictions
- * may have been missed, so predicted hits count for less until a resync. */
+/* Late events may repeat known ones.  A gap in the sequence means that
+ * evictions may have been missed, so predicted hits are discounted until a
+ * resync. */
 void
 beryl_router_cache_event (struct beryl_router *r,
                           const struct beryl_cache_event *event,
@@ -163,7 +165,7 @@
   if (number == ROUTER_NONE)
     return;
   struct router_endpoint *e = &r->endpoints[number];
-  prefix_index_forget (r->prefix, number);
+  prefix_index_remove_endpoint (r->prefix, number);
   for (size_t i = 0; i < block_count; i++)
     prefix_index_add (r->prefix, blocks[i], number, now_ms);
   e->cache_known = true;
@@ -173,20 +175,21 @@
 }
 
 bool
-beryl_router_cache_gapped (const struct beryl_router *r, const char *endpoint)
+beryl_router_cache_has_gap (const struct beryl_router *r, const char *endpoint)
 {
   uint32_t number = fleet_find (r, endpoint);
   return number != ROUTER_NONE && r->endpoints[number].cache_gap;
 }
 
-/* The kick is spent once the first waiting job is planned again: whoever
- * plans the others in the same turn sees the same capacity. */
+/* Clears the notice of freed capacity once the first waiting job is planned
+ * again: the others that are planned in the same turn see the same capacity.
+ */
 static void
-spend_kick (struct beryl_router *r, uint64_t request, int64_t now_ms)
+clear_capacity_freed (struct beryl_router *r, uint64_t request, int64_t now_ms)
 {
-  if (r->kick_ms <= now_ms
+  if (r->capacity_freed_ms <= now_ms
       && (r->waiting_count == 0 || r->waiting[0].request == request))
-    r->kick_ms = BERYL_NEVER_MS;
+    r->capacity_freed_ms = BERYL_NEVER_MS;
 }
 
 void
@@ -194,7 +197,7 @@
                    int64_t now_ms, struct beryl_plan *plan)
 {
   *plan = (struct beryl_plan){ 0 };
-  spend_kick (r, job->request, now_ms);
+  clear_capacity_freed (r, job->request, now_ms);
   if (!router_service_find (r, job->service))
     {
       router_refuse (plan, "no_service", 0);
@@ -203,7 +206,7 @@
   int64_t after = 0;
   const char *limit = NULL;
   if (waiting_find (r, job->request) == SIZE_MAX)
-    limit = organisation_check (r, organisation_find (r, job->organisation),
+    limit = organisation_admit (r, organisation_find (r, job->organisation),
                                 now_ms, &after);
   if (limit)
     {
@@ -239,7 +242,7 @@
     }
   if (t->phase == ROUTER_PHASE_DECODE)
     {
-      ticket_give_slot (r, t, now_ms);
+      ticket_release_slot (r, t, now_ms);
       t->decode = ROUTER_NONE;
       t->phase = ROUTER_PHASE_UNBOUND;
       r->services[t->service].unbound++;
@@ -253,7 +256,7 @@
 }
 
 void
-beryl_router_forget (struct beryl_router *r, uint64_t request)
+beryl_router_drop_waiting (struct beryl_router *r, uint64_t request)
 {
   size_t at = waiting_find (r, request);
   if (at == SIZE_MAX)
@@ -263,32 +266,32 @@
 }
 
 static void
-learn_prefill (struct router_service *s, const struct router_ticket *t,
-               uint32_t cached_tokens, int64_t now_ms)
+record_prefill_time (struct router_service *s, const struct router_ticket *t,
+                     uint32_t cached_tokens, int64_t now_ms)
 {
-  if (!t->prefill_alone)
+  if (!t->prefill_unqueued)
     return;
   uint32_t uncached = t->prompt_tokens > cached_tokens
                           ? t->prompt_tokens - cached_tokens
                           : 0;
   double took = (double)(now_ms - t->started_ms);
   double expected = estimate_line_at (&s->prefill_ms, uncached);
-  /* Far longer than expected: somebody else's prefill was probably before
-   * it, though no report said so. */
+  /* Far longer than expected: another node's unreported prefill was probably
+   * queued before it. */
   double weight = took > 1.3 * expected + 20 ? 0.1 : 1;
   estimate_line_add (&s->prefill_ms, uncached, took, weight);
 }
 
 static void
-learn_trust (struct router_endpoint *e, const struct router_ticket *t,
-             uint32_t cached_tokens)
+record_cache_hits (struct router_endpoint *e, const struct router_ticket *t,
+                   uint32_t cached_tokens)
 {
   if (t->cached_tokens == 0)
     return;
-  double right = (double)cached_tokens / t->cached_tokens;
-  if (right > 1)
-    right = 1;
-  e->cache_trust += TRUST_GAIN * (right - e->cache_trust);
+  double hit_ratio = (double)cached_tokens / t->cached_tokens;
+  if (hit_ratio > 1)
+    hit_ratio = 1;
+  e->cache_trust += TRUST_GAIN * (hit_ratio - e->cache_trust);
 }
 
 void
@@ -306,12 +309,12 @@
     {
       struct router_endpoint *e = &r->endpoints[t->prefill];
       prefill_ended (e, now_ms);
-      fleet_worked (e);
-      learn_trust (e, t, cached_tokens);
+      fleet_record_success (e);
+      record_cache_hits (e, t, cached_tokens);
     }
   if (t->service == ROUTER_NONE)
     return;
-  learn_prefill (&r->services[t->service], t, cached_tokens, now_ms);
+  record_prefill_time (&r->services[t->service], t, cached_tokens, now_ms);
   if (r->late_binding || t->decode == ROUTER_NONE)
     return;
   uint32_t decode = t->decode;
@@ -330,7 +333,7 @@
   t->first_token_ms = now_ms;
   t->last_token_ms = now_ms;
   if (t->decode != ROUTER_NONE)
-    fleet_worked (&r->endpoints[t->decode]);
+    fleet_record_success (&r->endpoints[t->decode]);
   if (t->service != ROUTER_NONE)
     estimate_line_add (&r->services[t->service].transfer_ms,
                        (double)t->kv_bytes / 1e6,
@@ -338,8 +341,8 @@
 }
 
 void
-beryl_router_tokens (struct beryl_router *r, uint64_t ticket, uint32_t tokens,
-                     int64_t now_ms)
+beryl_router_tokens_generated (struct beryl_router *r, uint64_t ticket,
+                               uint32_t tokens, int64_t now_ms)
 {
   struct router_ticket *t = ticket_find (r, ticket);
   if (!t || t->phase != ROUTER_PHASE_DECODE || tokens == 0)
@@ -362,31 +365,31 @@
 end_decode (struct beryl_router *r, struct router_ticket *t,
             enum beryl_release how, int64_t now_ms)
 {
-  ticket_give_slot (r, t, now_ms);
+  ticket_release_slot (r, t, now_ms);
   if (t->service == ROUTER_NONE || t->first_token_ms == 0)
     return;
   struct router_service *s = &r->services[t->service];
   estimate_mean_add (&s->decode_ms, (double)(now_ms - t->exported_ms));
   if (how == BERYL_RELEASE_DONE && t->max_tokens > 0)
-    estimate_mean_add (&s->length, (double)t->tokens / t->max_tokens);
+    estimate_mean_add (&s->length_ratio, (double)t->tokens / t->max_tokens);
 }
 
 static void
 end_plain (struct beryl_router *r, struct router_ticket *t,
            enum beryl_release how, int64_t now_ms)
 {
-  ticket_give_slot (r, t, now_ms);
+  ticket_release_slot (r, t, now_ms);
   if (t->call_class != BERYL_CLASS_URGENT && t->service != ROUTER_NONE
-      && r->services[t->service].patient > 0)
-    r->services[t->service].patient--;
+      && r->services[t->service].non_urgent > 0)
+    r->services[t->service].non_urgent--;
   if (t->decode == ROUTER_NONE)
     return;
   struct router_endpoint *e = &r->endpoints[t->decode];
-  if (t->call_class != BERYL_CLASS_URGENT && e->patient > 0)
-    e->patient--;
+  if (t->call_class != BERYL_CLASS_URGENT && e->non_urgent > 0)
+    e->non_urgent--;
   if (how != BERYL_RELEASE_DONE)
     return;
-  fleet_worked (e);
+  fleet_record_success (e);
   if (t->service != ROUTER_NONE)
     estimate_mean_add (&r->services[t->service].answer_ms[t->call_class],
                        (double)(now_ms - t->started_ms));
@@ -403,7 +406,7 @@
   uint32_t failed
       = failed_endpoint ? fleet_find (r, failed_endpoint) : ROUTER_NONE;
   if (failed != ROUTER_NONE && how == BERYL_RELEASE_FAILED)
-    fleet_failed (r, failed, now_ms);
+    fleet_record_failure (r, failed, now_ms);
   if (t->phase == ROUTER_PHASE_PREFILL && t->prefill != ROUTER_NONE)
     prefill_ended (&r->endpoints[t->prefill], now_ms);
   if (t->phase == ROUTER_PHASE_PREFILL || t->phase == ROUTER_PHASE_UNBOUND)
@@ -412,7 +415,7 @@
     end_decode (r, t, how, now_ms);
   else
     end_plain (r, t, how, now_ms);
-  r->kick_ms = now_ms;
+  r->capacity_freed_ms = now_ms;
   ticket_close (r, t);
 }
 
@@ -421,7 +424,7 @@
 {
   if (r->waiting_count == 0)
     return BERYL_NEVER_MS;
-  int64_t next = r->kick_ms;
+  int64_t next = r->capacity_freed_ms;
   for (size_t i = 0; i < r->waiting_count; i++)
     if (r->waiting[i].retry_at_ms < next)
       next = r->waiting[i].retry_at_ms;
--- a/tests/forward/test_book.c
+++ b/tests/forward/test_book.c
@@ -47,9 +47,10 @@
   model.ms_per_token = 4.8;
   for (int i = 0; i < 6; i++)
     {
-      run.made_tokens = 100 * (uint32_t)i;
+      run.generated_tokens = 100 * (uint32_t)i;
       memory_forecast_add (&forecast, &model, &run, 0, true);
-      all += 3200 + run.made_tokens + FORECAST_STEPS * FORECAST_STEP_MS / 4.8;
+      all += 3200 + run.generated_tokens
+             + FORECAST_STEPS * FORECAST_STEP_MS / 4.8;
     }
   for (int i = 0; i < FORECAST_STEPS; i++)
     spread_out = fmax (spread_out,
@@ -187,7 +188,7 @@
       .service = (uint32_t)g_rand_int_range (random, 1, 3),
       .prefill_engine = (uint32_t)g_rand_int_range (random, 0, 6),
       .prompt_tokens = (uint32_t)g_rand_int_range (random, 1, 5000),
-      .prompt_key = (uint32_t)g_rand_int_range (random, 1, 20),
+      .prompt_hash = (uint32_t)g_rand_int_range (random, 1, 20),
     };
 }
 
@@ -199,7 +200,7 @@
       size_t left = 0;
 
       for (size_t i = 0; i < reported->counts[peer]; i++)
-        if (reported->runs[peer][i].prompt_key != key)
+        if (reported->runs[peer][i].prompt_hash != key)
           reported->runs[peer][left++] = reported->runs[peer][i];
       reported->counts[peer] = left;
     }
--- a/tests/relay/test_relay.c
+++ b/tests/relay/test_relay.c
@@ -5,35 +5,36 @@
 #define SPACING_MS 400
 
 static struct beryl_relay *
-relay_of (uint32_t nodes, bool stands)
+create_relay (uint32_t nodes, bool elected)
 {
   struct beryl_relay *relay = beryl_relay_create (LEAVE_MS);
 
-  beryl_relay_set_group (relay, nodes, stands);
+  beryl_relay_set_group (relay, nodes, elected);
   return relay;
 }
 
-/* A data centre of few nodes gains nothing: all of them watch. */
+/* In a small data centre relaying saves nothing, so all nodes watch. */
 START_TEST (test_small_data_centre)
 {
-  struct beryl_relay *relay = relay_of (3, false);
+  struct beryl_relay *relay = create_relay (3, false);
 
-  beryl_relay_heard (relay, 1000);
-  ck_assert_int_eq (beryl_relay_role (relay, 1000), BERYL_RELAY_ALONE);
+  beryl_relay_note_update (relay, 1000);
+  ck_assert_int_eq (beryl_relay_role (relay, 1000), BERYL_RELAY_STANDALONE);
   beryl_relay_set_group (relay, 3, true);
-  ck_assert_int_eq (beryl_relay_role (relay, 1000), BERYL_RELAY_ALONE);
+  ck_assert_int_eq (beryl_relay_role (relay, 1000), BERYL_RELAY_STANDALONE);
   beryl_relay_destroy (relay);
 }
 END_TEST
 
-/* Guards against a node that rests before anybody feeds it. */
-START_TEST (test_nobody_heard_yet)
+/* Guards against a node that stops watching before any watcher relays to it.
+ */
+START_TEST (test_not_fed_yet)
 {
-  struct beryl_relay *relay = relay_of (50, false);
+  struct beryl_relay *relay = create_relay (50, false);
 
-  ck_assert_int_eq (beryl_relay_role (relay, 0), BERYL_RELAY_ALONE);
-  ck_assert_int_eq (beryl_relay_role (relay, 10), BERYL_RELAY_ALONE);
-  beryl_relay_heard (relay, 10);
+  ck_assert_int_eq (beryl_relay_role (relay, 0), BERYL_RELAY_STANDALONE);
+  ck_assert_int_eq (beryl_relay_role (relay, 10), BERYL_RELAY_STANDALONE);
+  beryl_relay_note_update (relay, 10);
   ck_assert_int_eq (beryl_relay_role (relay, 10), BERYL_RELAY_FOLLOWER);
   beryl_relay_set_group (relay, 50, true);
   ck_assert_int_eq (beryl_relay_role (relay, 10), BERYL_RELAY_WATCHER);
@@ -41,37 +42,37 @@
 }
 END_TEST
 
-/* Guards against an endpoint that left being used for as long as its watchers
- * are cut off: less than half of the bound may pass before the own look. */
+/* Guards against using an endpoint that has left while the watchers are cut
+ * off: a follower must watch by itself within half of the bound. */
 START_TEST (test_silent_watchers)
 {
-  struct beryl_relay *relay = relay_of (50, false);
+  struct beryl_relay *relay = create_relay (50, false);
 
-  beryl_relay_heard (relay, 1000);
+  beryl_relay_note_update (relay, 1000);
   ck_assert_int_eq (beryl_relay_role (relay, 1000 + LEAVE_MS / 2),
-                    BERYL_RELAY_ALONE);
-  beryl_relay_heard (relay, 9000);
+                    BERYL_RELAY_STANDALONE);
+  beryl_relay_note_update (relay, 9000);
   ck_assert_int_eq (beryl_relay_role (relay, 9000), BERYL_RELAY_FOLLOWER);
   beryl_relay_destroy (relay);
 }
 END_TEST
 
-/* Guards against followers that look by themselves whenever one of two
- * watchers is late by a part of its interval. */
-START_TEST (test_watcher_is_answered_in_time)
+/* Guards against followers that watch by themselves whenever one of two
+ * watchers is late by a fraction of its interval. */
+START_TEST (test_poll_timeout_within_silence)
 {
   for (int64_t leave_ms = 1000; leave_ms <= 8000; leave_ms += 500)
     {
       struct beryl_relay *relay = beryl_relay_create (leave_ms);
       int64_t interval_ms
-          = beryl_relay_wait_ms (relay, SPACING_MS) + SPACING_MS;
+          = beryl_relay_poll_timeout_ms (relay, SPACING_MS) + SPACING_MS;
 
       beryl_relay_set_group (relay, 50, false);
-      beryl_relay_heard (relay, 1000);
+      beryl_relay_note_update (relay, 1000);
       if (leave_ms >= 2000)
         ck_assert_int_eq (beryl_relay_role (relay, 1000 + interval_ms),
                           BERYL_RELAY_FOLLOWER);
-      ck_assert_int_gt (beryl_relay_wait_ms (relay, SPACING_MS), 0);
+      ck_assert_int_gt (beryl_relay_poll_timeout_ms (relay, SPACING_MS), 0);
       beryl_relay_destroy (relay);
     }
 }
@@ -84,9 +85,9 @@
   TCase *tcase = tcase_create ("relay");
 
   tcase_add_test (tcase, test_small_data_centre);
-  tcase_add_test (tcase, test_nobody_heard_yet);
+  tcase_add_test (tcase, test_not_fed_yet);
   tcase_add_test (tcase, test_silent_watchers);
-  tcase_add_test (tcase, test_watcher_is_answered_in_time);
+  tcase_add_test (tcase, test_poll_timeout_within_silence);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/router/test_load.c
+++ b/tests/router/test_load.c
@@ -15,10 +15,10 @@
     histogram_record (h, i);
   for (int p = 1; p <= 100; p++)
     {
-      double want = p * 1000.0;
+      double expected = p * 1000.0;
       double got = (double)histogram_percentile_us (h, p);
-      ck_assert_double_ge (got, want);
-      ck_assert_double_le (got, want * 1.01);
+      ck_assert_double_ge (got, expected);
+      ck_assert_double_le (got, expected * 1.01);
     }
   ck_assert_int_eq (histogram_max_us (h), 100000);
   struct histogram *sum = histogram_create ();
@@ -48,8 +48,8 @@
       ck_assert (i == 0 || a->items[i].at_us >= a->items[i - 1].at_us);
       jobs += a->items[i].type == ARRIVAL_LONG;
     }
-  double want = 100 * scenario_capacity_per_s (&s);
-  ck_assert_double_eq_tol ((double)jobs, want, 0.15 * want);
+  double expected = 100 * scenario_capacity_per_s (&s);
+  ck_assert_double_eq_tol ((double)jobs, expected, 0.15 * expected);
   arrivals_destroy (a);
   arrivals_destroy (b);
 }
@@ -101,7 +101,7 @@
   arrivals_destroy (a);
 }
 
-/* The same seed gives the same run, decision by decision. */
+/* The same seed reproduces a run, decision by decision. */
 START_TEST (test_runs_repeat)
 {
   struct sim_result a, b;
@@ -115,9 +115,9 @@
 }
 END_TEST
 
-/* More jobs come than the engines can decode.  Without admission every
- * caller waits until nearly all deadlines pass; with it, those that cannot
- * be served are told at once and the others get their answers. */
+/* More jobs arrive than the engines can decode.  Without admission control
+ * every caller waits until nearly all deadlines pass; with it, excess jobs are
+ * refused early and the others are answered in time. */
 START_TEST (test_overload_does_not_collapse)
 {
   struct sim_result planned, robin;
@@ -135,10 +135,9 @@
 }
 END_TEST
 
-/* The fleet of the demo at 1.3 of its capacity, deadlines of ten seconds.
- * Callers got most of their answers and were then cut off by their deadline,
- * with no fault about: decodes begun later than planned were begun all the
- * same. */
+/* Guards against answers cut off by their deadline without any fault, because
+ * decodes were started although they began later than planned.  Runs the demo
+ * fleet at 1.3 times its capacity with deadlines of ten seconds. */
 START_TEST (test_overload_cuts_no_answer)
 {
   struct scenario s;
