--- a/fuzz/fuzz_objects.c
+++ b/fuzz/fuzz_objects.c
@@ -32,14 +32,14 @@
       = { BERYL_EXCHANGE_RESERVE, BERYL_EXCHANGE_PREFILL,
           BERYL_EXCHANGE_MOVE };
   struct h1_head head = { .status = 200 };
-  struct gateway_report report;
+  struct gateway_engine_report report;
 
   for (size_t i = 0; i < sizeof kinds / sizeof *kinds; i++)
     {
       struct beryl_engine_result result = { 0 };
 
-      wire->impl->read_engine_answer (wire, "e", kinds[i], &head, text, bytes,
-                                      &result);
+      wire->impl->read_engine_response (wire, "e", kinds[i], &head, text,
+                                        bytes, &result);
       if (strpbrk (result.handle, " \r\n/") != NULL)
         abort ();
     }
@@ -93,9 +93,9 @@
 {
   char *target = g_strndup (text, bytes);
   struct h1_head head = { .method = "GET", .target = target };
-  struct gateway_place place = { 0 };
+  struct gateway_location place = { 0 };
 
-  wire->impl->read_question (wire, &head, &place);
+  wire->impl->read_node_request (wire, &head, &place);
   g_free (target);
 }
 
--- a/gatewayd/pulls.c
+++ b/gatewayd/config_sync.c
@@ -1,4 +1,4 @@
-#include "pulls.h"
+#include "config_sync.h"
 
 #include <glib.h>
 #include <openssl/crypto.h>
@@ -22,9 +22,9 @@
   ANSWER_PROOF,
 };
 
-struct pulls
+struct config_sync
 {
-  struct pulls_owner *owner;
+  struct config_sync_owner *owner;
   struct loop *loop;
   struct link_listener *listener;
   struct frame_writer *writer;
@@ -38,7 +38,7 @@
 /* Proves that a node of this fleet gave the configuration: whoever can only
  * connect must not be able to hand out one. */
 static void
-prove (const struct pulls *p, uint64_t revision, const char *value,
+prove (const struct config_sync *p, uint64_t revision, const char *value,
        size_t value_bytes, unsigned char proof[PROOF_BYTES])
 {
   GString *text = g_string_new_len (value, (gssize)value_bytes);
@@ -54,7 +54,7 @@
 struct pull
 {
   struct link_handler base;
-  struct pulls *pulls;
+  struct config_sync *pulls;
   struct link *link;
   bool asks;     /* this side does */
   char peer[64]; /* its address */
@@ -106,7 +106,7 @@
 static void
 answer_pull (struct pull *pull, uint64_t after)
 {
-  struct pulls *p = pull->pulls;
+  struct config_sync *p = pull->pulls;
   unsigned char proof[PROOF_BYTES];
 
   if (p->revision <= after)
@@ -125,7 +125,7 @@
 static void
 take_answer (struct pull *pull, struct frame *frame)
 {
-  struct pulls *p = pull->pulls;
+  struct config_sync *p = pull->pulls;
   struct frame_map map = frame_root (frame);
   uint64_t revision = frame_uint (map, ANSWER_REVISION, 0);
   size_t bytes = 0, proof_bytes = 0;
@@ -143,7 +143,7 @@
   if (CRYPTO_memcmp (proof, expected, PROOF_BYTES) != 0)
     g_warning ("configuration from a peer refused: wrong key");
   else if (revision > p->revision)
-    p->owner->impl->configuration (p->owner, revision, value, bytes);
+    p->owner->impl->configuration_received (p->owner, revision, value, bytes);
   pull_end (pull, "whole");
 }
 
@@ -177,7 +177,7 @@
     = { .opened = pull_opened, .frame = pull_frame, .closed = pull_closed };
 
 static struct pull *
-pull_create (struct pulls *p, bool asks)
+pull_create (struct config_sync *p, bool asks)
 {
   struct pull *pull = g_new0 (struct pull, 1);
 
@@ -190,7 +190,7 @@
 }
 
 void
-pulls_ask (struct pulls *p, const char *address, uint16_t port)
+config_sync_pull (struct config_sync *p, const char *address, uint16_t port)
 {
   struct pull *pull;
 
@@ -211,7 +211,7 @@
 static struct link_handler *
 accept_pull (void *user, struct link *link)
 {
-  struct pulls *p = user;
+  struct config_sync *p = user;
   struct pull *pull = pull_create (p, false);
 
   pull->link = link;
@@ -235,7 +235,7 @@
 }
 
 void
-pulls_expire (struct pulls *p)
+config_sync_expire (struct config_sync *p)
 {
   int64_t now_ms = loop_now_ms (p->loop);
 
@@ -250,25 +250,25 @@
 }
 
 void
-pulls_set_key (struct pulls *p, const char *key)
+config_sync_set_key (struct config_sync *p, const char *key)
 {
   g_strlcpy (p->key, key, sizeof p->key);
 }
 
 void
-pulls_set_configuration (struct pulls *p, uint64_t revision, const char *value,
-                         size_t value_bytes)
+config_sync_set_configuration (struct config_sync *p, uint64_t revision,
+                               const char *value, size_t value_bytes)
 {
   p->revision = revision;
   g_string_truncate (p->value, 0);
   g_string_append_len (p->value, value, (gssize)value_bytes);
 }
 
-struct pulls *
-pulls_create (struct loop *loop, const char *ip, uint16_t port,
-              struct pulls_owner *owner, struct beryl_error *error)
+struct config_sync *
+config_sync_create (struct loop *loop, const char *ip, uint16_t port,
+                    struct config_sync_owner *owner, struct beryl_error *error)
 {
-  struct pulls *p = g_new0 (struct pulls, 1);
+  struct config_sync *p = g_new0 (struct config_sync, 1);
 
   p->owner = owner;
   p->loop = loop;
@@ -278,12 +278,12 @@
   p->listener = link_listen (loop, ip, port, accept_pull, p, error);
   if (p->listener != NULL)
     return p;
-  pulls_destroy (p);
+  config_sync_destroy (p);
   return NULL;
 }
 
 void
-pulls_destroy (struct pulls *p)
+config_sync_destroy (struct config_sync *p)
 {
   if (p == NULL)
     return;
--- a/gatewayd/pulls.h
+++ b/gatewayd/config_sync.h
@@ -13,44 +13,44 @@
 #include "beryl/error.h"
 #include "common/loop.h"
 
-struct pulls;
-struct pulls_owner;
+struct config_sync;
+struct config_sync_owner;
 
 /** What the owner does with an answer. */
-struct pulls_owner_impl
+struct config_sync_owner_impl
 {
   /** A peer gave a configuration that is newer than this node's. */
-  void (*configuration) (struct pulls_owner *owner, uint64_t revision,
+  void (*configuration_received) (struct config_sync_owner *owner, uint64_t revision,
                          const char *value, size_t value_bytes);
 };
 
 /** The owner; the first member selects the implementation. */
-struct pulls_owner
+struct config_sync_owner
 {
-  const struct pulls_owner_impl *impl;
+  const struct config_sync_owner_impl *impl;
 };
 
 /** Listen at IP and PORT; NULL and ERROR on failure. */
-struct pulls *pulls_create (struct loop *loop, const char *ip, uint16_t port,
-                            struct pulls_owner *owner,
+struct config_sync *config_sync_create (struct loop *loop, const char *ip, uint16_t port,
+                            struct config_sync_owner *owner,
                             struct beryl_error *error);
 
 /** Close and release; NULL is allowed. */
-void pulls_destroy (struct pulls *pulls);
+void config_sync_destroy (struct config_sync *pulls);
 
 /** Prove and check configurations by KEY. */
-void pulls_set_key (struct pulls *pulls, const char *key);
+void config_sync_set_key (struct config_sync *pulls, const char *key);
 
 /** This node has the configuration VALUE of REVISION. */
-void pulls_set_configuration (struct pulls *pulls, uint64_t revision,
+void config_sync_set_configuration (struct config_sync *pulls, uint64_t revision,
                               const char *value, size_t value_bytes);
 
 /** Ask the peer at ADDRESS and PORT for its configuration, unless a question
  * is open. */
-void pulls_ask (struct pulls *pulls, const char *address, uint16_t port);
+void config_sync_pull (struct config_sync *pulls, const char *address, uint16_t port);
 
 /** Give up connections on which nothing moves; to be called several times a
  * second. */
-void pulls_expire (struct pulls *pulls);
+void config_sync_expire (struct config_sync *pulls);
 
 #endif
--- a/gatewayd/directory.c
+++ b/gatewayd/directory.c
@@ -30,7 +30,7 @@
 static void
 reply_ready (struct directory *d, struct h1_exchange *ex)
 {
-  bool ready = d->owner->impl->ready (d->owner);
+  bool ready = d->owner->impl->is_ready (d->owner);
 
   reply (ex, ready ? 200 : 503, "text/plain",
          ready ? "ready\n" : "not ready\n");
@@ -38,12 +38,12 @@
 
 static void
 reply_addresses (struct directory *d, struct h1_exchange *ex,
-                 const struct gateway_place *place)
+                 const struct gateway_location *place)
 {
   GPtrArray *addresses = g_ptr_array_new_with_free_func (g_free);
   GString *body = g_string_new (NULL);
 
-  d->owner->impl->addresses (d->owner, place, addresses);
+  d->owner->impl->append_addresses (d->owner, place, addresses);
   d->wire->impl->format_addresses (d->wire,
                                    (const char *const *)addresses->pdata,
                                    addresses->len, d->keep_ms, body);
@@ -55,7 +55,7 @@
 static void
 reply_metrics (struct directory *d, struct h1_exchange *ex)
 {
-  char *text = d->owner->impl->metrics (d->owner);
+  char *text = d->owner->impl->format_metrics (d->owner);
 
   reply (ex, 200, "text/plain; version=0.0.4", text);
   free (text);
@@ -66,17 +66,17 @@
 {
   struct directory *d = (struct directory *)handler;
   const struct h1_head *head = h1_exchange_head (ex);
-  struct gateway_place place = { 0 };
+  struct gateway_location place = { 0 };
 
-  switch (d->wire->impl->read_question (d->wire, head, &place))
+  switch (d->wire->impl->read_node_request (d->wire, head, &place))
     {
-    case GATEWAY_QUESTION_READY:
+    case GATEWAY_NODE_REQUEST_READY:
       reply_ready (d, ex);
       return;
-    case GATEWAY_QUESTION_ADDRESSES:
+    case GATEWAY_NODE_REQUEST_ADDRESSES:
       reply_addresses (d, ex, &place);
       return;
-    case GATEWAY_QUESTION_NONE:
+    case GATEWAY_NODE_REQUEST_NONE:
       break;
     }
   if (strcmp (head->target, METRICS_PATH) == 0)
@@ -130,7 +130,7 @@
 }
 
 void
-directory_set_keep (struct directory *d, int64_t keep_ms)
+directory_set_address_keep (struct directory *d, int64_t keep_ms)
 {
   d->keep_ms = keep_ms;
 }
--- a/gatewayd/directory.h
+++ b/gatewayd/directory.h
@@ -17,13 +17,14 @@
 struct directory_owner_impl
 {
   /** Whether this node takes callers. */
-  bool (*ready) (struct directory_owner *owner);
+  bool (*is_ready) (struct directory_owner *owner);
   /** Add "ip:port" texts (g_malloc'd) of the nodes that callers at PLACE may
    * use. */
-  void (*addresses) (struct directory_owner *owner,
-                     const struct gateway_place *place, GPtrArray *addresses);
+  void (*append_addresses) (struct directory_owner *owner,
+                            const struct gateway_location *place,
+                            GPtrArray *addresses);
   /** Write the process's metrics; free() the text. */
-  char *(*metrics) (struct directory_owner *owner);
+  char *(*format_metrics) (struct directory_owner *owner);
 };
 
 /** The owner; the first member selects the implementation. */
@@ -40,7 +41,7 @@
                                     struct beryl_error *error);
 
 /** Change how long callers may keep an answer. */
-void directory_set_keep (struct directory *directory, int64_t keep_ms);
+void directory_set_address_keep (struct directory *directory, int64_t keep_ms);
 
 /** Close all and release; NULL is allowed. */
 void directory_destroy (struct directory *directory);
--- a/gatewayd/engine_call.c
+++ b/gatewayd/engine_call.c
@@ -39,9 +39,9 @@
 call_done (struct h1_call_handler *handler, struct h1_call *http)
 {
   struct engine_call *call = (struct engine_call *)handler;
-  struct engine_answer answer = { .head = call->head,
-                                  .body = call->body->str,
-                                  .body_bytes = call->body->len };
+  struct engine_response answer = { .head = call->head,
+                                    .body = call->body->str,
+                                    .body_bytes = call->body->len };
 
   call->cb (call->user, &answer);
   call_free (call);
@@ -52,7 +52,7 @@
              enum h1_failure failure, bool sent)
 {
   struct engine_call *call = (struct engine_call *)handler;
-  struct engine_answer answer = { .failure = failure, .sent = sent };
+  struct engine_response answer = { .failure = failure, .sent = sent };
 
   call->cb (call->user, &answer);
   call_free (call);
--- a/gatewayd/engine_call.h
+++ b/gatewayd/engine_call.h
@@ -13,7 +13,7 @@
 struct engine_call;
 
 /** How it ended. */
-struct engine_answer
+struct engine_response
 {
   const struct h1_head *head; /**< NULL: it failed */
   const char *body;           /**< as much of it as was asked for */
@@ -23,7 +23,7 @@
 };
 
 /** The end of a call; the call is invalid after. */
-typedef void engine_call_cb (void *user, const struct engine_answer *answer);
+typedef void engine_call_cb (void *user, const struct engine_response *answer);
 
 /** Send HEAD and BODY (NULL: none) to ENGINE; at most BODY_MAX_BYTES of the
  * answer are kept. */
--- a/gatewayd/front.c
+++ b/gatewayd/frontend.c
@@ -1,8 +1,8 @@
-#include "front.h"
+#include "frontend.h"
 
 #include <string.h>
 
-struct front
+struct frontend
 {
   struct h1_server_handler base;
   struct loop *loop;
@@ -22,7 +22,7 @@
 };
 
 static struct h1_exchange *
-exchange_of (const struct front *front, uint64_t request)
+exchange_of (const struct frontend *front, uint64_t request)
 {
   return g_hash_table_lookup (front->open, &request);
 }
@@ -30,7 +30,7 @@
 /* Takes a request out before its answer ends, so that the end of the
  * exchange is not told to the forwarder, which knows. */
 static struct h1_exchange *
-take (struct front *front, uint64_t request)
+take (struct frontend *front, uint64_t request)
 {
   struct h1_exchange *ex = exchange_of (front, request);
   struct caller *caller;
@@ -46,7 +46,7 @@
 static void
 request_arrived (struct h1_server_handler *handler, struct h1_exchange *ex)
 {
-  struct front *front = (struct front *)handler;
+  struct frontend *front = (struct frontend *)handler;
   struct caller *caller = g_new0 (struct caller, 1);
   struct beryl_forward_request request = { 0 };
   int64_t now_ms = loop_now_ms (front->loop);
@@ -65,7 +65,7 @@
 static void
 caller_drained (struct h1_server_handler *handler, struct h1_exchange *ex)
 {
-  struct front *front = (struct front *)handler;
+  struct frontend *front = (struct frontend *)handler;
   const struct caller *caller = h1_exchange_user (ex);
 
   if (!caller->over)
@@ -76,7 +76,7 @@
 exchange_closed (struct h1_server_handler *handler, struct h1_exchange *ex,
                  bool whole)
 {
-  struct front *front = (struct front *)handler;
+  struct frontend *front = (struct frontend *)handler;
   struct caller *caller = h1_exchange_user (ex);
 
   if (!caller->over)
@@ -94,12 +94,12 @@
   .closed = exchange_closed,
 };
 
-struct front *
-front_create (struct loop *loop, const struct gateway_wire *wire,
-              const struct gateway_address *address,
-              struct beryl_forward *forward, struct beryl_error *error)
+struct frontend *
+frontend_create (struct loop *loop, const struct gateway_wire *wire,
+                 const struct gateway_address *address,
+                 struct beryl_forward *forward, struct beryl_error *error)
 {
-  struct front *front = g_new0 (struct front, 1);
+  struct frontend *front = g_new0 (struct frontend, 1);
 
   front->base.impl = &handler_impl;
   front->loop = loop;
@@ -110,12 +110,12 @@
                                     &front->base, error);
   if (front->server != NULL)
     return front;
-  front_destroy (front);
+  frontend_destroy (front);
   return NULL;
 }
 
 void
-front_destroy (struct front *front)
+frontend_destroy (struct frontend *front)
 {
   if (front == NULL)
     return;
@@ -125,14 +125,14 @@
 }
 
 struct h1_server *
-front_server (struct front *front)
+frontend_server (struct frontend *front)
 {
   return front->server;
 }
 
 const struct h1_head *
-front_request (const struct front *front, uint64_t request, const char **body,
-               size_t *body_bytes)
+frontend_request (const struct frontend *front, uint64_t request,
+                  const char **body, size_t *body_bytes)
 {
   struct h1_exchange *ex = exchange_of (front, request);
 
@@ -156,8 +156,9 @@
 }
 
 void
-front_begin (struct front *front, uint64_t request, const struct h1_head *head,
-             bool has_length, uint64_t length)
+frontend_begin_response (struct frontend *front, uint64_t request,
+                         const struct h1_head *head, bool has_length,
+                         uint64_t length)
 {
   struct h1_exchange *ex = exchange_of (front, request);
   GArray *fields;
@@ -177,8 +178,8 @@
 #define SLOW_BYTES 65536
 
 void
-front_data (struct front *front, uint64_t request, const char *bytes,
-            size_t bytes_count)
+frontend_write (struct frontend *front, uint64_t request, const char *bytes,
+                size_t bytes_count)
 {
   struct h1_exchange *ex = exchange_of (front, request);
 
@@ -190,7 +191,7 @@
 }
 
 void
-front_end (struct front *front, uint64_t request)
+frontend_finish (struct frontend *front, uint64_t request)
 {
   struct h1_exchange *ex = take (front, request);
 
@@ -199,7 +200,7 @@
 }
 
 void
-front_cut (struct front *front, uint64_t request)
+frontend_truncate (struct frontend *front, uint64_t request)
 {
   struct h1_exchange *ex = take (front, request);
 
@@ -217,8 +218,8 @@
 }
 
 void
-front_refuse (struct front *front, uint64_t request,
-              const struct beryl_refusal *refusal)
+frontend_refuse (struct frontend *front, uint64_t request,
+                 const struct beryl_refusal *refusal)
 {
   struct h1_exchange *ex = take (front, request);
   struct caller *caller;
--- a/gatewayd/front.h
+++ b/gatewayd/frontend.h
@@ -12,37 +12,37 @@
 #include "h1/server.h"
 #include "settings.h"
 
-struct front;
+struct frontend;
 
 /** Listen for callers; NULL and ERROR on failure. */
-struct front *front_create (struct loop *loop, const struct gateway_wire *wire,
+struct frontend *frontend_create (struct loop *loop, const struct gateway_wire *wire,
                             const struct gateway_address *address,
                             struct beryl_forward *forward,
                             struct beryl_error *error);
 
 /** Close all connections and release FRONT; NULL is allowed. */
-void front_destroy (struct front *front);
+void frontend_destroy (struct frontend *front);
 
 /** Return the server, for its limits, counts and drain. */
-struct h1_server *front_server (struct front *front);
+struct h1_server *frontend_server (struct frontend *front);
 
 /** Return a request's head and body; NULL if its caller has gone. */
-const struct h1_head *front_request (const struct front *front,
+const struct h1_head *frontend_request (const struct frontend *front,
                                      uint64_t request, const char **body,
                                      size_t *body_bytes);
 
 /** Begin an answer with the head that an endpoint gave.  HAS_LENGTH: its
  * body has LENGTH bytes. */
-void front_begin (struct front *front, uint64_t request,
+void frontend_begin_response (struct frontend *front, uint64_t request,
                   const struct h1_head *head, bool has_length,
                   uint64_t length);
 
 /** Answers, as in struct beryl_forward_owner_impl. */
-void front_data (struct front *front, uint64_t request, const char *bytes,
+void frontend_write (struct frontend *front, uint64_t request, const char *bytes,
                  size_t bytes_count);
-void front_end (struct front *front, uint64_t request);
-void front_cut (struct front *front, uint64_t request);
-void front_refuse (struct front *front, uint64_t request,
+void frontend_finish (struct frontend *front, uint64_t request);
+void frontend_truncate (struct frontend *front, uint64_t request);
+void frontend_refuse (struct frontend *front, uint64_t request,
                    const struct beryl_refusal *refusal);
 
 #endif
--- a/gatewayd/gateway.c
+++ b/gatewayd/gateway.c
@@ -7,7 +7,7 @@
 #include "common/counters.h"
 #include "directory.h"
 #include "fingerprint.h"
-#include "front.h"
+#include "frontend.h"
 #include "members.h"
 #include "metrics.h"
 #include "notices.h"
@@ -16,7 +16,7 @@
 #include "quarantine_records.h"
 #include "registry.h"
 #include "relay.h"
-#include "source.h"
+#include "platform_source.h"
 #include "store.h"
 #include "survey.h"
 #include "wire/loads.h"
@@ -46,7 +46,7 @@
 struct gateway
 {
   struct beryl_forward_owner base;
-  struct source_owner source_base;
+  struct platform_source_owner source_base;
   struct directory_owner directory_base;
   struct members_owner members_base;
   struct registry_owner registry_base;
@@ -59,9 +59,9 @@
   struct platform_client *store;
   struct beryl_lives *lives;
   struct beryl_forward *forward;
-  struct front *front;
+  struct frontend *front;
   struct outbound *outbound;
-  struct source *source;
+  struct platform_source *source;
   struct directory *directory;
   struct members *members;
   struct cluster_key *key;
@@ -87,7 +87,7 @@
 }
 
 static struct gateway *
-of_source (struct source_owner *owner)
+of_source (struct platform_source_owner *owner)
 {
   return (struct gateway *)((char *)owner
                             - offsetof (struct gateway, source_base));
@@ -124,7 +124,7 @@
   size_t body_bytes = 0;
 
   if (start->request != 0)
-    head = front_request (g->front, start->request, &body, &body_bytes);
+    head = frontend_request (g->front, start->request, &body, &body_bytes);
   outbound_start (g->outbound, start, head, body, body_bytes);
 }
 
@@ -147,36 +147,37 @@
 {
   struct gateway *g = of_forward (owner);
   uint64_t length = 0;
-  bool has_length = outbound_length (g->outbound, exchange, &length);
+  bool has_length = outbound_response_length (g->outbound, exchange, &length);
 
-  front_begin (g->front, request, outbound_head (g->outbound, exchange),
-               has_length, length);
+  frontend_begin_response (g->front, request,
+                           outbound_response_head (g->outbound, exchange),
+                           has_length, length);
 }
 
 static void
 forward_data (struct beryl_forward_owner *owner, uint64_t request,
               const char *bytes, size_t bytes_count)
 {
-  front_data (of_forward (owner)->front, request, bytes, bytes_count);
+  frontend_write (of_forward (owner)->front, request, bytes, bytes_count);
 }
 
 static void
 forward_end (struct beryl_forward_owner *owner, uint64_t request)
 {
-  front_end (of_forward (owner)->front, request);
+  frontend_finish (of_forward (owner)->front, request);
 }
 
 static void
 forward_cut (struct beryl_forward_owner *owner, uint64_t request)
 {
-  front_cut (of_forward (owner)->front, request);
+  frontend_truncate (of_forward (owner)->front, request);
 }
 
 static void
 forward_refuse (struct beryl_forward_owner *owner, uint64_t request,
                 const struct beryl_refusal *refusal)
 {
-  front_refuse (of_forward (owner)->front, request, refusal);
+  frontend_refuse (of_forward (owner)->front, request, refusal);
 }
 
 static uint64_t
@@ -186,7 +187,7 @@
   size_t body_bytes = 0;
   const char *body = NULL;
   const struct h1_head *head
-      = front_request (g->front, request, &body, &body_bytes);
+      = frontend_request (g->front, request, &body, &body_bytes);
 
   if (head == NULL)
     return 0;
@@ -203,7 +204,7 @@
   g_info ("quarantine fingerprint=%016" G_GINT64_MODIFIER
           "x left_ms=%" G_GINT64_FORMAT " cause=%s",
           fingerprint, left_ms, beryl_quarantine_cause_name (cause));
-  metrics_quarantined (g->metrics, beryl_quarantine_cause_name (cause));
+  metrics_count_quarantine (g->metrics, beryl_quarantine_cause_name (cause));
   if (cause == BERYL_QUARANTINE_CRASHES)
     quarantine_records_add (g->quarantine_records, fingerprint, left_ms);
 }
@@ -224,7 +225,7 @@
 {
   char fingerprint[20];
 
-  metrics_decided (of_forward (owner)->metrics, d);
+  metrics_count_decision (of_forward (owner)->metrics, d);
   if (!log_level_enabled (G_LOG_LEVEL_INFO))
     return;
   g_info ("request id=%s route=%s step=%s outcome=%s endpoint=%s age_ms="
@@ -264,12 +265,14 @@
 };
 
 static void
-source_routes (struct source_owner *owner, struct beryl_routes *routes)
+source_routes (struct platform_source_owner *owner,
+               struct beryl_routes *routes)
 {
   struct gateway *g = of_source (owner);
   const struct beryl_caller_limits *from = &routes->limits;
   size_t value_bytes;
-  const char *value = source_value (g->source, &value_bytes);
+  const char *value
+      = platform_source_configuration_text (g->source, &value_bytes);
   struct h1_limits limits = {
     .header_bytes = from->header_bytes,
     .body_bytes = from->body_bytes,
@@ -281,38 +284,39 @@
 
   beryl_forward_set_routes (g->forward, routes);
   beryl_routes_unref (routes);
-  h1_server_set_limits (front_server (g->front), &limits);
+  h1_server_set_limits (frontend_server (g->front), &limits);
   if (g->members != NULL)
-    members_set_configuration (g->members, source_revision (g->source), value,
-                               value_bytes);
+    members_set_configuration (
+        g->members, platform_source_configuration_revision (g->source), value,
+        value_bytes);
 }
 
 static void
-source_endpoints (struct source_owner *owner)
+source_endpoints (struct platform_source_owner *owner)
 {
   struct gateway *g = of_source (owner);
 
   if (g->members != NULL)
-    members_set_endpoint_revision (g->members,
-                                   source_endpoint_revision (g->source));
+    members_set_endpoint_revision (
+        g->members, platform_source_endpoint_revision (g->source));
   beryl_forward_lives_changed (g->forward, loop_now_ms (g->loop));
 }
 
 static void
-source_answered (struct source_owner *owner, uint64_t after, uint64_t revision,
-                 const struct entry_change *changes, size_t count,
-                 bool complete)
+source_answered (struct platform_source_owner *owner, uint64_t after,
+                 uint64_t revision, const struct entry_change *changes,
+                 size_t count, bool complete)
 {
   struct gateway *g = of_source (owner);
 
   if (g->relay != NULL)
-    relay_answered (g->relay, after, revision, changes, count, complete);
+    relay_send (g->relay, after, revision, changes, count, complete);
 }
 
-static const struct source_owner_impl source_impl = {
-  .routes = source_routes,
-  .endpoints = source_endpoints,
-  .answered = source_answered,
+static const struct platform_source_owner_impl source_impl = {
+  .routes_changed = source_routes,
+  .endpoints_changed = source_endpoints,
+  .changes_received = source_answered,
 };
 
 static bool
@@ -320,16 +324,17 @@
 {
   struct gateway *g = of_directory (owner);
 
-  return g->stop_began_ms == 0 && source_complete (g->source);
+  return g->stop_began_ms == 0 && platform_source_is_synced (g->source);
 }
 
 static void
 directory_addresses (struct directory_owner *owner,
-                     const struct gateway_place *place, GPtrArray *addresses)
+                     const struct gateway_location *place,
+                     GPtrArray *addresses)
 {
   struct gateway *g = of_directory (owner);
 
-  members_addresses (g->members, place->data_centre, addresses);
+  members_append_addresses (g->members, place->data_centre, addresses);
 }
 
 static uint64_t
@@ -350,16 +355,16 @@
   struct metrics_gauges gauges = {
     .open = beryl_forward_open (g->forward),
     .waiting = beryl_forward_waiting (g->forward),
-    .connections = h1_server_connections (front_server (g->front)),
-    .malformed = h1_server_counts (front_server (g->front))->malformed,
+    .connections = h1_server_connections (frontend_server (g->front)),
+    .malformed = h1_server_counts (frontend_server (g->front))->malformed,
     .nodes = members_count (g->members),
     .endpoints = endpoints_working (g),
-    .configuration = source_version (g->source),
-    .revision = source_revision (g->source),
+    .configuration = platform_source_configuration_version (g->source),
+    .revision = platform_source_configuration_revision (g->source),
     .list_age_ms = now_ms - beryl_lives_synced_ms (g->lives),
     .ready = directory_ready (owner),
-    .planner = planner_holds (g->planner),
-    .watcher = relay_watches (g->relay),
+    .planner = planner_holds_lease (g->planner),
+    .watcher = relay_is_watcher (g->relay),
     .limited = beryl_limits_count (beryl_forward_limits (g->forward)),
     .quarantined
     = beryl_quarantine_count (beryl_forward_quarantine (g->forward)),
@@ -371,9 +376,9 @@
 }
 
 static const struct directory_owner_impl directory_impl = {
-  .ready = directory_ready,
-  .addresses = directory_addresses,
-  .metrics = directory_metrics,
+  .is_ready = directory_ready,
+  .append_addresses = directory_addresses,
+  .format_metrics = directory_metrics,
 };
 
 static void
@@ -382,7 +387,8 @@
   struct gateway *g = of_members (owner);
 
   beryl_forward_set_nodes (g->forward, count);
-  beryl_forward_set_interval (g->forward, members_interval_ms (g->members));
+  beryl_forward_set_interval (g->forward,
+                              members_announce_interval_ms (g->members));
   store_set_nodes (g->store, &g->settings, count);
   store_set_watch_wait (g->store, count, members_isolated (g->members));
 }
@@ -396,7 +402,7 @@
 
   beryl_forward_peer_runs (g->forward, message->from, message->runs,
                            message->run_count, now_ms);
-  source_peer_revision (g->source, message->endpoint_revision);
+  platform_source_set_peer_revision (g->source, message->endpoint_revision);
   beryl_forward_peer_news (g->forward, message->from, &message->news, now_ms);
   beryl_forward_peer_transfers (g->forward, message->from, &message->asks,
                                 &message->loans, now_ms);
@@ -410,14 +416,14 @@
   struct gateway *g = of_members (owner);
 
   if (g->relay != NULL)
-    relay_received (g->relay, message);
+    relay_receive (g->relay, message);
 }
 
 static void
 members_notices (struct members_owner *owner,
                  const struct notices_message *message)
 {
-  notices_take (of_members (owner)->notices, message);
+  notices_receive (of_members (owner)->notices, message);
 }
 
 static void
@@ -429,14 +435,15 @@
 static bool
 members_should_pull (struct members_owner *owner)
 {
-  return source_should_pull (of_members (owner)->source);
+  return platform_source_should_pull (of_members (owner)->source);
 }
 
 static void
 members_configuration (struct members_owner *owner, uint64_t revision,
                        const char *value, size_t value_bytes)
 {
-  source_offer (of_members (owner)->source, revision, value, value_bytes);
+  platform_source_offer_configuration (of_members (owner)->source, revision,
+                                       value, value_bytes);
 }
 
 static void tell (void *user);
@@ -449,13 +456,13 @@
 
 static const struct members_owner_impl members_impl = {
   .count_changed = members_count_changed,
-  .loads = members_loads,
-  .changes = members_changes,
-  .notices = members_notices,
-  .peer_gone = members_peer_gone,
-  .tell_due = members_tell_due,
+  .loads_received = members_loads,
+  .changes_received = members_changes,
+  .notices_received = members_notices,
+  .peer_lost = members_peer_gone,
+  .announce_due = members_tell_due,
   .should_pull = members_should_pull,
-  .configuration = members_configuration,
+  .configuration_received = members_configuration,
 };
 
 static void
@@ -468,14 +475,14 @@
 registry_listed (struct registry_owner *owner,
                  const struct beryl_listed *items, size_t count)
 {
-  members_listed (of_registry (owner)->members, items, count);
+  members_set_records (of_registry (owner)->members, items, count);
 }
 
 static void
 registry_objects (struct registry_owner *owner,
                   const struct beryl_object *objects, size_t count)
 {
-  quarantine_records_listed (of_registry (owner)->quarantine_records, objects,
+  quarantine_records_update (of_registry (owner)->quarantine_records, objects,
                              count);
 }
 
@@ -487,15 +494,15 @@
 {
   struct gateway *g = of_registry (owner);
 
-  return planner_holds (g->planner)
+  return planner_holds_lease (g->planner)
          && members_silent_ms (g->members, node) >= g->settings.record_keep_ms;
 }
 
 static const struct registry_owner_impl registry_impl = {
   .registered = registry_registered,
-  .listed = registry_listed,
-  .objects = registry_objects,
-  .is_over = registry_is_over,
+  .records_listed = registry_listed,
+  .objects_listed = registry_objects,
+  .should_remove = registry_is_over,
 };
 
 static void
@@ -509,18 +516,19 @@
   g->tell = NULL;
   message.run_count = beryl_forward_runs (g->forward, message.runs,
                                           BERYL_ENGINE_RUNS_MAX, now_ms);
-  planner_changing (g->planner, &message.news.changing);
+  planner_add_pending (g->planner, &message.news.changing);
   beryl_forward_peer_news (g->forward, g->settings.node, &message.news,
                            now_ms);
   beryl_forward_news (g->forward, &message.news, now_ms);
   beryl_forward_repeat_transfers (g->forward, &message.asks, &message.loans,
                                   now_ms);
-  if (now_ms - g->profiles_ms >= PROFILES_MS && members_tells_far (g->members))
+  if (now_ms - g->profiles_ms >= PROFILES_MS
+      && members_announces_remote (g->members))
     {
       beryl_forward_profiles (g->forward, &message.profiles);
       g->profiles_ms = now_ms;
     }
-  members_tell_loads (g->members, &message);
+  members_announce_loads (g->members, &message);
 }
 
 static void
@@ -530,14 +538,15 @@
   struct beryl_endpoint_set changing = { 0 };
   bool isolated = members_isolated (g->members);
 
-  planner_changing (g->planner, &changing);
+  planner_add_pending (g->planner, &changing);
   if (changing.count > 0 && g->tell == NULL)
     g->tell = loop_timer_start (g->loop, TELL_DELAY_MS, 0, tell, g);
   beryl_forward_set_isolated (g->forward, isolated);
   store_set_watch_wait (g->store, members_count (g->members), isolated);
-  planner_stand (g->planner, g->stop_began_ms == 0
-                                 && members_stands_for (
-                                     g->members, "stage-planner", PLANNERS));
+  planner_set_candidate (
+      g->planner,
+      g->stop_began_ms == 0
+          && members_is_candidate (g->members, "stage-planner", PLANNERS));
 }
 
 static void
@@ -563,9 +572,9 @@
       && beryl_forward_runs_changed (g->forward))
     g->tell = loop_timer_start (g->loop, TELL_DELAY_MS, 0, tell, g);
   /* A node that hears no other may not have heard what is on record. */
-  if (g->notices != NULL && notices_look (g->notices) && g->registry != NULL
-      && members_isolated (g->members))
-    registry_look (g->registry);
+  if (g->notices != NULL && notices_schedule (g->notices)
+      && g->registry != NULL && members_isolated (g->members))
+    registry_refresh (g->registry);
 
   if (next_ms == BERYL_NEVER_MS || (g->tick != NULL && g->tick_ms <= next_ms))
     return;
@@ -654,10 +663,11 @@
   g->store = store_create (loop, http, wire, &g->settings, g->counters,
                            random_number ());
   create_prepare (g);
-  g->front = front_create (loop, wire, &g->settings.front, g->forward, error);
+  g->front
+      = frontend_create (loop, wire, &g->settings.front, g->forward, error);
   if (g->front != NULL)
-    g->source = source_create (loop, wire, g->store, g->lives, g->counters,
-                               &g->source_base);
+    g->source = platform_source_create (loop, wire, g->store, g->lives,
+                                        g->counters, &g->source_base);
   if (g->source != NULL)
     g->directory = directory_create (loop, wire, &g->settings,
                                      &g->directory_base, error);
@@ -702,8 +712,8 @@
   members_destroy (g->members);
   uv_close ((uv_handle_t *)g->prepare, free_handle);
   directory_destroy (g->directory);
-  front_destroy (g->front);
-  source_destroy (g->source);
+  frontend_destroy (g->front);
+  platform_source_destroy (g->source);
   outbound_destroy (g->outbound);
   beryl_forward_destroy (g->forward);
   beryl_lives_destroy (g->lives);
@@ -719,12 +729,12 @@
   struct gateway *g = user;
   int64_t stopping_ms = loop_now_ms (g->loop) - g->stop_began_ms;
   bool idle = beryl_forward_open (g->forward) == 0
-              && h1_server_open (front_server (g->front)) == 0;
+              && h1_server_open (frontend_server (g->front)) == 0;
 
   /* Callers may use the address for as long as they keep an answer; after
      that a refused connection sends the rest to another node at once. */
   if (stopping_ms >= g->settings.address_keep_ms)
-    h1_server_close_listener (front_server (g->front));
+    h1_server_close_listener (frontend_server (g->front));
   if ((idle && stopping_ms >= g->settings.address_keep_ms)
       || stopping_ms >= g->settings.stop_ms - STOP_MARGIN_MS)
     {
@@ -746,7 +756,7 @@
     registry_withdraw (g->registry);
   beryl_forward_stop (g->forward,
                       now_ms + g->settings.stop_ms - STOP_MARGIN_MS, now_ms);
-  h1_server_drain (front_server (g->front), g->settings.address_keep_ms);
+  h1_server_drain (frontend_server (g->front), g->settings.address_keep_ms);
   g->stop_poll
       = loop_timer_start (g->loop, STOP_POLL_MS, STOP_POLL_MS, stop_poll, g);
 }
@@ -766,7 +776,7 @@
   if (mine->address_keep_ms != settings->address_keep_ms)
     {
       mine->address_keep_ms = settings->address_keep_ms;
-      directory_set_keep (g->directory, mine->address_keep_ms);
+      directory_set_address_keep (g->directory, mine->address_keep_ms);
     }
   g_info ("reload done%s",
           restart ? ", some settings wait for a restart" : "");
--- a/gatewayd/members.c
+++ b/gatewayd/members.c
@@ -5,7 +5,7 @@
 #include "beryl/announce.h"
 #include "beryl/clock.h"
 #include "common/ticker.h"
-#include "pulls.h"
+#include "config_sync.h"
 #include "wire/gossip.h"
 #include "wire/link.h"
 
@@ -19,7 +19,7 @@
 struct members
 {
   struct beryl_membership_owner base;
-  struct pulls_owner pulls_base;
+  struct config_sync_owner pulls_base;
   struct loop *loop;
   const struct gateway_settings *settings;
   struct members_owner *owner;
@@ -36,7 +36,7 @@
   GHashTable *heard;   /* name to struct peer */
   GHashTable *records; /* names that are on record */
   GHashTable *silent;  /* name to the time since when, int64_t */
-  struct pulls *pulls;
+  struct config_sync *pulls;
   uint64_t revision;                    /* of the configuration here */
   char key[DATAGRAM_KEY_MAX_BYTES + 1]; /* "": not known yet */
   uint32_t count;                       /* that live */
@@ -166,7 +166,7 @@
           member->leaving ? " leaving" : "");
   note_silence (m, member);
   if (member->state != BERYL_MEMBER_ALIVE)
-    m->owner->impl->peer_gone (m->owner, member->name);
+    m->owner->impl->peer_lost (m->owner, member->name);
   if (m->table != NULL)
     count_check (m);
 }
@@ -178,7 +178,7 @@
   const struct members *m = (const struct members *)owner;
 
   if (m->owner->impl->should_pull (m->owner))
-    pulls_ask (m->pulls, peer->address, peer->port);
+    config_sync_pull (m->pulls, peer->address, peer->port);
 }
 
 static void
@@ -226,7 +226,7 @@
   peer->incarnation = message.incarnation;
   peer->sequence = message.sequence;
   peer->heard_ms = now_ms (m);
-  m->owner->impl->loads (m->owner, &message);
+  m->owner->impl->loads_received (m->owner, &message);
 }
 
 static void
@@ -235,7 +235,7 @@
   struct changes_message message;
 
   if (changes_read (frame, &message))
-    m->owner->impl->changes (m->owner, &message);
+    m->owner->impl->changes_received (m->owner, &message);
 }
 
 static void
@@ -244,7 +244,7 @@
   struct notices_message message;
 
   if (notices_read (frame, &message))
-    m->owner->impl->notices (m->owner, &message);
+    m->owner->impl->notices_received (m->owner, &message);
 }
 
 static void
@@ -277,13 +277,13 @@
 }
 
 int64_t
-members_interval_ms (const struct members *m)
+members_announce_interval_ms (const struct members *m)
 {
   return beryl_announce_interval_ms (&m->announce);
 }
 
 bool
-members_tells_far (const struct members *m)
+members_announces_remote (const struct members *m)
 {
   return beryl_announce_far (&m->announce, now_ms (m));
 }
@@ -293,9 +293,9 @@
 {
   struct members *m = user;
 
-  pulls_expire (m->pulls);
+  config_sync_expire (m->pulls);
   if (beryl_announce_due (&m->announce, now_ms (m)))
-    m->owner->impl->tell_due (m->owner);
+    m->owner->impl->announce_due (m->owner);
 }
 
 static bool
@@ -323,7 +323,7 @@
 }
 
 void
-members_tell_loads (struct members *m, struct loads_message *message)
+members_announce_loads (struct members *m, struct loads_message *message)
 {
   bool all = beryl_announce_far (&m->announce, now_ms (m));
 
@@ -349,7 +349,7 @@
 }
 
 void
-members_tell_changes (struct members *m, const struct changes_message *message)
+members_send_changes (struct members *m, const struct changes_message *message)
 {
   if (m->table == NULL)
     return;
@@ -369,7 +369,7 @@
 /* Selection sampling: of the peers that are left each is taken with the chance
  * that makes MOST of them in all. */
 void
-members_tell_notices (struct members *m, const struct notices_message *message,
+members_send_notices (struct members *m, const struct notices_message *message,
                       uint32_t most)
 {
   uint32_t left = m->table != NULL ? members_count (m) - 1 : 0;
@@ -397,17 +397,19 @@
 }
 
 static void
-pulled (struct pulls_owner *owner, uint64_t revision, const char *value,
+pulled (struct config_sync_owner *owner, uint64_t revision, const char *value,
         size_t value_bytes)
 {
   struct members *m
       = (struct members *)((char *)owner
                            - offsetof (struct members, pulls_base));
 
-  m->owner->impl->configuration (m->owner, revision, value, value_bytes);
+  m->owner->impl->configuration_received (m->owner, revision, value,
+                                          value_bytes);
 }
 
-static const struct pulls_owner_impl pulls_impl = { .configuration = pulled };
+static const struct config_sync_owner_impl pulls_impl
+    = { .configuration_received = pulled };
 
 struct members *
 members_create (struct loop *loop, const struct gateway_settings *settings,
@@ -432,9 +434,9 @@
   m->datagram = datagram_open (loop, settings->front.ip, settings->peer_port,
                                datagram_received, m, error);
   if (m->datagram != NULL)
-    m->pulls
-        = pulls_create (loop, settings->front.ip, datagram_port (m->datagram),
-                        &m->pulls_base, error);
+    m->pulls = config_sync_create (loop, settings->front.ip,
+                                   datagram_port (m->datagram), &m->pulls_base,
+                                   error);
   if (m->pulls == NULL)
     {
       members_destroy (m);
@@ -450,7 +452,7 @@
   if (m == NULL)
     return;
   loop_timer_stop (m->tell);
-  pulls_destroy (m->pulls);
+  config_sync_destroy (m->pulls);
   datagram_close (m->datagram);
   ticker_destroy (m->ticker);
   frame_writer_destroy (m->writer);
@@ -467,7 +469,7 @@
   g_strlcpy (m->key, key, sizeof m->key);
   datagram_clear_keys (m->datagram);
   datagram_add_key (m->datagram, m->key, strlen (m->key));
-  pulls_set_key (m->pulls, m->key);
+  config_sync_set_key (m->pulls, m->key);
 }
 
 void
@@ -498,8 +500,8 @@
 }
 
 void
-members_listed (struct members *m, const struct beryl_listed *items,
-                size_t count)
+members_set_records (struct members *m, const struct beryl_listed *items,
+                     size_t count)
 {
   if (m->table == NULL)
     return;
@@ -525,7 +527,7 @@
                            const char *value, size_t value_bytes)
 {
   m->revision = revision;
-  pulls_set_configuration (m->pulls, revision, value, value_bytes);
+  config_sync_set_configuration (m->pulls, revision, value, value_bytes);
   if (m->table == NULL)
     return;
   beryl_membership_set_config (m->table, revision, now_ms (m));
@@ -547,7 +549,7 @@
     return true;
   return peer != NULL
          && now_ms (m) - peer->heard_ms
-                <= SILENT_TELLS * members_interval_ms (m);
+                <= SILENT_TELLS * members_announce_interval_ms (m);
 }
 
 static void
@@ -570,8 +572,8 @@
 #define OWN_NODES_LEAST 2
 
 void
-members_addresses (struct members *m, const char *data_centre,
-                   GPtrArray *addresses)
+members_append_addresses (struct members *m, const char *data_centre,
+                          GPtrArray *addresses)
 {
   if (m->table == NULL)
     return;
@@ -583,14 +585,15 @@
 }
 
 bool
-members_stands_for (const struct members *m, const char *role, uint32_t most)
+members_is_candidate (const struct members *m, const char *role, uint32_t most)
 {
   return m->table != NULL
          && beryl_membership_stands_for (m->table, role, "", most);
 }
 
 bool
-members_stands_near (const struct members *m, const char *role, uint32_t most)
+members_is_local_candidate (const struct members *m, const char *role,
+                            uint32_t most)
 {
   return m->table != NULL
          && beryl_membership_stands_for (m->table, role,
@@ -598,7 +601,7 @@
 }
 
 uint32_t
-members_near_count (const struct members *m)
+members_local_count (const struct members *m)
 {
   return m->announce.near_count;
 }
@@ -614,7 +617,7 @@
   g_hash_table_iter_init (&iter, m->heard);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (now_ms (m) - ((const struct peer *)value)->heard_ms
-        <= SILENT_TELLS * members_interval_ms (m))
+        <= SILENT_TELLS * members_announce_interval_ms (m))
       return false;
   return true;
 }
--- a/gatewayd/members.h
+++ b/gatewayd/members.h
@@ -28,25 +28,27 @@
    * from this one. */
   void (*count_changed) (struct members_owner *owner, uint32_t count);
   /** A peer told MESSAGE, which is newer than all before. */
-  void (*loads) (struct members_owner *owner,
-                 const struct loads_message *message);
+  void (*loads_received) (struct members_owner *owner,
+                          const struct loads_message *message);
   /** A peer passed changes of the list of endpoints on. */
-  void (*changes) (struct members_owner *owner,
-                   const struct changes_message *message);
+  void (*changes_received) (struct members_owner *owner,
+                            const struct changes_message *message);
   /** A peer told what it has found out. */
-  void (*notices) (struct members_owner *owner,
-                   const struct notices_message *message);
+  void (*notices_received) (struct members_owner *owner,
+                            const struct notices_message *message);
   /** PEER has gone, and its runs with it. */
-  void (*peer_gone) (struct members_owner *owner, const char *peer);
-  /** Nothing was told for a while: call members_tell_loads, since peers take
-   * silence for death, and with what runs now, since they count from it. */
-  void (*tell_due) (struct members_owner *owner);
+  void (*peer_lost) (struct members_owner *owner, const char *peer);
+  /** Nothing was told for a while: call members_announce_loads, since peers
+   * take silence for death, and with what runs now, since they count from it.
+   */
+  void (*announce_due) (struct members_owner *owner);
   /** A peer has a configuration that is newer than this node's: return whether
    * to ask for it now. */
   bool (*should_pull) (struct members_owner *owner);
   /** A peer gave a configuration that is newer than this node's. */
-  void (*configuration) (struct members_owner *owner, uint64_t revision,
-                         const char *value, size_t value_bytes);
+  void (*configuration_received) (struct members_owner *owner,
+                                  uint64_t revision, const char *value,
+                                  size_t value_bytes);
 };
 
 /** The owner; the first member selects the implementation. */
@@ -73,8 +75,8 @@
 void members_join (struct members *members, uint64_t incarnation);
 
 /** Take the records of all nodes. */
-void members_listed (struct members *members, const struct beryl_listed *items,
-                     size_t count);
+void members_set_records (struct members *members,
+                          const struct beryl_listed *items, size_t count);
 
 /** Return for how long NODE has not been heard by any node; 0: it is. */
 int64_t members_silent_ms (const struct members *members, const char *node);
@@ -83,30 +85,30 @@
 void members_leave (struct members *members);
 
 /** Whether what is told next goes to the peers in other data centres too. */
-bool members_tells_far (const struct members *members);
+bool members_announces_remote (const struct members *members);
 
 /** Tell the peers MESSAGE, of which the caller sets what runs and what this
  * node has found out, learned, asks for and lends. */
-void members_tell_loads (struct members *members,
-                         struct loads_message *message);
+void members_announce_loads (struct members *members,
+                             struct loads_message *message);
 
 /** Pass MESSAGE on to the peers in this data centre. */
-void members_tell_changes (struct members *members,
+void members_send_changes (struct members *members,
                            const struct changes_message *message);
 
 /** Tell MESSAGE to all peers, or to MOST of them drawn at random. */
-void members_tell_notices (struct members *members,
+void members_send_notices (struct members *members,
                            const struct notices_message *message,
                            uint32_t most);
 
 /** Return how many nodes of this data centre may be running, this one
  * included. */
-uint32_t members_near_count (const struct members *members);
+uint32_t members_local_count (const struct members *members);
 
 /** Whether this node is among the MOST live ones of its data centre that stand
  * for ROLE. */
-bool members_stands_near (const struct members *members, const char *role,
-                          uint32_t most);
+bool members_is_local_candidate (const struct members *members,
+                                 const char *role, uint32_t most);
 
 /** This node has seen changes of endpoints up to REVISION. */
 void members_set_endpoint_revision (struct members *members,
@@ -118,18 +120,18 @@
 
 /** Add "ip:port" texts (g_malloc'd) of the nodes that take callers: those of
  * DATA_CENTRE, or all if it has fewer than two. */
-void members_addresses (struct members *members, const char *data_centre,
-                        GPtrArray *addresses);
+void members_append_addresses (struct members *members,
+                               const char *data_centre, GPtrArray *addresses);
 
 /** Whether this node is among the MOST live ones that stand for ROLE. */
-bool members_stands_for (const struct members *members, const char *role,
-                         uint32_t most);
+bool members_is_candidate (const struct members *members, const char *role,
+                           uint32_t most);
 
 /** Whether there are other nodes and none of them is heard. */
 bool members_isolated (const struct members *members);
 
 /** Return the time in which a live peer tells what it runs. */
-int64_t members_interval_ms (const struct members *members);
+int64_t members_announce_interval_ms (const struct members *members);
 
 /** Return how many nodes may be running, this one included. */
 uint32_t members_count (const struct members *members);
--- a/gatewayd/metrics.c
+++ b/gatewayd/metrics.c
@@ -75,7 +75,8 @@
 }
 
 void
-metrics_decided (struct metrics *metrics, const struct beryl_decision *d)
+metrics_count_decision (struct metrics *metrics,
+                        const struct beryl_decision *d)
 {
   char labels[LABEL_BYTES];
 
@@ -87,7 +88,7 @@
 }
 
 void
-metrics_quarantined (struct metrics *metrics, const char *cause)
+metrics_count_quarantine (struct metrics *metrics, const char *cause)
 {
   char labels[LABEL_BYTES];
 
--- a/gatewayd/metrics.h
+++ b/gatewayd/metrics.h
@@ -17,11 +17,11 @@
 void metrics_destroy (struct metrics *metrics);
 
 /** Count one decision. */
-void metrics_decided (struct metrics *metrics,
-                      const struct beryl_decision *decision);
+void metrics_count_decision (struct metrics *metrics,
+                             const struct beryl_decision *decision);
 
 /** A request came into quarantine, or out of it, for CAUSE. */
-void metrics_quarantined (struct metrics *metrics, const char *cause);
+void metrics_count_quarantine (struct metrics *metrics, const char *cause);
 
 /** What is looked at when the metrics are asked for. */
 struct metrics_gauges
--- a/gatewayd/notices.c
+++ b/gatewayd/notices.c
@@ -38,7 +38,7 @@
   struct notices_message message = { 0 };
 
   if (write_message (n, &message, false))
-    members_tell_notices (n->members, &message, UINT32_MAX);
+    members_send_notices (n->members, &message, UINT32_MAX);
 }
 
 static void
@@ -61,7 +61,7 @@
                            loop_now_ms (n->loop));
   tell_all (n);
   if (write_message (n, &message, true))
-    members_tell_notices (n->members, &message, OLDER_PEERS);
+    members_send_notices (n->members, &message, OLDER_PEERS);
 }
 
 struct notices *
@@ -89,7 +89,7 @@
 }
 
 bool
-notices_look (struct notices *n)
+notices_schedule (struct notices *n)
 {
   bool crashes
       = beryl_quarantine_take_changed (beryl_forward_quarantine (n->forward));
@@ -101,7 +101,7 @@
 }
 
 void
-notices_take (struct notices *n, const struct notices_message *message)
+notices_receive (struct notices *n, const struct notices_message *message)
 {
   int64_t now_ms = loop_now_ms (n->loop);
 
--- a/gatewayd/notices.h
+++ b/gatewayd/notices.h
@@ -23,10 +23,10 @@
 void notices_destroy (struct notices *notices);
 
 /** Have what is new told soon; returns whether a crash or a quarantine is. */
-bool notices_look (struct notices *notices);
+bool notices_schedule (struct notices *notices);
 
 /** Take what a peer tells. */
-void notices_take (struct notices *notices,
-                   const struct notices_message *message);
+void notices_receive (struct notices *notices,
+                      const struct notices_message *message);
 
 #endif
--- a/gatewayd/outbound.c
+++ b/gatewayd/outbound.c
@@ -49,7 +49,7 @@
   call->head = head;
   if (call->kind != BERYL_EXCHANGE_RUN)
     return;
-  o->wire->impl->read_answer (o->wire, call->endpoint, head, &answer);
+  o->wire->impl->read_response (o->wire, call->endpoint, head, &answer);
   beryl_forward_head (o->forward, call->exchange, &answer,
                       loop_now_ms (o->loop));
 }
@@ -85,9 +85,9 @@
   if (call->kind == BERYL_EXCHANGE_DIAL)
     result.ok = true;
   else
-    o->wire->impl->read_engine_answer (o->wire, call->endpoint, call->kind,
-                                       call->head, call->body->str,
-                                       call->body->len, &result);
+    o->wire->impl->read_engine_response (o->wire, call->endpoint, call->kind,
+                                         call->head, call->body->str,
+                                         call->body->len, &result);
   call_steal (call);
   beryl_forward_result (o->forward, call->exchange, &result,
                         loop_now_ms (o->loop));
@@ -250,7 +250,7 @@
 }
 
 const struct h1_head *
-outbound_head (const struct outbound *o, uint64_t exchange)
+outbound_response_head (const struct outbound *o, uint64_t exchange)
 {
   const struct call *call = call_find (o, exchange);
 
@@ -258,9 +258,10 @@
 }
 
 bool
-outbound_length (const struct outbound *o, uint64_t exchange, uint64_t *length)
+outbound_response_length (const struct outbound *o, uint64_t exchange,
+                          uint64_t *length)
 {
-  const struct h1_head *head = outbound_head (o, exchange);
+  const struct h1_head *head = outbound_response_head (o, exchange);
   const char *text
       = head != NULL ? h1_head_find (head, "content-length") : NULL;
 
--- a/gatewayd/outbound.h
+++ b/gatewayd/outbound.h
@@ -34,11 +34,11 @@
                      bool paused);
 
 /** Return the head of an exchange's answer, valid until its end. */
-const struct h1_head *outbound_head (const struct outbound *outbound,
-                                     uint64_t exchange);
+const struct h1_head *outbound_response_head (const struct outbound *outbound,
+                                              uint64_t exchange);
 
 /** Whether its body has a stated length, and the length. */
-bool outbound_length (const struct outbound *outbound, uint64_t exchange,
-                      uint64_t *length);
+bool outbound_response_length (const struct outbound *outbound,
+                               uint64_t exchange, uint64_t *length);
 
 #endif
--- a/gatewayd/planner.c
+++ b/gatewayd/planner.c
@@ -61,7 +61,7 @@
 static void plan_next (struct planner *p);
 
 static void
-order_answered (void *user, const struct engine_answer *answer)
+order_answered (void *user, const struct engine_response *answer)
 {
   struct planner *p = user;
   static const char *const names[]
@@ -75,7 +75,7 @@
   else
     g_info ("planner engine=%s order stage=%s answer=%s", p->called,
             beryl_stage_name (p->called_for),
-            names[p->wire->impl->read_order_answer (p->wire, answer->head)]);
+            names[p->wire->impl->read_order_result (p->wire, answer->head)]);
   plan_next (p);
 }
 
@@ -95,9 +95,9 @@
 order (struct planner *p, uint64_t orders)
 {
   struct beryl_live *live = called_engine (p);
-  struct gateway_order o = { .stage = p->called_for,
-                             .holder = p->settings->node,
-                             .orders = orders };
+  struct gateway_stage_order o = { .stage = p->called_for,
+                                   .holder = p->settings->node,
+                                   .expected_orders = orders };
   GString *head, *body;
 
   if (live == NULL || !stored_lease_held (p->lease, &o.fence)
@@ -109,7 +109,8 @@
   p->wire->impl->format_order (p->wire, &o, head, body);
   g_info ("planner engine=%s order stage=%s fence=%" G_GUINT64_FORMAT
           " expected=%" G_GUINT64_FORMAT,
-          live->info.id, beryl_stage_name (o.stage), o.fence, o.orders);
+          live->info.id, beryl_stage_name (o.stage), o.fence,
+          o.expected_orders);
   pending_add (p, &live->info, o.stage);
   p->call = engine_call_start (p->loop, &live->info, head, body,
                                ANSWER_MAX_BYTES, order_answered, p);
@@ -118,10 +119,10 @@
 }
 
 static void
-report_answered (void *user, const struct engine_answer *answer)
+report_answered (void *user, const struct engine_response *answer)
 {
   struct planner *p = user;
-  struct gateway_report report;
+  struct gateway_engine_report report;
 
   p->call = NULL;
   if (answer->head == NULL)
@@ -131,13 +132,13 @@
                                         answer->body_bytes, &report))
     g_info ("planner engine=%s gave no report, status=%u", p->called,
             answer->head->status);
-  else if (report.born_ms != 0 && p->called_born_ms != 0
-           && report.born_ms != p->called_born_ms)
+  else if (report.start_ms != 0 && p->called_born_ms != 0
+           && report.start_ms != p->called_born_ms)
     g_info ("planner engine=%s has started again born=%" G_GUINT64_FORMAT
             " listed=%" G_GUINT64_FORMAT,
-            p->called, report.born_ms, p->called_born_ms);
-  else if (!report.changing && report.stage != p->called_for)
-    order (p, report.orders);
+            p->called, report.start_ms, p->called_born_ms);
+  else if (!report.stage_change_pending && report.stage != p->called_for)
+    order (p, report.accepted_orders);
 }
 
 static void
@@ -149,7 +150,7 @@
   memcpy (p->called, live->info.id, sizeof p->called);
   p->called_born_ms = live->info.born_ms;
   p->called_for = wanted->stage;
-  p->wire->impl->format_report (p->wire, &live->info, head);
+  p->wire->impl->format_report_request (p->wire, &live->info, head);
   p->call = engine_call_start (p->loop, &live->info, head, NULL,
                                ANSWER_MAX_BYTES, report_answered, p);
   g_string_free (head, TRUE);
@@ -352,13 +353,13 @@
 }
 
 void
-planner_stand (struct planner *p, bool stands)
+planner_set_candidate (struct planner *p, bool stands)
 {
   stored_lease_want (p->lease, stands || stored_lease_held (p->lease, NULL));
 }
 
 void
-planner_changing (const struct planner *p, struct beryl_endpoint_set *set)
+planner_add_pending (const struct planner *p, struct beryl_endpoint_set *set)
 {
   for (guint i = 0; i < p->pending->len; i++)
     {
@@ -371,7 +372,7 @@
 }
 
 bool
-planner_holds (const struct planner *p)
+planner_holds_lease (const struct planner *p)
 {
   return stored_lease_held (p->lease, NULL);
 }
--- a/gatewayd/planner.h
+++ b/gatewayd/planner.h
@@ -26,13 +26,13 @@
 
 /** Add to SET the engines whose orders are being carried out, as far as this
  * node gave them. */
-void planner_changing (const struct planner *planner,
-                       struct beryl_endpoint_set *set);
+void planner_add_pending (const struct planner *planner,
+                          struct beryl_endpoint_set *set);
 
 /** Whether this node holds the lease. */
-bool planner_holds (const struct planner *planner);
+bool planner_holds_lease (const struct planner *planner);
 
 /** Whether this node competes for the lease. */
-void planner_stand (struct planner *planner, bool stands);
+void planner_set_candidate (struct planner *planner, bool stands);
 
 #endif
--- a/gatewayd/source.c
+++ b/gatewayd/platform_source.c
@@ -1,4 +1,4 @@
-#include "source.h"
+#include "platform_source.h"
 
 #include <string.h>
 
@@ -25,13 +25,13 @@
 #define GAP_MS 400
 #define FOREIGN_COUNTER "beryl_foreign_entries_total"
 
-struct source
+struct platform_source
 {
   struct loop *loop;
   const struct gateway_wire *wire;
   struct platform_client *client;
   struct beryl_lives *lives;
-  struct source_owner *owner;
+  struct platform_source_owner *owner;
   uint64_t configuration_watch;
   uint64_t endpoint_watch;
   uint64_t version;  /* of the configuration in use; 0: none */
@@ -65,7 +65,8 @@
 
 /* Keeps what the store told until all of its answer is read. */
 static void
-keep_change (struct source *s, const struct beryl_platform_event *event)
+keep_change (struct platform_source *s,
+             const struct beryl_platform_event *event)
 {
   struct entry_change change = { .version = event->object.version };
 
@@ -97,13 +98,14 @@
 
 /* Passes on what the store's answer brought. */
 static void
-answer_read (struct source *s, uint64_t revision)
+answer_read (struct platform_source *s, uint64_t revision)
 {
   g_array_sort (s->changes, compare_versions);
-  if (s->owner->impl->answered != NULL)
-    s->owner->impl->answered (s->owner, s->synced, revision,
-                              (const struct entry_change *)s->changes->data,
-                              s->changes->len, s->changes_complete);
+  if (s->owner->impl->changes_received != NULL)
+    s->owner->impl->changes_received (
+        s->owner, s->synced, revision,
+        (const struct entry_change *)s->changes->data, s->changes->len,
+        s->changes_complete);
   g_array_set_size (s->changes, 0);
   s->changes_complete = true;
 }
@@ -112,8 +114,8 @@
  * the platform and a peer's copy may overtake each other, and what is in
  * force must never go back. */
 static void
-use_configuration (struct source *s, const struct beryl_object *object,
-                   const char *origin)
+use_configuration (struct platform_source *s,
+                   const struct beryl_object *object, const char *origin)
 {
   struct beryl_error error = { 0 };
   struct beryl_routes *routes;
@@ -139,13 +141,13 @@
   s->peer_ahead_ms = 0;
   g_string_truncate (s->value, 0);
   g_string_append_len (s->value, object->value, (gssize)object->value_bytes);
-  s->owner->impl->routes (s->owner, routes);
+  s->owner->impl->routes_changed (s->owner, routes);
 }
 
 static void
 configuration_event (void *user, const struct beryl_platform_event *event)
 {
-  struct source *s = user;
+  struct platform_source *s = user;
 
   if (!event->deleted
       && strcmp (event->object.name, s->wire->impl->configuration_name) == 0)
@@ -153,8 +155,9 @@
 }
 
 void
-source_offer (struct source *s, uint64_t revision, const char *value,
-              size_t value_bytes)
+platform_source_offer_configuration (struct platform_source *s,
+                                     uint64_t revision, const char *value,
+                                     size_t value_bytes)
 {
   struct beryl_object object = {
     .kind = s->wire->impl->configuration_kind,
@@ -168,19 +171,20 @@
 }
 
 uint64_t
-source_version (const struct source *s)
+platform_source_configuration_version (const struct platform_source *s)
 {
   return s->version;
 }
 
 uint64_t
-source_revision (const struct source *s)
+platform_source_configuration_revision (const struct platform_source *s)
 {
   return s->revision;
 }
 
 const char *
-source_value (const struct source *s, size_t *value_bytes)
+platform_source_configuration_text (const struct platform_source *s,
+                                    size_t *value_bytes)
 {
   *value_bytes = s->value->len;
   return s->value->str;
@@ -190,7 +194,7 @@
  * stood there before; the endpoint's next heartbeat brings it back.  A foreign
  * writer may be quick, so that one line a second tells of it. */
 static void
-entry_unusable (struct source *s, const char *name, const char *why)
+entry_unusable (struct platform_source *s, const char *name, const char *why)
 {
   int64_t now_ms = loop_now_ms (s->loop);
 
@@ -209,7 +213,7 @@
 static void
 endpoint_event (void *user, const struct beryl_platform_event *event)
 {
-  struct source *s = user;
+  struct platform_source *s = user;
   struct beryl_live_info info;
   struct beryl_error error = { 0 };
 
@@ -239,7 +243,7 @@
 static void
 endpoints_synced (void *user, uint64_t revision)
 {
-  struct source *s = user;
+  struct platform_source *s = user;
 
   s->has_endpoints = true;
   beryl_lives_synced (s->lives, loop_now_ms (s->loop));
@@ -249,7 +253,7 @@
   if (!s->endpoints_changed)
     return;
   s->endpoints_changed = false;
-  s->owner->impl->endpoints (s->owner);
+  s->owner->impl->endpoints_changed (s->owner);
 }
 
 static const struct platform_watch_callbacks configuration_callbacks
@@ -258,13 +262,14 @@
     = { .event = endpoint_event, .synced = endpoints_synced };
 
 uint64_t
-source_endpoint_revision (const struct source *s)
+platform_source_endpoint_revision (const struct platform_source *s)
 {
   return s->endpoint_revision;
 }
 
 void
-source_peer_revision (struct source *s, uint64_t revision)
+platform_source_set_peer_revision (struct platform_source *s,
+                                   uint64_t revision)
 {
   if (revision > s->peer_revision)
     s->peer_revision = revision;
@@ -272,7 +277,7 @@
 
 /* Looks by itself for changes that were passed on and did not come. */
 static void
-look_for_gap (struct source *s, uint64_t after)
+look_for_gap (struct platform_source *s, uint64_t after)
 {
   int64_t now_ms = loop_now_ms (s->loop);
 
@@ -286,7 +291,8 @@
 }
 
 void
-source_feed (struct source *s, const struct changes_message *message)
+platform_source_apply_changes (struct platform_source *s,
+                               const struct changes_message *message)
 {
   struct beryl_platform_event events[CHANGES_MAX] = { 0 };
   bool fed;
@@ -314,7 +320,8 @@
 }
 
 void
-source_set_role (struct source *s, enum beryl_relay_role role, int64_t wait_ms)
+platform_source_set_role (struct platform_source *s,
+                          enum beryl_relay_role role, int64_t wait_ms)
 {
   platform_client_watch_rest (s->client, s->endpoint_watch,
                               role == BERYL_RELAY_FOLLOWER,
@@ -322,7 +329,7 @@
 }
 
 bool
-source_should_pull (struct source *s)
+platform_source_should_pull (struct platform_source *s)
 {
   int64_t now_ms = loop_now_ms (s->loop);
   int64_t wait_ms
@@ -339,7 +346,7 @@
 /* The waiting watches of all nodes are answered at the same moment.  One that
  * stays behind waits on a connection that went silent. */
 static void
-check_behind (struct source *s)
+check_behind (struct platform_source *s)
 {
   int64_t now_ms = loop_now_ms (s->loop);
 
@@ -362,7 +369,7 @@
 
 /* Tells once when the store stops answering, and once when it is back. */
 static void
-check_store (struct source *s)
+check_store (struct platform_source *s)
 {
   bool away = beryl_platform_is_away (platform_client_core (s->client));
 
@@ -380,22 +387,23 @@
 static void
 expire (void *user)
 {
-  struct source *s = user;
+  struct platform_source *s = user;
 
   check_store (s);
   check_behind (s);
   if (!beryl_lives_expire (s->lives, loop_now_ms (s->loop)))
     return;
   g_info ("endpoints that lapsed with the outage are not back: gone");
-  s->owner->impl->endpoints (s->owner);
+  s->owner->impl->endpoints_changed (s->owner);
 }
 
-struct source *
-source_create (struct loop *loop, const struct gateway_wire *wire,
-               struct platform_client *client, struct beryl_lives *lives,
-               struct counters *counters, struct source_owner *owner)
+struct platform_source *
+platform_source_create (struct loop *loop, const struct gateway_wire *wire,
+                        struct platform_client *client,
+                        struct beryl_lives *lives, struct counters *counters,
+                        struct platform_source_owner *owner)
 {
-  struct source *s = g_new0 (struct source, 1);
+  struct platform_source *s = g_new0 (struct platform_source, 1);
 
   s->loop = loop;
   s->wire = wire;
@@ -418,7 +426,7 @@
 }
 
 void
-source_destroy (struct source *s)
+platform_source_destroy (struct platform_source *s)
 {
   if (s == NULL)
     return;
@@ -431,7 +439,7 @@
 }
 
 bool
-source_complete (const struct source *s)
+platform_source_is_synced (const struct platform_source *s)
 {
   return s->has_routes && s->has_endpoints;
 }
--- a/gatewayd/quarantine_records.c
+++ b/gatewayd/quarantine_records.c
@@ -184,7 +184,7 @@
 }
 
 void
-quarantine_records_listed (struct quarantine_records *q,
+quarantine_records_update (struct quarantine_records *q,
                            const struct beryl_object *objects, size_t count)
 {
   int64_t now_ms = loop_now_ms (q->loop);
--- a/gatewayd/quarantine_records.h
+++ b/gatewayd/quarantine_records.h
@@ -28,7 +28,7 @@
                              uint64_t fingerprint, int64_t left_ms);
 
 /** Take all records of the kind, those of nodes included. */
-void quarantine_records_listed (struct quarantine_records *records,
+void quarantine_records_update (struct quarantine_records *records,
                                 const struct beryl_object *objects,
                                 size_t count);
 
--- a/gatewayd/registry.c
+++ b/gatewayd/registry.c
@@ -156,7 +156,7 @@
       const char *node = objects[i].name;
 
       if (strcmp (node, r->settings->node) == 0
-          || !r->owner->impl->is_over (r->owner, node))
+          || !r->owner->impl->should_remove (r->owner, node))
         continue;
       g_info ("record of node=%s is taken back", node);
       r->removal
@@ -187,11 +187,12 @@
   schedule (r, list_delay_ms (r, result->object_count), list_records);
   if (result->code != BERYL_OK)
     return;
-  r->owner->impl->objects (r->owner, result->objects, result->object_count);
+  r->owner->impl->objects_listed (r->owner, result->objects,
+                                  result->object_count);
   items = g_new0 (struct beryl_listed, result->object_count + 1);
   for (size_t i = 0; i < result->object_count; i++)
     count += read_record (&result->objects[i], &items[count]);
-  r->owner->impl->listed (r->owner, items, count);
+  r->owner->impl->records_listed (r->owner, items, count);
   remove_one (r, result->objects, result->object_count);
   /* Another node took this one for gone, for instance in a partition. */
   if (!has_own (r, items, count))
@@ -214,7 +215,7 @@
 }
 
 void
-registry_look (struct registry *r)
+registry_refresh (struct registry *r)
 {
   if (r->version != 0 && r->request == 0)
     schedule (r, 1, list_records);
--- a/gatewayd/registry.h
+++ b/gatewayd/registry.h
@@ -26,14 +26,14 @@
   /** This node is on record; INCARNATION is above any former one's. */
   void (*registered) (struct registry_owner *owner, uint64_t incarnation);
   /** All records. */
-  void (*listed) (struct registry_owner *owner,
-                  const struct beryl_listed *items, size_t count);
+  void (*records_listed) (struct registry_owner *owner,
+                          const struct beryl_listed *items, size_t count);
   /** All objects of the kind; told before the records. */
-  void (*objects) (struct registry_owner *owner,
-                   const struct beryl_object *objects, size_t count);
+  void (*objects_listed) (struct registry_owner *owner,
+                          const struct beryl_object *objects, size_t count);
   /** Whether this node is to take back the record of NODE, which is gone for
    * good. */
-  bool (*is_over) (struct registry_owner *owner, const char *node);
+  bool (*should_remove) (struct registry_owner *owner, const char *node);
 };
 
 /** The owner; the first member selects the implementation. */
@@ -52,7 +52,7 @@
 void registry_destroy (struct registry *registry);
 
 /** Read the records now rather than later. */
-void registry_look (struct registry *registry);
+void registry_refresh (struct registry *registry);
 
 /** Take the record back, at a planned stop. */
 void registry_withdraw (struct registry *registry);
--- a/gatewayd/relay.c
+++ b/gatewayd/relay.c
@@ -22,7 +22,7 @@
 {
   struct loop *loop;
   const struct gateway_settings *settings;
-  struct source *source;
+  struct platform_source *source;
   struct members *members;
   struct counters *counters;
   struct beryl_relay *core;
@@ -36,21 +36,22 @@
   struct relay *r = user;
   enum beryl_relay_role role;
 
-  beryl_relay_set_group (r->core, members_near_count (r->members),
-                         members_stands_near (r->members, ROLE, WATCHERS));
+  beryl_relay_set_group (
+      r->core, members_local_count (r->members),
+      members_is_local_candidate (r->members, ROLE, WATCHERS));
   role = beryl_relay_role (r->core, loop_now_ms (r->loop));
   if (role == r->role)
     return;
   g_info ("endpoint list role=%s before=%s", beryl_relay_role_name (role),
           beryl_relay_role_name (r->role));
   r->role = role;
-  source_set_role (r->source, role,
-                   beryl_relay_wait_ms (r->core, STORE_SPACING_MS));
+  platform_source_set_role (
+      r->source, role, beryl_relay_wait_ms (r->core, STORE_WATCH_SPACING_MS));
 }
 
 struct relay *
 relay_create (struct loop *loop, const struct gateway_settings *settings,
-              struct source *source, struct members *members,
+              struct platform_source *source, struct members *members,
               struct counters *counters)
 {
   struct relay *r = g_new0 (struct relay, 1);
@@ -114,9 +115,8 @@
 }
 
 void
-relay_answered (struct relay *r, uint64_t after, uint64_t revision,
-                const struct entry_change *changes, size_t count,
-                bool complete)
+relay_send (struct relay *r, uint64_t after, uint64_t revision,
+            const struct entry_change *changes, size_t count, bool complete)
 {
   struct changes_message message = { .after = after };
   size_t sent = 0;
@@ -132,7 +132,7 @@
   if (count == 0)
     {
       message.revision = revision;
-      members_tell_changes (r->members, &message);
+      members_send_changes (r->members, &message);
     }
   while (sent < count)
     {
@@ -142,22 +142,22 @@
       sent += taken > 0 ? taken : 1;
       message.revision = sent == count ? revision : changes[sent - 1].version;
       if (taken > 0)
-        members_tell_changes (r->members, &message);
+        members_send_changes (r->members, &message);
       message.after = message.revision;
     }
 }
 
 bool
-relay_watches (const struct relay *r)
+relay_is_watcher (const struct relay *r)
 {
   return r->role == BERYL_RELAY_WATCHER;
 }
 
 void
-relay_received (struct relay *r, const struct changes_message *message)
+relay_receive (struct relay *r, const struct changes_message *message)
 {
   counters_add (r->counters, "beryl_gateway_changes_fed_total", "", 1);
   beryl_relay_heard (r->core, loop_now_ms (r->loop));
   if (r->role != BERYL_RELAY_WATCHER)
-    source_feed (r->source, message);
+    platform_source_apply_changes (r->source, message);
 }
--- a/gatewayd/relay.h
+++ b/gatewayd/relay.h
@@ -9,29 +9,31 @@
 #include "common/loop.h"
 #include "members.h"
 #include "settings.h"
-#include "source.h"
+#include "platform_source.h"
 
 struct relay;
 
 /** Create for SOURCE, which is fed, and MEMBERS, who are told. */
 struct relay *relay_create (struct loop *loop,
                             const struct gateway_settings *settings,
-                            struct source *source, struct members *members,
+                            struct platform_source *source,
+                            struct members *members,
                             struct counters *counters);
 
 /** Release; NULL is allowed. */
 void relay_destroy (struct relay *relay);
 
-/** The store answered the source's watch; as in struct source_owner_impl. */
-void relay_answered (struct relay *relay, uint64_t after, uint64_t revision,
-                     const struct entry_change *changes, size_t count,
-                     bool complete);
+/** The store answered the source's watch; as in struct
+ * platform_source_owner_impl. */
+void relay_send (struct relay *relay, uint64_t after, uint64_t revision,
+                 const struct entry_change *changes, size_t count,
+                 bool complete);
 
 /** Whether this node passes on what it sees. */
-bool relay_watches (const struct relay *relay);
+bool relay_is_watcher (const struct relay *relay);
 
 /** A peer passed MESSAGE on. */
-void relay_received (struct relay *relay,
-                     const struct changes_message *message);
+void relay_receive (struct relay *relay,
+                    const struct changes_message *message);
 
 #endif
--- a/gatewayd/store.h
+++ b/gatewayd/store.h
@@ -12,7 +12,7 @@
 
 /** Between an answer to a watch and its next call: changes that come together
  * are taken together. */
-#define STORE_SPACING_MS 400
+#define STORE_WATCH_SPACING_MS 400
 
 /** Create the client; SEED fixes its jitter. */
 struct platform_client *store_create (struct loop *loop,
--- a/gatewayd/survey.c
+++ b/gatewayd/survey.c
@@ -41,7 +41,7 @@
 }
 
 static void
-answered (void *user, const struct engine_answer *answer)
+answered (void *user, const struct engine_response *answer)
 {
   struct question *question = user;
   struct survey *survey = question->survey;
@@ -71,7 +71,7 @@
 
   question->survey = survey;
   question->engine = beryl_live_number (live);
-  survey->wire->impl->format_prompts (survey->wire, &live->info, head);
+  survey->wire->impl->format_prompts_request (survey->wire, &live->info, head);
   question->call = engine_call_start (survey->loop, &live->info, head, NULL,
                                       ANSWER_MAX_BYTES, answered, question);
   g_ptr_array_add (survey->questions, question);
--- a/include/gateway/wire.h
+++ b/include/gateway/wire.h
@@ -16,46 +16,46 @@
 struct gateway_wire;
 
 /** What a caller that looks for nodes says of itself. */
-struct gateway_place
+struct gateway_location
 {
   char data_centre[BERYL_NAME_BYTES]; /**< "": not said */
   char region[BERYL_NAME_BYTES];
 };
 
 /** The requests that the node itself answers on its own ports. */
-enum gateway_question
+enum gateway_node_request
 {
-  GATEWAY_QUESTION_NONE, /**< not one of these */
-  GATEWAY_QUESTION_READY,
-  GATEWAY_QUESTION_ADDRESSES,
+  GATEWAY_NODE_REQUEST_NONE, /**< not one of these */
+  GATEWAY_NODE_REQUEST_READY,
+  GATEWAY_NODE_REQUEST_ADDRESSES,
 };
 
 /** What an engine says of itself; some hundred milliseconds old. */
-struct gateway_report
+struct gateway_engine_report
 {
   enum beryl_stage stage;
-  bool changing;    /**< an order is in progress */
-  uint64_t orders;  /**< accepted since its start */
-  uint64_t born_ms; /**< its start, as in beryl_live_info; 0: not told */
+  bool stage_change_pending; /**< an order is in progress */
+  uint64_t accepted_orders;  /**< accepted since its start */
+  uint64_t start_ms; /**< its start, as in beryl_live_info; 0: not told */
 };
 
 /** An order to an engine. */
-struct gateway_order
+struct gateway_stage_order
 {
   const struct beryl_live_info *engine;
   enum beryl_stage stage;
-  const char *holder; /**< who gives it */
-  uint64_t fence;     /**< only grows from holder to holder */
-  uint64_t orders;    /**< carried out only if it has accepted as many */
+  const char *holder;       /**< who gives it */
+  uint64_t fence;           /**< only grows from holder to holder */
+  uint64_t expected_orders; /**< carried out only if it has accepted as many */
 };
 
 /** What an engine says to an order. */
-enum gateway_order_answer
+enum gateway_order_result
 {
   GATEWAY_ORDER_ACCEPTED,
-  GATEWAY_ORDER_HOLDS,  /**< it was so already */
-  GATEWAY_ORDER_BUSY,   /**< another is in progress, or came before */
-  GATEWAY_ORDER_FENCED, /**< a later holder has given orders */
+  GATEWAY_ORDER_UNCHANGED, /**< it was so already */
+  GATEWAY_ORDER_BUSY,      /**< another is in progress, or came before */
+  GATEWAY_ORDER_FENCED,    /**< a later holder has given orders */
   GATEWAY_ORDER_REFUSED,
 };
 
@@ -97,35 +97,38 @@
                               const struct beryl_exchange_start *start,
                               GString *head, GString *body);
   /** Read the head of an answer to RUN, sent to ENDPOINT. */
-  void (*read_answer) (const struct gateway_wire *wire, const char *endpoint,
-                       const struct h1_head *head,
-                       struct beryl_answer_head *answer);
+  void (*read_response) (const struct gateway_wire *wire, const char *endpoint,
+                         const struct h1_head *head,
+                         struct beryl_answer_head *answer);
   /** Read the answer to another exchange with ENDPOINT. */
-  void (*read_engine_answer) (const struct gateway_wire *wire,
-                              const char *endpoint,
-                              enum beryl_exchange_kind kind,
-                              const struct h1_head *head, const char *body,
-                              size_t body_bytes,
-                              struct beryl_engine_result *result);
+  void (*read_engine_response) (const struct gateway_wire *wire,
+                                const char *endpoint,
+                                enum beryl_exchange_kind kind,
+                                const struct h1_head *head, const char *body,
+                                size_t body_bytes,
+                                struct beryl_engine_result *result);
   /** Ask an engine what it does. */
-  void (*format_report) (const struct gateway_wire *wire,
-                         const struct beryl_live_info *engine, GString *head);
+  void (*format_report_request) (const struct gateway_wire *wire,
+                                 const struct beryl_live_info *engine,
+                                 GString *head);
   /** Read its answer; false if it is not one. */
   bool (*read_report) (const struct gateway_wire *wire,
                        const struct h1_head *head, const char *body,
-                       size_t body_bytes, struct gateway_report *report);
+                       size_t body_bytes,
+                       struct gateway_engine_report *report);
   /** Ask an engine which prompts it keeps. */
-  void (*format_prompts) (const struct gateway_wire *wire,
-                          const struct beryl_live_info *engine, GString *head);
+  void (*format_prompts_request) (const struct gateway_wire *wire,
+                                  const struct beryl_live_info *engine,
+                                  GString *head);
   /** Append their keys (uint32_t), as in beryl_forward_request. */
   void (*read_prompts) (const struct gateway_wire *wire,
                         const struct h1_head *head, const char *body,
                         size_t body_bytes, GArray *keys);
   /** Order an engine to another stage. */
   void (*format_order) (const struct gateway_wire *wire,
-                        const struct gateway_order *order, GString *head,
+                        const struct gateway_stage_order *order, GString *head,
                         GString *body);
-  enum gateway_order_answer (*read_order_answer) (
+  enum gateway_order_result (*read_order_result) (
       const struct gateway_wire *wire, const struct h1_head *head);
   /** Format the fields of an own answer to a caller. */
   void (*format_refusal) (const struct gateway_wire *wire,
@@ -133,9 +136,9 @@
                           const char *request_id, GPtrArray *fields);
 
   /** Tell what a request on a port of the node itself asks. */
-  enum gateway_question (*read_question) (const struct gateway_wire *wire,
-                                          const struct h1_head *head,
-                                          struct gateway_place *place);
+  enum gateway_node_request (*read_node_request) (
+      const struct gateway_wire *wire, const struct h1_head *head,
+      struct gateway_location *place);
   /** Format the answer to ADDRESSES: "ip:port" texts, and for how long a
    * caller may keep it. */
   void (*format_addresses) (const struct gateway_wire *wire,
--- a/tests/gateway/test_transfers.c
+++ b/tests/gateway/test_transfers.c
@@ -6,9 +6,9 @@
 #include "common/daemon.h"
 #include "demo.h"
 #include "platform.h"
-#include "pulls.h"
+#include "config_sync.h"
 #include "slow_link.h"
-#include "source.h"
+#include "platform_source.h"
 #include "store.h"
 
 /* A change of configuration is in force everywhere by then. */
@@ -30,13 +30,13 @@
 /* A node's part that has to do with configurations. */
 struct node
 {
-  struct source_owner source_base; /* first member */
-  struct pulls_owner pulls_base;
+  struct platform_source_owner source_base; /* first member */
+  struct config_sync_owner pulls_base;
   struct platform_client *store;
   struct beryl_lives *lives;
   struct counters *counters;
-  struct source *source;
-  struct pulls *pulls;
+  struct platform_source *source;
+  struct config_sync *pulls;
   size_t routes;
   uint64_t routes_version;
 };
@@ -44,39 +44,42 @@
 static struct node node, peer;
 
 static void
-take_routes (struct source_owner *owner, struct beryl_routes *routes)
+take_routes (struct platform_source_owner *owner, struct beryl_routes *routes)
 {
   struct node *n = (struct node *)owner;
   size_t value_bytes;
-  const char *value = source_value (n->source, &value_bytes);
+  const char *value
+      = platform_source_configuration_text (n->source, &value_bytes);
 
   n->routes = routes->route_count;
   n->routes_version = routes->version;
   beryl_routes_unref (routes);
-  pulls_set_configuration (n->pulls, source_revision (n->source), value,
-                           value_bytes);
+  config_sync_set_configuration (
+      n->pulls, platform_source_configuration_revision (n->source), value,
+      value_bytes);
 }
 
 static void
-take_endpoints (struct source_owner *owner)
+take_endpoints (struct platform_source_owner *owner)
 {
 }
 
-static const struct source_owner_impl source_impl
-    = { .routes = take_routes, .endpoints = take_endpoints };
+static const struct platform_source_owner_impl source_impl
+    = { .routes_changed = take_routes, .endpoints_changed = take_endpoints };
 
 static void
-take_pulled (struct pulls_owner *owner, uint64_t revision, const char *value,
-             size_t value_bytes)
+take_pulled (struct config_sync_owner *owner, uint64_t revision,
+             const char *value, size_t value_bytes)
 {
   struct node *n
       = (struct node *)((char *)owner - offsetof (struct node, pulls_base));
 
-  source_offer (n->source, revision, value, value_bytes);
+  platform_source_offer_configuration (n->source, revision, value,
+                                       value_bytes);
 }
 
-static const struct pulls_owner_impl pulls_impl
-    = { .configuration = take_pulled };
+static const struct config_sync_owner_impl pulls_impl
+    = { .configuration_received = take_pulled };
 
 /* Starts a node that reaches the store at STORE_PORT and listens for peers at
  * PORT of 127.0.0.1. */
@@ -96,11 +99,12 @@
   n->lives = beryl_lives_create (2000);
   n->store = store_create (loop, http, platform_gateway_wire (), &settings,
                            n->counters, 1);
-  n->pulls = pulls_create (loop, "127.0.0.1", port, &n->pulls_base, &error);
+  n->pulls
+      = config_sync_create (loop, "127.0.0.1", port, &n->pulls_base, &error);
   ck_assert_msg (n->pulls != NULL, "%s", error.message);
-  pulls_set_key (n->pulls, "key");
-  n->source = source_create (loop, platform_gateway_wire (), n->store,
-                             n->lives, n->counters, &n->source_base);
+  config_sync_set_key (n->pulls, "key");
+  n->source = platform_source_create (loop, platform_gateway_wire (), n->store,
+                                      n->lives, n->counters, &n->source_base);
 }
 
 static void
@@ -108,8 +112,8 @@
 {
   if (n->source == NULL)
     return;
-  source_destroy (n->source);
-  pulls_destroy (n->pulls);
+  platform_source_destroy (n->source);
+  config_sync_destroy (n->pulls);
   platform_client_destroy (n->store);
   beryl_lives_destroy (n->lives);
   counters_destroy (n->counters);
@@ -203,13 +207,13 @@
                      "%d ms, %" G_GUINT64_FORMAT " bytes came",
                      wanted, IN_FORCE_MS, slow_link_carried (slow_link));
       turn (PEERS_MS);
-      pulls_expire (node.pulls);
+      config_sync_expire (node.pulls);
       if (peer.pulls != NULL)
-        pulls_expire (peer.pulls);
+        config_sync_expire (peer.pulls);
       if (say.endpoints > 0)
-        source_peer_revision (node.source, ++say.endpoints);
-      if (say.pull_port > 0 && source_should_pull (node.source))
-        pulls_ask (node.pulls, "127.0.0.1", say.pull_port);
+        platform_source_set_peer_revision (node.source, ++say.endpoints);
+      if (say.pull_port > 0 && platform_source_should_pull (node.source))
+        config_sync_pull (node.pulls, "127.0.0.1", say.pull_port);
     }
 }
 
@@ -317,7 +321,7 @@
   uint16_t port = peer_with (wanted);
 
   node_open (&node, free_port (), 0);
-  pulls_ask (node.pulls, "127.0.0.1", port);
+  config_sync_pull (node.pulls, "127.0.0.1", port);
   wait_carried (100000);
   slow_link_silence (slow_link);
   wait_in_force (wanted, (struct peers_say){ .pull_port = port });
@@ -340,7 +344,7 @@
   port = peer_with (wanted);
   wait_in_force (wanted,
                  (struct peers_say){ .endpoints = 1000, .pull_port = port });
-  source_value (node.source, &value_bytes);
+  platform_source_configuration_text (node.source, &value_bytes);
   ck_assert_uint_lt (slow_link_carried (slow_link) - before,
                      value_bytes + value_bytes / 4);
 }
--- a/tests/platform_wire/test_wire.c
+++ b/tests/platform_wire/test_wire.c
@@ -375,7 +375,7 @@
       = { .status = status, .fields = &field, .field_count = 1 };
   struct beryl_answer_head answer = { 0 };
 
-  wire->impl->read_answer (wire, "i-7f3a91c2", &head, &answer);
+  wire->impl->read_response (wire, "i-7f3a91c2", &head, &answer);
   return answer;
 }
 
@@ -416,8 +416,8 @@
   struct h1_head head = { .status = status };
   struct beryl_engine_result result = { 0 };
 
-  wire->impl->read_engine_answer (wire, "i-7f3a91c2", kind, &head, body,
-                                  strlen (body), &result);
+  wire->impl->read_engine_response (wire, "i-7f3a91c2", kind, &head, body,
+                                    strlen (body), &result);
   return result;
 }
 
@@ -517,11 +517,11 @@
 
 START_TEST (test_order)
 {
-  struct gateway_order order = { .engine = &endpoint.info,
-                                 .stage = BERYL_STAGE_PREFILL,
-                                 .holder = "node-7",
-                                 .fence = 41,
-                                 .orders = 2 };
+  struct gateway_stage_order order = { .engine = &endpoint.info,
+                                       .stage = BERYL_STAGE_PREFILL,
+                                       .holder = "node-7",
+                                       .fence = 41,
+                                       .expected_orders = 2 };
   GString *head = g_string_new (NULL);
   GString *body = g_string_new (NULL);
   struct h1_head answer = { .status = 412 };
@@ -531,13 +531,13 @@
                     "{\"op\":\"stage\",\"stage\":\"prefill\",\"holder\":"
                     "\"node-7\",\"fence\":41,\"expected\":2}");
   ck_assert (g_str_has_prefix (head->str, "POST /v1/order HTTP/1.1\r\n"));
-  ck_assert_int_eq (wire->impl->read_order_answer (wire, &answer),
+  ck_assert_int_eq (wire->impl->read_order_result (wire, &answer),
                     GATEWAY_ORDER_FENCED);
   answer.status = 202;
-  ck_assert_int_eq (wire->impl->read_order_answer (wire, &answer),
+  ck_assert_int_eq (wire->impl->read_order_result (wire, &answer),
                     GATEWAY_ORDER_ACCEPTED);
   answer.status = 500;
-  ck_assert_int_eq (wire->impl->read_order_answer (wire, &answer),
+  ck_assert_int_eq (wire->impl->read_order_result (wire, &answer),
                     GATEWAY_ORDER_REFUSED);
   g_string_free (head, TRUE);
   g_string_free (body, TRUE);
@@ -549,13 +549,13 @@
   static const char body[]
       = "{\"stage\":\"decode\",\"models\":[],\"busy\":true,\"sequence\":2}";
   struct h1_head head = { .status = 200 };
-  struct gateway_report report;
+  struct gateway_engine_report report;
 
   ck_assert (
       wire->impl->read_report (wire, &head, body, strlen (body), &report));
   ck_assert_int_eq (report.stage, BERYL_STAGE_DECODE);
-  ck_assert (report.changing);
-  ck_assert_uint_eq (report.orders, 2);
+  ck_assert (report.stage_change_pending);
+  ck_assert_uint_eq (report.accepted_orders, 2);
   ck_assert (!wire->impl->read_report (wire, &head, "{}", 2, &report));
 }
 END_TEST
@@ -609,32 +609,33 @@
 }
 END_TEST
 
-static enum gateway_question
-question (const char *method, const char *target, struct gateway_place *place)
+static enum gateway_node_request
+question (const char *method, const char *target,
+          struct gateway_location *place)
 {
   struct h1_head head = { .method = method, .target = target };
 
-  *place = (struct gateway_place){ 0 };
-  return wire->impl->read_question (wire, &head, place);
+  *place = (struct gateway_location){ 0 };
+  return wire->impl->read_node_request (wire, &head, place);
 }
 
 START_TEST (test_questions)
 {
-  struct gateway_place place;
+  struct gateway_location place;
 
   ck_assert_int_eq (question ("GET", "/v1/ready", &place),
-                    GATEWAY_QUESTION_READY);
+                    GATEWAY_NODE_REQUEST_READY);
   ck_assert_int_eq (
       question ("GET", "/v1/resolve?name=f&region=lj&zone=hall%2da", &place),
-      GATEWAY_QUESTION_ADDRESSES);
+      GATEWAY_NODE_REQUEST_ADDRESSES);
   ck_assert_str_eq (place.data_centre, "hall-a");
   ck_assert_str_eq (place.region, "lj");
   ck_assert_int_eq (question ("GET", "/v1/resolve", &place),
-                    GATEWAY_QUESTION_ADDRESSES);
+                    GATEWAY_NODE_REQUEST_ADDRESSES);
   ck_assert_int_eq (question ("POST", "/v1/ready", &place),
-                    GATEWAY_QUESTION_NONE);
+                    GATEWAY_NODE_REQUEST_NONE);
   ck_assert_int_eq (question ("GET", "/v1/readyx", &place),
-                    GATEWAY_QUESTION_NONE);
+                    GATEWAY_NODE_REQUEST_NONE);
 }
 END_TEST
 
