--- a/gatewayd/cluster_key.c
+++ b/gatewayd/cluster_key.c
@@ -6,9 +6,9 @@
 #include <string.h>
 #include <sys/random.h>
 
-#define KIND "gateway-keys"
-#define NAME "peers"
-#define CALL_MS 3000
+#define KEY_KIND "gateway-keys"
+#define KEY_NAME "peers"
+#define CALL_TIMEOUT_MS 3000
 #define RETRY_MS 200
 #define RANDOM_BYTES 32
 
@@ -18,25 +18,25 @@
   struct platform_client *client;
   cluster_key_cb *cb;
   void *user;
-  struct loop_timer *timer;
+  struct loop_timer *retry_timer;
   uint64_t request;
-  char made[CLUSTER_KEY_BYTES]; /* by this node, if there is none yet */
+  char generated[CLUSTER_KEY_BYTES]; /* by this node, if there is none yet */
 };
 
 static const struct platform_client_options options
-    = { .use = BERYL_USE_STATUS, .timeout_ms = CALL_MS, .wait = true };
+    = { .use = BERYL_USE_STATUS, .timeout_ms = CALL_TIMEOUT_MS, .wait = true };
 
 static void read_key (void *user);
 
 static void
-again (struct cluster_key *k)
+schedule_retry (struct cluster_key *k)
 {
-  loop_timer_stop (k->timer);
-  k->timer = loop_timer_start (k->loop, RETRY_MS, 0, read_key, k);
+  loop_timer_stop (k->retry_timer);
+  k->retry_timer = loop_timer_start (k->loop, RETRY_MS, 0, read_key, k);
 }
 
 static void
-use (struct cluster_key *k, const char *text)
+report_key (struct cluster_key *k, const char *text)
 {
   char key[CLUSTER_KEY_BYTES];
 
@@ -45,57 +45,59 @@
 }
 
 static bool
-make (struct cluster_key *k)
+generate_key (struct cluster_key *k)
 {
   unsigned char bytes[RANDOM_BYTES];
 
   if (getrandom (bytes, sizeof bytes, 0) != (ssize_t)sizeof bytes)
     return false;
   for (size_t i = 0; i < sizeof bytes; i++)
-    g_snprintf (k->made + 2 * i, 3, "%02x", bytes[i]);
+    g_snprintf (k->generated + 2 * i, 3, "%02x", bytes[i]);
   return true;
 }
 
 static void
-written (void *user, const struct beryl_platform_result *result)
+write_done (void *user, const struct beryl_platform_result *result)
 {
   struct cluster_key *k = user;
 
   k->request = 0;
   if (result->code == BERYL_OK)
-    use (k, k->made);
+    report_key (k, k->generated);
   else
-    again (k); /* another node was first, or the platform is away */
+    schedule_retry (k); /* another node was first, or the platform is away */
 }
 
 static void
 write_key (struct cluster_key *k)
 {
   char nonce[BERYL_NONCE_BYTES];
-  struct beryl_platform_write write = {
-    .kind = KIND, .name = NAME, .condition = BERYL_IF_ABSENT, .nonce = nonce
-  };
+  struct beryl_platform_write write = { .kind = KEY_KIND,
+                                        .name = KEY_NAME,
+                                        .condition = BERYL_IF_ABSENT,
+                                        .nonce = nonce };
   json_t *value;
   char *text;
 
-  if (!make (k))
+  if (!generate_key (k))
     {
       g_warning ("no random numbers for a cluster key");
-      again (k);
+      schedule_retry (k);
       return;
     }
   beryl_platform_nonce (platform_client_core (k->client), nonce);
-  value = json_pack ("{s:s, s:s}", "key", k->made, "nonce", nonce);
+  value = json_pack ("{s:s, s:s}", "key", k->generated, "nonce", nonce);
   text = json_dumps (value, JSON_COMPACT);
   write.value = text;
   write.value_bytes = strlen (text);
-  k->request = platform_client_put (k->client, &options, &write, written, k);
+  k->request
+      = platform_client_put (k->client, &options, &write, write_done, k);
   free (text);
   json_decref (value);
 }
 
 static void
-was_read (void *user, const struct beryl_platform_result *result)
+read_done (void *user, const struct beryl_platform_result *result)
 {
   struct cluster_key *k = user;
   json_t *value = NULL;
@@ -112,14 +114,14 @@
                         result->objects[0].value_bytes, 0, NULL);
   text = json_string_value (json_object_get (value, "key"));
   if (text != NULL && strlen (text) == CLUSTER_KEY_BYTES - 1)
-    use (k, text);
+    report_key (k, text);
   else
     {
       g_warning ("cluster key is not to be had: %s",
                  result->code == BERYL_OK
                      ? "malformed"
                      : beryl_error_code_name (result->code));
-      again (k);
+      schedule_retry (k);
     }
   json_decref (value);
 }
@@ -129,8 +131,8 @@
 {
   struct cluster_key *k = user;
 
-  k->request
-      = platform_client_get (k->client, &options, KIND, NAME, 0, was_read, k);
+  k->request = platform_client_get (k->client, &options, KEY_KIND, KEY_NAME, 0,
+                                    read_done, k);
 }
 
 struct cluster_key *
@@ -152,7 +154,7 @@
 {
   if (k == NULL)
     return;
-  loop_timer_stop (k->timer);
+  loop_timer_stop (k->retry_timer);
   if (k->request != 0)
     platform_client_forget (k->client, k->request);
   g_free (k);
--- a/gatewayd/config_sync.c
+++ b/gatewayd/config_sync.c
@@ -12,14 +12,14 @@
 /* A connection on which nothing moves for so long is given up.  The whole
  * transfer has no bound: a slow link needs what it needs, and with a bound it
  * would begin again with the next peer, without an end. */
-#define SILENT_MS 1000
-#define PROOF_BYTES 32
+#define IDLE_TIMEOUT_MS 1000
+#define MAC_BYTES 32
 
-enum answer_field
+enum response_field
 {
-  ANSWER_VALUE = 1,
-  ANSWER_REVISION,
-  ANSWER_PROOF,
+  RESPONSE_VALUE = 1,
+  RESPONSE_REVISION,
+  RESPONSE_MAC,
 };
 
 struct config_sync
@@ -28,7 +28,7 @@
   struct loop *loop;
   struct link_listener *listener;
   struct frame_writer *writer;
-  GPtrArray *open; /* struct pull, in either direction */
+  GPtrArray *transfers; /* struct pull, in either direction */
   bool pulling;
   uint64_t revision; /* of the configuration here */
   GString *value;
@@ -38,260 +38,268 @@
 /* Proves that a node of this fleet gave the configuration: whoever can only
  * connect must not be able to hand out one. */
 static void
-prove (const struct config_sync *p, uint64_t revision, const char *value,
-       size_t value_bytes, unsigned char proof[PROOF_BYTES])
+compute_mac (const struct config_sync *sync, uint64_t revision,
+             const char *value, size_t value_bytes,
+             unsigned char mac[MAC_BYTES])
 {
   GString *text = g_string_new_len (value, (gssize)value_bytes);
-  unsigned int bytes = PROOF_BYTES;
+  unsigned int bytes = MAC_BYTES;
 
   g_string_append_printf (text, "%" G_GUINT64_FORMAT, revision);
-  HMAC (EVP_sha256 (), p->key, (int)strlen (p->key),
-        (const unsigned char *)text->str, text->len, proof, &bytes);
+  HMAC (EVP_sha256 (), sync->key, (int)strlen (sync->key),
+        (const unsigned char *)text->str, text->len, mac, &bytes);
   g_string_free (text, TRUE);
 }
 
 /* A connection on which a configuration is pulled. */
-struct pull
+struct transfer
 {
   struct link_handler base;
-  struct config_sync *pulls;
+  struct config_sync *sync;
   struct link *link;
-  bool asks;     /* this side does */
-  char peer[64]; /* its address */
-  int64_t began_ms;
-  int64_t moved_ms;  /* when it last got further */
-  uint64_t progress; /* as it was seen then */
+  bool is_client; /* this side does */
+  char peer[64];  /* its address */
+  int64_t start_ms;
+  int64_t progress_ms; /* when it last got further */
+  uint64_t progress;   /* as it was seen then */
 };
 
 static void
-pull_free (void *pointer)
+transfer_free (void *pointer)
 {
-  struct pull *pull = pointer;
+  struct transfer *transfer = pointer;
 
-  if (pull->asks)
-    pull->pulls->pulling = false;
-  g_free (pull);
+  if (transfer->is_client)
+    transfer->sync->pulling = false;
+  g_free (transfer);
 }
 
 /* One line for each configuration that was asked of a peer. */
 static void
-log_end (const struct pull *pull, const char *outcome)
+log_outcome (const struct transfer *transfer, const char *outcome)
 {
-  if (pull->asks)
+  if (transfer->is_client)
     g_info ("configuration pull peer=%s outcome=%s bytes=%" G_GUINT64_FORMAT
             " age_ms=%" G_GINT64_FORMAT,
-            pull->peer, outcome, link_received_bytes (pull->link),
-            loop_now_ms (pull->pulls->loop) - pull->began_ms);
+            transfer->peer, outcome, link_received_bytes (transfer->link),
+            loop_now_ms (transfer->sync->loop) - transfer->start_ms);
 }
 
 static void
-pull_end (struct pull *pull, const char *outcome)
+transfer_end (struct transfer *transfer, const char *outcome)
 {
-  struct link *link = pull->link;
+  struct link *link = transfer->link;
 
-  log_end (pull, outcome);
-  g_ptr_array_remove_fast (pull->pulls->open, pull);
+  log_outcome (transfer, outcome);
+  g_ptr_array_remove_fast (transfer->sync->transfers, transfer);
   link_close (link);
 }
 
 static void
-pull_opened (struct link_handler *handler, struct link *link)
+transfer_opened (struct link_handler *handler, struct link *link)
 {
-  struct pull *pull = (struct pull *)handler;
+  struct transfer *transfer = (struct transfer *)handler;
 
-  gossip_put_number (pull->pulls->writer, GOSSIP_PULL, pull->pulls->revision);
-  link_send (link, pull->pulls->writer);
+  gossip_put_number (transfer->sync->writer, GOSSIP_PULL,
+                     transfer->sync->revision);
+  link_send (link, transfer->sync->writer);
 }
 
 static void
-answer_pull (struct pull *pull, uint64_t after)
+send_response (struct transfer *transfer, uint64_t after)
 {
-  struct config_sync *p = pull->pulls;
-  unsigned char proof[PROOF_BYTES];
+  struct config_sync *sync = transfer->sync;
+  unsigned char mac[MAC_BYTES];
 
-  if (p->revision <= after)
-    gossip_put_number (p->writer, GOSSIP_SAME, p->revision);
+  if (sync->revision <= after)
+    gossip_put_number (sync->writer, GOSSIP_SAME, sync->revision);
   else
     {
-      prove (p, p->revision, p->value->str, p->value->len, proof);
-      frame_writer_reset (p->writer, GOSSIP_SNAPSHOT);
-      frame_put_bytes (p->writer, ANSWER_VALUE, p->value->str, p->value->len);
-      frame_put_uint (p->writer, ANSWER_REVISION, p->revision);
-      frame_put_bytes (p->writer, ANSWER_PROOF, proof, sizeof proof);
+      compute_mac (sync, sync->revision, sync->value->str, sync->value->len,
+                   mac);
+      frame_writer_reset (sync->writer, GOSSIP_SNAPSHOT);
+      frame_put_bytes (sync->writer, RESPONSE_VALUE, sync->value->str,
+                       sync->value->len);
+      frame_put_uint (sync->writer, RESPONSE_REVISION, sync->revision);
+      frame_put_bytes (sync->writer, RESPONSE_MAC, mac, sizeof mac);
     }
-  link_send (pull->link, p->writer);
+  link_send (transfer->link, sync->writer);
 }
 
 static void
-take_answer (struct pull *pull, struct frame *frame)
+receive_response (struct transfer *transfer, struct frame *frame)
 {
-  struct config_sync *p = pull->pulls;
+  struct config_sync *sync = transfer->sync;
   struct frame_map map = frame_root (frame);
-  uint64_t revision = frame_uint (map, ANSWER_REVISION, 0);
-  size_t bytes = 0, proof_bytes = 0;
-  const char *value = frame_bytes (map, ANSWER_VALUE, &bytes);
-  const void *proof = frame_bytes (map, ANSWER_PROOF, &proof_bytes);
-  unsigned char expected[PROOF_BYTES];
+  uint64_t revision = frame_uint (map, RESPONSE_REVISION, 0);
+  size_t bytes = 0, mac_bytes = 0;
+  const char *value = frame_bytes (map, RESPONSE_VALUE, &bytes);
+  const void *mac = frame_bytes (map, RESPONSE_MAC, &mac_bytes);
+  unsigned char expected_mac[MAC_BYTES];
 
   if (frame_type (frame) != GOSSIP_SNAPSHOT || !frame_valid (frame)
-      || value == NULL || proof == NULL || proof_bytes != PROOF_BYTES)
+      || value == NULL || mac == NULL || mac_bytes != MAC_BYTES)
     {
-      pull_end (pull, "none");
+      transfer_end (transfer, "none");
       return;
     }
-  prove (p, revision, value, bytes, expected);
-  if (CRYPTO_memcmp (proof, expected, PROOF_BYTES) != 0)
+  compute_mac (sync, revision, value, bytes, expected_mac);
+  if (CRYPTO_memcmp (mac, expected_mac, MAC_BYTES) != 0)
     g_warning ("configuration from a peer refused: wrong key");
-  else if (revision > p->revision)
-    p->owner->impl->configuration_received (p->owner, revision, value, bytes);
-  pull_end (pull, "whole");
+  else if (revision > sync->revision)
+    sync->owner->impl->configuration_received (sync->owner, revision, value,
+                                               bytes);
+  transfer_end (transfer, "whole");
 }
 
 static void
-pull_frame (struct link_handler *handler, struct link *link,
-            struct frame *frame)
+transfer_frame (struct link_handler *handler, struct link *link,
+                struct frame *frame)
 {
-  struct pull *pull = (struct pull *)handler;
+  struct transfer *transfer = (struct transfer *)handler;
   uint64_t after = 0;
 
-  if (pull->asks)
-    take_answer (pull, frame);
+  if (transfer->is_client)
+    receive_response (transfer, frame);
   else if (frame_type (frame) == GOSSIP_PULL
            && gossip_read_number (frame, &after))
-    answer_pull (pull, after);
+    send_response (transfer, after);
   else
-    pull_end (pull, "malformed");
+    transfer_end (transfer, "malformed");
 }
 
 static void
-pull_closed (struct link_handler *handler, struct link *link,
-             const char *reason)
+transfer_closed (struct link_handler *handler, struct link *link,
+                 const char *reason)
 {
-  struct pull *pull = (struct pull *)handler;
+  struct transfer *transfer = (struct transfer *)handler;
 
-  log_end (pull, "closed");
-  g_ptr_array_remove_fast (pull->pulls->open, pull);
+  log_outcome (transfer, "closed");
+  g_ptr_array_remove_fast (transfer->sync->transfers, transfer);
 }
 
-static const struct link_handler_impl pull_impl
-    = { .opened = pull_opened, .frame = pull_frame, .closed = pull_closed };
+static const struct link_handler_impl transfer_impl = {
+  .opened = transfer_opened, .frame = transfer_frame, .closed = transfer_closed
+};
 
-static struct pull *
-pull_create (struct config_sync *p, bool asks)
+static struct transfer *
+transfer_create (struct config_sync *sync, bool is_client)
 {
-  struct pull *pull = g_new0 (struct pull, 1);
-
-  pull->base.impl = &pull_impl;
-  pull->pulls = p;
-  pull->asks = asks;
-  pull->began_ms = loop_now_ms (p->loop);
-  pull->moved_ms = pull->began_ms;
-  return pull;
+  struct transfer *transfer = g_new0 (struct transfer, 1);
+
+  transfer->base.impl = &transfer_impl;
+  transfer->sync = sync;
+  transfer->is_client = is_client;
+  transfer->start_ms = loop_now_ms (sync->loop);
+  transfer->progress_ms = transfer->start_ms;
+  return transfer;
 }
 
 void
-config_sync_pull (struct config_sync *p, const char *address, uint16_t port)
+config_sync_pull (struct config_sync *sync, const char *address, uint16_t port)
 {
-  struct pull *pull;
+  struct transfer *transfer;
 
-  if (p->pulling)
+  if (sync->pulling)
     return;
-  pull = pull_create (p, true);
-  g_strlcpy (pull->peer, address, sizeof pull->peer);
-  pull->link = link_connect (p->loop, address, port, &pull->base, NULL);
-  if (pull->link == NULL)
+  transfer = transfer_create (sync, true);
+  g_strlcpy (transfer->peer, address, sizeof transfer->peer);
+  transfer->link
+      = link_connect (sync->loop, address, port, &transfer->base, NULL);
+  if (transfer->link == NULL)
     {
-      g_free (pull);
+      g_free (transfer);
       return;
     }
-  p->pulling = true;
-  g_ptr_array_add (p->open, pull);
+  sync->pulling = true;
+  g_ptr_array_add (sync->transfers, transfer);
 }
 
 static struct link_handler *
-accept_pull (void *user, struct link *link)
+accept_transfer (void *user, struct link *link)
 {
-  struct config_sync *p = user;
-  struct pull *pull = pull_create (p, false);
+  struct config_sync *sync = user;
+  struct transfer *transfer = transfer_create (sync, false);
 
-  pull->link = link;
-  g_ptr_array_add (p->open, pull);
-  return &pull->base;
+  transfer->link = link;
+  g_ptr_array_add (sync->transfers, transfer);
+  return &transfer->base;
 }
 
 /* Notes whether the answer got further since the last look.  What comes in at
  * the answering side does not count: whoever sends its question byte by byte
  * would hold the connection for as long as it likes. */
 static void
-note_moved (struct pull *pull, int64_t now_ms)
+update_progress (struct transfer *transfer, int64_t now_ms)
 {
-  uint64_t progress = pull->asks ? link_received_bytes (pull->link)
-                                 : link_pending_bytes (pull->link);
+  uint64_t progress = transfer->is_client
+                          ? link_received_bytes (transfer->link)
+                          : link_pending_bytes (transfer->link);
 
-  if (progress == pull->progress)
+  if (progress == transfer->progress)
     return;
-  pull->progress = progress;
-  pull->moved_ms = now_ms;
+  transfer->progress = progress;
+  transfer->progress_ms = now_ms;
 }
 
 void
-config_sync_expire (struct config_sync *p)
+config_sync_expire (struct config_sync *sync)
 {
-  int64_t now_ms = loop_now_ms (p->loop);
+  int64_t now_ms = loop_now_ms (sync->loop);
 
-  for (guint i = p->open->len; i > 0; i--)
+  for (guint i = sync->transfers->len; i > 0; i--)
     {
-      struct pull *pull = g_ptr_array_index (p->open, i - 1);
+      struct transfer *transfer = g_ptr_array_index (sync->transfers, i - 1);
 
-      note_moved (pull, now_ms);
-      if (now_ms - pull->moved_ms > SILENT_MS)
-        pull_end (pull, "timeout");
+      update_progress (transfer, now_ms);
+      if (now_ms - transfer->progress_ms > IDLE_TIMEOUT_MS)
+        transfer_end (transfer, "timeout");
     }
 }
 
 void
-config_sync_set_key (struct config_sync *p, const char *key)
+config_sync_set_key (struct config_sync *sync, const char *key)
 {
-  g_strlcpy (p->key, key, sizeof p->key);
+  g_strlcpy (sync->key, key, sizeof sync->key);
 }
 
 void
-config_sync_set_configuration (struct config_sync *p, uint64_t revision,
+config_sync_set_configuration (struct config_sync *sync, uint64_t revision,
                                const char *value, size_t value_bytes)
 {
-  p->revision = revision;
-  g_string_truncate (p->value, 0);
-  g_string_append_len (p->value, value, (gssize)value_bytes);
+  sync->revision = revision;
+  g_string_truncate (sync->value, 0);
+  g_string_append_len (sync->value, value, (gssize)value_bytes);
 }
 
 struct config_sync *
 config_sync_create (struct loop *loop, const char *ip, uint16_t port,
                     struct config_sync_owner *owner, struct beryl_error *error)
 {
-  struct config_sync *p = g_new0 (struct config_sync, 1);
-
-  p->owner = owner;
-  p->loop = loop;
-  p->open = g_ptr_array_new_with_free_func (pull_free);
-  p->value = g_string_new (NULL);
-  p->writer = frame_writer_create (GOSSIP_PULL);
-  p->listener = link_listen (loop, ip, port, accept_pull, p, error);
-  if (p->listener != NULL)
-    return p;
-  config_sync_destroy (p);
+  struct config_sync *sync = g_new0 (struct config_sync, 1);
+
+  sync->owner = owner;
+  sync->loop = loop;
+  sync->transfers = g_ptr_array_new_with_free_func (transfer_free);
+  sync->value = g_string_new (NULL);
+  sync->writer = frame_writer_create (GOSSIP_PULL);
+  sync->listener = link_listen (loop, ip, port, accept_transfer, sync, error);
+  if (sync->listener != NULL)
+    return sync;
+  config_sync_destroy (sync);
   return NULL;
 }
 
 void
-config_sync_destroy (struct config_sync *p)
+config_sync_destroy (struct config_sync *sync)
 {
-  if (p == NULL)
+  if (sync == NULL)
     return;
-  while (p->open->len > 0)
-    pull_end (g_ptr_array_index (p->open, 0), "stopped");
-  g_ptr_array_free (p->open, TRUE);
-  link_listener_close (p->listener);
-  frame_writer_destroy (p->writer);
-  g_string_free (p->value, TRUE);
-  g_free (p);
+  while (sync->transfers->len > 0)
+    transfer_end (g_ptr_array_index (sync->transfers, 0), "stopped");
+  g_ptr_array_free (sync->transfers, TRUE);
+  link_listener_close (sync->listener);
+  frame_writer_destroy (sync->writer);
+  g_string_free (sync->value, TRUE);
+  g_free (sync);
 }
--- a/gatewayd/config_sync.h
+++ b/gatewayd/config_sync.h
@@ -20,8 +20,9 @@
 struct config_sync_owner_impl
 {
   /** A peer gave a configuration that is newer than this node's. */
-  void (*configuration_received) (struct config_sync_owner *owner, uint64_t revision,
-                         const char *value, size_t value_bytes);
+  void (*configuration_received) (struct config_sync_owner *owner,
+                                  uint64_t revision, const char *value,
+                                  size_t value_bytes);
 };
 
 /** The owner; the first member selects the implementation. */
@@ -31,26 +32,29 @@
 };
 
 /** Listen at IP and PORT; NULL and ERROR on failure. */
-struct config_sync *config_sync_create (struct loop *loop, const char *ip, uint16_t port,
-                            struct config_sync_owner *owner,
-                            struct beryl_error *error);
+struct config_sync *config_sync_create (struct loop *loop, const char *ip,
+                                        uint16_t port,
+                                        struct config_sync_owner *owner,
+                                        struct beryl_error *error);
 
 /** Close and release; NULL is allowed. */
-void config_sync_destroy (struct config_sync *pulls);
+void config_sync_destroy (struct config_sync *sync);
 
 /** Prove and check configurations by KEY. */
-void config_sync_set_key (struct config_sync *pulls, const char *key);
+void config_sync_set_key (struct config_sync *sync, const char *key);
 
 /** This node has the configuration VALUE of REVISION. */
-void config_sync_set_configuration (struct config_sync *pulls, uint64_t revision,
-                              const char *value, size_t value_bytes);
+void config_sync_set_configuration (struct config_sync *sync,
+                                    uint64_t revision, const char *value,
+                                    size_t value_bytes);
 
 /** Ask the peer at ADDRESS and PORT for its configuration, unless a question
  * is open. */
-void config_sync_pull (struct config_sync *pulls, const char *address, uint16_t port);
+void config_sync_pull (struct config_sync *sync, const char *address,
+                       uint16_t port);
 
 /** Give up connections on which nothing moves; to be called several times a
  * second. */
-void config_sync_expire (struct config_sync *pulls);
+void config_sync_expire (struct config_sync *sync);
 
 #endif
--- a/gatewayd/directory.c
+++ b/gatewayd/directory.c
@@ -13,7 +13,7 @@
   struct h1_server_handler base;
   const struct gateway_wire *wire;
   struct directory_owner *owner;
-  int64_t keep_ms;
+  int64_t address_keep_ms;
   struct h1_server *servers[PORTS_MAX];
   size_t server_count;
 };
@@ -46,7 +46,7 @@
   d->owner->impl->append_addresses (d->owner, place, addresses);
   d->wire->impl->format_addresses (d->wire,
                                    (const char *const *)addresses->pdata,
-                                   addresses->len, d->keep_ms, body);
+                                   addresses->len, d->address_keep_ms, body);
   reply (ex, addresses->len > 0 ? 200 : 503, "application/json", body->str);
   g_string_free (body, TRUE);
   g_ptr_array_free (addresses, TRUE);
@@ -62,7 +62,7 @@
 }
 
 static void
-asked (struct h1_server_handler *handler, struct h1_exchange *ex)
+handle_request (struct h1_server_handler *handler, struct h1_exchange *ex)
 {
   struct directory *d = (struct directory *)handler;
   const struct h1_head *head = h1_exchange_head (ex);
@@ -86,12 +86,13 @@
 }
 
 static void
-closed (struct h1_server_handler *handler, struct h1_exchange *ex, bool whole)
+handle_closed (struct h1_server_handler *handler, struct h1_exchange *ex,
+               bool whole)
 {
 }
 
 static const struct h1_server_handler_impl handler_impl
-    = { .request = asked, .closed = closed };
+    = { .request = handle_request, .closed = handle_closed };
 
 static bool
 listen_on (struct directory *d, struct loop *loop, const char *ip,
@@ -118,7 +119,7 @@
   d->base.impl = &handler_impl;
   d->wire = wire;
   d->owner = owner;
-  d->keep_ms = settings->address_keep_ms;
+  d->address_keep_ms = settings->address_keep_ms;
   if (listen_on (d, loop, settings->ready.ip, settings->ready.port, error)
       && listen_on (d, loop, settings->directory.ip, settings->directory.port,
                     error)
@@ -130,9 +131,9 @@
 }
 
 void
-directory_set_address_keep (struct directory *d, int64_t keep_ms)
+directory_set_address_keep (struct directory *d, int64_t address_keep_ms)
 {
-  d->keep_ms = keep_ms;
+  d->address_keep_ms = address_keep_ms;
 }
 
 void
--- a/gatewayd/directory.h
+++ b/gatewayd/directory.h
@@ -41,7 +41,8 @@
                                     struct beryl_error *error);
 
 /** Change how long callers may keep an answer. */
-void directory_set_address_keep (struct directory *directory, int64_t keep_ms);
+void directory_set_address_keep (struct directory *directory,
+                                 int64_t address_keep_ms);
 
 /** Close all and release; NULL is allowed. */
 void directory_destroy (struct directory *directory);
--- a/gatewayd/frontend.c
+++ b/gatewayd/frontend.c
@@ -9,7 +9,7 @@
   const struct gateway_wire *wire;
   struct beryl_forward *forward;
   struct h1_server *server;
-  GHashTable *open; /* number to struct h1_exchange */
+  GHashTable *exchanges; /* number to struct h1_exchange */
   uint64_t last_request;
 };
 
@@ -17,73 +17,73 @@
 struct caller
 {
   uint64_t request; /* first, so that it serves as the table's key */
-  bool over;        /* the forwarder has ended it */
+  bool finished;    /* the forwarder has ended it */
   char id[BERYL_REQUEST_ID_BYTES];
 };
 
 static struct h1_exchange *
-exchange_of (const struct frontend *front, uint64_t request)
+find_exchange (const struct frontend *frontend, uint64_t request)
 {
-  return g_hash_table_lookup (front->open, &request);
+  return g_hash_table_lookup (frontend->exchanges, &request);
 }
 
 /* Takes a request out before its answer ends, so that the end of the
  * exchange is not told to the forwarder, which knows. */
 static struct h1_exchange *
-take (struct frontend *front, uint64_t request)
+detach_exchange (struct frontend *frontend, uint64_t request)
 {
-  struct h1_exchange *ex = exchange_of (front, request);
+  struct h1_exchange *ex = find_exchange (frontend, request);
   struct caller *caller;
 
   if (ex == NULL)
     return NULL;
   caller = h1_exchange_user (ex);
-  caller->over = true;
-  g_hash_table_remove (front->open, &request);
+  caller->finished = true;
+  g_hash_table_remove (frontend->exchanges, &request);
   return ex;
 }
 
 static void
 request_arrived (struct h1_server_handler *handler, struct h1_exchange *ex)
 {
-  struct frontend *front = (struct frontend *)handler;
+  struct frontend *frontend = (struct frontend *)handler;
   struct caller *caller = g_new0 (struct caller, 1);
   struct beryl_forward_request request = { 0 };
-  int64_t now_ms = loop_now_ms (front->loop);
+  int64_t now_ms = loop_now_ms (frontend->loop);
 
-  caller->request = ++front->last_request;
+  caller->request = ++frontend->last_request;
   h1_exchange_set_user (ex, caller);
-  g_hash_table_insert (front->open, &caller->request, ex);
-  front->wire->impl->read_request (front->wire, h1_exchange_head (ex), now_ms,
-                                   &request);
+  g_hash_table_insert (frontend->exchanges, &caller->request, ex);
+  frontend->wire->impl->read_request (frontend->wire, h1_exchange_head (ex),
+                                      now_ms, &request);
   g_strlcpy (caller->id, request.id, sizeof caller->id);
   request.request = caller->request;
   request.arrived_ms = now_ms;
-  beryl_forward_arrived (front->forward, &request, now_ms);
+  beryl_forward_arrived (frontend->forward, &request, now_ms);
 }
 
 static void
 caller_drained (struct h1_server_handler *handler, struct h1_exchange *ex)
 {
-  struct frontend *front = (struct frontend *)handler;
+  struct frontend *frontend = (struct frontend *)handler;
   const struct caller *caller = h1_exchange_user (ex);
 
-  if (!caller->over)
-    beryl_forward_caller_slow (front->forward, caller->request, false);
+  if (!caller->finished)
+    beryl_forward_caller_slow (frontend->forward, caller->request, false);
 }
 
 static void
 exchange_closed (struct h1_server_handler *handler, struct h1_exchange *ex,
                  bool whole)
 {
-  struct frontend *front = (struct frontend *)handler;
+  struct frontend *frontend = (struct frontend *)handler;
   struct caller *caller = h1_exchange_user (ex);
 
-  if (!caller->over)
+  if (!caller->finished)
     {
-      take (front, caller->request);
-      beryl_forward_caller_gone (front->forward, caller->request,
-                                 loop_now_ms (front->loop));
+      detach_exchange (frontend, caller->request);
+      beryl_forward_caller_gone (frontend->forward, caller->request,
+                                 loop_now_ms (frontend->loop));
     }
   g_free (caller);
 }
@@ -99,42 +99,42 @@
                  const struct gateway_address *address,
                  struct beryl_forward *forward, struct beryl_error *error)
 {
-  struct frontend *front = g_new0 (struct frontend, 1);
-
-  front->base.impl = &handler_impl;
-  front->loop = loop;
-  front->wire = wire;
-  front->forward = forward;
-  front->open = g_hash_table_new (g_int64_hash, g_int64_equal);
-  front->server = h1_server_create (loop, address->ip, address->port,
-                                    &front->base, error);
-  if (front->server != NULL)
-    return front;
-  frontend_destroy (front);
+  struct frontend *frontend = g_new0 (struct frontend, 1);
+
+  frontend->base.impl = &handler_impl;
+  frontend->loop = loop;
+  frontend->wire = wire;
+  frontend->forward = forward;
+  frontend->exchanges = g_hash_table_new (g_int64_hash, g_int64_equal);
+  frontend->server = h1_server_create (loop, address->ip, address->port,
+                                       &frontend->base, error);
+  if (frontend->server != NULL)
+    return frontend;
+  frontend_destroy (frontend);
   return NULL;
 }
 
 void
-frontend_destroy (struct frontend *front)
+frontend_destroy (struct frontend *frontend)
 {
-  if (front == NULL)
+  if (frontend == NULL)
     return;
-  h1_server_destroy (front->server);
-  g_hash_table_destroy (front->open);
-  g_free (front);
+  h1_server_destroy (frontend->server);
+  g_hash_table_destroy (frontend->exchanges);
+  g_free (frontend);
 }
 
 struct h1_server *
-frontend_server (struct frontend *front)
+frontend_server (struct frontend *frontend)
 {
-  return front->server;
+  return frontend->server;
 }
 
 const struct h1_head *
-frontend_request (const struct frontend *front, uint64_t request,
+frontend_request (const struct frontend *frontend, uint64_t request,
                   const char **body, size_t *body_bytes)
 {
-  struct h1_exchange *ex = exchange_of (front, request);
+  struct h1_exchange *ex = find_exchange (frontend, request);
 
   if (ex == NULL)
     return NULL;
@@ -144,7 +144,7 @@
 
 /* Passes on all fields but those of the endpoint's connection and framing. */
 static GArray *
-fields_to_pass (const struct h1_head *head)
+end_to_end_fields (const struct h1_head *head)
 {
   GArray *fields = g_array_new (FALSE, FALSE, sizeof (struct h1_field));
 
@@ -156,16 +156,16 @@
 }
 
 void
-frontend_begin_response (struct frontend *front, uint64_t request,
+frontend_begin_response (struct frontend *frontend, uint64_t request,
                          const struct h1_head *head, bool has_length,
                          uint64_t length)
 {
-  struct h1_exchange *ex = exchange_of (front, request);
+  struct h1_exchange *ex = find_exchange (frontend, request);
   GArray *fields;
 
   if (ex == NULL || head == NULL)
     return;
-  fields = fields_to_pass (head);
+  fields = end_to_end_fields (head);
   h1_exchange_begin (
       ex, head->status, head->reason,
       (const struct h1_field *)(const void *)fields->data, fields->len,
@@ -175,34 +175,34 @@
 
 /* A caller that does not read holds its endpoint back, instead of having
  * the whole answer kept here. */
-#define SLOW_BYTES 65536
+#define PENDING_MAX_BYTES 65536
 
 void
-frontend_write (struct frontend *front, uint64_t request, const char *bytes,
+frontend_write (struct frontend *frontend, uint64_t request, const char *bytes,
                 size_t bytes_count)
 {
-  struct h1_exchange *ex = exchange_of (front, request);
+  struct h1_exchange *ex = find_exchange (frontend, request);
 
   if (ex == NULL)
     return;
   h1_exchange_write (ex, bytes, bytes_count);
-  if (h1_exchange_pending_bytes (ex) > SLOW_BYTES)
-    beryl_forward_caller_slow (front->forward, request, true);
+  if (h1_exchange_pending_bytes (ex) > PENDING_MAX_BYTES)
+    beryl_forward_caller_slow (frontend->forward, request, true);
 }
 
 void
-frontend_finish (struct frontend *front, uint64_t request)
+frontend_finish (struct frontend *frontend, uint64_t request)
 {
-  struct h1_exchange *ex = take (front, request);
+  struct h1_exchange *ex = detach_exchange (frontend, request);
 
   if (ex != NULL)
     h1_exchange_finish (ex);
 }
 
 void
-frontend_truncate (struct frontend *front, uint64_t request)
+frontend_truncate (struct frontend *frontend, uint64_t request)
 {
-  struct h1_exchange *ex = take (front, request);
+  struct h1_exchange *ex = detach_exchange (frontend, request);
 
   if (ex != NULL)
     h1_exchange_cut (ex);
@@ -218,10 +218,10 @@
 }
 
 void
-frontend_refuse (struct frontend *front, uint64_t request,
+frontend_refuse (struct frontend *frontend, uint64_t request,
                  const struct beryl_refusal *refusal)
 {
-  struct h1_exchange *ex = take (front, request);
+  struct h1_exchange *ex = detach_exchange (frontend, request);
   struct caller *caller;
   GPtrArray *pointers;
   struct h1_field *fields;
@@ -230,8 +230,8 @@
     return;
   caller = h1_exchange_user (ex);
   pointers = g_ptr_array_new_with_free_func (field_free);
-  front->wire->impl->format_refusal (front->wire, refusal, caller->id,
-                                     pointers);
+  frontend->wire->impl->format_refusal (frontend->wire, refusal, caller->id,
+                                        pointers);
   fields = g_new (struct h1_field, pointers->len + 1);
   for (guint i = 0; i < pointers->len; i++)
     fields[i] = *(struct h1_field *)g_ptr_array_index (pointers, i);
--- a/gatewayd/gateway.c
+++ b/gatewayd/gateway.c
@@ -28,20 +28,20 @@
 #define STOP_MARGIN_MS 700
 /* Changes of this node's runs are told together, so often at most.  Others
  * place a request every few tens of milliseconds. */
-#define TELL_DELAY_MS 30
+#define ANNOUNCE_DELAY_MS 30
 /* What was learned of generations changes slowly: it goes to all peers, with
  * one message in so long at most. */
-#define PROFILES_MS 500
+#define PROFILE_INTERVAL_MS 500
 
 /* Callers' bodies may take that part of the memory. */
-#define BODIES_PART 4
+#define BODY_MEMORY_DIVISOR 4
 /* Before the first list of nodes this one takes itself for one of many when it
  * pays for repeats. */
-#define NODES_UNKNOWN 50
+#define ASSUMED_NODES 50
 /* Nodes that compete for the planner's lease, and how often they are looked
  * up. */
-#define PLANNERS 2
-#define STAND_MS 1000
+#define PLANNER_CANDIDATES 2
+#define ROLE_CHECK_MS 1000
 
 struct gateway
 {
@@ -54,61 +54,62 @@
   const struct gateway_wire *wire;
   struct gateway_settings settings;
   struct counters *counters;
-  int64_t profiles_ms; /* when what was learned was told last */
+  int64_t profiles_sent_ms; /* when what was learned was told last */
   struct metrics *metrics;
   struct platform_client *store;
-  struct beryl_lives *lives;
+  struct beryl_lives *endpoints;
   struct beryl_forward *forward;
-  struct frontend *front;
+  struct frontend *frontend;
   struct outbound *outbound;
   struct platform_source *source;
   struct directory *directory;
   struct members *members;
-  struct cluster_key *key;
+  struct cluster_key *cluster_key;
   struct registry *registry;
   struct quarantine_records *quarantine_records;
   struct notices *notices;
   struct relay *relay;
   struct planner *planner;
   struct survey *survey;
-  struct loop_timer *stand; /* looks who stands for the planner's lease */
-  struct loop_timer *tell;  /* runs that changed are told when it fires */
-  struct loop_timer *tick;
-  int64_t tick_ms;
+  struct loop_timer *role_timer; /* looks who stands for the planner's lease */
+  struct loop_timer
+      *announce_timer; /* runs that changed are told when it fires */
+  struct loop_timer *tick_timer;
+  int64_t tick_due_ms;
   uv_prepare_t *prepare;
-  struct loop_timer *stop_poll;
-  int64_t stop_began_ms; /* 0: not stopping */
+  struct loop_timer *stop_timer;
+  int64_t stop_start_ms; /* 0: not stopping */
 };
 
 static struct gateway *
-of_forward (struct beryl_forward_owner *owner)
+gateway_from_forward (struct beryl_forward_owner *owner)
 {
   return (struct gateway *)owner;
 }
 
 static struct gateway *
-of_source (struct platform_source_owner *owner)
+gateway_from_source (struct platform_source_owner *owner)
 {
   return (struct gateway *)((char *)owner
                             - offsetof (struct gateway, source_base));
 }
 
 static struct gateway *
-of_directory (struct directory_owner *owner)
+gateway_from_directory (struct directory_owner *owner)
 {
   return (struct gateway *)((char *)owner
                             - offsetof (struct gateway, directory_base));
 }
 
 static struct gateway *
-of_members (struct members_owner *owner)
+gateway_from_members (struct members_owner *owner)
 {
   return (struct gateway *)((char *)owner
                             - offsetof (struct gateway, members_base));
 }
 
 static struct gateway *
-of_registry (struct registry_owner *owner)
+gateway_from_registry (struct registry_owner *owner)
 {
   return (struct gateway *)((char *)owner
                             - offsetof (struct gateway, registry_base));
@@ -118,38 +119,38 @@
 forward_start_exchange (struct beryl_forward_owner *owner,
                         const struct beryl_exchange_start *start)
 {
-  struct gateway *g = of_forward (owner);
+  struct gateway *g = gateway_from_forward (owner);
   const struct h1_head *head = NULL;
   const char *body = NULL;
   size_t body_bytes = 0;
 
   if (start->request != 0)
-    head = frontend_request (g->front, start->request, &body, &body_bytes);
+    head = frontend_request (g->frontend, start->request, &body, &body_bytes);
   outbound_start (g->outbound, start, head, body, body_bytes);
 }
 
 static void
 forward_abort (struct beryl_forward_owner *owner, uint64_t exchange)
 {
-  outbound_abort (of_forward (owner)->outbound, exchange);
+  outbound_abort (gateway_from_forward (owner)->outbound, exchange);
 }
 
 static void
 forward_pause (struct beryl_forward_owner *owner, uint64_t exchange,
                bool paused)
 {
-  outbound_pause (of_forward (owner)->outbound, exchange, paused);
+  outbound_pause (gateway_from_forward (owner)->outbound, exchange, paused);
 }
 
 static void
 forward_begin (struct beryl_forward_owner *owner, uint64_t request,
                uint64_t exchange)
 {
-  struct gateway *g = of_forward (owner);
+  struct gateway *g = gateway_from_forward (owner);
   uint64_t length = 0;
   bool has_length = outbound_response_length (g->outbound, exchange, &length);
 
-  frontend_begin_response (g->front, request,
+  frontend_begin_response (g->frontend, request,
                            outbound_response_head (g->outbound, exchange),
                            has_length, length);
 }
@@ -158,36 +159,37 @@
 forward_data (struct beryl_forward_owner *owner, uint64_t request,
               const char *bytes, size_t bytes_count)
 {
-  frontend_write (of_forward (owner)->front, request, bytes, bytes_count);
+  frontend_write (gateway_from_forward (owner)->frontend, request, bytes,
+                  bytes_count);
 }
 
 static void
 forward_end (struct beryl_forward_owner *owner, uint64_t request)
 {
-  frontend_finish (of_forward (owner)->front, request);
+  frontend_finish (gateway_from_forward (owner)->frontend, request);
 }
 
 static void
 forward_cut (struct beryl_forward_owner *owner, uint64_t request)
 {
-  frontend_truncate (of_forward (owner)->front, request);
+  frontend_truncate (gateway_from_forward (owner)->frontend, request);
 }
 
 static void
 forward_refuse (struct beryl_forward_owner *owner, uint64_t request,
                 const struct beryl_refusal *refusal)
 {
-  frontend_refuse (of_forward (owner)->front, request, refusal);
+  frontend_refuse (gateway_from_forward (owner)->frontend, request, refusal);
 }
 
 static uint64_t
 forward_fingerprint (struct beryl_forward_owner *owner, uint64_t request)
 {
-  struct gateway *g = of_forward (owner);
+  struct gateway *g = gateway_from_forward (owner);
   size_t body_bytes = 0;
   const char *body = NULL;
   const struct h1_head *head
-      = frontend_request (g->front, request, &body, &body_bytes);
+      = frontend_request (g->frontend, request, &body, &body_bytes);
 
   if (head == NULL)
     return 0;
@@ -196,10 +198,11 @@
 }
 
 static void
-forward_quarantined (struct beryl_forward_owner *owner, uint64_t fingerprint,
-                     int64_t left_ms, enum beryl_quarantine_cause cause)
+forward_quarantine_changed (struct beryl_forward_owner *owner,
+                            uint64_t fingerprint, int64_t left_ms,
+                            enum beryl_quarantine_cause cause)
 {
-  struct gateway *g = of_forward (owner);
+  struct gateway *g = gateway_from_forward (owner);
 
   g_info ("quarantine fingerprint=%016" G_GINT64_MODIFIER
           "x left_ms=%" G_GINT64_FORMAT " cause=%s",
@@ -211,11 +214,11 @@
 
 /* Only what became of a request after its run broke off has one. */
 static const char *
-fingerprint_text (uint64_t fingerprint, char *text, size_t room)
+format_fingerprint (uint64_t fingerprint, char *text, size_t text_bytes)
 {
   if (fingerprint == 0)
     return "-";
-  g_snprintf (text, room, "%016" G_GINT64_MODIFIER "x", fingerprint);
+  g_snprintf (text, text_bytes, "%016" G_GINT64_MODIFIER "x", fingerprint);
   return text;
 }
 
@@ -225,19 +228,19 @@
 {
   char fingerprint[20];
 
-  metrics_count_decision (of_forward (owner)->metrics, d);
+  metrics_count_decision (gateway_from_forward (owner)->metrics, d);
   if (!log_level_enabled (G_LOG_LEVEL_INFO))
     return;
-  g_info ("request id=%s route=%s step=%s outcome=%s endpoint=%s age_ms="
-          "%" G_GINT64_FORMAT " n=%" G_GINT64_FORMAT
-          " first_ms=%" G_GINT64_FORMAT " gap_ms=%" G_GINT64_FORMAT
-          " configuration=%" G_GUINT64_FORMAT " seen=%" G_GUINT64_FORMAT
-          " fingerprint=%s",
-          d->id, d->route, d->step, d->outcome,
-          d->endpoint != NULL ? d->endpoint->info.id : "-", d->age_ms,
-          d->number, d->first_event_ms, d->longest_gap_ms, d->config_version,
-          d->endpoint_revision,
-          fingerprint_text (d->fingerprint, fingerprint, sizeof fingerprint));
+  g_info (
+      "request id=%s route=%s step=%s outcome=%s endpoint=%s age_ms="
+      "%" G_GINT64_FORMAT " n=%" G_GINT64_FORMAT " first_ms=%" G_GINT64_FORMAT
+      " gap_ms=%" G_GINT64_FORMAT " configuration=%" G_GUINT64_FORMAT
+      " seen=%" G_GUINT64_FORMAT " fingerprint=%s",
+      d->id, d->route, d->step, d->outcome,
+      d->endpoint != NULL ? d->endpoint->info.id : "-", d->age_ms, d->number,
+      d->first_event_ms, d->longest_gap_ms, d->config_version,
+      d->endpoint_revision,
+      format_fingerprint (d->fingerprint, fingerprint, sizeof fingerprint));
 }
 
 static void
@@ -259,32 +262,33 @@
   .answer_cut = forward_cut,
   .refuse = forward_refuse,
   .fingerprint = forward_fingerprint,
-  .quarantined = forward_quarantined,
+  .quarantined = forward_quarantine_changed,
   .decided = forward_decided,
   .learned = forward_learned,
 };
 
 static void
-source_routes (struct platform_source_owner *owner,
-               struct beryl_routes *routes)
+source_routes_changed (struct platform_source_owner *owner,
+                       struct beryl_routes *routes)
 {
-  struct gateway *g = of_source (owner);
-  const struct beryl_caller_limits *from = &routes->limits;
+  struct gateway *g = gateway_from_source (owner);
+  const struct beryl_caller_limits *caller_limits = &routes->limits;
   size_t value_bytes;
   const char *value
       = platform_source_configuration_text (g->source, &value_bytes);
   struct h1_limits limits = {
-    .header_bytes = from->header_bytes,
-    .body_bytes = from->body_bytes,
-    .header_timeout_ms = from->header_timeout_ms,
-    .idle_timeout_ms = from->idle_timeout_ms,
+    .header_bytes = caller_limits->header_bytes,
+    .body_bytes = caller_limits->body_bytes,
+    .header_timeout_ms = caller_limits->header_timeout_ms,
+    .idle_timeout_ms = caller_limits->idle_timeout_ms,
     .connections = g->settings.descriptors_max / 2,
-    .all_bodies_bytes = ((uint64_t)g->settings.memory_mb << 20) / BODIES_PART,
+    .all_bodies_bytes
+    = ((uint64_t)g->settings.memory_mb << 20) / BODY_MEMORY_DIVISOR,
   };
 
   beryl_forward_set_routes (g->forward, routes);
   beryl_routes_unref (routes);
-  h1_server_set_limits (frontend_server (g->front), &limits);
+  h1_server_set_limits (frontend_server (g->frontend), &limits);
   if (g->members != NULL)
     members_set_configuration (
         g->members, platform_source_configuration_revision (g->source), value,
@@ -292,9 +296,9 @@
 }
 
 static void
-source_endpoints (struct platform_source_owner *owner)
+source_endpoints_changed (struct platform_source_owner *owner)
 {
-  struct gateway *g = of_source (owner);
+  struct gateway *g = gateway_from_source (owner);
 
   if (g->members != NULL)
     members_set_endpoint_revision (
@@ -303,72 +307,75 @@
 }
 
 static void
-source_answered (struct platform_source_owner *owner, uint64_t after,
-                 uint64_t revision, const struct entry_change *changes,
-                 size_t count, bool complete)
+source_changes_received (struct platform_source_owner *owner, uint64_t after,
+                         uint64_t revision, const struct entry_change *changes,
+                         size_t count, bool complete)
 {
-  struct gateway *g = of_source (owner);
+  struct gateway *g = gateway_from_source (owner);
 
   if (g->relay != NULL)
     relay_send (g->relay, after, revision, changes, count, complete);
 }
 
 static const struct platform_source_owner_impl source_impl = {
-  .routes_changed = source_routes,
-  .endpoints_changed = source_endpoints,
-  .changes_received = source_answered,
+  .routes_changed = source_routes_changed,
+  .endpoints_changed = source_endpoints_changed,
+  .changes_received = source_changes_received,
 };
 
 static bool
-directory_ready (struct directory_owner *owner)
+directory_is_ready (struct directory_owner *owner)
 {
-  struct gateway *g = of_directory (owner);
+  struct gateway *g = gateway_from_directory (owner);
 
-  return g->stop_began_ms == 0 && platform_source_is_synced (g->source);
+  return g->stop_start_ms == 0 && platform_source_is_synced (g->source);
 }
 
 static void
-directory_addresses (struct directory_owner *owner,
-                     const struct gateway_location *place,
-                     GPtrArray *addresses)
+directory_append_addresses (struct directory_owner *owner,
+                            const struct gateway_location *place,
+                            GPtrArray *addresses)
 {
-  struct gateway *g = of_directory (owner);
+  struct gateway *g = gateway_from_directory (owner);
 
   members_append_addresses (g->members, place->data_centre, addresses);
 }
 
 static uint64_t
-endpoints_working (const struct gateway *g)
+count_available_endpoints (const struct gateway *g)
 {
   uint64_t count = 0;
 
-  for (size_t i = 0; i < beryl_lives_count (g->lives); i++)
-    count += beryl_live_takes_work (beryl_lives_get (g->lives, i));
+  for (size_t i = 0; i < beryl_lives_count (g->endpoints); i++)
+    count += beryl_live_takes_work (beryl_lives_get (g->endpoints, i));
   return count;
 }
 
 static char *
-directory_metrics (struct directory_owner *owner)
+directory_format_metrics (struct directory_owner *owner)
 {
-  struct gateway *g = of_directory (owner);
+  struct gateway *g = gateway_from_directory (owner);
   int64_t now_ms = loop_now_ms (g->loop);
   struct metrics_gauges gauges = {
-    .open = beryl_forward_open (g->forward),
-    .waiting = beryl_forward_waiting (g->forward),
-    .connections = h1_server_connections (frontend_server (g->front)),
-    .malformed = h1_server_counts (frontend_server (g->front))->malformed,
+    .open_requests = beryl_forward_open (g->forward),
+    .waiting_requests = beryl_forward_waiting (g->forward),
+    .connections = h1_server_connections (frontend_server (g->frontend)),
+    .malformed_requests
+    = h1_server_counts (frontend_server (g->frontend))->malformed,
     .nodes = members_count (g->members),
-    .endpoints = endpoints_working (g),
-    .configuration = platform_source_configuration_version (g->source),
-    .revision = platform_source_configuration_revision (g->source),
-    .list_age_ms = now_ms - beryl_lives_synced_ms (g->lives),
-    .ready = directory_ready (owner),
-    .planner = planner_holds_lease (g->planner),
-    .watcher = relay_is_watcher (g->relay),
-    .limited = beryl_limits_count (beryl_forward_limits (g->forward)),
-    .quarantined
+    .endpoints = count_available_endpoints (g),
+    .configuration_version = platform_source_configuration_version (g->source),
+    .configuration_revision
+    = platform_source_configuration_revision (g->source),
+    .list_age_ms = now_ms - beryl_lives_synced_ms (g->endpoints),
+    .ready = directory_is_ready (owner),
+    .holds_planner_lease = planner_holds_lease (g->planner),
+    .is_endpoint_watcher = relay_is_watcher (g->relay),
+    .limited_endpoints
+    = beryl_limits_count (beryl_forward_limits (g->forward)),
+    .quarantined_requests
     = beryl_quarantine_count (beryl_forward_quarantine (g->forward)),
-    .suspects
+    .suspect_requests
     = beryl_quarantine_suspect_count (beryl_forward_quarantine (g->forward)),
   };
 
@@ -376,15 +383,15 @@
 }
 
 static const struct directory_owner_impl directory_impl = {
-  .is_ready = directory_ready,
-  .append_addresses = directory_addresses,
-  .format_metrics = directory_metrics,
+  .is_ready = directory_is_ready,
+  .append_addresses = directory_append_addresses,
+  .format_metrics = directory_format_metrics,
 };
 
 static void
 members_count_changed (struct members_owner *owner, uint32_t count)
 {
-  struct gateway *g = of_members (owner);
+  struct gateway *g = gateway_from_members (owner);
 
   beryl_forward_set_nodes (g->forward, count);
   beryl_forward_set_interval (g->forward,
@@ -394,10 +401,10 @@
 }
 
 static void
-members_loads (struct members_owner *owner,
-               const struct loads_message *message)
+members_loads_received (struct members_owner *owner,
+                        const struct loads_message *message)
 {
-  struct gateway *g = of_members (owner);
+  struct gateway *g = gateway_from_members (owner);
   int64_t now_ms = loop_now_ms (g->loop);
 
   beryl_forward_peer_runs (g->forward, message->from, message->runs,
@@ -410,89 +417,89 @@
 }
 
 static void
-members_changes (struct members_owner *owner,
-                 const struct changes_message *message)
+members_changes_received (struct members_owner *owner,
+                          const struct changes_message *message)
 {
-  struct gateway *g = of_members (owner);
+  struct gateway *g = gateway_from_members (owner);
 
   if (g->relay != NULL)
     relay_receive (g->relay, message);
 }
 
 static void
-members_notices (struct members_owner *owner,
-                 const struct notices_message *message)
+members_notices_received (struct members_owner *owner,
+                          const struct notices_message *message)
 {
-  notices_receive (of_members (owner)->notices, message);
+  notices_receive (gateway_from_members (owner)->notices, message);
 }
 
 static void
-members_peer_gone (struct members_owner *owner, const char *peer)
+members_peer_lost (struct members_owner *owner, const char *peer)
 {
-  beryl_forward_peer_gone (of_members (owner)->forward, peer);
+  beryl_forward_peer_gone (gateway_from_members (owner)->forward, peer);
 }
 
 static bool
 members_should_pull (struct members_owner *owner)
 {
-  return platform_source_should_pull (of_members (owner)->source);
+  return platform_source_should_pull (gateway_from_members (owner)->source);
 }
 
 static void
-members_configuration (struct members_owner *owner, uint64_t revision,
-                       const char *value, size_t value_bytes)
+members_configuration_received (struct members_owner *owner, uint64_t revision,
+                                const char *value, size_t value_bytes)
 {
-  platform_source_offer_configuration (of_members (owner)->source, revision,
-                                       value, value_bytes);
+  platform_source_offer_configuration (gateway_from_members (owner)->source,
+                                       revision, value, value_bytes);
 }
 
-static void tell (void *user);
+static void announce (void *user);
 
 static void
-members_tell_due (struct members_owner *owner)
+members_announce_due (struct members_owner *owner)
 {
-  tell (of_members (owner));
+  announce (gateway_from_members (owner));
 }
 
 static const struct members_owner_impl members_impl = {
   .count_changed = members_count_changed,
-  .loads_received = members_loads,
-  .changes_received = members_changes,
-  .notices_received = members_notices,
-  .peer_lost = members_peer_gone,
-  .announce_due = members_tell_due,
+  .loads_received = members_loads_received,
+  .changes_received = members_changes_received,
+  .notices_received = members_notices_received,
+  .peer_lost = members_peer_lost,
+  .announce_due = members_announce_due,
   .should_pull = members_should_pull,
-  .configuration_received = members_configuration,
+  .configuration_received = members_configuration_received,
 };
 
 static void
 registry_registered (struct registry_owner *owner, uint64_t incarnation)
 {
-  members_join (of_registry (owner)->members, incarnation);
+  members_join (gateway_from_registry (owner)->members, incarnation);
 }
 
 static void
-registry_listed (struct registry_owner *owner,
-                 const struct beryl_listed *items, size_t count)
+registry_records_listed (struct registry_owner *owner,
+                         const struct beryl_listed *items, size_t count)
 {
-  members_set_records (of_registry (owner)->members, items, count);
+  members_set_records (gateway_from_registry (owner)->members, items, count);
 }
 
 static void
-registry_objects (struct registry_owner *owner,
-                  const struct beryl_object *objects, size_t count)
+registry_objects_listed (struct registry_owner *owner,
+                         const struct beryl_object *objects, size_t count)
 {
-  quarantine_records_update (of_registry (owner)->quarantine_records, objects,
-                             count);
+  quarantine_records_update (gateway_from_registry (owner)->quarantine_records,
+                             objects, count);
 }
 
 /* One that fell silent is back within seconds, or never.  Until its record is
  * taken back its part of the repeats is not used by others: it may only be cut
  * off from this node, and at work. */
 static bool
-registry_is_over (struct registry_owner *owner, const char *node)
+registry_should_remove (struct registry_owner *owner, const char *node)
 {
-  struct gateway *g = of_registry (owner);
+  struct gateway *g = gateway_from_registry (owner);
 
   return planner_holds_lease (g->planner)
          && members_silent_ms (g->members, node) >= g->settings.record_keep_ms;
@@ -500,20 +507,20 @@
 
 static const struct registry_owner_impl registry_impl = {
   .registered = registry_registered,
-  .records_listed = registry_listed,
-  .objects_listed = registry_objects,
-  .should_remove = registry_is_over,
+  .records_listed = registry_records_listed,
+  .objects_listed = registry_objects_listed,
+  .should_remove = registry_should_remove,
 };
 
 static void
-tell (void *user)
+announce (void *user)
 {
   struct gateway *g = user;
   struct loads_message message = { 0 };
   int64_t now_ms = loop_now_ms (g->loop);
 
-  loop_timer_stop (g->tell);
-  g->tell = NULL;
+  loop_timer_stop (g->announce_timer);
+  g->announce_timer = NULL;
   message.run_count = beryl_forward_runs (g->forward, message.runs,
                                           BERYL_ENGINE_RUNS_MAX, now_ms);
   planner_add_pending (g->planner, &message.news.changing);
@@ -522,31 +529,32 @@
   beryl_forward_news (g->forward, &message.news, now_ms);
   beryl_forward_repeat_transfers (g->forward, &message.asks, &message.loans,
                                   now_ms);
-  if (now_ms - g->profiles_ms >= PROFILES_MS
+  if (now_ms - g->profiles_sent_ms >= PROFILE_INTERVAL_MS
       && members_announces_remote (g->members))
     {
       beryl_forward_profiles (g->forward, &message.profiles);
-      g->profiles_ms = now_ms;
+      g->profiles_sent_ms = now_ms;
     }
   members_announce_loads (g->members, &message);
 }
 
 static void
-stand (void *user)
+check_roles (void *user)
 {
   struct gateway *g = user;
   struct beryl_endpoint_set changing = { 0 };
   bool isolated = members_isolated (g->members);
 
   planner_add_pending (g->planner, &changing);
-  if (changing.count > 0 && g->tell == NULL)
-    g->tell = loop_timer_start (g->loop, TELL_DELAY_MS, 0, tell, g);
+  if (changing.count > 0 && g->announce_timer == NULL)
+    g->announce_timer
+        = loop_timer_start (g->loop, ANNOUNCE_DELAY_MS, 0, announce, g);
   beryl_forward_set_isolated (g->forward, isolated);
   store_set_watch_wait (g->store, members_count (g->members), isolated);
   planner_set_candidate (
-      g->planner,
-      g->stop_began_ms == 0
-          && members_is_candidate (g->members, "stage-planner", PLANNERS));
+      g->planner, g->stop_start_ms == 0
+                      && members_is_candidate (g->members, "stage-planner",
+                                               PLANNER_CANDIDATES));
 }
 
 static void
@@ -554,8 +562,8 @@
 {
   struct gateway *g = user;
 
-  loop_timer_stop (g->tick);
-  g->tick = NULL;
+  loop_timer_stop (g->tick_timer);
+  g->tick_timer = NULL;
   beryl_forward_tick (g->forward, loop_now_ms (g->loop));
 }
 
@@ -568,21 +576,23 @@
   int64_t next_ms = beryl_forward_next_ms (g->forward);
   int64_t now_ms;
 
-  if (g->tell == NULL && g->members != NULL
+  if (g->announce_timer == NULL && g->members != NULL
       && beryl_forward_runs_changed (g->forward))
-    g->tell = loop_timer_start (g->loop, TELL_DELAY_MS, 0, tell, g);
+    g->announce_timer
+        = loop_timer_start (g->loop, ANNOUNCE_DELAY_MS, 0, announce, g);
   /* A node that hears no other may not have heard what is on record. */
   if (g->notices != NULL && notices_schedule (g->notices)
       && g->registry != NULL && members_isolated (g->members))
     registry_refresh (g->registry);
 
-  if (next_ms == BERYL_NEVER_MS || (g->tick != NULL && g->tick_ms <= next_ms))
+  if (next_ms == BERYL_NEVER_MS
+      || (g->tick_timer != NULL && g->tick_due_ms <= next_ms))
     return;
   now_ms = loop_now_ms (g->loop);
-  loop_timer_stop (g->tick);
-  g->tick_ms = next_ms;
-  g->tick = loop_timer_start (g->loop, next_ms > now_ms ? next_ms - now_ms : 1,
-                              0, tick, g);
+  loop_timer_stop (g->tick_timer);
+  g->tick_due_ms = next_ms;
+  g->tick_timer = loop_timer_start (
+      g->loop, next_ms > now_ms ? next_ms - now_ms : 1, 0, tick, g);
 }
 
 static void
@@ -623,15 +633,15 @@
   memcpy (settings.node, g->settings.node, sizeof settings.node);
   memcpy (settings.data_centre, g->settings.data_centre,
           sizeof settings.data_centre);
-  g->lives = beryl_lives_create (g->settings.endpoint_leave_ms);
-  g->forward = beryl_forward_create (&settings, g->lives, &g->base);
-  beryl_forward_set_nodes (g->forward, NODES_UNKNOWN);
+  g->endpoints = beryl_lives_create (g->settings.endpoint_leave_ms);
+  g->forward = beryl_forward_create (&settings, g->endpoints, &g->base);
+  beryl_forward_set_nodes (g->forward, ASSUMED_NODES);
 }
 
 /* Without the key nothing of the peers is believed, so that this node joins
  * them only now. */
 static void
-key_known (void *user, const char *key)
+cluster_key_ready (void *user, const char *key)
 {
   struct gateway *g = user;
 
@@ -663,10 +673,10 @@
   g->store = store_create (loop, http, wire, &g->settings, g->counters,
                            random_number ());
   create_prepare (g);
-  g->front
+  g->frontend
       = frontend_create (loop, wire, &g->settings.front, g->forward, error);
-  if (g->front != NULL)
-    g->source = platform_source_create (loop, wire, g->store, g->lives,
+  if (g->frontend != NULL)
+    g->source = platform_source_create (loop, wire, g->store, g->endpoints,
                                         g->counters, &g->source_base);
   if (g->source != NULL)
     g->directory = directory_create (loop, wire, &g->settings,
@@ -682,11 +692,13 @@
           loop, g->store, &g->settings, beryl_forward_quarantine (g->forward));
       g->notices
           = notices_create (loop, g->settings.node, g->forward, g->members);
-      g->key = cluster_key_create (loop, g->store, key_known, g);
+      g->cluster_key
+          = cluster_key_create (loop, g->store, cluster_key_ready, g);
       g->planner = planner_create (loop, wire, &g->settings, g->store,
-                                   g->forward, g->lives);
-      g->survey = survey_create (loop, wire, g->forward, g->lives);
-      g->stand = loop_timer_start (loop, STAND_MS, STAND_MS, stand, g);
+                                   g->forward, g->endpoints);
+      g->survey = survey_create (loop, wire, g->forward, g->endpoints);
+      g->role_timer = loop_timer_start (loop, ROLE_CHECK_MS, ROLE_CHECK_MS,
+                                        check_roles, g);
       return g;
     }
   gateway_destroy (g);
@@ -698,13 +710,13 @@
 {
   if (g == NULL)
     return;
-  loop_timer_stop (g->tick);
-  loop_timer_stop (g->tell);
-  loop_timer_stop (g->stop_poll);
-  loop_timer_stop (g->stand);
+  loop_timer_stop (g->tick_timer);
+  loop_timer_stop (g->announce_timer);
+  loop_timer_stop (g->stop_timer);
+  loop_timer_stop (g->role_timer);
   survey_destroy (g->survey);
   planner_destroy (g->planner);
-  cluster_key_destroy (g->key);
+  cluster_key_destroy (g->cluster_key);
   registry_destroy (g->registry);
   notices_destroy (g->notices);
   quarantine_records_destroy (g->quarantine_records);
@@ -712,11 +724,11 @@
   members_destroy (g->members);
   uv_close ((uv_handle_t *)g->prepare, free_handle);
   directory_destroy (g->directory);
-  frontend_destroy (g->front);
+  frontend_destroy (g->frontend);
   platform_source_destroy (g->source);
   outbound_destroy (g->outbound);
   beryl_forward_destroy (g->forward);
-  beryl_lives_destroy (g->lives);
+  beryl_lives_destroy (g->endpoints);
   platform_client_destroy (g->store);
   metrics_destroy (g->metrics);
   counters_destroy (g->counters);
@@ -727,14 +739,14 @@
 stop_poll (void *user)
 {
   struct gateway *g = user;
-  int64_t stopping_ms = loop_now_ms (g->loop) - g->stop_began_ms;
+  int64_t stopping_ms = loop_now_ms (g->loop) - g->stop_start_ms;
   bool idle = beryl_forward_open (g->forward) == 0
-              && h1_server_open (frontend_server (g->front)) == 0;
+              && h1_server_open (frontend_server (g->frontend)) == 0;
 
   /* Callers may use the address for as long as they keep an answer; after
      that a refused connection sends the rest to another node at once. */
   if (stopping_ms >= g->settings.address_keep_ms)
-    h1_server_close_listener (frontend_server (g->front));
+    h1_server_close_listener (frontend_server (g->frontend));
   if ((idle && stopping_ms >= g->settings.address_keep_ms)
       || stopping_ms >= g->settings.stop_ms - STOP_MARGIN_MS)
     {
@@ -750,34 +762,34 @@
   int64_t now_ms = loop_now_ms (g->loop);
 
   g_info ("stop asked open=%u", beryl_forward_open (g->forward));
-  g->stop_began_ms = now_ms;
+  g->stop_start_ms = now_ms;
   members_leave (g->members);
   if (g->registry != NULL)
     registry_withdraw (g->registry);
   beryl_forward_stop (g->forward,
                       now_ms + g->settings.stop_ms - STOP_MARGIN_MS, now_ms);
-  h1_server_drain (frontend_server (g->front), g->settings.address_keep_ms);
-  g->stop_poll
+  h1_server_drain (frontend_server (g->frontend), g->settings.address_keep_ms);
+  g->stop_timer
       = loop_timer_start (g->loop, STOP_POLL_MS, STOP_POLL_MS, stop_poll, g);
 }
 
 void
 gateway_reload (struct gateway *g, const struct gateway_settings *settings)
 {
-  struct gateway_settings *mine = &g->settings;
-  bool restart = gateway_settings_need_restart (mine, settings);
+  struct gateway_settings *current = &g->settings;
+  bool needs_restart = gateway_settings_need_restart (current, settings);
 
-  mine->repeat_ratio = settings->repeat_ratio;
-  mine->repeat_slack = settings->repeat_slack;
-  mine->repeat_window_ms = settings->repeat_window_ms;
-  mine->stop_ms = settings->stop_ms;
-  beryl_forward_set_repeats (g->forward, mine->repeat_ratio,
-                             mine->repeat_slack, mine->repeat_window_ms);
-  if (mine->address_keep_ms != settings->address_keep_ms)
+  current->repeat_ratio = settings->repeat_ratio;
+  current->repeat_slack = settings->repeat_slack;
+  current->repeat_window_ms = settings->repeat_window_ms;
+  current->stop_ms = settings->stop_ms;
+  beryl_forward_set_repeats (g->forward, current->repeat_ratio,
+                             current->repeat_slack, current->repeat_window_ms);
+  if (current->address_keep_ms != settings->address_keep_ms)
     {
-      mine->address_keep_ms = settings->address_keep_ms;
-      directory_set_address_keep (g->directory, mine->address_keep_ms);
+      current->address_keep_ms = settings->address_keep_ms;
+      directory_set_address_keep (g->directory, current->address_keep_ms);
     }
   g_info ("reload done%s",
-          restart ? ", some settings wait for a restart" : "");
+          needs_restart ? ", some settings wait for a restart" : "");
 }
--- a/gatewayd/members.c
+++ b/gatewayd/members.c
@@ -12,14 +12,14 @@
 #define PROBE_MS 500
 #define ACK_MS 150
 /* How often it is looked whether something is to be announced. */
-#define TELL_LOOK_MS 100
+#define ANNOUNCE_CHECK_MS 100
 /* A peer that was silent for so many of these is not handed to callers. */
-#define SILENT_TELLS 3
+#define SILENT_INTERVALS 3
 
 struct members
 {
   struct beryl_membership_owner base;
-  struct config_sync_owner pulls_base;
+  struct config_sync_owner config_sync_base;
   struct loop *loop;
   const struct gateway_settings *settings;
   struct members_owner *owner;
@@ -27,20 +27,20 @@
   struct datagram *datagram;
   struct frame_writer *writer;
   struct ticker *ticker;
-  struct loop_timer *tell;
+  struct loop_timer *announce_timer;
   struct beryl_membership *table; /* NULL before members_join */
   uint64_t incarnation;
   uint64_t sequence;
   uint64_t endpoint_revision; /* of the newest change seen here */
   struct beryl_announce announce;
-  GHashTable *heard;   /* name to struct peer */
-  GHashTable *records; /* names that are on record */
-  GHashTable *silent;  /* name to the time since when, int64_t */
-  struct config_sync *pulls;
+  GHashTable *peers;        /* name to struct peer */
+  GHashTable *recorded;     /* names that are on record */
+  GHashTable *silent_since; /* name to the time since when, int64_t */
+  struct config_sync *config_sync;
   uint64_t revision;                    /* of the configuration here */
   char key[DATAGRAM_KEY_MAX_BYTES + 1]; /* "": not known yet */
   uint32_t count;                       /* that live */
-  uint32_t at_work; /* that live or are on record; 0: not listed yet */
+  uint32_t active_count; /* that live or are on record; 0: not listed yet */
 };
 
 /* What a peer told last. */
@@ -80,13 +80,13 @@
 }
 
 static bool
-is_near (const struct members *m, const struct beryl_member *peer)
+is_local (const struct members *m, const struct beryl_member *peer)
 {
   return strcmp (peer->data_centre, m->settings->data_centre) == 0;
 }
 
 static uint32_t
-count_far (const struct members *m)
+count_remote (const struct members *m)
 {
   uint32_t count = 0;
 
@@ -94,61 +94,61 @@
     {
       const struct beryl_member *member = beryl_membership_get (m->table, i);
 
-      count += member->state != BERYL_MEMBER_DEAD && !is_near (m, member);
+      count += member->state != BERYL_MEMBER_DEAD && !is_local (m, member);
     }
   return count;
 }
 
 static uint32_t
-count_at_work (const struct members *m)
+count_active (const struct members *m)
 {
-  uint32_t count = g_hash_table_size (m->records);
+  uint32_t count = g_hash_table_size (m->recorded);
 
   for (size_t i = 0; i < beryl_membership_count (m->table); i++)
     {
       const struct beryl_member *member = beryl_membership_get (m->table, i);
 
       count += member->state != BERYL_MEMBER_DEAD
-               && !g_hash_table_contains (m->records, member->name);
+               && !g_hash_table_contains (m->recorded, member->name);
     }
   return count;
 }
 
 static void
-count_check (struct members *m)
+update_counts (struct members *m)
 {
-  uint32_t at_work = count_at_work (m);
+  uint32_t active_count = count_active (m);
 
   m->count = members_count (m);
-  m->announce.far_count = count_far (m);
+  m->announce.far_count = count_remote (m);
   m->announce.near_count = m->count - m->announce.far_count;
-  if (at_work == m->at_work || g_hash_table_size (m->records) == 0)
+  if (active_count == m->active_count || g_hash_table_size (m->recorded) == 0)
     return;
-  m->at_work = at_work;
-  m->owner->impl->count_changed (m->owner, at_work);
+  m->active_count = active_count;
+  m->owner->impl->count_changed (m->owner, active_count);
 }
 
 static void
-note_silence (struct members *m, const struct beryl_member *member)
+track_silence (struct members *m, const struct beryl_member *member)
 {
   int64_t *since_ms;
 
   if (member->state == BERYL_MEMBER_ALIVE)
     {
-      g_hash_table_remove (m->silent, member->name);
+      g_hash_table_remove (m->silent_since, member->name);
       return;
     }
-  if (g_hash_table_contains (m->silent, member->name))
+  if (g_hash_table_contains (m->silent_since, member->name))
     return;
   since_ms = g_new (int64_t, 1);
   *since_ms = now_ms (m);
-  g_hash_table_insert (m->silent, g_strdup (member->name), since_ms);
+  g_hash_table_insert (m->silent_since, g_strdup (member->name), since_ms);
 }
 
 int64_t
 members_silent_ms (const struct members *m, const char *node)
 {
-  const int64_t *since_ms = g_hash_table_lookup (m->silent, node);
+  const int64_t *since_ms = g_hash_table_lookup (m->silent_since, node);
 
   return since_ms != NULL ? now_ms (m) - *since_ms : 0;
 }
@@ -164,11 +164,11 @@
           member->name, member->address, member->incarnation,
           beryl_member_state_name (member->state),
           member->leaving ? " leaving" : "");
-  note_silence (m, member);
+  track_silence (m, member);
   if (member->state != BERYL_MEMBER_ALIVE)
     m->owner->impl->peer_lost (m->owner, member->name);
   if (m->table != NULL)
-    count_check (m);
+    update_counts (m);
 }
 
 static void
@@ -178,7 +178,7 @@
   const struct members *m = (const struct members *)owner;
 
   if (m->owner->impl->should_pull (m->owner))
-    config_sync_pull (m->pulls, peer->address, peer->port);
+    config_sync_pull (m->config_sync, peer->address, peer->port);
 }
 
 static void
@@ -196,14 +196,14 @@
 };
 
 static void
-wake (struct members *m)
+schedule_tick (struct members *m)
 {
   if (m->table != NULL)
     ticker_set (m->ticker, beryl_membership_next_ms (m->table));
 }
 
 static void
-take_loads (struct members *m, struct frame *frame)
+receive_loads (struct members *m, struct frame *frame)
 {
   struct loads_message message;
   struct peer *peer;
@@ -211,11 +211,11 @@
   if (!loads_read (frame, &message)
       || strcmp (message.from, m->settings->node) == 0)
     return;
-  peer = g_hash_table_lookup (m->heard, message.from);
+  peer = g_hash_table_lookup (m->peers, message.from);
   if (peer == NULL)
     {
       peer = g_new0 (struct peer, 1);
-      g_hash_table_insert (m->heard, g_strdup (message.from), peer);
+      g_hash_table_insert (m->peers, g_strdup (message.from), peer);
     }
   /* Datagrams overtake each other; an older one would bring ended runs
      back. */
@@ -230,7 +230,7 @@
 }
 
 static void
-take_changes (struct members *m, struct frame *frame)
+receive_changes (struct members *m, struct frame *frame)
 {
   struct changes_message message;
 
@@ -239,7 +239,7 @@
 }
 
 static void
-take_notices (struct members *m, struct frame *frame)
+receive_notices (struct members *m, struct frame *frame)
 {
   struct notices_message message;
 
@@ -257,14 +257,14 @@
   if (m->key[0] == '\0')
     return;
   if (frame_type (frame) == LOADS_DATAGRAM)
-    take_loads (m, frame);
+    receive_loads (m, frame);
   else if (frame_type (frame) == CHANGES_DATAGRAM)
-    take_changes (m, frame);
+    receive_changes (m, frame);
   else if (frame_type (frame) == NOTICES_DATAGRAM)
-    take_notices (m, frame);
+    receive_notices (m, frame);
   else if (m->table != NULL && gossip_read (frame, &message))
     beryl_membership_receive (m->table, &message, address, port, now_ms (m));
-  wake (m);
+  schedule_tick (m);
 }
 
 static void
@@ -273,7 +273,7 @@
   struct members *m = user;
 
   beryl_membership_tick (m->table, now_ms (m));
-  wake (m);
+  schedule_tick (m);
 }
 
 int64_t
@@ -289,11 +289,11 @@
 }
 
 static void
-tell_due (void *user)
+announce_if_due (void *user)
 {
   struct members *m = user;
 
-  config_sync_expire (m->pulls);
+  config_sync_expire (m->config_sync);
   if (beryl_announce_due (&m->announce, now_ms (m)))
     m->owner->impl->announce_due (m->owner);
 }
@@ -311,7 +311,8 @@
 /* A question for repeats, or its answer, is told once and to the peer that it
  * is for. */
 static bool
-is_for (const struct loads_message *message, const struct beryl_member *peer)
+concerns_peer (const struct loads_message *message,
+               const struct beryl_member *peer)
 {
   uint32_t node;
 
@@ -325,11 +326,11 @@
 void
 members_announce_loads (struct members *m, struct loads_message *message)
 {
-  bool all = beryl_announce_far (&m->announce, now_ms (m));
+  bool everywhere = beryl_announce_far (&m->announce, now_ms (m));
 
   if (m->table == NULL)
     return;
-  beryl_announce_done (&m->announce, all, now_ms (m));
+  beryl_announce_done (&m->announce, everywhere, now_ms (m));
   message->sequence = ++m->sequence;
   message->incarnation = m->incarnation;
   message->endpoint_revision = m->endpoint_revision;
@@ -343,7 +344,8 @@
 
       if (peer->state != BERYL_MEMBER_DEAD
           && strcmp (peer->name, m->settings->node) != 0
-          && (all || is_near (m, peer) || is_for (message, peer)))
+          && (everywhere || is_local (m, peer)
+              || concerns_peer (message, peer)))
         datagram_send_sealed (m->datagram, peer->address, peer->port);
     }
 }
@@ -360,7 +362,7 @@
     {
       const struct beryl_member *peer = beryl_membership_get (m->table, i);
 
-      if (peer->state != BERYL_MEMBER_DEAD && is_near (m, peer)
+      if (peer->state != BERYL_MEMBER_DEAD && is_local (m, peer)
           && strcmp (peer->name, m->settings->node) != 0)
         datagram_send_sealed (m->datagram, peer->address, peer->port);
     }
@@ -370,11 +372,11 @@
  * that makes MOST of them in all. */
 void
 members_send_notices (struct members *m, const struct notices_message *message,
-                      uint32_t most)
+                      uint32_t max)
 {
-  uint32_t left = m->table != NULL ? members_count (m) - 1 : 0;
+  uint32_t remaining = m->table != NULL ? members_count (m) - 1 : 0;
 
-  if (left == 0)
+  if (remaining == 0)
     return;
   notices_put (m->writer, message);
   if (!datagram_seal (m->datagram, m->writer))
@@ -386,30 +388,30 @@
       if (peer->state == BERYL_MEMBER_DEAD
           || strcmp (peer->name, m->settings->node) == 0)
         continue;
-      if (most >= left
-          || (uint32_t)g_random_int_range (0, (gint32)left) < most)
+      if (max >= remaining
+          || (uint32_t)g_random_int_range (0, (gint32)remaining) < max)
         {
           datagram_send_sealed (m->datagram, peer->address, peer->port);
-          most--;
+          max--;
         }
-      left--;
+      remaining--;
     }
 }
 
 static void
-pulled (struct config_sync_owner *owner, uint64_t revision, const char *value,
-        size_t value_bytes)
+configuration_pulled (struct config_sync_owner *owner, uint64_t revision,
+                      const char *value, size_t value_bytes)
 {
   struct members *m
       = (struct members *)((char *)owner
-                           - offsetof (struct members, pulls_base));
+                           - offsetof (struct members, config_sync_base));
 
   m->owner->impl->configuration_received (m->owner, revision, value,
                                           value_bytes);
 }
 
-static const struct config_sync_owner_impl pulls_impl
-    = { .configuration_received = pulled };
+static const struct config_sync_owner_impl config_sync_impl
+    = { .configuration_received = configuration_pulled };
 
 struct members *
 members_create (struct loop *loop, const struct gateway_settings *settings,
@@ -419,30 +421,32 @@
   struct members *m = g_new0 (struct members, 1);
 
   m->base.impl = &membership_impl;
-  m->pulls_base.impl = &pulls_impl;
+  m->config_sync_base.impl = &config_sync_impl;
   m->loop = loop;
   m->settings = settings;
   m->owner = owner;
   m->counters = counters;
   m->count = 1;
   m->announce.near_count = 1;
-  m->heard = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  m->records = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  m->silent = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  m->peers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  m->recorded = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  m->silent_since
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   m->writer = frame_writer_create (GOSSIP_DATAGRAM);
   m->ticker = ticker_create (loop, tick, m);
   m->datagram = datagram_open (loop, settings->front.ip, settings->peer_port,
                                datagram_received, m, error);
   if (m->datagram != NULL)
-    m->pulls = config_sync_create (loop, settings->front.ip,
-                                   datagram_port (m->datagram), &m->pulls_base,
-                                   error);
-  if (m->pulls == NULL)
+    m->config_sync = config_sync_create (loop, settings->front.ip,
+                                         datagram_port (m->datagram),
+                                         &m->config_sync_base, error);
+  if (m->config_sync == NULL)
     {
       members_destroy (m);
       return NULL;
     }
-  m->tell = loop_timer_start (loop, TELL_LOOK_MS, TELL_LOOK_MS, tell_due, m);
+  m->announce_timer = loop_timer_start (loop, ANNOUNCE_CHECK_MS,
+                                        ANNOUNCE_CHECK_MS, announce_if_due, m);
   return m;
 }
 
@@ -451,15 +455,15 @@
 {
   if (m == NULL)
     return;
-  loop_timer_stop (m->tell);
-  config_sync_destroy (m->pulls);
+  loop_timer_stop (m->announce_timer);
+  config_sync_destroy (m->config_sync);
   datagram_close (m->datagram);
   ticker_destroy (m->ticker);
   frame_writer_destroy (m->writer);
   beryl_membership_destroy (m->table);
-  g_hash_table_destroy (m->heard);
-  g_hash_table_destroy (m->records);
-  g_hash_table_destroy (m->silent);
+  g_hash_table_destroy (m->peers);
+  g_hash_table_destroy (m->recorded);
+  g_hash_table_destroy (m->silent_since);
   g_free (m);
 }
 
@@ -469,7 +473,7 @@
   g_strlcpy (m->key, key, sizeof m->key);
   datagram_clear_keys (m->datagram);
   datagram_add_key (m->datagram, m->key, strlen (m->key));
-  config_sync_set_key (m->pulls, m->key);
+  config_sync_set_key (m->config_sync, m->key);
 }
 
 void
@@ -496,7 +500,7 @@
                               0, now_ms (m));
   if (m->revision != 0)
     beryl_membership_set_config (m->table, m->revision, now_ms (m));
-  wake (m);
+  schedule_tick (m);
 }
 
 void
@@ -505,12 +509,12 @@
 {
   if (m->table == NULL)
     return;
-  g_hash_table_remove_all (m->records);
+  g_hash_table_remove_all (m->recorded);
   for (size_t i = 0; i < count; i++)
-    g_hash_table_add (m->records, g_strdup (items[i].name));
+    g_hash_table_add (m->recorded, g_strdup (items[i].name));
   beryl_membership_listed (m->table, items, count, now_ms (m));
-  count_check (m);
-  wake (m);
+  update_counts (m);
+  schedule_tick (m);
 }
 
 void
@@ -519,7 +523,7 @@
   if (m->table == NULL)
     return;
   beryl_membership_leave (m->table, now_ms (m));
-  wake (m);
+  schedule_tick (m);
 }
 
 void
@@ -527,20 +531,20 @@
                            const char *value, size_t value_bytes)
 {
   m->revision = revision;
-  config_sync_set_configuration (m->pulls, revision, value, value_bytes);
+  config_sync_set_configuration (m->config_sync, revision, value, value_bytes);
   if (m->table == NULL)
     return;
   beryl_membership_set_config (m->table, revision, now_ms (m));
   beryl_membership_set_applied (m->table, revision, now_ms (m));
-  wake (m);
+  schedule_tick (m);
 }
 
 /* Whether callers may be sent to MEMBER: alive as far as is known, and heard
  * of late. */
 static bool
-takes_callers (const struct members *m, const struct beryl_member *member)
+accepts_callers (const struct members *m, const struct beryl_member *member)
 {
-  const struct peer *peer = g_hash_table_lookup (m->heard, member->name);
+  const struct peer *peer = g_hash_table_lookup (m->peers, member->name);
 
   if (member->state != BERYL_MEMBER_ALIVE || member->leaving
       || member->http_port == 0)
@@ -549,17 +553,18 @@
     return true;
   return peer != NULL
          && now_ms (m) - peer->heard_ms
-                <= SILENT_TELLS * members_announce_interval_ms (m);
+                <= SILENT_INTERVALS * members_announce_interval_ms (m);
 }
 
 static void
-addresses_in (struct members *m, const char *data_centre, GPtrArray *addresses)
+append_addresses (struct members *m, const char *data_centre,
+                  GPtrArray *addresses)
 {
   for (size_t i = 0; i < beryl_membership_count (m->table); i++)
     {
       const struct beryl_member *member = beryl_membership_get (m->table, i);
 
-      if (takes_callers (m, member)
+      if (accepts_callers (m, member)
           && (data_centre == NULL
               || strcmp (member->data_centre, data_centre) == 0))
         g_ptr_array_add (addresses, g_strdup_printf ("%s:%u", member->address,
@@ -569,7 +574,7 @@
 
 /* With one node of the callers' own data centre they would all fail together
  * with it, so that others are named beside it. */
-#define OWN_NODES_LEAST 2
+#define LOCAL_NODES_MIN 2
 
 void
 members_append_addresses (struct members *m, const char *data_centre,
@@ -577,27 +582,27 @@
 {
   if (m->table == NULL)
     return;
-  addresses_in (m, data_centre, addresses);
-  if (addresses->len >= OWN_NODES_LEAST)
+  append_addresses (m, data_centre, addresses);
+  if (addresses->len >= LOCAL_NODES_MIN)
     return;
   g_ptr_array_set_size (addresses, 0);
-  addresses_in (m, NULL, addresses);
+  append_addresses (m, NULL, addresses);
 }
 
 bool
-members_is_candidate (const struct members *m, const char *role, uint32_t most)
+members_is_candidate (const struct members *m, const char *role, uint32_t max)
 {
   return m->table != NULL
-         && beryl_membership_stands_for (m->table, role, "", most);
+         && beryl_membership_stands_for (m->table, role, "", max);
 }
 
 bool
 members_is_local_candidate (const struct members *m, const char *role,
-                            uint32_t most)
+                            uint32_t max)
 {
   return m->table != NULL
          && beryl_membership_stands_for (m->table, role,
-                                         m->settings->data_centre, most);
+                                         m->settings->data_centre, max);
 }
 
 uint32_t
@@ -614,10 +619,10 @@
 
   if (m->count <= 1)
     return false;
-  g_hash_table_iter_init (&iter, m->heard);
+  g_hash_table_iter_init (&iter, m->peers);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (now_ms (m) - ((const struct peer *)value)->heard_ms
-        <= SILENT_TELLS * members_announce_interval_ms (m))
+        <= SILENT_INTERVALS * members_announce_interval_ms (m))
       return false;
   return true;
 }
--- a/gatewayd/members.h
+++ b/gatewayd/members.h
@@ -99,7 +99,7 @@
 /** Tell MESSAGE to all peers, or to MOST of them drawn at random. */
 void members_send_notices (struct members *members,
                            const struct notices_message *message,
-                           uint32_t most);
+                           uint32_t max);
 
 /** Return how many nodes of this data centre may be running, this one
  * included. */
@@ -108,7 +108,7 @@
 /** Whether this node is among the MOST live ones of its data centre that stand
  * for ROLE. */
 bool members_is_local_candidate (const struct members *members,
-                                 const char *role, uint32_t most);
+                                 const char *role, uint32_t max);
 
 /** This node has seen changes of endpoints up to REVISION. */
 void members_set_endpoint_revision (struct members *members,
@@ -125,7 +125,7 @@
 
 /** Whether this node is among the MOST live ones that stand for ROLE. */
 bool members_is_candidate (const struct members *members, const char *role,
-                           uint32_t most);
+                           uint32_t max);
 
 /** Whether there are other nodes and none of them is heard. */
 bool members_isolated (const struct members *members);
--- a/gatewayd/metrics.c
+++ b/gatewayd/metrics.c
@@ -60,7 +60,7 @@
 }
 
 static void
-count_end (struct metrics *metrics, const struct beryl_decision *d)
+count_final_decision (struct metrics *metrics, const struct beryl_decision *d)
 {
   char labels[LABEL_BYTES];
 
@@ -84,7 +84,7 @@
               d->outcome);
   counters_add (metrics->counters, "beryl_gateway_steps_total", labels, 1);
   if (d->final)
-    count_end (metrics, d);
+    count_final_decision (metrics, d);
 }
 
 void
@@ -98,7 +98,7 @@
 }
 
 static void
-set (struct metrics *metrics, const char *name, uint64_t value)
+set_gauge (struct metrics *metrics, const char *name, uint64_t value)
 {
   counters_set (metrics->counters, name, "", value);
 }
@@ -108,22 +108,25 @@
 {
   struct log_counts lines = log_counts ();
 
-  set (metrics, "beryl_gateway_open", g->open);
-  set (metrics, "beryl_gateway_waiting", g->waiting);
-  set (metrics, "beryl_gateway_connections", g->connections);
-  set (metrics, "beryl_gateway_malformed_total", g->malformed);
-  set (metrics, "beryl_gateway_nodes", g->nodes);
-  set (metrics, "beryl_gateway_endpoints", g->endpoints);
-  set (metrics, "beryl_gateway_configuration_version", g->configuration);
-  set (metrics, "beryl_gateway_configuration_revision", g->revision);
-  set (metrics, "beryl_gateway_endpoint_list_age_ms",
-       (uint64_t)g->list_age_ms);
-  set (metrics, "beryl_gateway_ready", g->ready);
-  set (metrics, "beryl_gateway_planner", g->planner);
-  set (metrics, "beryl_gateway_endpoint_watcher", g->watcher);
-  set (metrics, "beryl_gateway_limited_endpoints", g->limited);
-  set (metrics, "beryl_gateway_quarantined", g->quarantined);
-  set (metrics, "beryl_gateway_suspects", g->suspects);
+  set_gauge (metrics, "beryl_gateway_open", g->open_requests);
+  set_gauge (metrics, "beryl_gateway_waiting", g->waiting_requests);
+  set_gauge (metrics, "beryl_gateway_connections", g->connections);
+  set_gauge (metrics, "beryl_gateway_malformed_total", g->malformed_requests);
+  set_gauge (metrics, "beryl_gateway_nodes", g->nodes);
+  set_gauge (metrics, "beryl_gateway_endpoints", g->endpoints);
+  set_gauge (metrics, "beryl_gateway_configuration_version",
+             g->configuration_version);
+  set_gauge (metrics, "beryl_gateway_configuration_revision",
+             g->configuration_revision);
+  set_gauge (metrics, "beryl_gateway_endpoint_list_age_ms",
+             (uint64_t)g->list_age_ms);
+  set_gauge (metrics, "beryl_gateway_ready", g->ready);
+  set_gauge (metrics, "beryl_gateway_planner", g->holds_planner_lease);
+  set_gauge (metrics, "beryl_gateway_endpoint_watcher",
+             g->is_endpoint_watcher);
+  set_gauge (metrics, "beryl_gateway_limited_endpoints", g->limited_endpoints);
+  set_gauge (metrics, "beryl_gateway_quarantined", g->quarantined_requests);
+  set_gauge (metrics, "beryl_gateway_suspects", g->suspect_requests);
   counters_set (metrics->counters, "beryl_log_lines_total", "end=\"written\"",
                 lines.written);
   counters_set (metrics->counters, "beryl_log_lines_total",
--- a/gatewayd/metrics.h
+++ b/gatewayd/metrics.h
@@ -26,21 +26,22 @@
 /** What is looked at when the metrics are asked for. */
 struct metrics_gauges
 {
-  uint64_t open;          /**< requests without a final answer */
-  uint64_t waiting;       /**< of these, for room at an engine */
-  uint64_t connections;   /**< of callers */
-  uint64_t malformed;     /**< requests that were refused as such */
-  uint64_t nodes;         /**< that may be running */
-  uint64_t endpoints;     /**< that take work */
-  uint64_t configuration; /**< its version; 0: none */
-  uint64_t revision;      /**< of its object */
-  int64_t list_age_ms;    /**< since the list of endpoints was confirmed */
+  uint64_t open_requests;          /**< requests without a final answer */
+  uint64_t waiting_requests;       /**< of these, for room at an engine */
+  uint64_t connections;            /**< of callers */
+  uint64_t malformed_requests;     /**< requests that were refused as such */
+  uint64_t nodes;                  /**< that may be running */
+  uint64_t endpoints;              /**< that take work */
+  uint64_t configuration_version;  /**< its version; 0: none */
+  uint64_t configuration_revision; /**< of its object */
+  int64_t list_age_ms; /**< since the list of endpoints was confirmed */
   bool ready;
-  bool planner;         /**< this node holds the planner's lease */
-  bool watcher;         /**< it passes changes of the list of endpoints on */
-  uint64_t limited;     /**< endpoints that name a limit */
-  uint64_t quarantined; /**< requests that go to no endpoint */
-  uint64_t suspects;    /**< requests under which an endpoint has ended */
+  bool holds_planner_lease; /**< this node holds the planner's lease */
+  bool is_endpoint_watcher; /**< it passes changes of the list of endpoints on
+                             */
+  uint64_t limited_endpoints;    /**< endpoints that name a limit */
+  uint64_t quarantined_requests; /**< requests that go to no endpoint */
+  uint64_t suspect_requests; /**< requests under which an endpoint has ended */
 };
 
 /** Set the gauges and return all metrics as text; free() it. */
--- a/gatewayd/notices.c
+++ b/gatewayd/notices.c
@@ -1,11 +1,11 @@
 #include "notices.h"
 
 /* Changes are told together, so often at most. */
-#define TELL_DELAY_MS 20
+#define SEND_DELAY_MS 20
 /* What is new is told again, and older things in turns. */
 #define REPEAT_MS 500
 /* Peers that hear of what is older. */
-#define OLDER_PEERS 2
+#define OLDER_NOTICE_PEERS 2
 
 struct notices
 {
@@ -13,27 +13,29 @@
   struct beryl_forward *forward;
   struct members *members;
   uint32_t node; /* the number of this one's name */
-  struct loop_timer *repeat;
-  struct loop_timer *tell;
+  struct loop_timer *repeat_timer;
+  struct loop_timer *send_timer;
 };
 
 /* Writes what is new, with ALL also older things in turns; false if there is
  * nothing. */
 static bool
-write_message (struct notices *n, struct notices_message *message, bool all)
+write_message (struct notices *n, struct notices_message *message,
+               bool with_older)
 {
   int64_t now_ms = loop_now_ms (n->loop);
-  bool crashes = beryl_quarantine_write (beryl_forward_quarantine (n->forward),
-                                         &message->quarantine, all, now_ms);
+  bool crashes
+      = beryl_quarantine_write (beryl_forward_quarantine (n->forward),
+                                &message->quarantine, with_older, now_ms);
   bool limits = beryl_limits_write (beryl_forward_limits (n->forward),
-                                    &message->limits, all, now_ms);
+                                    &message->limits, with_older, now_ms);
 
   message->limits.node = n->node;
   return crashes || limits;
 }
 
 static void
-tell_all (struct notices *n)
+send_recent (struct notices *n)
 {
   struct notices_message message = { 0 };
 
@@ -42,13 +44,13 @@
 }
 
 static void
-tell_due (void *user)
+send_due (void *user)
 {
   struct notices *n = user;
 
-  loop_timer_stop (n->tell);
-  n->tell = NULL;
-  tell_all (n);
+  loop_timer_stop (n->send_timer);
+  n->send_timer = NULL;
+  send_recent (n);
 }
 
 static void
@@ -59,9 +61,9 @@
 
   beryl_quarantine_expire (beryl_forward_quarantine (n->forward),
                            loop_now_ms (n->loop));
-  tell_all (n);
+  send_recent (n);
   if (write_message (n, &message, true))
-    members_send_notices (n->members, &message, OLDER_PEERS);
+    members_send_notices (n->members, &message, OLDER_NOTICE_PEERS);
 }
 
 struct notices *
@@ -74,7 +76,8 @@
   n->forward = forward;
   n->members = members;
   n->node = beryl_engine_number (node);
-  n->repeat = loop_timer_start (loop, REPEAT_MS, REPEAT_MS, repeat_due, n);
+  n->repeat_timer
+      = loop_timer_start (loop, REPEAT_MS, REPEAT_MS, repeat_due, n);
   return n;
 }
 
@@ -83,8 +86,8 @@
 {
   if (n == NULL)
     return;
-  loop_timer_stop (n->repeat);
-  loop_timer_stop (n->tell);
+  loop_timer_stop (n->repeat_timer);
+  loop_timer_stop (n->send_timer);
   g_free (n);
 }
 
@@ -95,8 +98,8 @@
       = beryl_quarantine_take_changed (beryl_forward_quarantine (n->forward));
 
   if ((crashes || beryl_limits_changed (beryl_forward_limits (n->forward)))
-      && n->tell == NULL)
-    n->tell = loop_timer_start (n->loop, TELL_DELAY_MS, 0, tell_due, n);
+      && n->send_timer == NULL)
+    n->send_timer = loop_timer_start (n->loop, SEND_DELAY_MS, 0, send_due, n);
   return crashes;
 }
 
--- a/gatewayd/outbound.c
+++ b/gatewayd/outbound.c
@@ -5,7 +5,7 @@
 #include "h1/client.h"
 
 /* Answers to engine calls are small; more than this is not one. */
-#define ENGINE_ANSWER_MAX_BYTES 65536
+#define ENGINE_RESPONSE_MAX_BYTES 65536
 
 struct outbound
 {
@@ -44,13 +44,13 @@
 {
   struct call *call = (struct call *)handler;
   struct outbound *o = call->outbound;
-  struct beryl_answer_head answer = { 0 };
+  struct beryl_answer_head response = { 0 };
 
   call->head = head;
   if (call->kind != BERYL_EXCHANGE_RUN)
     return;
-  o->wire->impl->read_response (o->wire, call->endpoint, head, &answer);
-  beryl_forward_head (o->forward, call->exchange, &answer,
+  o->wire->impl->read_response (o->wire, call->endpoint, head, &response);
+  beryl_forward_head (o->forward, call->exchange, &response,
                       loop_now_ms (o->loop));
 }
 
@@ -64,20 +64,20 @@
   if (call->kind == BERYL_EXCHANGE_RUN)
     beryl_forward_data (o->forward, call->exchange, bytes, bytes_count,
                         loop_now_ms (o->loop));
-  else if (call->body->len + bytes_count <= ENGINE_ANSWER_MAX_BYTES)
+  else if (call->body->len + bytes_count <= ENGINE_RESPONSE_MAX_BYTES)
     g_string_append_len (call->body, bytes, (gssize)bytes_count);
 }
 
 /* Takes CALL out of the table; it is freed once the event was told. */
 static void
-call_steal (struct call *call)
+call_detach (struct call *call)
 {
   g_hash_table_steal (call->outbound->calls, &call->exchange);
   call->http = NULL;
 }
 
 static void
-tell_result (struct call *call)
+report_result (struct call *call)
 {
   struct outbound *o = call->outbound;
   struct beryl_engine_result result = { 0 };
@@ -88,7 +88,7 @@
     o->wire->impl->read_engine_response (o->wire, call->endpoint, call->kind,
                                          call->head, call->body->str,
                                          call->body->len, &result);
-  call_steal (call);
+  call_detach (call);
   beryl_forward_result (o->forward, call->exchange, &result,
                         loop_now_ms (o->loop));
   call_free (call);
@@ -104,7 +104,7 @@
   call->http = NULL;
   if (call->kind != BERYL_EXCHANGE_RUN)
     {
-      tell_result (call);
+      report_result (call);
       return;
     }
   /* The forwarder may begin the caller's answer now, which reads the head
@@ -114,7 +114,7 @@
 }
 
 static enum beryl_break
-break_of (enum h1_failure failure)
+break_from_failure (enum h1_failure failure)
 {
   switch (failure)
     {
@@ -138,8 +138,9 @@
   struct call *call = (struct call *)handler;
   struct outbound *o = call->outbound;
 
-  call_steal (call);
-  beryl_forward_broken (o->forward, call->exchange, break_of (failure), sent,
+  call_detach (call);
+  beryl_forward_broken (o->forward, call->exchange,
+                        break_from_failure (failure), sent,
                         loop_now_ms (o->loop));
   call_free (call);
 }
@@ -175,7 +176,7 @@
 }
 
 static bool
-passes_request (enum beryl_exchange_kind kind)
+forwards_request (enum beryl_exchange_kind kind)
 {
   return kind == BERYL_EXCHANGE_RUN || kind == BERYL_EXCHANGE_PREFILL;
 }
@@ -192,11 +193,11 @@
     .connect_timeout_ms = start->connect_timeout_ms,
   };
   GString *out = g_string_sized_new (1024);
-  GString *own = g_string_new (NULL);
+  GString *engine_body = g_string_new (NULL);
 
   if (start->kind == BERYL_EXCHANGE_DIAL)
     request.connect_only = true;
-  else if (passes_request (start->kind))
+  else if (forwards_request (start->kind))
     {
       o->wire->impl->format_request (o->wire, head, body_bytes, start, out);
       request.body = body;
@@ -205,9 +206,9 @@
     }
   else
     {
-      o->wire->impl->format_engine_call (o->wire, start, out, own);
-      request.body = own->str;
-      request.body_bytes = own->len;
+      o->wire->impl->format_engine_call (o->wire, start, out, engine_body);
+      request.body = engine_body->str;
+      request.body_bytes = engine_body->len;
     }
   request.head = out->str;
   request.head_bytes = out->len;
@@ -220,7 +221,7 @@
   g_hash_table_insert (o->calls, &call->exchange, call);
   call->http = h1_call_start (o->loop, &request, &call->base);
   g_string_free (out, TRUE);
-  g_string_free (own, TRUE);
+  g_string_free (engine_body, TRUE);
 }
 
 static struct call *
--- a/gatewayd/planner.c
+++ b/gatewayd/planner.c
@@ -6,16 +6,16 @@
 #include "common/stored_lease.h"
 #include "engine_call.h"
 
-#define KIND "gateway-leases"
-#define NAME "stage-planner"
-#define PLAN_MS 500
+#define LEASE_KIND "gateway-leases"
+#define LEASE_NAME "stage-planner"
+#define PLAN_INTERVAL_MS 500
 /* Part of the lease's time at its end in which its holder does nothing;
  * covers clocks that run at different rates. */
-#define MARGIN_PART 6
+#define LEASE_MARGIN_DIVISOR 6
 /* An order shows in the engine's entry within some seconds; one that does not
  * was lost or waits to be carried out late. */
-#define ORDER_SHOWN_MS 15000
-#define ANSWER_MAX_BYTES 65536
+#define PENDING_ORDER_MS 15000
+#define RESPONSE_MAX_BYTES 65536
 
 struct planner
 {
@@ -24,78 +24,80 @@
   const struct gateway_wire *wire;
   const struct gateway_settings *settings;
   struct beryl_forward *forward;
-  struct beryl_lives *lives;
+  struct beryl_lives *endpoints;
   struct stored_lease *lease;
-  struct loop_timer *timer;
-  struct loop_timer *next;       /* the plan after an order; NULL: none */
-  GHashTable *services;          /* name to struct beryl_stages */
-  GPtrArray *pending;            /* struct pending */
-  struct engine_call *call;      /* one at a time; NULL: none */
-  char called[BERYL_NAME_BYTES]; /* the engine of CALL */
-  uint64_t called_born_ms;       /* of its life */
-  enum beryl_stage called_for;   /* the stage that CALL is about */
+  struct loop_timer *plan_timer;
+  struct loop_timer *next_plan;     /* the plan after an order; NULL: none */
+  GHashTable *services;             /* name to struct beryl_stages */
+  GPtrArray *pending_orders;        /* struct pending_order */
+  struct engine_call *call;         /* one at a time; NULL: none */
+  char target_id[BERYL_NAME_BYTES]; /* the engine of CALL */
+  uint64_t target_start_ms;         /* of its life */
+  enum beryl_stage target_stage;    /* the stage that CALL is about */
 };
 
 /* An order that was given. */
-struct pending
+struct pending_order
 {
   char id[BERYL_NAME_BYTES];
-  uint64_t born_ms; /* of the life that it was given to */
+  uint64_t start_ms; /* of the life that it was given to */
   enum beryl_stage stage;
-  int64_t until_ms;
+  int64_t expires_ms;
 };
 
 static void
 pending_add (struct planner *p, const struct beryl_live_info *engine,
              enum beryl_stage stage)
 {
-  struct pending *pending = g_new0 (struct pending, 1);
+  struct pending_order *pending = g_new0 (struct pending_order, 1);
 
   g_strlcpy (pending->id, engine->id, sizeof pending->id);
-  pending->born_ms = engine->born_ms;
+  pending->start_ms = engine->born_ms;
   pending->stage = stage;
-  pending->until_ms = loop_now_ms (p->loop) + ORDER_SHOWN_MS;
-  g_ptr_array_add (p->pending, pending);
+  pending->expires_ms = loop_now_ms (p->loop) + PENDING_ORDER_MS;
+  g_ptr_array_add (p->pending_orders, pending);
 }
 
-static void plan_next (struct planner *p);
+static void schedule_plan (struct planner *p);
 
 static void
-order_answered (void *user, const struct engine_response *answer)
+order_done (void *user, const struct engine_response *response)
 {
   struct planner *p = user;
-  static const char *const names[]
+  static const char *const result_names[]
       = { "accepted", "holds", "busy", "fenced", "refused" };
 
   p->call = NULL;
   /* An order without an answer stays pending: it may be carried out. */
-  if (answer->head == NULL)
-    g_info ("planner engine=%s order failed=%s sent=%d", p->called,
-            h1_failure_name (answer->failure), answer->sent);
+  if (response->head == NULL)
+    g_info ("planner engine=%s order failed=%s sent=%d", p->target_id,
+            h1_failure_name (response->failure), response->sent);
   else
-    g_info ("planner engine=%s order stage=%s answer=%s", p->called,
-            beryl_stage_name (p->called_for),
-            names[p->wire->impl->read_order_result (p->wire, answer->head)]);
-  plan_next (p);
+    g_info ("planner engine=%s order stage=%s answer=%s", p->target_id,
+            beryl_stage_name (p->target_stage),
+            result_names[p->wire->impl->read_order_result (p->wire,
+                                                           response->head)]);
+  schedule_plan (p);
 }
 
 /* The engine of the call, unless it has started again since: it then knows
  * nothing of the state that the order was decided by. */
 static struct beryl_live *
-called_engine (struct planner *p)
+find_target (struct planner *p)
 {
-  struct beryl_live *live = beryl_lives_find (p->lives, p->called);
+  struct beryl_live *live = beryl_lives_find (p->endpoints, p->target_id);
 
-  return live != NULL && live->info.born_ms == p->called_born_ms ? live : NULL;
+  return live != NULL && live->info.born_ms == p->target_start_ms ? live
+                                                                  : NULL;
 }
 
 /* Right before an order the lease is asked again: the report's answer may
  * have come after a pause in which another node took over. */
 static void
-order (struct planner *p, uint64_t orders)
+send_order (struct planner *p, uint64_t orders)
 {
-  struct beryl_live *live = called_engine (p);
-  struct gateway_stage_order o = { .stage = p->called_for,
+  struct beryl_live *live = find_target (p);
+  struct gateway_stage_order o = { .stage = p->target_stage,
                                    .holder = p->settings->node,
                                    .expected_orders = orders };
   GString *head, *body;
@@ -113,58 +115,59 @@
           o.expected_orders);
   pending_add (p, &live->info, o.stage);
   p->call = engine_call_start (p->loop, &live->info, head, body,
-                               ANSWER_MAX_BYTES, order_answered, p);
+                               RESPONSE_MAX_BYTES, order_done, p);
   g_string_free (head, TRUE);
   g_string_free (body, TRUE);
 }
 
 static void
-report_answered (void *user, const struct engine_response *answer)
+report_done (void *user, const struct engine_response *response)
 {
   struct planner *p = user;
   struct gateway_engine_report report;
 
   p->call = NULL;
-  if (answer->head == NULL)
-    g_info ("planner engine=%s report failed=%s", p->called,
-            h1_failure_name (answer->failure));
-  else if (!p->wire->impl->read_report (p->wire, answer->head, answer->body,
-                                        answer->body_bytes, &report))
-    g_info ("planner engine=%s gave no report, status=%u", p->called,
-            answer->head->status);
-  else if (report.start_ms != 0 && p->called_born_ms != 0
-           && report.start_ms != p->called_born_ms)
+  if (response->head == NULL)
+    g_info ("planner engine=%s report failed=%s", p->target_id,
+            h1_failure_name (response->failure));
+  else if (!p->wire->impl->read_report (p->wire, response->head,
+                                        response->body, response->body_bytes,
+                                        &report))
+    g_info ("planner engine=%s gave no report, status=%u", p->target_id,
+            response->head->status);
+  else if (report.start_ms != 0 && p->target_start_ms != 0
+           && report.start_ms != p->target_start_ms)
     g_info ("planner engine=%s has started again born=%" G_GUINT64_FORMAT
             " listed=%" G_GUINT64_FORMAT,
-            p->called, report.start_ms, p->called_born_ms);
-  else if (!report.stage_change_pending && report.stage != p->called_for)
-    order (p, report.accepted_orders);
+            p->target_id, report.start_ms, p->target_start_ms);
+  else if (!report.stage_change_pending && report.stage != p->target_stage)
+    send_order (p, report.accepted_orders);
 }
 
 static void
-ask_report (struct planner *p, const struct beryl_stage_order *wanted)
+request_report (struct planner *p, const struct beryl_stage_order *wanted)
 {
-  struct beryl_live *live = beryl_lives_find (p->lives, wanted->id);
+  struct beryl_live *live = beryl_lives_find (p->endpoints, wanted->id);
   GString *head = g_string_new (NULL);
 
-  memcpy (p->called, live->info.id, sizeof p->called);
-  p->called_born_ms = live->info.born_ms;
-  p->called_for = wanted->stage;
+  memcpy (p->target_id, live->info.id, sizeof p->target_id);
+  p->target_start_ms = live->info.born_ms;
+  p->target_stage = wanted->stage;
   p->wire->impl->format_report_request (p->wire, &live->info, head);
   p->call = engine_call_start (p->loop, &live->info, head, NULL,
-                               ANSWER_MAX_BYTES, report_answered, p);
+                               RESPONSE_MAX_BYTES, report_done, p);
   g_string_free (head, TRUE);
 }
 
-static struct pending *
+static struct pending_order *
 pending_find (const struct planner *p, const struct beryl_live_info *engine)
 {
-  for (guint i = 0; i < p->pending->len; i++)
+  for (guint i = 0; i < p->pending_orders->len; i++)
     {
-      struct pending *pending = g_ptr_array_index (p->pending, i);
+      struct pending_order *pending = g_ptr_array_index (p->pending_orders, i);
 
       if (strcmp (pending->id, engine->id) == 0
-          && pending->born_ms == engine->born_ms)
+          && pending->start_ms == engine->born_ms)
         return pending;
     }
   return NULL;
@@ -173,28 +176,30 @@
 static void
 pending_expire (struct planner *p)
 {
-  for (guint i = p->pending->len; i > 0; i--)
+  for (guint i = p->pending_orders->len; i > 0; i--)
     {
-      struct pending *pending = g_ptr_array_index (p->pending, i - 1);
-      const struct beryl_live *live = beryl_lives_find (p->lives, pending->id);
+      struct pending_order *pending
+          = g_ptr_array_index (p->pending_orders, i - 1);
+      const struct beryl_live *live
+          = beryl_lives_find (p->endpoints, pending->id);
 
-      if (live == NULL || live->info.born_ms != pending->born_ms
+      if (live == NULL || live->info.born_ms != pending->start_ms
           || live->info.stage == pending->stage
-          || loop_now_ms (p->loop) >= pending->until_ms)
-        g_ptr_array_remove_index_fast (p->pending, i - 1);
+          || loop_now_ms (p->loop) >= pending->expires_ms)
+        g_ptr_array_remove_index_fast (p->pending_orders, i - 1);
     }
 }
 
 static GArray *
-engines_of (struct planner *p, const char *service)
+collect_engines (struct planner *p, const char *service)
 {
   GArray *engines
       = g_array_new (FALSE, FALSE, sizeof (struct beryl_stage_engine));
 
-  for (size_t i = 0; i < beryl_lives_count (p->lives); i++)
+  for (size_t i = 0; i < beryl_lives_count (p->endpoints); i++)
     {
-      struct beryl_live *live = beryl_lives_get (p->lives, i);
-      const struct pending *pending = pending_find (p, &live->info);
+      struct beryl_live *live = beryl_lives_get (p->endpoints, i);
+      const struct pending_order *pending = pending_find (p, &live->info);
       struct beryl_stage_engine engine = {
         .id = live->info.id,
         .stage = pending != NULL ? pending->stage : live->info.stage,
@@ -214,7 +219,7 @@
 plan_service (struct planner *p, const char *service,
               struct beryl_stages *stages)
 {
-  GArray *engines = engines_of (p, service);
+  GArray *engines = collect_engines (p, service);
   struct beryl_generation_mix mix = beryl_forward_mix (p->forward, service);
   struct beryl_stage_order wanted;
 
@@ -231,17 +236,17 @@
               mix.decode_ms_per_token, mix.prefill_seen.prefills,
               mix.prefill_seen.nodes, mix.prefill_seen.least,
               mix.prefill_seen.most);
-      ask_report (p, &wanted);
+      request_report (p, &wanted);
     }
   g_array_free (engines, TRUE);
 }
 
 static void
-note_services (struct planner *p)
+add_services (struct planner *p)
 {
-  for (size_t i = 0; i < beryl_lives_count (p->lives); i++)
+  for (size_t i = 0; i < beryl_lives_count (p->endpoints); i++)
     {
-      const struct beryl_live *live = beryl_lives_get (p->lives, i);
+      const struct beryl_live *live = beryl_lives_get (p->endpoints, i);
 
       if (live->info.stage != BERYL_STAGE_NONE
           && !g_hash_table_contains (p->services, live->info.service))
@@ -260,19 +265,19 @@
   if (!stored_lease_settled (p->lease))
     return;
   pending_expire (p);
-  note_services (p);
+  add_services (p);
   g_hash_table_iter_init (&iter, p->services);
   while (p->call == NULL && g_hash_table_iter_next (&iter, &name, &stages))
     plan_service (p, name, stages);
 }
 
 static void
-plan_next_due (void *user)
+scheduled_plan_due (void *user)
 {
   struct planner *p = user;
 
-  loop_timer_stop (p->next);
-  p->next = NULL;
+  loop_timer_stop (p->next_plan);
+  p->next_plan = NULL;
   plan (p);
 }
 
@@ -280,10 +285,10 @@
  * second, seven of 45 engines would be back in their new stage some seconds
  * later than they could be, with too few for decode meanwhile. */
 static void
-plan_next (struct planner *p)
+schedule_plan (struct planner *p)
 {
-  if (p->next == NULL)
-    p->next = loop_timer_start (p->loop, 1, 0, plan_next_due, p);
+  if (p->next_plan == NULL)
+    p->next_plan = loop_timer_start (p->loop, 1, 0, scheduled_plan_due, p);
 }
 
 static void
@@ -311,10 +316,10 @@
 {
   struct planner *p = g_new0 (struct planner, 1);
   struct beryl_lease_settings lease = {
-    .name = NAME,
+    .name = LEASE_NAME,
     .holder = settings->node,
     .ttl_ms = settings->lease_ms,
-    .margin_ms = settings->lease_ms / MARGIN_PART,
+    .margin_ms = settings->lease_ms / LEASE_MARGIN_DIVISOR,
     .poll_ms = settings->lease_ms,
     /* Engines that do not look at the number are given no order before the
        last one of a former holder must have arrived. */
@@ -329,12 +334,13 @@
   p->wire = wire;
   p->settings = settings;
   p->forward = forward;
-  p->lives = lives;
+  p->endpoints = lives;
   p->services
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, stages_free);
-  p->pending = g_ptr_array_new_with_free_func (g_free);
-  p->lease = stored_lease_create (loop, client, KIND, &lease, &p->base);
-  p->timer = loop_timer_start (loop, PLAN_MS, PLAN_MS, plan, p);
+  p->pending_orders = g_ptr_array_new_with_free_func (g_free);
+  p->lease = stored_lease_create (loop, client, LEASE_KIND, &lease, &p->base);
+  p->plan_timer
+      = loop_timer_start (loop, PLAN_INTERVAL_MS, PLAN_INTERVAL_MS, plan, p);
   return p;
 }
 
@@ -343,30 +349,33 @@
 {
   if (p == NULL)
     return;
-  loop_timer_stop (p->timer);
-  loop_timer_stop (p->next);
+  loop_timer_stop (p->plan_timer);
+  loop_timer_stop (p->next_plan);
   engine_call_cancel (p->call);
   stored_lease_destroy (p->lease);
   g_hash_table_destroy (p->services);
-  g_ptr_array_free (p->pending, TRUE);
+  g_ptr_array_free (p->pending_orders, TRUE);
   g_free (p);
 }
 
 void
-planner_set_candidate (struct planner *p, bool stands)
+planner_set_candidate (struct planner *p, bool candidate)
 {
-  stored_lease_want (p->lease, stands || stored_lease_held (p->lease, NULL));
+  stored_lease_want (p->lease,
+                     candidate || stored_lease_held (p->lease, NULL));
 }
 
 void
 planner_add_pending (const struct planner *p, struct beryl_endpoint_set *set)
 {
-  for (guint i = 0; i < p->pending->len; i++)
+  for (guint i = 0; i < p->pending_orders->len; i++)
     {
-      const struct pending *pending = g_ptr_array_index (p->pending, i);
-      const struct beryl_live *live = beryl_lives_find (p->lives, pending->id);
+      const struct pending_order *pending
+          = g_ptr_array_index (p->pending_orders, i);
+      const struct beryl_live *live
+          = beryl_lives_find (p->endpoints, pending->id);
 
-      if (live != NULL && live->info.born_ms == pending->born_ms)
+      if (live != NULL && live->info.born_ms == pending->start_ms)
         beryl_endpoint_set_add (set, beryl_live_number (live));
     }
 }
--- a/gatewayd/planner.h
+++ b/gatewayd/planner.h
@@ -33,6 +33,6 @@
 bool planner_holds_lease (const struct planner *planner);
 
 /** Whether this node competes for the lease. */
-void planner_set_candidate (struct planner *planner, bool stands);
+void planner_set_candidate (struct planner *planner, bool candidate);
 
 #endif
--- a/gatewayd/platform_source.c
+++ b/gatewayd/platform_source.c
@@ -3,58 +3,60 @@
 #include <string.h>
 
 /* A watch that is behind a peer's for so long is asked anew. */
-#define BEHIND_MS 400
+#define BEHIND_MAX_MS 400
 /* And not again for so long: the answer of a slow store must be able to come,
  * or asking anew would keep this node behind for as long as it is slow. */
-#define ASK_ANEW_MS 2000
+#define REWATCH_INTERVAL_MS 2000
 /* How often that and lapsed endpoints are looked at. */
-#define EXPIRE_MS 250
+#define CHECK_INTERVAL_MS 250
 /* A line about entries that no endpoint wrote comes so often at most. */
-#define FOREIGN_TOLD_MS 1000
+#define INVALID_LOG_INTERVAL_MS 1000
 /* The store sends a change to all at the same moment, so that a peer that is
  * ahead is only quicker.  What the peer sends would take half of a slow link
  * from the store's answer, which then comes twice as late: a peer is asked if
  * no answer has begun to arrive by then ... */
-#define STORE_BEGINS_MS 400
+#define RESPONSE_START_MAX_MS 400
 /* ... or it is still arriving then: less than half of the time in which a
  * change must be in force is left. */
-#define STORE_ENDS_MS 3500
+#define RESPONSE_END_MAX_MS 3500
 /* Changes of one answer that are kept to be passed on. */
-#define CHANGES_KEPT_MAX 128
+#define BUFFERED_CHANGES_MAX 128
 /* A node that missed what was passed on looks by itself so often at most. */
-#define GAP_MS 400
-#define FOREIGN_COUNTER "beryl_foreign_entries_total"
+#define GAP_REREAD_INTERVAL_MS 400
+#define INVALID_ENTRY_COUNTER "beryl_foreign_entries_total"
 
 struct platform_source
 {
   struct loop *loop;
   const struct gateway_wire *wire;
   struct platform_client *client;
-  struct beryl_lives *lives;
+  struct beryl_lives *endpoints;
   struct platform_source_owner *owner;
   uint64_t configuration_watch;
   uint64_t endpoint_watch;
-  uint64_t version;  /* of the configuration in use; 0: none */
-  uint64_t revision; /* of the configuration object in use */
-  GString *value;    /* its text */
+  uint64_t configuration_version;  /* of the configuration in use; 0: none */
+  uint64_t configuration_revision; /* of the configuration object in use */
+  GString *configuration_text;     /* its text */
   bool has_routes;
   bool has_endpoints;
-  bool store_away;
-  bool endpoints_changed;
+  bool store_unreachable;
+  bool endpoints_dirty;
   uint64_t endpoint_revision; /* of the newest change seen */
   uint64_t peer_revision;     /* that a peer has seen */
   int64_t behind_since_ms;    /* 0: not behind */
-  int64_t peer_ahead_ms;      /* a peer's configuration, since; 0: not known */
-  int64_t asked_anew_ms;      /* 0: never */
-  struct loop_timer *expire;
+  int64_t
+      peer_ahead_since_ms; /* a peer's configuration, since; 0: not known */
+  int64_t rewatched_ms;    /* 0: never */
+  struct loop_timer *check_timer;
   struct counters *counters;
-  uint32_t foreign_untold; /* entries since the last line about them */
-  int64_t foreign_told_ms; /* 0: never */
+  uint32_t
+      unlogged_invalid_entries; /* entries since the last line about them */
+  int64_t invalid_logged_ms;    /* 0: never */
   GArray *changes; /* of the answer that is read, struct entry_change */
   bool changes_complete;
-  bool feeding;          /* what is told now comes from a peer */
-  uint64_t synced;       /* revision up to which all changes were told */
-  int64_t gap_looked_ms; /* 0: never */
+  bool applying_peer_changes; /* what is told now comes from a peer */
+  uint64_t synced_revision;   /* revision up to which all changes were told */
+  int64_t gap_reread_ms;      /* 0: never */
 };
 
 static void
@@ -65,14 +67,14 @@
 
 /* Keeps what the store told until all of its answer is read. */
 static void
-keep_change (struct platform_source *s,
-             const struct beryl_platform_event *event)
+buffer_change (struct platform_source *s,
+               const struct beryl_platform_event *event)
 {
   struct entry_change change = { .version = event->object.version };
 
-  if (s->feeding)
+  if (s->applying_peer_changes)
     return;
-  if (s->changes->len == CHANGES_KEPT_MAX)
+  if (s->changes->len == BUFFERED_CHANGES_MAX)
     {
       s->changes_complete = false;
       return;
@@ -98,12 +100,12 @@
 
 /* Passes on what the store's answer brought. */
 static void
-answer_read (struct platform_source *s, uint64_t revision)
+report_changes (struct platform_source *s, uint64_t revision)
 {
   g_array_sort (s->changes, compare_versions);
   if (s->owner->impl->changes_received != NULL)
     s->owner->impl->changes_received (
-        s->owner, s->synced, revision,
+        s->owner, s->synced_revision, revision,
         (const struct entry_change *)s->changes->data, s->changes->len,
         s->changes_complete);
   g_array_set_size (s->changes, 0);
@@ -120,7 +122,7 @@
   struct beryl_error error = { 0 };
   struct beryl_routes *routes;
 
-  if (object->version <= s->revision)
+  if (object->version <= s->configuration_revision)
     return;
   routes = s->wire->impl->read_routes (s->wire, object, &error);
   if (routes == NULL)
@@ -136,11 +138,12 @@
           routes->version, object->version, origin, routes->route_count,
           routes->service_count);
   s->has_routes = true;
-  s->version = routes->version;
-  s->revision = object->version;
-  s->peer_ahead_ms = 0;
-  g_string_truncate (s->value, 0);
-  g_string_append_len (s->value, object->value, (gssize)object->value_bytes);
+  s->configuration_version = routes->version;
+  s->configuration_revision = object->version;
+  s->peer_ahead_since_ms = 0;
+  g_string_truncate (s->configuration_text, 0);
+  g_string_append_len (s->configuration_text, object->value,
+                       (gssize)object->value_bytes);
   s->owner->impl->routes_changed (s->owner, routes);
 }
 
@@ -173,41 +176,42 @@
 uint64_t
 platform_source_configuration_version (const struct platform_source *s)
 {
-  return s->version;
+  return s->configuration_version;
 }
 
 uint64_t
 platform_source_configuration_revision (const struct platform_source *s)
 {
-  return s->revision;
+  return s->configuration_revision;
 }
 
 const char *
 platform_source_configuration_text (const struct platform_source *s,
                                     size_t *value_bytes)
 {
-  *value_bytes = s->value->len;
-  return s->value->str;
+  *value_bytes = s->configuration_text->len;
+  return s->configuration_text->str;
 }
 
 /* An entry that no endpoint has written names none to be used, also if one
  * stood there before; the endpoint's next heartbeat brings it back.  A foreign
  * writer may be quick, so that one line a second tells of it. */
 static void
-entry_unusable (struct platform_source *s, const char *name, const char *why)
+reject_entry (struct platform_source *s, const char *name, const char *why)
 {
   int64_t now_ms = loop_now_ms (s->loop);
 
-  counters_add (s->counters, FOREIGN_COUNTER, "", 1);
-  beryl_lives_reject (s->lives, name, now_ms);
-  s->foreign_untold++;
-  if (s->foreign_told_ms != 0 && now_ms - s->foreign_told_ms < FOREIGN_TOLD_MS)
+  counters_add (s->counters, INVALID_ENTRY_COUNTER, "", 1);
+  beryl_lives_reject (s->endpoints, name, now_ms);
+  s->unlogged_invalid_entries++;
+  if (s->invalid_logged_ms != 0
+      && now_ms - s->invalid_logged_ms < INVALID_LOG_INTERVAL_MS)
     return;
   g_warning ("endpoint entry '%s' is not used: %s; entries=%u since the last "
              "such line",
-             name, why, s->foreign_untold);
-  s->foreign_told_ms = now_ms;
-  s->foreign_untold = 0;
+             name, why, s->unlogged_invalid_entries);
+  s->invalid_logged_ms = now_ms;
+  s->unlogged_invalid_entries = 0;
 }
 
 static void
@@ -217,27 +221,28 @@
   struct beryl_live_info info;
   struct beryl_error error = { 0 };
 
-  s->endpoints_changed = true;
-  keep_change (s, event);
+  s->endpoints_dirty = true;
+  buffer_change (s, event);
   if (event->object.version > s->endpoint_revision)
     s->endpoint_revision = event->object.version;
   if (event->deleted)
     {
       g_info ("endpoint id=%s revision=%" G_GUINT64_FORMAT " gone",
               event->object.name, event->object.version);
-      beryl_lives_remove (s->lives, event->object.name, loop_now_ms (s->loop));
+      beryl_lives_remove (s->endpoints, event->object.name,
+                          loop_now_ms (s->loop));
       return;
     }
   if (!s->wire->impl->read_endpoint (s->wire, &event->object, &info, &error))
     {
-      entry_unusable (s, event->object.name, error.message);
+      reject_entry (s, event->object.name, error.message);
       return;
     }
   g_info ("endpoint id=%s revision=%" G_GUINT64_FORMAT
           " service=%s address=%s:%u stage=%s %s",
           info.id, info.revision, info.service, info.address, info.port,
           beryl_stage_name (info.stage), info.leaving ? "leaving" : "ready");
-  beryl_lives_put (s->lives, &info, loop_now_ms (s->loop));
+  beryl_lives_put (s->endpoints, &info, loop_now_ms (s->loop));
 }
 
 static void
@@ -246,13 +251,13 @@
   struct platform_source *s = user;
 
   s->has_endpoints = true;
-  beryl_lives_synced (s->lives, loop_now_ms (s->loop));
-  if (!s->feeding)
-    answer_read (s, revision);
-  s->synced = MAX (s->synced, revision);
-  if (!s->endpoints_changed)
+  beryl_lives_synced (s->endpoints, loop_now_ms (s->loop));
+  if (!s->applying_peer_changes)
+    report_changes (s, revision);
+  s->synced_revision = MAX (s->synced_revision, revision);
+  if (!s->endpoints_dirty)
     return;
-  s->endpoints_changed = false;
+  s->endpoints_dirty = false;
   s->owner->impl->endpoints_changed (s->owner);
 }
 
@@ -277,16 +282,17 @@
 
 /* Looks by itself for changes that were passed on and did not come. */
 static void
-look_for_gap (struct platform_source *s, uint64_t after)
+reread_after_gap (struct platform_source *s, uint64_t after)
 {
   int64_t now_ms = loop_now_ms (s->loop);
 
-  if (s->gap_looked_ms != 0 && now_ms - s->gap_looked_ms < GAP_MS)
+  if (s->gap_reread_ms != 0
+      && now_ms - s->gap_reread_ms < GAP_REREAD_INTERVAL_MS)
     return;
-  s->gap_looked_ms = now_ms;
+  s->gap_reread_ms = now_ms;
   g_info ("endpoints missed changes: seen=%" G_GUINT64_FORMAT
           " passed on after=%" G_GUINT64_FORMAT,
-          s->synced, after);
+          s->synced_revision, after);
   platform_client_poke (s->client, s->endpoint_watch);
 }
 
@@ -295,7 +301,7 @@
                                const struct changes_message *message)
 {
   struct beryl_platform_event events[CHANGES_MAX] = { 0 };
-  bool fed;
+  bool applied;
 
   for (size_t i = 0; i < message->count; i++)
     {
@@ -311,12 +317,12 @@
         .value_bytes = change->value_bytes,
       };
     }
-  s->feeding = true;
-  fed = platform_client_feed (s->client, s->endpoint_watch, message->after,
-                              message->revision, events, message->count);
-  s->feeding = false;
-  if (!fed && s->has_endpoints)
-    look_for_gap (s, message->after);
+  s->applying_peer_changes = true;
+  applied = platform_client_feed (s->client, s->endpoint_watch, message->after,
+                                  message->revision, events, message->count);
+  s->applying_peer_changes = false;
+  if (!applied && s->has_endpoints)
+    reread_after_gap (s, message->after);
 }
 
 void
@@ -334,12 +340,12 @@
   int64_t now_ms = loop_now_ms (s->loop);
   int64_t wait_ms
       = platform_client_watch_arriving (s->client, s->configuration_watch)
-            ? STORE_ENDS_MS
-            : STORE_BEGINS_MS;
+            ? RESPONSE_END_MAX_MS
+            : RESPONSE_START_MAX_MS;
 
-  if (s->peer_ahead_ms == 0)
-    s->peer_ahead_ms = now_ms;
-  return now_ms - s->peer_ahead_ms >= wait_ms
+  if (s->peer_ahead_since_ms == 0)
+    s->peer_ahead_since_ms = now_ms;
+  return now_ms - s->peer_ahead_since_ms >= wait_ms
          || beryl_platform_is_away (platform_client_core (s->client));
 }
 
@@ -354,14 +360,14 @@
     s->behind_since_ms = 0;
   else if (s->behind_since_ms == 0)
     s->behind_since_ms = now_ms;
-  else if (now_ms - s->behind_since_ms >= BEHIND_MS
-           && (s->asked_anew_ms == 0
-               || now_ms - s->asked_anew_ms >= ASK_ANEW_MS))
+  else if (now_ms - s->behind_since_ms >= BEHIND_MAX_MS
+           && (s->rewatched_ms == 0
+               || now_ms - s->rewatched_ms >= REWATCH_INTERVAL_MS))
     {
       g_info ("endpoints behind peers: seen=%" G_GUINT64_FORMAT
               " peers=%" G_GUINT64_FORMAT,
               s->endpoint_revision, s->peer_revision);
-      s->asked_anew_ms = now_ms;
+      s->rewatched_ms = now_ms;
       platform_client_poke (s->client, s->endpoint_watch);
       platform_client_poke (s->client, s->configuration_watch);
     }
@@ -371,27 +377,27 @@
 static void
 check_store (struct platform_source *s)
 {
-  bool away = beryl_platform_is_away (platform_client_core (s->client));
+  bool unreachable = beryl_platform_is_away (platform_client_core (s->client));
 
-  if (away == s->store_away)
+  if (unreachable == s->store_unreachable)
     return;
-  s->store_away = away;
-  if (away)
+  s->store_unreachable = unreachable;
+  if (unreachable)
     g_warning ("store lost, going on with configuration revision="
                "%" G_GUINT64_FORMAT " endpoints revision=%" G_GUINT64_FORMAT,
-               s->revision, s->endpoint_revision);
+               s->configuration_revision, s->endpoint_revision);
   else
     g_info ("store regained");
 }
 
 static void
-expire (void *user)
+check (void *user)
 {
   struct platform_source *s = user;
 
   check_store (s);
   check_behind (s);
-  if (!beryl_lives_expire (s->lives, loop_now_ms (s->loop)))
+  if (!beryl_lives_expire (s->endpoints, loop_now_ms (s->loop)))
     return;
   g_info ("endpoints that lapsed with the outage are not back: gone");
   s->owner->impl->endpoints_changed (s->owner);
@@ -408,14 +414,15 @@
   s->loop = loop;
   s->wire = wire;
   s->client = client;
-  s->lives = lives;
+  s->endpoints = lives;
   s->counters = counters;
   s->owner = owner;
-  s->value = g_string_new (NULL);
+  s->configuration_text = g_string_new (NULL);
   s->changes = g_array_new (FALSE, FALSE, sizeof (struct entry_change));
   g_array_set_clear_func (s->changes, change_clear);
   s->changes_complete = true;
-  s->expire = loop_timer_start (loop, EXPIRE_MS, EXPIRE_MS, expire, s);
+  s->check_timer = loop_timer_start (loop, CHECK_INTERVAL_MS,
+                                     CHECK_INTERVAL_MS, check, s);
   s->configuration_watch = platform_client_watch (
       client, BERYL_USE_CONFIG, wire->impl->configuration_kind,
       &configuration_callbacks, s);
@@ -432,8 +439,8 @@
     return;
   platform_client_unwatch (s->client, s->configuration_watch);
   platform_client_unwatch (s->client, s->endpoint_watch);
-  loop_timer_stop (s->expire);
-  g_string_free (s->value, TRUE);
+  loop_timer_stop (s->check_timer);
+  g_string_free (s->configuration_text, TRUE);
   g_array_free (s->changes, TRUE);
   g_free (s);
 }
--- a/gatewayd/platform_source.h
+++ b/gatewayd/platform_source.h
@@ -20,15 +20,17 @@
 struct platform_source_owner_impl
 {
   /** A newer configuration is in force; the callee takes its reference. */
-  void (*routes_changed) (struct platform_source_owner *owner, struct beryl_routes *routes);
+  void (*routes_changed) (struct platform_source_owner *owner,
+                          struct beryl_routes *routes);
   /** The set of endpoints changed. */
   void (*endpoints_changed) (struct platform_source_owner *owner);
   /** The store answered: these are the COUNT changes after revision AFTER, up
    * to REVISION, in order of versions.  If COMPLETE is not set there were more
    * than are kept.  May be NULL. */
-  void (*changes_received) (struct platform_source_owner *owner, uint64_t after,
-                    uint64_t revision, const struct entry_change *changes,
-                    size_t count, bool complete);
+  void (*changes_received) (struct platform_source_owner *owner,
+                            uint64_t after, uint64_t revision,
+                            const struct entry_change *changes, size_t count,
+                            bool complete);
 };
 
 /** The owner; the first member selects the implementation. */
@@ -40,39 +42,47 @@
 /** Watch through CLIENT; LIVES takes the endpoints. */
 struct platform_source *
 platform_source_create (struct loop *loop, const struct gateway_wire *wire,
-               struct platform_client *client, struct beryl_lives *lives,
-               struct counters *counters, struct platform_source_owner *owner);
+                        struct platform_client *client,
+                        struct beryl_lives *lives, struct counters *counters,
+                        struct platform_source_owner *owner);
 
 /** Release; NULL is allowed. */
 void platform_source_destroy (struct platform_source *source);
 
 /** Take a configuration that another node has; an older one than this node's
  * is not used. */
-void platform_source_offer_configuration (struct platform_source *source, uint64_t revision, const char *value,
-                   size_t value_bytes);
+void platform_source_offer_configuration (struct platform_source *source,
+                                          uint64_t revision, const char *value,
+                                          size_t value_bytes);
 
 /** Return the configuration's version; 0: none. */
-uint64_t platform_source_configuration_version (const struct platform_source *source);
+uint64_t
+platform_source_configuration_version (const struct platform_source *source);
 
 /** Return the revision and the text of the configuration in use. */
-uint64_t platform_source_configuration_revision (const struct platform_source *source);
-const char *platform_source_configuration_text (const struct platform_source *source, size_t *value_bytes);
+uint64_t
+platform_source_configuration_revision (const struct platform_source *source);
+const char *
+platform_source_configuration_text (const struct platform_source *source,
+                                    size_t *value_bytes);
 
 /** Return the revision of the newest change of an endpoint that was seen. */
-uint64_t platform_source_endpoint_revision (const struct platform_source *source);
+uint64_t
+platform_source_endpoint_revision (const struct platform_source *source);
 
 /** A peer has seen endpoints' changes up to REVISION: look, if this node has
  * not. */
-void platform_source_set_peer_revision (struct platform_source *source, uint64_t revision);
+void platform_source_set_peer_revision (struct platform_source *source,
+                                        uint64_t revision);
 
 /** A node that watches the list of endpoints passed MESSAGE on. */
 void platform_source_apply_changes (struct platform_source *source,
-                  const struct changes_message *message);
+                                    const struct changes_message *message);
 
 /** Watch the list of endpoints as ROLE asks; calls of a watcher wait for
  * WAIT_MS. */
-void platform_source_set_role (struct platform_source *source, enum beryl_relay_role role,
-                      int64_t wait_ms);
+void platform_source_set_role (struct platform_source *source,
+                               enum beryl_relay_role role, int64_t wait_ms);
 
 /** A peer has a newer configuration: return whether to ask it for that now.
  * Not if the store is likely to bring it as soon. */
--- a/gatewayd/quarantine_records.c
+++ b/gatewayd/quarantine_records.c
@@ -7,9 +7,9 @@
 
 #include "registry.h"
 
-#define PREFIX "quarantine-"
+#define NAME_PREFIX "quarantine-"
 #define NAME_BYTES 32
-#define CALL_MS 3000
+#define CALL_TIMEOUT_MS 3000
 #define RETRY_MS 500
 
 struct quarantine_records
@@ -19,8 +19,8 @@
   const struct gateway_settings *settings;
   struct beryl_quarantine *quarantine;
   GQueue *pending; /* struct record, the first is being written */
-  uint64_t request;
-  uint64_t removal;
+  uint64_t write_request;
+  uint64_t delete_request;
   struct loop_timer *retry;
 };
 
@@ -28,15 +28,16 @@
 struct record
 {
   uint64_t fingerprint;
-  int64_t until_s;  /* Unix time */
-  uint64_t present; /* version of a record that stands there; 0: none does */
+  int64_t expires_s;         /* Unix time */
+  uint64_t existing_version; /* version of a record that stands there; 0: none
+                                does */
 };
 
 static const struct platform_client_options options
-    = { .use = BERYL_USE_STATUS, .timeout_ms = CALL_MS, .wait = true };
+    = { .use = BERYL_USE_STATUS, .timeout_ms = CALL_TIMEOUT_MS, .wait = true };
 
 static int64_t
-unix_s (void)
+unix_time_s (void)
 {
   return g_get_real_time () / G_USEC_PER_SEC;
 }
@@ -54,12 +55,12 @@
 }
 
 static void
-written (void *user, const struct beryl_platform_result *result)
+write_done (void *user, const struct beryl_platform_result *result)
 {
   struct quarantine_records *q = user;
   struct record *record = g_queue_peek_head (q->pending);
 
-  q->request = 0;
+  q->write_request = 0;
   if (result->code == BERYL_OK)
     {
       g_free (g_queue_pop_head (q->pending));
@@ -68,7 +69,7 @@
     }
   /* What stands there may be from a former time. */
   if (result->code == BERYL_ERROR_CONFLICT)
-    record->present = result->version;
+    record->existing_version = result->version;
   else
     g_warning ("record of fingerprint=%016" G_GINT64_MODIFIER
                "x is not written: %s",
@@ -87,19 +88,22 @@
   json_t *value;
   char *text;
 
-  if (record == NULL || q->request != 0 || q->retry != NULL)
+  if (record == NULL || q->write_request != 0 || q->retry != NULL)
     return;
-  g_snprintf (name, sizeof name, PREFIX "%016" G_GINT64_MODIFIER "x",
+  g_snprintf (name, sizeof name, NAME_PREFIX "%016" G_GINT64_MODIFIER "x",
               record->fingerprint);
-  write.condition = record->present != 0 ? BERYL_IF_VERSION : BERYL_IF_ABSENT;
-  write.version = record->present;
+  write.condition
+      = record->existing_version != 0 ? BERYL_IF_VERSION : BERYL_IF_ABSENT;
+  write.version = record->existing_version;
   beryl_platform_nonce (platform_client_core (q->client), nonce);
-  value = json_pack ("{s:I, s:s, s:s}", "until_s", (json_int_t)record->until_s,
-                     "node", q->settings->node, "nonce", nonce);
+  value
+      = json_pack ("{s:I, s:s, s:s}", "until_s", (json_int_t)record->expires_s,
+                   "node", q->settings->node, "nonce", nonce);
   text = json_dumps (value, JSON_COMPACT);
   write.value = text;
   write.value_bytes = strlen (text);
-  q->request = platform_client_put (q->client, &options, &write, written, q);
+  q->write_request
+      = platform_client_put (q->client, &options, &write, write_done, q);
   free (text);
   json_decref (value);
 }
@@ -125,10 +129,10 @@
   if (q == NULL)
     return;
   loop_timer_stop (q->retry);
-  if (q->request != 0)
-    platform_client_forget (q->client, q->request);
-  if (q->removal != 0)
-    platform_client_forget (q->client, q->removal);
+  if (q->write_request != 0)
+    platform_client_forget (q->client, q->write_request);
+  if (q->delete_request != 0)
+    platform_client_forget (q->client, q->delete_request);
   g_queue_free_full (q->pending, g_free);
   g_free (q);
 }
@@ -140,7 +144,7 @@
   struct record *record = g_new0 (struct record, 1);
 
   record->fingerprint = fingerprint;
-  record->until_s = unix_s () + left_ms / 1000;
+  record->expires_s = unix_time_s () + left_ms / 1000;
   g_queue_push_tail (q->pending, record);
   write_first (q);
 }
@@ -150,9 +154,9 @@
 {
   char *end;
 
-  if (!g_str_has_prefix (name, PREFIX))
+  if (!g_str_has_prefix (name, NAME_PREFIX))
     return false;
-  *fingerprint = g_ascii_strtoull (name + strlen (PREFIX), &end, 16);
+  *fingerprint = g_ascii_strtoull (name + strlen (NAME_PREFIX), &end, 16);
   return *end == '\0' && *fingerprint != 0;
 }
 
@@ -160,27 +164,28 @@
 read_left_ms (const struct beryl_object *object)
 {
   json_t *value = json_loadb (object->value, object->value_bytes, 0, NULL);
-  json_int_t until_s = json_integer_value (json_object_get (value, "until_s"));
-  int64_t now_s = unix_s ();
+  json_int_t expires_s
+      = json_integer_value (json_object_get (value, "until_s"));
+  int64_t now_s = unix_time_s ();
 
   json_decref (value);
-  return until_s > now_s ? (until_s - now_s) * 1000 : 0;
+  return expires_s > now_s ? (expires_s - now_s) * 1000 : 0;
 }
 
 static void
-removed (void *user, const struct beryl_platform_result *result)
+delete_done (void *user, const struct beryl_platform_result *result)
 {
-  ((struct quarantine_records *)user)->removal = 0;
+  ((struct quarantine_records *)user)->delete_request = 0;
 }
 
 /* One at a time; the next list shows what is left. */
 static void
 remove_record (struct quarantine_records *q, const struct beryl_object *object)
 {
-  if (q->removal == 0)
-    q->removal
-        = platform_client_delete (q->client, &options, REGISTRY_KIND,
-                                  object->name, object->version, removed, q);
+  if (q->delete_request == 0)
+    q->delete_request = platform_client_delete (
+        q->client, &options, REGISTRY_KIND, object->name, object->version,
+        delete_done, q);
 }
 
 void
--- a/gatewayd/registry.c
+++ b/gatewayd/registry.c
@@ -5,15 +5,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CALL_MS 3000
+#define CALL_TIMEOUT_MS 3000
 #define RETRY_MS 200
 /* The first lists come quickly, since the nodes of a fleet start together;
  * later news travels between the nodes and the list only repairs. */
-#define LIST_EARLY_MS 1000
-#define LIST_EARLY_COUNT 2
+#define INITIAL_LIST_MS 1000
+#define INITIAL_LIST_COUNT 2
 /* With more nodes each lists less often. */
-#define LIST_MS 10000
-#define LIST_NODE_MS 2000
+#define LIST_MIN_MS 10000
+#define LIST_PER_NODE_MS 2000
 
 struct registry
 {
@@ -23,14 +23,14 @@
   struct registry_owner *owner;
   struct loop_timer *timer;
   uint64_t request;
-  uint64_t version; /* of the record; 0: not written by this life */
-  uint64_t present; /* version that a former life left */
-  uint64_t removal; /* request that takes back another node's record */
-  uint32_t lists;
+  uint64_t version;          /* of the record; 0: not written by this life */
+  uint64_t existing_version; /* version that a former life left */
+  uint64_t delete_request; /* request that takes back another node's record */
+  uint32_t list_count;
 };
 
 static const struct platform_client_options write_options
-    = { .use = BERYL_USE_STATUS, .timeout_ms = CALL_MS, .wait = true };
+    = { .use = BERYL_USE_STATUS, .timeout_ms = CALL_TIMEOUT_MS, .wait = true };
 
 static void write_record (struct registry *r);
 static void list_records (void *user);
@@ -43,13 +43,13 @@
 }
 
 static void
-write_again (void *user)
+retry_write (void *user)
 {
   write_record (user);
 }
 
 static void
-written (void *user, const struct beryl_platform_result *result)
+write_done (void *user, const struct beryl_platform_result *result)
 {
   struct registry *r = user;
 
@@ -64,16 +64,16 @@
       return;
     }
   if (result->code == BERYL_ERROR_CONFLICT)
-    r->present = result->version;
+    r->existing_version = result->version;
   else
     g_warning ("registering node=%s failed: %s", r->settings->node,
                beryl_error_code_name (result->code));
   schedule (r, result->code == BERYL_ERROR_CONFLICT ? 1 : RETRY_MS,
-            write_again);
+            retry_write);
 }
 
 static char *
-record_text (struct registry *r, const char *nonce)
+format_record (struct registry *r, const char *nonce)
 {
   const struct gateway_settings *s = r->settings;
   json_t *record
@@ -93,18 +93,18 @@
   struct beryl_platform_write write = {
     .kind = REGISTRY_KIND,
     .name = r->settings->node,
-    .condition = r->present != 0 ? BERYL_IF_VERSION : BERYL_IF_ABSENT,
-    .version = r->present,
+    .condition = r->existing_version != 0 ? BERYL_IF_VERSION : BERYL_IF_ABSENT,
+    .version = r->existing_version,
     .nonce = nonce,
   };
   char *text;
 
   beryl_platform_nonce (platform_client_core (r->client), nonce);
-  text = record_text (r, nonce);
+  text = format_record (r, nonce);
   write.value = text;
   write.value_bytes = strlen (text);
   r->request
-      = platform_client_put (r->client, &write_options, &write, written, r);
+      = platform_client_put (r->client, &write_options, &write, write_done, r);
   free (text);
 }
 
@@ -135,23 +135,23 @@
 static int64_t
 list_delay_ms (const struct registry *r, size_t nodes)
 {
-  if (r->lists < LIST_EARLY_COUNT)
-    return LIST_EARLY_MS;
-  return MAX (LIST_MS, (int64_t)nodes * LIST_NODE_MS);
+  if (r->list_count < INITIAL_LIST_COUNT)
+    return INITIAL_LIST_MS;
+  return MAX (LIST_MIN_MS, (int64_t)nodes * LIST_PER_NODE_MS);
 }
 
 static void
-removed (void *user, const struct beryl_platform_result *result)
+delete_done (void *user, const struct beryl_platform_result *result)
 {
-  ((struct registry *)user)->removal = 0;
+  ((struct registry *)user)->delete_request = 0;
 }
 
 /* One at a time; the next list shows what is left. */
 static void
-remove_one (struct registry *r, const struct beryl_object *objects,
-            size_t count)
+remove_stale_record (struct registry *r, const struct beryl_object *objects,
+                     size_t count)
 {
-  for (size_t i = 0; i < count && r->removal == 0; i++)
+  for (size_t i = 0; i < count && r->delete_request == 0; i++)
     {
       const char *node = objects[i].name;
 
@@ -159,15 +159,15 @@
           || !r->owner->impl->should_remove (r->owner, node))
         continue;
       g_info ("record of node=%s is taken back", node);
-      r->removal
+      r->delete_request
           = platform_client_delete (r->client, &write_options, REGISTRY_KIND,
-                                    node, objects[i].version, removed, r);
+                                    node, objects[i].version, delete_done, r);
     }
 }
 
 static bool
-has_own (const struct registry *r, const struct beryl_listed *items,
-         size_t count)
+contains_own (const struct registry *r, const struct beryl_listed *items,
+              size_t count)
 {
   for (size_t i = 0; i < count; i++)
     if (strcmp (items[i].name, r->settings->node) == 0)
@@ -176,14 +176,14 @@
 }
 
 static void
-listed (void *user, const struct beryl_platform_result *result)
+list_done (void *user, const struct beryl_platform_result *result)
 {
   struct registry *r = user;
   struct beryl_listed *items;
   size_t count = 0;
 
   r->request = 0;
-  r->lists++;
+  r->list_count++;
   schedule (r, list_delay_ms (r, result->object_count), list_records);
   if (result->code != BERYL_OK)
     return;
@@ -193,12 +193,12 @@
   for (size_t i = 0; i < result->object_count; i++)
     count += read_record (&result->objects[i], &items[count]);
   r->owner->impl->records_listed (r->owner, items, count);
-  remove_one (r, result->objects, result->object_count);
+  remove_stale_record (r, result->objects, result->object_count);
   /* Another node took this one for gone, for instance in a partition. */
-  if (!has_own (r, items, count))
+  if (!contains_own (r, items, count))
     {
-      r->present = 0;
-      schedule (r, 1, write_again);
+      r->existing_version = 0;
+      schedule (r, 1, retry_write);
     }
   g_free (items);
 }
@@ -211,7 +211,7 @@
 
   options.wait = false;
   r->request = platform_client_list (r->client, &options, REGISTRY_KIND, "",
-                                     listed, r);
+                                     list_done, r);
 }
 
 void
@@ -244,13 +244,13 @@
   loop_timer_stop (r->timer);
   if (r->request != 0)
     platform_client_forget (r->client, r->request);
-  if (r->removal != 0)
-    platform_client_forget (r->client, r->removal);
+  if (r->delete_request != 0)
+    platform_client_forget (r->client, r->delete_request);
   g_free (r);
 }
 
 static void
-withdrawn (void *user, const struct beryl_platform_result *result)
+withdraw_done (void *user, const struct beryl_platform_result *result)
 {
   struct registry *r = user;
 
@@ -269,7 +269,7 @@
     platform_client_forget (r->client, r->request);
   r->request = 0;
   if (r->version != 0)
-    r->request
-        = platform_client_delete (r->client, &write_options, REGISTRY_KIND,
-                                  r->settings->node, r->version, withdrawn, r);
+    r->request = platform_client_delete (r->client, &write_options,
+                                         REGISTRY_KIND, r->settings->node,
+                                         r->version, withdraw_done, r);
 }
--- a/gatewayd/relay.c
+++ b/gatewayd/relay.c
@@ -8,15 +8,15 @@
 #include "wire/link.h"
 
 /* How often it is looked who watches and whether the watchers fell silent. */
-#define LOOK_MS 100
+#define ROLE_CHECK_MS 100
 /* Watchers in each data centre: with one, its loss would be noticed by all of
  * its followers at once. */
-#define WATCHERS 2
-#define ROLE "endpoint-watcher"
+#define WATCHER_COUNT 2
+#define ROLE_NAME "endpoint-watcher"
 /* Bytes of one message: a datagram's, less the fields of the message. */
-#define MESSAGE_BYTES (DATAGRAM_MAX_BYTES - 64)
+#define MESSAGE_MAX_BYTES (DATAGRAM_MAX_BYTES - 64)
 /* Of one change, beside its name and value. */
-#define CHANGE_BYTES 24
+#define CHANGE_OVERHEAD_BYTES 24
 
 struct relay
 {
@@ -27,18 +27,18 @@
   struct counters *counters;
   struct beryl_relay *core;
   enum beryl_relay_role role;
-  struct loop_timer *timer;
+  struct loop_timer *role_timer;
 };
 
 static void
-look (void *user)
+update_role (void *user)
 {
   struct relay *r = user;
   enum beryl_relay_role role;
 
   beryl_relay_set_group (
       r->core, members_local_count (r->members),
-      members_is_local_candidate (r->members, ROLE, WATCHERS));
+      members_is_local_candidate (r->members, ROLE_NAME, WATCHER_COUNT));
   role = beryl_relay_role (r->core, loop_now_ms (r->loop));
   if (role == r->role)
     return;
@@ -62,7 +62,8 @@
   r->members = members;
   r->counters = counters;
   r->core = beryl_relay_create (settings->endpoint_leave_ms);
-  r->timer = loop_timer_start (loop, LOOK_MS, LOOK_MS, look, r);
+  r->role_timer
+      = loop_timer_start (loop, ROLE_CHECK_MS, ROLE_CHECK_MS, update_role, r);
   return r;
 }
 
@@ -71,7 +72,7 @@
 {
   if (r == NULL)
     return;
-  loop_timer_stop (r->timer);
+  loop_timer_stop (r->role_timer);
   beryl_relay_destroy (r->core);
   g_free (r);
 }
@@ -79,14 +80,14 @@
 static size_t
 change_bytes (const struct entry_change *change)
 {
-  return strlen (change->name) + change->value_bytes + CHANGE_BYTES;
+  return strlen (change->name) + change->value_bytes + CHANGE_OVERHEAD_BYTES;
 }
 
 /* Takes into MESSAGE as many of COUNT changes as one datagram holds; returns
  * their number, 0 if the first is too large. */
 static size_t
-take_part (struct changes_message *message, const struct entry_change *changes,
-           size_t count)
+fill_message (struct changes_message *message,
+              const struct entry_change *changes, size_t count)
 {
   size_t bytes = 0;
 
@@ -96,7 +97,7 @@
       const struct entry_change *change = &changes[message->count];
 
       bytes += change_bytes (change);
-      if (bytes > MESSAGE_BYTES)
+      if (bytes > MESSAGE_MAX_BYTES)
         break;
       message->changes[message->count++] = *change;
     }
@@ -106,7 +107,7 @@
 /* Whether all changes have versions of their own.  Those that a whole list
  * shows by absence have not, and two messages could not share them. */
 static bool
-is_strict (const struct entry_change *changes, size_t count)
+has_distinct_versions (const struct entry_change *changes, size_t count)
 {
   for (size_t i = 1; i < count; i++)
     if (changes[i].version == changes[i - 1].version)
@@ -123,7 +124,7 @@
 
   if (r->role != BERYL_RELAY_WATCHER || after == 0)
     return;
-  if (!complete || !is_strict (changes, count))
+  if (!complete || !has_distinct_versions (changes, count))
     {
       /* Followers see a gap in it and look by themselves. */
       message.after = revision;
@@ -136,7 +137,7 @@
     }
   while (sent < count)
     {
-      size_t taken = take_part (&message, changes + sent, count - sent);
+      size_t taken = fill_message (&message, changes + sent, count - sent);
 
       /* One that no datagram holds is left out, which is a gap too. */
       sent += taken > 0 ? taken : 1;
--- a/gatewayd/store.c
+++ b/gatewayd/store.c
@@ -1,21 +1,21 @@
 #include "store.h"
 
 /* Store calls are short; one that takes longer has met a silent store. */
-#define CALL_MS 700
+#define CALL_TIMEOUT_MS 700
 /* A waiting watch is renewed so often: a connection that went silent is
  * noticed by the answer that does not come.  With more nodes each renews less
  * often, since one of them notices as soon and tells the others: the calls of
  * the fleet stay the same. */
-#define WATCH_MS 2000
-#define WATCH_NODE_MS 500
-#define WATCH_MOST_MS 25000
+#define WATCH_MIN_MS 2000
+#define WATCH_PER_NODE_MS 500
+#define WATCH_MAX_MS 25000
 #define BACKOFF_MIN_MS 50
 #define BACKOFF_MAX_MS 400
 /* While the store is away the calls of the fleet stay the same too. */
-#define BACKOFF_NODE_MS 15
-#define BACKOFF_MOST_MS 1300
+#define BACKOFF_PER_NODE_MS 15
+#define BACKOFF_LIMIT_MS 1300
 /* Before the first list of nodes this one takes itself for one of many. */
-#define NODES_UNKNOWN 50
+#define ASSUMED_NODES 50
 
 struct platform_client *
 store_create (struct loop *loop, struct http_context *http,
@@ -30,11 +30,11 @@
     .seed = seed,
     .core = {
       .reads_per_s = beryl_platform_node_rate (from->platform_reads_per_s,
-                                               NODES_UNKNOWN),
+                                               ASSUMED_NODES),
       .writes_per_s = beryl_platform_node_rate (from->platform_writes_per_s,
-                                                NODES_UNKNOWN),
-      .call_timeout_ms = CALL_MS,
-      .watch_wait_ms = WATCH_MS,
+                                                ASSUMED_NODES),
+      .call_timeout_ms = CALL_TIMEOUT_MS,
+      .watch_wait_ms = WATCH_MIN_MS,
       .watch_spacing_ms = STORE_WATCH_SPACING_MS,
       .backoff_min_ms = BACKOFF_MIN_MS,
       .backoff_max_ms = BACKOFF_MAX_MS,
@@ -47,8 +47,8 @@
 static int64_t
 backoff_max_ms (uint32_t nodes)
 {
-  return CLAMP ((int64_t)nodes * BACKOFF_NODE_MS, BACKOFF_MAX_MS,
-                BACKOFF_MOST_MS);
+  return CLAMP ((int64_t)nodes * BACKOFF_PER_NODE_MS, BACKOFF_MAX_MS,
+                BACKOFF_LIMIT_MS);
 }
 
 void
@@ -67,8 +67,8 @@
 store_set_watch_wait (struct platform_client *client, uint32_t nodes,
                       bool isolated)
 {
-  int64_t wait_ms = isolated ? 0 : (int64_t)nodes * WATCH_NODE_MS;
+  int64_t wait_ms = isolated ? 0 : (int64_t)nodes * WATCH_PER_NODE_MS;
 
   beryl_platform_set_watch_wait (platform_client_core (client),
-                                 CLAMP (wait_ms, WATCH_MS, WATCH_MOST_MS));
+                                 CLAMP (wait_ms, WATCH_MIN_MS, WATCH_MAX_MS));
 }
--- a/gatewayd/survey.c
+++ b/gatewayd/survey.c
@@ -6,13 +6,13 @@
 
 /* How often it is looked whether the list of engines is there; it comes whole
  * within some tens of milliseconds of a start. */
-#define LOOK_MS 50
+#define LIST_CHECK_MS 50
 /* Engines that one node asks: enough for all of a small fleet's, and a bound
  * where hundreds of nodes and thousands of engines start together. */
 #define ENGINES_MAX 32
-#define ANSWER_MAX_BYTES (256U << 10)
+#define RESPONSE_MAX_BYTES (256U << 10)
 
-struct question
+struct query
 {
   struct survey *survey;
   struct engine_call *call;
@@ -24,80 +24,81 @@
   struct loop *loop;
   const struct gateway_wire *wire;
   struct beryl_forward *forward;
-  struct beryl_lives *lives;
+  struct beryl_lives *endpoints;
   struct loop_timer *timer;
-  GPtrArray *questions;
-  size_t asked;
-  size_t prompts;
+  GPtrArray *queries;
+  size_t engine_count;
+  size_t prompt_count;
 };
 
 static void
-question_free (gpointer pointer)
+query_free (gpointer pointer)
 {
-  struct question *question = pointer;
+  struct query *query = pointer;
 
-  engine_call_cancel (question->call);
-  g_free (question);
+  engine_call_cancel (query->call);
+  g_free (query);
 }
 
 static void
-answered (void *user, const struct engine_response *answer)
+query_done (void *user, const struct engine_response *response)
 {
-  struct question *question = user;
-  struct survey *survey = question->survey;
+  struct query *query = user;
+  struct survey *survey = query->survey;
   GArray *keys = g_array_new (FALSE, FALSE, sizeof (uint32_t));
 
-  question->call = NULL;
-  if (answer->head != NULL)
-    survey->wire->impl->read_prompts (survey->wire, answer->head, answer->body,
-                                      answer->body_bytes, keys);
+  query->call = NULL;
+  if (response->head != NULL)
+    survey->wire->impl->read_prompts (survey->wire, response->head,
+                                      response->body, response->body_bytes,
+                                      keys);
   for (guint i = 0; i < keys->len; i++)
     beryl_forward_prompt_kept (survey->forward,
                                g_array_index (keys, uint32_t, i),
-                               question->engine, loop_now_ms (survey->loop));
-  survey->prompts += keys->len;
+                               query->engine, loop_now_ms (survey->loop));
+  survey->prompt_count += keys->len;
   g_array_free (keys, TRUE);
-  g_ptr_array_remove_fast (survey->questions, question);
-  if (survey->questions->len == 0)
-    g_info ("survey of prompts engines=%zu prompts=%zu", survey->asked,
-            survey->prompts);
+  g_ptr_array_remove_fast (survey->queries, query);
+  if (survey->queries->len == 0)
+    g_info ("survey of prompts engines=%zu prompts=%zu", survey->engine_count,
+            survey->prompt_count);
 }
 
 static void
-ask (struct survey *survey, const struct beryl_live *live)
+query_engine (struct survey *survey, const struct beryl_live *live)
 {
-  struct question *question = g_new0 (struct question, 1);
+  struct query *query = g_new0 (struct query, 1);
   GString *head = g_string_new (NULL);
 
-  question->survey = survey;
-  question->engine = beryl_live_number (live);
+  query->survey = survey;
+  query->engine = beryl_live_number (live);
   survey->wire->impl->format_prompts_request (survey->wire, &live->info, head);
-  question->call = engine_call_start (survey->loop, &live->info, head, NULL,
-                                      ANSWER_MAX_BYTES, answered, question);
-  g_ptr_array_add (survey->questions, question);
+  query->call = engine_call_start (survey->loop, &live->info, head, NULL,
+                                   RESPONSE_MAX_BYTES, query_done, query);
+  g_ptr_array_add (survey->queries, query);
   g_string_free (head, TRUE);
-  survey->asked++;
+  survey->engine_count++;
 }
 
 static void
-begin (void *user)
+start_queries (void *user)
 {
   struct survey *survey = user;
-  size_t count = beryl_lives_count (survey->lives);
+  size_t count = beryl_lives_count (survey->endpoints);
   size_t first = count > 0 ? g_random_int () % count : 0;
 
   if (count == 0)
     return;
   loop_timer_stop (survey->timer);
   survey->timer = NULL;
-  for (size_t i = 0; i < count && survey->asked < ENGINES_MAX; i++)
+  for (size_t i = 0; i < count && survey->engine_count < ENGINES_MAX; i++)
     {
       const struct beryl_live *live
-          = beryl_lives_get (survey->lives, (first + i) % count);
+          = beryl_lives_get (survey->endpoints, (first + i) % count);
 
       if (live->info.stage == BERYL_STAGE_DECODE
           && beryl_live_takes_work (live))
-        ask (survey, live);
+        query_engine (survey, live);
     }
 }
 
@@ -110,9 +111,10 @@
   survey->loop = loop;
   survey->wire = wire;
   survey->forward = forward;
-  survey->lives = lives;
-  survey->questions = g_ptr_array_new_with_free_func (question_free);
-  survey->timer = loop_timer_start (loop, LOOK_MS, LOOK_MS, begin, survey);
+  survey->endpoints = lives;
+  survey->queries = g_ptr_array_new_with_free_func (query_free);
+  survey->timer = loop_timer_start (loop, LIST_CHECK_MS, LIST_CHECK_MS,
+                                    start_queries, survey);
   return survey;
 }
 
@@ -122,6 +124,6 @@
   if (survey == NULL)
     return;
   loop_timer_stop (survey->timer);
-  g_ptr_array_free (survey->questions, TRUE);
+  g_ptr_array_free (survey->queries, TRUE);
   g_free (survey);
 }
