--- a/gatewayd/cluster_key.c
+++ b/gatewayd/cluster_key.c
@@ -20,7 +20,8 @@
   void *user;
   struct loop_timer *retry_timer;
   uint64_t request;
-  char generated[CLUSTER_KEY_BYTES]; /* by this node, if there is none yet */
+  char generated[CLUSTER_KEY_BYTES]; /* proposed by this node if there is none
+                                        yet */
 };
 
 static const struct platform_client_options options
@@ -65,7 +66,8 @@
   if (result->code == BERYL_OK)
     report_key (k, k->generated);
   else
-    schedule_retry (k); /* another node was first, or the platform is away */
+    schedule_retry (
+        k); /* another node created it first, or the platform is unreachable */
 }
 
 static void
@@ -81,7 +83,7 @@
 
   if (!generate_key (k))
     {
-      g_warning ("no random numbers for a cluster key");
+      g_warning ("cannot generate cluster key: no random numbers");
       schedule_retry (k);
       return;
     }
@@ -117,7 +119,7 @@
     report_key (k, text);
   else
     {
-      g_warning ("cluster key is not to be had: %s",
+      g_warning ("cannot read cluster key: %s",
                  result->code == BERYL_OK
                      ? "malformed"
                      : beryl_error_code_name (result->code));
--- a/gatewayd/cluster_key.h
+++ b/gatewayd/cluster_key.h
@@ -1,8 +1,9 @@
 /** @file
- * The key that the nodes' messages to each other are authenticated with.  The
- * first node of a fleet makes it and keeps it in the platform's API, which
- * only nodes and operators can read: whoever can only send datagrams must not
- * be able to declare a node dead or hand out a configuration.
+ * Key that authenticates the messages between nodes.
+ *
+ * The first node of a fleet creates it and stores it in the platform's API,
+ * which only nodes and operators can read.  Without it, anyone able to send
+ * datagrams could declare a node dead or distribute a configuration.
  */
 #ifndef GATEWAYD_CLUSTER_KEY_H
 #define GATEWAYD_CLUSTER_KEY_H
@@ -10,15 +11,16 @@
 #include "common/loop.h"
 #include "common/platform_client.h"
 
-/** Hex digits of a key, with the NUL. */
+/** Size of a key in hex digits, including the NUL. */
 #define CLUSTER_KEY_BYTES 65
 
 struct cluster_key;
 
-/** Called once, when the key is known. */
+/** Called once, when the key is available. */
 typedef void cluster_key_cb (void *user, const char key[CLUSTER_KEY_BYTES]);
 
-/** Begin to read the key, or to make it. */
+/** Start reading the key, or creating it if there is none; retries until it
+ * succeeds. */
 struct cluster_key *cluster_key_create (struct loop *loop,
                                         struct platform_client *client,
                                         cluster_key_cb *cb, void *user);
--- a/gatewayd/directory.c
+++ b/gatewayd/directory.c
@@ -38,12 +38,12 @@
 
 static void
 reply_addresses (struct directory *d, struct h1_exchange *ex,
-                 const struct gateway_location *place)
+                 const struct gateway_location *location)
 {
   GPtrArray *addresses = g_ptr_array_new_with_free_func (g_free);
   GString *body = g_string_new (NULL);
 
-  d->owner->impl->append_addresses (d->owner, place, addresses);
+  d->owner->impl->append_addresses (d->owner, location, addresses);
   d->wire->impl->format_addresses (d->wire,
                                    (const char *const *)addresses->pdata,
                                    addresses->len, d->address_keep_ms, body);
@@ -66,15 +66,15 @@
 {
   struct directory *d = (struct directory *)handler;
   const struct h1_head *head = h1_exchange_head (ex);
-  struct gateway_location place = { 0 };
+  struct gateway_location location = { 0 };
 
-  switch (d->wire->impl->read_node_request (d->wire, head, &place))
+  switch (d->wire->impl->read_node_request (d->wire, head, &location))
     {
     case GATEWAY_NODE_REQUEST_READY:
       reply_ready (d, ex);
       return;
     case GATEWAY_NODE_REQUEST_ADDRESSES:
-      reply_addresses (d, ex, &place);
+      reply_addresses (d, ex, &location);
       return;
     case GATEWAY_NODE_REQUEST_NONE:
       break;
--- a/gatewayd/directory.h
+++ b/gatewayd/directory.h
@@ -1,6 +1,6 @@
 /** @file
- * Answers who is there: callers ask which nodes to connect to, the platform
- * whether this one is ready.
+ * HTTP server for node discovery, readiness and metrics: callers ask which
+ * nodes to connect to, the platform asks whether this node is ready.
  */
 #ifndef GATEWAYD_DIRECTORY_H
 #define GATEWAYD_DIRECTORY_H
@@ -13,17 +13,17 @@
 struct directory;
 struct directory_owner;
 
-/** What the owner knows. */
+/** Queries to the owner. */
 struct directory_owner_impl
 {
-  /** Whether this node takes callers. */
+  /** Return whether this node accepts callers. */
   bool (*is_ready) (struct directory_owner *owner);
-  /** Add "ip:port" texts (g_malloc'd) of the nodes that callers at PLACE may
-   * use. */
+  /** Append the addresses of the nodes that callers at LOCATION may use, as
+   * g_malloc'd "ip:port" strings. */
   void (*append_addresses) (struct directory_owner *owner,
-                            const struct gateway_location *place,
+                            const struct gateway_location *location,
                             GPtrArray *addresses);
-  /** Write the process's metrics; free() the text. */
+  /** Return the process's metrics as text, to be freed with free(). */
   char *(*format_metrics) (struct directory_owner *owner);
 };
 
@@ -33,18 +33,19 @@
   const struct directory_owner_impl *impl;
 };
 
-/** Listen on the settings' ports; NULL and ERROR on failure. */
+/** Listen on the ready, directory and metrics ports; return NULL and set ERROR
+ * on failure. */
 struct directory *directory_create (struct loop *loop,
                                     const struct gateway_wire *wire,
                                     const struct gateway_settings *settings,
                                     struct directory_owner *owner,
                                     struct beryl_error *error);
 
-/** Change how long callers may keep an answer. */
+/** Set how long callers may cache addresses. */
 void directory_set_address_keep (struct directory *directory,
                                  int64_t address_keep_ms);
 
-/** Close all and release; NULL is allowed. */
+/** Close all connections and release; NULL is allowed. */
 void directory_destroy (struct directory *directory);
 
 #endif
--- a/gatewayd/engine_call.c
+++ b/gatewayd/engine_call.c
@@ -39,11 +39,11 @@
 call_done (struct h1_call_handler *handler, struct h1_call *http)
 {
   struct engine_call *call = (struct engine_call *)handler;
-  struct engine_response answer = { .head = call->head,
-                                    .body = call->body->str,
-                                    .body_bytes = call->body->len };
+  struct engine_response response = { .head = call->head,
+                                      .body = call->body->str,
+                                      .body_bytes = call->body->len };
 
-  call->cb (call->user, &answer);
+  call->cb (call->user, &response);
   call_free (call);
 }
 
@@ -52,9 +52,9 @@
              enum h1_failure failure, bool sent)
 {
   struct engine_call *call = (struct engine_call *)handler;
-  struct engine_response answer = { .failure = failure, .sent = sent };
+  struct engine_response response = { .failure = failure, .sent = sent };
 
-  call->cb (call->user, &answer);
+  call->cb (call->user, &response);
   call_free (call);
 }
 
--- a/gatewayd/engine_call.h
+++ b/gatewayd/engine_call.h
@@ -1,5 +1,6 @@
 /** @file
- * One call of this node's own to an engine, whose whole answer is read.
+ * A single HTTP call to an engine, made by this node itself; the response is
+ * read whole.
  */
 #ifndef GATEWAYD_ENGINE_CALL_H
 #define GATEWAYD_ENGINE_CALL_H
@@ -12,27 +13,28 @@
 
 struct engine_call;
 
-/** How it ended. */
+/** Outcome of a call. */
 struct engine_response
 {
-  const struct h1_head *head; /**< NULL: it failed */
-  const char *body;           /**< as much of it as was asked for */
+  const struct h1_head *head; /**< response head; NULL if the call failed */
+  const char *body;           /**< response body, up to the requested limit */
   size_t body_bytes;
-  enum h1_failure failure; /**< if it failed */
-  bool sent;               /**< a failed one may have arrived */
+  enum h1_failure failure; /**< reason, if the call failed */
+  bool sent;               /**< a failed call may have reached the engine */
 };
 
-/** The end of a call; the call is invalid after. */
-typedef void engine_call_cb (void *user, const struct engine_response *answer);
+/** Called when a call ends; the call is invalid afterwards. */
+typedef void engine_call_cb (void *user,
+                             const struct engine_response *response);
 
-/** Send HEAD and BODY (NULL: none) to ENGINE; at most BODY_MAX_BYTES of the
- * answer are kept. */
+/** Send HEAD and BODY (may be NULL) to ENGINE; keep at most BODY_MAX_BYTES of
+ * the response body. */
 struct engine_call *
 engine_call_start (struct loop *loop, const struct beryl_live_info *engine,
                    const GString *head, const GString *body,
                    size_t body_max_bytes, engine_call_cb *cb, void *user);
 
-/** Give it up; no callback follows.  NULL is allowed. */
+/** Cancel a call; its callback is not run.  NULL is allowed. */
 void engine_call_cancel (struct engine_call *call);
 
 #endif
--- a/gatewayd/frontend.c
+++ b/gatewayd/frontend.c
@@ -9,15 +9,15 @@
   const struct gateway_wire *wire;
   struct beryl_forward *forward;
   struct h1_server *server;
-  GHashTable *exchanges; /* number to struct h1_exchange */
+  GHashTable *exchanges; /* request number to struct h1_exchange */
   uint64_t last_request;
 };
 
-/* What an exchange of the server keeps of its request. */
+/* State of a request, attached to the server's exchange. */
 struct caller
 {
-  uint64_t request; /* first, so that it serves as the table's key */
-  bool finished;    /* the forwarder has ended it */
+  uint64_t request; /* first member, since the table's key points here */
+  bool finished;    /* ended by the forwarder */
   char id[BERYL_REQUEST_ID_BYTES];
 };
 
@@ -27,8 +27,8 @@
   return g_hash_table_lookup (frontend->exchanges, &request);
 }
 
-/* Takes a request out before its answer ends, so that the end of the
- * exchange is not told to the forwarder, which knows. */
+/* Removes a request before its response ends, so that exchange_closed does not
+ * report its end to the forwarder, which caused it. */
 static struct h1_exchange *
 detach_exchange (struct frontend *frontend, uint64_t request)
 {
@@ -142,7 +142,8 @@
   return h1_exchange_head (ex);
 }
 
-/* Passes on all fields but those of the endpoint's connection and framing. */
+/* Returns the fields of HEAD to forward: all except hop-by-hop and framing
+ * fields. */
 static GArray *
 end_to_end_fields (const struct h1_head *head)
 {
@@ -173,8 +174,8 @@
   g_array_free (fields, TRUE);
 }
 
-/* A caller that does not read holds its endpoint back, instead of having
- * the whole answer kept here. */
+/* Unsent bytes above which reading from the endpoint is paused, so that a slow
+ * caller's whole response is not buffered here. */
 #define PENDING_MAX_BYTES 65536
 
 void
--- a/gatewayd/frontend.h
+++ b/gatewayd/frontend.h
@@ -1,6 +1,6 @@
 /** @file
- * The callers' side: their requests go to the forwarder by number, its
- * answers come back here.
+ * Server for callers: passes their requests to the forwarder, which refers to
+ * them by number, and writes its responses.
  */
 #ifndef GATEWAYD_FRONT_H
 #define GATEWAYD_FRONT_H
@@ -14,31 +14,31 @@
 
 struct frontend;
 
-/** Listen for callers; NULL and ERROR on failure. */
+/** Listen for callers at ADDRESS; return NULL and set ERROR on failure. */
 struct frontend *frontend_create (struct loop *loop,
                                   const struct gateway_wire *wire,
                                   const struct gateway_address *address,
                                   struct beryl_forward *forward,
                                   struct beryl_error *error);
 
-/** Close all connections and release FRONT; NULL is allowed. */
+/** Close all connections and release; NULL is allowed. */
 void frontend_destroy (struct frontend *frontend);
 
-/** Return the server, for its limits, counts and drain. */
+/** Return the HTTP server, to set its limits, read its counts or drain it. */
 struct h1_server *frontend_server (struct frontend *frontend);
 
-/** Return a request's head and body; NULL if its caller has gone. */
+/** Return a request's head and body; NULL if its caller has disconnected. */
 const struct h1_head *frontend_request (const struct frontend *frontend,
                                         uint64_t request, const char **body,
                                         size_t *body_bytes);
 
-/** Begin an answer with the head that an endpoint gave.  HAS_LENGTH: its
- * body has LENGTH bytes. */
+/** Begin a response with HEAD, taken from an endpoint's response.  If
+ * HAS_LENGTH is set, the body has LENGTH bytes, otherwise it is chunked. */
 void frontend_begin_response (struct frontend *frontend, uint64_t request,
                               const struct h1_head *head, bool has_length,
                               uint64_t length);
 
-/** Answers, as in struct beryl_forward_owner_impl. */
+/** Continue or end a response, as in struct beryl_forward_owner_impl. */
 void frontend_write (struct frontend *frontend, uint64_t request,
                      const char *bytes, size_t bytes_count);
 void frontend_finish (struct frontend *frontend, uint64_t request);
--- a/gatewayd/gateway.c
+++ b/gatewayd/gateway.c
@@ -21,25 +21,25 @@
 #include "survey.h"
 #include "wire/loads.h"
 
-/* How often a stopping node looks whether all is answered. */
+/* Interval at which a stopping node checks for open requests. */
 #define STOP_POLL_MS 50
-/* What is still open so long before the kill is ended, so that callers hear
- * it from this node. */
+/* Requests that are still open this long before the kill are ended, so that
+ * their callers get a response from this node. */
 #define STOP_MARGIN_MS 700
-/* Changes of this node's runs are told together, so often at most.  Others
- * place a request every few tens of milliseconds. */
+/* Delay by which changes of this node's runs are batched into one
+ * announcement; other nodes place a request every few tens of milliseconds. */
 #define ANNOUNCE_DELAY_MS 30
-/* What was learned of generations changes slowly: it goes to all peers, with
- * one message in so long at most. */
+/* Minimum interval between announcements of generation profiles, which change
+ * slowly and go to all peers. */
 #define PROFILE_INTERVAL_MS 500
 
-/* Callers' bodies may take that part of the memory. */
+/* Request bodies may take one part in BODY_MEMORY_DIVISOR of the memory. */
 #define BODY_MEMORY_DIVISOR 4
-/* Before the first list of nodes this one takes itself for one of many when it
- * pays for repeats. */
+/* Number of nodes that are assumed to share the retry budget until the nodes
+ * have been listed. */
 #define ASSUMED_NODES 50
-/* Nodes that compete for the planner's lease, and how often they are looked
- * up. */
+/* Number of nodes that compete for the planner's lease, and interval at which
+ * they are determined. */
 #define PLANNER_CANDIDATES 2
 #define ROLE_CHECK_MS 1000
 
@@ -54,7 +54,7 @@
   const struct gateway_wire *wire;
   struct gateway_settings settings;
   struct counters *counters;
-  int64_t profiles_sent_ms; /* when what was learned was told last */
+  int64_t profiles_sent_ms; /* last announcement of profiles */
   struct metrics *metrics;
   struct platform_client *store;
   struct beryl_lives *endpoints;
@@ -71,14 +71,13 @@
   struct relay *relay;
   struct planner *planner;
   struct survey *survey;
-  struct loop_timer *role_timer; /* looks who stands for the planner's lease */
-  struct loop_timer
-      *announce_timer; /* runs that changed are told when it fires */
+  struct loop_timer *role_timer;     /* runs check_roles */
+  struct loop_timer *announce_timer; /* pending announcement; NULL if none */
   struct loop_timer *tick_timer;
   int64_t tick_due_ms;
   uv_prepare_t *prepare;
   struct loop_timer *stop_timer;
-  int64_t stop_start_ms; /* 0: not stopping */
+  int64_t stop_start_ms; /* 0 if not stopping */
 };
 
 static struct gateway *
@@ -212,7 +211,7 @@
     quarantine_records_add (g->quarantine_records, fingerprint, left_ms);
 }
 
-/* Only what became of a request after its run broke off has one. */
+/* Only requests whose run has broken off have a fingerprint. */
 static const char *
 format_fingerprint (uint64_t fingerprint, char *text, size_t text_bytes)
 {
@@ -333,12 +332,12 @@
 
 static void
 directory_append_addresses (struct directory_owner *owner,
-                            const struct gateway_location *place,
+                            const struct gateway_location *location,
                             GPtrArray *addresses)
 {
   struct gateway *g = gateway_from_directory (owner);
 
-  members_append_addresses (g->members, place->data_centre, addresses);
+  members_append_addresses (g->members, location->data_centre, addresses);
 }
 
 static uint64_t
@@ -493,9 +492,9 @@
                              objects, count);
 }
 
-/* One that fell silent is back within seconds, or never.  Until its record is
- * taken back its part of the repeats is not used by others: it may only be cut
- * off from this node, and at work. */
+/* A silent node is back within seconds, or never.  Until its record is
+ * removed, the other nodes leave its share of the retry budget unused: it may
+ * be running, partitioned from this node. */
 static bool
 registry_should_remove (struct registry_owner *owner, const char *node)
 {
@@ -567,8 +566,9 @@
   beryl_forward_tick (g->forward, loop_now_ms (g->loop));
 }
 
-/* Runs once a turn of the loop, before it waits; a timer that is early costs
- * an empty tick, moving it for each event would cost more. */
+/* Runs once per loop iteration, before it waits.  The timer is only re-armed
+ * for an earlier time: a timer that fires too early costs an empty tick,
+ * moving it for each event would cost more. */
 static void
 schedule_tick (uv_prepare_t *prepare)
 {
@@ -580,7 +580,7 @@
       && beryl_forward_runs_changed (g->forward))
     g->announce_timer
         = loop_timer_start (g->loop, ANNOUNCE_DELAY_MS, 0, announce, g);
-  /* A node that hears no other may not have heard what is on record. */
+  /* An isolated node may have missed quarantines that are on record. */
   if (g->notices != NULL && notices_schedule (g->notices)
       && g->registry != NULL && members_isolated (g->members))
     registry_refresh (g->registry);
@@ -638,8 +638,8 @@
   beryl_forward_set_nodes (g->forward, ASSUMED_NODES);
 }
 
-/* Without the key nothing of the peers is believed, so that this node joins
- * them only now. */
+/* Joins the fleet only now, because messages from peers are not accepted
+ * without the key. */
 static void
 cluster_key_ready (void *user, const char *key)
 {
@@ -743,8 +743,9 @@
   bool idle = beryl_forward_open (g->forward) == 0
               && h1_server_open (frontend_server (g->frontend)) == 0;
 
-  /* Callers may use the address for as long as they keep an answer; after
-     that a refused connection sends the rest to another node at once. */
+  /* Callers may use this node's address until their cached list expires.
+     After that, a refused connection sends the remaining ones to another node
+     at once. */
   if (stopping_ms >= g->settings.address_keep_ms)
     h1_server_close_listener (frontend_server (g->frontend));
   if ((idle && stopping_ms >= g->settings.address_keep_ms)
@@ -791,5 +792,5 @@
       directory_set_address_keep (g->directory, current->address_keep_ms);
     }
   g_info ("reload done%s",
-          needs_restart ? ", some settings wait for a restart" : "");
+          needs_restart ? ", some changes take effect after a restart" : "");
 }
--- a/gatewayd/gateway.h
+++ b/gatewayd/gateway.h
@@ -1,6 +1,6 @@
 /** @file
- * One node: connects the callers' side, the forwarder, the exchanges with
- * endpoints and the view of the platform.
+ * One gateway node: connects the server for callers, the forwarder, the
+ * exchanges with endpoints and the view of the platform.
  */
 #ifndef GATEWAYD_GATEWAY_H
 #define GATEWAYD_GATEWAY_H
@@ -13,7 +13,7 @@
 
 struct gateway;
 
-/** Create and listen; NULL and ERROR on failure. */
+/** Create a node and listen; return NULL and set ERROR on failure. */
 struct gateway *gateway_create (struct loop *loop, struct http_context *http,
                                 const struct gateway_wire *wire,
                                 const struct gateway_settings *settings,
@@ -22,14 +22,14 @@
 /** Release; NULL is allowed. */
 void gateway_destroy (struct gateway *gateway);
 
-/** Use what SETTINGS may change while the process runs: the terms of repeats,
- * how long addresses are kept, how long a stop may take.  Other differences
- * are told and take effect at the next start. */
+/** Apply the settings that may change at run time: the retry budget, how long
+ * addresses may be cached and how long a stop may take.  Other changes are
+ * logged and take effect at the next start. */
 void gateway_reload (struct gateway *gateway,
                      const struct gateway_settings *settings);
 
-/** Begin a planned stop: take no new callers, finish what runs, then quit
- * the loop. */
+/** Begin a graceful shutdown: accept no new callers, finish open requests,
+ * then quit the loop. */
 void gateway_stop (struct gateway *gateway);
 
 #endif
--- a/gatewayd/main.c
+++ b/gatewayd/main.c
@@ -1,5 +1,5 @@
 /** @file
- * beryl-gatewayd: passes callers' requests on to endpoints by route.
+ * beryl-gatewayd: forwards callers' requests to endpoints by route.
  */
 #include <glib.h>
 #include <stdio.h>
@@ -16,7 +16,7 @@
   gateway_stop (user);
 }
 
-/* What a reload needs. */
+/* Context of a settings reload. */
 struct reloader
 {
   const char *path;
@@ -40,7 +40,7 @@
     {
       char *text = beryl_findings_format (findings);
 
-      g_warning ("reload refused, the settings stay as they are: %s", text);
+      g_warning ("reload failed, keeping the current settings: %s", text);
       free (text);
     }
   beryl_findings_destroy (findings);
@@ -86,7 +86,7 @@
 
 static const struct daemon_program program
     = { .name = "beryl-gatewayd",
-        .purpose = "Pass callers' requests on to endpoints by route.",
+        .purpose = "Forward callers' requests to endpoints by route.",
         .load = load };
 
 int
--- a/gatewayd/settings.c
+++ b/gatewayd/settings.c
@@ -10,7 +10,7 @@
 #define SECOND_MS 1000.0
 #define HOUR_S 3600.0
 #define HOUR_MS (HOUR_S * SECOND_MS)
-#define DESCRIPTORS_LEAST 64
+#define DESCRIPTORS_MIN 64
 
 static void
 read_address (const struct beryl_place *place, json_t *value,
@@ -57,8 +57,8 @@
   {                                                                           \
     .key = #member, .type = type_, OFFSET (member), .min = low, .max = high   \
   }
-/* A bound that is filled in by the platform, in any form that a number has:
- * rounded to the side on which it holds. */
+/* A limit filled in by the platform, which may write it as a fraction or in
+ * scientific notation; rounded to the side on which the limit still holds. */
 #define BOUND(key_, type_, member, unit_, low, high, rounding_)               \
   {                                                                           \
     .key = key_, .type = type_, OFFSET (member), .unit = unit_, .min = low,   \
@@ -106,7 +106,7 @@
     OFFSET (engines_check_fence),
     .null_is_default = true },
   BOUND ("descriptors_max", BERYL_FIELD_UINT32, descriptors_max, 1,
-         DESCRIPTORS_LEAST, 1e7, BERYL_ROUND_DOWN),
+         DESCRIPTORS_MIN, 1e7, BERYL_ROUND_DOWN),
   BOUND ("memory_mb", BERYL_FIELD_UINT32, memory_mb, 1, 16, 1e7,
          BERYL_ROUND_DOWN),
   TEXT (BERYL_FIELD_TEXT, log_level, false),
--- a/gatewayd/settings.h
+++ b/gatewayd/settings.h
@@ -10,11 +10,11 @@
 #include "beryl/findings.h"
 #include "beryl/ids.h"
 
-/** An IP number and a port. */
+/** IP address and port to listen on or connect to. */
 struct gateway_address
 {
   char ip[48];
-  uint16_t port; /**< 0: not given */
+  uint16_t port; /**< 0 if not given */
 };
 
 struct gateway_settings
@@ -22,23 +22,26 @@
   char node[BERYL_NAME_BYTES];
   char data_centre[BERYL_NAME_BYTES];
   char region[BERYL_NAME_BYTES];
-  struct gateway_address front;     /**< for callers */
-  struct gateway_address ready;     /**< for the platform's checks */
-  struct gateway_address directory; /**< for callers that look for nodes */
+  struct gateway_address front; /**< listens for callers */
+  struct gateway_address
+      ready; /**< listens for the platform's readiness checks */
+  struct gateway_address
+      directory; /**< listens for requests for node addresses */
   struct gateway_address platform;
-  uint16_t peer_port;           /**< between nodes */
-  uint16_t metrics_port;        /**< 0: none */
-  double platform_reads_per_s;  /**< of all nodes together */
-  double platform_writes_per_s; /**< of all nodes together */
+  uint16_t peer_port;           /**< listens for other nodes, TCP and UDP */
+  uint16_t metrics_port;        /**< 0: no metrics */
+  double platform_reads_per_s;  /**< limit for all nodes together */
+  double platform_writes_per_s; /**< limit for all nodes together */
   double repeat_ratio;
   uint32_t repeat_slack;
   int64_t repeat_window_ms;
-  int64_t address_keep_ms;   /**< how long callers may keep an answer */
-  int64_t endpoint_leave_ms; /**< in which one that left may get work */
-  int64_t stop_ms;           /**< from the stop signal to the kill */
-  int64_t record_keep_ms; /**< for which the record of a silent node stays */
+  int64_t address_keep_ms; /**< how long callers may cache node addresses */
+  int64_t
+      endpoint_leave_ms;  /**< how long an endpoint that left may get work */
+  int64_t stop_ms;        /**< time from the stop signal to the kill */
+  int64_t record_keep_ms; /**< how long a silent node's record is kept */
   int64_t lease_ms;
-  int64_t thaw_ms; /**< longest way of an order to an engine */
+  int64_t thaw_ms; /**< longest delay of an order on its way to an engine */
   bool engines_check_fence;
   uint32_t descriptors_max;
   uint32_t memory_mb;
@@ -46,11 +49,13 @@
   uint32_t log_lines_per_s;
 };
 
-/** Read PATH; false if there are findings. */
+/** Load SETTINGS from the file PATH; return false and add to FINDINGS if it
+ * has errors. */
 bool gateway_settings_load (struct gateway_settings *settings,
                             const char *path, struct beryl_findings *findings);
 
-/** Whether settings that only a start reads differ. */
+/** Return whether OLD and NEW differ in settings that take effect only at a
+ * start. */
 bool gateway_settings_need_restart (const struct gateway_settings *old,
                                     const struct gateway_settings *new);
 
