--- a/gatewayd/config_sync.c
+++ b/gatewayd/config_sync.c
@@ -9,9 +9,9 @@
 #include "wire/gossip.h"
 #include "wire/link.h"
 
-/* A connection on which nothing moves for so long is given up.  The whole
- * transfer has no bound: a slow link needs what it needs, and with a bound it
- * would begin again with the next peer, without an end. */
+/* A connection without progress for this long is closed.  The whole transfer
+ * has no time limit: over a slow link it would restart with the next peer each
+ * time and never end. */
 #define IDLE_TIMEOUT_MS 1000
 #define MAC_BYTES 32
 
@@ -28,15 +28,15 @@
   struct loop *loop;
   struct link_listener *listener;
   struct frame_writer *writer;
-  GPtrArray *transfers; /* struct pull, in either direction */
+  GPtrArray *transfers; /* struct transfer, served and pulled ones */
   bool pulling;
-  uint64_t revision; /* of the configuration here */
+  uint64_t revision; /* of this node's configuration */
   GString *value;
-  char key[DATAGRAM_KEY_MAX_BYTES + 1]; /* "": not known yet */
+  char key[DATAGRAM_KEY_MAX_BYTES + 1]; /* "" until known */
 };
 
-/* Proves that a node of this fleet gave the configuration: whoever can only
- * connect must not be able to hand out one. */
+/* Computes the MAC of a configuration, so that nobody who can merely connect
+ * is able to distribute one. */
 static void
 compute_mac (const struct config_sync *sync, uint64_t revision,
              const char *value, size_t value_bytes,
@@ -51,17 +51,17 @@
   g_string_free (text, TRUE);
 }
 
-/* A connection on which a configuration is pulled. */
+/* A connection over which a configuration is pulled. */
 struct transfer
 {
   struct link_handler base;
   struct config_sync *sync;
   struct link *link;
-  bool is_client; /* this side does */
-  char peer[64];  /* its address */
+  bool is_client; /* this node pulls */
+  char peer[64];  /* address of the peer, if this node pulls */
   int64_t start_ms;
-  int64_t progress_ms; /* when it last got further */
-  uint64_t progress;   /* as it was seen then */
+  int64_t progress_ms; /* time of the last progress */
+  uint64_t progress;   /* byte count at that time */
 };
 
 static void
@@ -74,7 +74,7 @@
   g_free (transfer);
 }
 
-/* One line for each configuration that was asked of a peer. */
+/* Logs one line for each pull by this node. */
 static void
 log_outcome (const struct transfer *transfer, const char *outcome)
 {
@@ -145,7 +145,7 @@
     }
   compute_mac (sync, revision, value, bytes, expected_mac);
   if (CRYPTO_memcmp (mac, expected_mac, MAC_BYTES) != 0)
-    g_warning ("configuration from a peer refused: wrong key");
+    g_warning ("configuration from a peer rejected: wrong key");
   else if (revision > sync->revision)
     sync->owner->impl->configuration_received (sync->owner, revision, value,
                                                bytes);
@@ -226,9 +226,9 @@
   return &transfer->base;
 }
 
-/* Notes whether the answer got further since the last look.  What comes in at
- * the answering side does not count: whoever sends its question byte by byte
- * would hold the connection for as long as it likes. */
+/* Updates the time of the last progress.  On the serving side received bytes
+ * do not count: a peer that sends its request byte by byte could hold the
+ * connection for as long as it likes. */
 static void
 update_progress (struct transfer *transfer, int64_t now_ms)
 {
--- a/gatewayd/config_sync.h
+++ b/gatewayd/config_sync.h
@@ -1,8 +1,10 @@
 /** @file
- * Hands the configuration to peers that are behind, and takes it from peers
- * that are ahead: a node that the store turns away alone follows the others.
- * Connections between nodes; a proof by the fleet's key goes with each
- * configuration.
+ * Serves the configuration to peers that are behind and pulls it from peers
+ * that are ahead, so that a node without access to the store follows the
+ * others.
+ *
+ * Nodes connect to each other for this.  Each configuration carries a message
+ * authentication code (MAC), computed with the cluster key.
  */
 #ifndef GATEWAYD_PULLS_H
 #define GATEWAYD_PULLS_H
@@ -16,10 +18,11 @@
 struct config_sync;
 struct config_sync_owner;
 
-/** What the owner does with an answer. */
+/** Callbacks to the owner. */
 struct config_sync_owner_impl
 {
-  /** A peer gave a configuration that is newer than this node's. */
+  /** A configuration that is newer than this node's was received from a
+   * peer. */
   void (*configuration_received) (struct config_sync_owner *owner,
                                   uint64_t revision, const char *value,
                                   size_t value_bytes);
@@ -31,7 +34,7 @@
   const struct config_sync_owner_impl *impl;
 };
 
-/** Listen at IP and PORT; NULL and ERROR on failure. */
+/** Listen at IP and PORT; return NULL and set ERROR on failure. */
 struct config_sync *config_sync_create (struct loop *loop, const char *ip,
                                         uint16_t port,
                                         struct config_sync_owner *owner,
@@ -40,21 +43,20 @@
 /** Close and release; NULL is allowed. */
 void config_sync_destroy (struct config_sync *sync);
 
-/** Prove and check configurations by KEY. */
+/** Set the key that authenticates configurations. */
 void config_sync_set_key (struct config_sync *sync, const char *key);
 
-/** This node has the configuration VALUE of REVISION. */
+/** Set the configuration that peers may pull: VALUE, at REVISION. */
 void config_sync_set_configuration (struct config_sync *sync,
                                     uint64_t revision, const char *value,
                                     size_t value_bytes);
 
-/** Ask the peer at ADDRESS and PORT for its configuration, unless a question
- * is open. */
+/** Pull the configuration of the peer at ADDRESS and PORT, unless a pull is in
+ * progress. */
 void config_sync_pull (struct config_sync *sync, const char *address,
                        uint16_t port);
 
-/** Give up connections on which nothing moves; to be called several times a
- * second. */
+/** Close connections without progress; to be called several times a second. */
 void config_sync_expire (struct config_sync *sync);
 
 #endif
--- a/gatewayd/members.c
+++ b/gatewayd/members.c
@@ -11,9 +11,10 @@
 
 #define PROBE_MS 500
 #define ACK_MS 150
-/* How often it is looked whether something is to be announced. */
+/* Interval at which the node checks whether an announcement is due. */
 #define ANNOUNCE_CHECK_MS 100
-/* A peer that was silent for so many of these is not handed to callers. */
+/* Number of announcement intervals without a message after which a peer is not
+ * listed to callers. */
 #define SILENT_INTERVALS 3
 
 struct members
@@ -31,19 +32,19 @@
   struct beryl_membership *table; /* NULL before members_join */
   uint64_t incarnation;
   uint64_t sequence;
-  uint64_t endpoint_revision; /* of the newest change seen here */
+  uint64_t endpoint_revision; /* newest change seen by this node */
   struct beryl_announce announce;
-  GHashTable *peers;        /* name to struct peer */
-  GHashTable *recorded;     /* names that are on record */
-  GHashTable *silent_since; /* name to the time since when, int64_t */
+  GHashTable *peers;        /* node name to struct peer */
+  GHashTable *recorded;     /* names of the nodes that have a record */
+  GHashTable *silent_since; /* node name to start of silence, int64_t */
   struct config_sync *config_sync;
-  uint64_t revision;                    /* of the configuration here */
-  char key[DATAGRAM_KEY_MAX_BYTES + 1]; /* "": not known yet */
-  uint32_t count;                       /* that live */
-  uint32_t active_count; /* that live or are on record; 0: not listed yet */
+  uint64_t revision;                    /* of this node's configuration */
+  char key[DATAGRAM_KEY_MAX_BYTES + 1]; /* "" until known */
+  uint32_t count;                       /* nodes that are not dead */
+  uint32_t active_count; /* not dead or on record; 0 until listed */
 };
 
-/* What a peer told last. */
+/* The last announcement of a peer. */
 struct peer
 {
   uint64_t incarnation;
@@ -185,7 +186,7 @@
 membership_sync (struct beryl_membership_owner *owner,
                  const struct beryl_member *peer)
 {
-  /* Lists are compared through the platform's records instead. */
+  /* Not needed: member lists are compared with the platform's records. */
 }
 
 static const struct beryl_membership_owner_impl membership_impl = {
@@ -217,8 +218,7 @@
       peer = g_new0 (struct peer, 1);
       g_hash_table_insert (m->peers, g_strdup (message.from), peer);
     }
-  /* Datagrams overtake each other; an older one would bring ended runs
-     back. */
+  /* Datagrams may be reordered; an older one would bring ended runs back. */
   if (message.incarnation < peer->incarnation
       || (message.incarnation == peer->incarnation
           && message.sequence <= peer->sequence))
@@ -308,8 +308,8 @@
   return false;
 }
 
-/* A question for repeats, or its answer, is told once and to the peer that it
- * is for. */
+/* Returns whether MESSAGE asks PEER for retry budget or lends it some.  This
+ * is sent only once, so such a peer gets the message wherever it is. */
 static bool
 concerns_peer (const struct loads_message *message,
                const struct beryl_member *peer)
@@ -368,8 +368,8 @@
     }
 }
 
-/* Selection sampling: of the peers that are left each is taken with the chance
- * that makes MOST of them in all. */
+/* Selection sampling: each of the remaining peers is chosen with the
+ * probability that makes MAX of them in all. */
 void
 members_send_notices (struct members *m, const struct notices_message *message,
                       uint32_t max)
@@ -539,8 +539,8 @@
   schedule_tick (m);
 }
 
-/* Whether callers may be sent to MEMBER: alive as far as is known, and heard
- * of late. */
+/* Returns whether callers may be sent to MEMBER: it is alive as far as known
+ * and was heard recently. */
 static bool
 accepts_callers (const struct members *m, const struct beryl_member *member)
 {
@@ -572,8 +572,8 @@
     }
 }
 
-/* With one node of the callers' own data centre they would all fail together
- * with it, so that others are named beside it. */
+/* With a single node of their own data centre, callers would all fail together
+ * with it, so nodes of other data centres are listed as well. */
 #define LOCAL_NODES_MIN 2
 
 void
--- a/gatewayd/members.h
+++ b/gatewayd/members.h
@@ -1,6 +1,6 @@
 /** @file
- * The other nodes: who is there, what they run at engines, and the newest
- * configuration that one of them has.
+ * The other nodes of the fleet: which there are, what they run at engines, and
+ * the newest configuration that one of them has.
  */
 #ifndef GATEWAYD_MEMBERS_H
 #define GATEWAYD_MEMBERS_H
@@ -20,32 +20,34 @@
 struct members;
 struct members_owner;
 
-/** What the owner does with news. */
+/** Callbacks to the owner. */
 struct members_owner_impl
 {
-  /** The number of nodes that may be at work changed: those that live and
-   * those that are on record.  One that cannot be heard may only be cut off
+  /** The number of nodes that may be running has changed: those alive and
+   * those with a record.  A node that is not heard may only be partitioned
    * from this one. */
   void (*count_changed) (struct members_owner *owner, uint32_t count);
-  /** A peer told MESSAGE, which is newer than all before. */
+  /** A peer announced its loads; MESSAGE is newer than all its earlier
+   * ones. */
   void (*loads_received) (struct members_owner *owner,
                           const struct loads_message *message);
-  /** A peer passed changes of the list of endpoints on. */
+  /** A peer relayed changes of the endpoint list. */
   void (*changes_received) (struct members_owner *owner,
                             const struct changes_message *message);
-  /** A peer told what it has found out. */
+  /** A peer sent notices. */
   void (*notices_received) (struct members_owner *owner,
                             const struct notices_message *message);
-  /** PEER has gone, and its runs with it. */
+  /** PEER is suspect or dead, and its runs no longer count. */
   void (*peer_lost) (struct members_owner *owner, const char *peer);
-  /** Nothing was told for a while: call members_announce_loads, since peers
-   * take silence for death, and with what runs now, since they count from it.
-   */
+  /** An announcement is due: call members_announce_loads with the current
+   * runs.  Peers take silence for death and account for engine load by the
+   * announced runs. */
   void (*announce_due) (struct members_owner *owner);
-  /** A peer has a configuration that is newer than this node's: return whether
-   * to ask for it now. */
+  /** A peer has a newer configuration than this node: return whether to pull
+   * it now. */
   bool (*should_pull) (struct members_owner *owner);
-  /** A peer gave a configuration that is newer than this node's. */
+  /** A configuration that is newer than this node's was received from a
+   * peer. */
   void (*configuration_received) (struct members_owner *owner,
                                   uint64_t revision, const char *value,
                                   size_t value_bytes);
@@ -57,7 +59,8 @@
   const struct members_owner_impl *impl;
 };
 
-/** Listen on the settings' peer port; NULL and ERROR on failure. */
+/** Listen on the peer port in SETTINGS; return NULL and set ERROR on
+ * failure. */
 struct members *members_create (struct loop *loop,
                                 const struct gateway_settings *settings,
                                 struct members_owner *owner,
@@ -67,73 +70,77 @@
 /** Close and release; NULL is allowed. */
 void members_destroy (struct members *members);
 
-/** Authenticate what is sent and received by KEY. */
+/** Set the key that authenticates messages from and to peers. */
 void members_set_key (struct members *members, const char *key);
 
-/** This life of the node has number INCARNATION: join the others.  Only the
- * first call counts. */
+/** Join the fleet; INCARNATION numbers this process among all that ran as this
+ * node.  Only the first call has an effect. */
 void members_join (struct members *members, uint64_t incarnation);
 
-/** Take the records of all nodes. */
+/** Update from the platform's records of all nodes. */
 void members_set_records (struct members *members,
                           const struct beryl_listed *items, size_t count);
 
-/** Return for how long NODE has not been heard by any node; 0: it is. */
+/** Return for how long NODE has not been heard by any node, in milliseconds; 0
+ * if it is alive. */
 int64_t members_silent_ms (const struct members *members, const char *node);
 
-/** A planned stop has begun. */
+/** Announce that this node is shutting down. */
 void members_leave (struct members *members);
 
-/** Whether what is told next goes to the peers in other data centres too. */
+/** Return whether the next announcement also goes to peers in other data
+ * centres. */
 bool members_announces_remote (const struct members *members);
 
-/** Tell the peers MESSAGE, of which the caller sets what runs and what this
- * node has found out, learned, asks for and lends. */
+/** Announce MESSAGE to the peers.  The caller sets this node's runs, news,
+ * profiles and transfers of retry budget. */
 void members_announce_loads (struct members *members,
                              struct loads_message *message);
 
-/** Pass MESSAGE on to the peers in this data centre. */
+/** Send MESSAGE to the peers in this data centre. */
 void members_send_changes (struct members *members,
                            const struct changes_message *message);
 
-/** Tell MESSAGE to all peers, or to MOST of them drawn at random. */
+/** Send MESSAGE to at most MAX peers, chosen at random. */
 void members_send_notices (struct members *members,
                            const struct notices_message *message,
                            uint32_t max);
 
-/** Return how many nodes of this data centre may be running, this one
+/** Return how many nodes of this data centre are not dead, this one
  * included. */
 uint32_t members_local_count (const struct members *members);
 
-/** Whether this node is among the MOST live ones of its data centre that stand
- * for ROLE. */
+/** Return whether this node is one of the MAX candidates for ROLE in its data
+ * centre. */
 bool members_is_local_candidate (const struct members *members,
                                  const char *role, uint32_t max);
 
-/** This node has seen changes of endpoints up to REVISION. */
+/** Set the revision up to which this node has seen changes of endpoints. */
 void members_set_endpoint_revision (struct members *members,
                                     uint64_t revision);
 
-/** This node uses the configuration object of REVISION. */
+/** Set the configuration object that this node uses: VALUE, at REVISION. */
 void members_set_configuration (struct members *members, uint64_t revision,
                                 const char *value, size_t value_bytes);
 
-/** Add "ip:port" texts (g_malloc'd) of the nodes that take callers: those of
- * DATA_CENTRE, or all if it has fewer than two. */
+/** Append the addresses of the nodes that accept callers, as g_malloc'd
+ * "ip:port" strings: those of DATA_CENTRE, or all if it has fewer than two. */
 void members_append_addresses (struct members *members,
                                const char *data_centre, GPtrArray *addresses);
 
-/** Whether this node is among the MOST live ones that stand for ROLE. */
+/** Return whether this node is one of the MAX candidates for ROLE in the
+ * fleet. */
 bool members_is_candidate (const struct members *members, const char *role,
                            uint32_t max);
 
-/** Whether there are other nodes and none of them is heard. */
+/** Return whether there are other nodes but none of them is heard. */
 bool members_isolated (const struct members *members);
 
-/** Return the time in which a live peer tells what it runs. */
+/** Return the interval at which a live peer announces its loads, in
+ * milliseconds. */
 int64_t members_announce_interval_ms (const struct members *members);
 
-/** Return how many nodes may be running, this one included. */
+/** Return how many nodes are not dead, this one included. */
 uint32_t members_count (const struct members *members);
 
 #endif
--- a/gatewayd/metrics.c
+++ b/gatewayd/metrics.c
@@ -12,8 +12,8 @@
   struct counters *counters;
 };
 
-/* Upper ends of the histogram's buckets; the objectives of small calls and of
- * first events lie among them. */
+/* Upper bounds of the histogram buckets; they include the latency objectives
+ * of plain calls and of first events. */
 static const int64_t bucket_ends_ms[]
     = { 5, 10, 20, 50, 100, 200, 300, 500, 900, 1500, 3000, 6000, 14000 };
 
@@ -32,7 +32,8 @@
   g_free (metrics);
 }
 
-/* Cumulative, as the text format wants it. */
+/* Adds VALUE_MS to a histogram, whose buckets are cumulative in the text
+ * format. */
 static void
 observe (struct metrics *metrics, const char *name, const char *service,
          int64_t value_ms)
--- a/gatewayd/metrics.h
+++ b/gatewayd/metrics.h
@@ -1,6 +1,6 @@
 /** @file
- * Counters and latency histograms of a node, from the same decisions that the
- * log tells.
+ * Counters and latency histograms of a node, taken from the same decisions as
+ * the log.
  */
 #ifndef GATEWAYD_METRICS_H
 #define GATEWAYD_METRICS_H
@@ -20,31 +20,31 @@
 void metrics_count_decision (struct metrics *metrics,
                              const struct beryl_decision *decision);
 
-/** A request came into quarantine, or out of it, for CAUSE. */
+/** Count a request that entered or left quarantine for CAUSE. */
 void metrics_count_quarantine (struct metrics *metrics, const char *cause);
 
-/** What is looked at when the metrics are asked for. */
+/** Values sampled when the metrics are read. */
 struct metrics_gauges
 {
-  uint64_t open_requests;          /**< requests without a final answer */
-  uint64_t waiting_requests;       /**< of these, for room at an engine */
+  uint64_t open_requests;          /**< without a final response */
+  uint64_t waiting_requests;       /**< open, waiting for room at an engine */
   uint64_t connections;            /**< of callers */
-  uint64_t malformed_requests;     /**< requests that were refused as such */
-  uint64_t nodes;                  /**< that may be running */
-  uint64_t endpoints;              /**< that take work */
-  uint64_t configuration_version;  /**< its version; 0: none */
-  uint64_t configuration_revision; /**< of its object */
-  int64_t list_age_ms; /**< since the list of endpoints was confirmed */
+  uint64_t malformed_requests;     /**< rejected as malformed */
+  uint64_t nodes;                  /**< that are not dead */
+  uint64_t endpoints;              /**< that accept work */
+  uint64_t configuration_version;  /**< 0 if there is none */
+  uint64_t configuration_revision; /**< of the configuration object */
+  int64_t list_age_ms; /**< time since the endpoint list was confirmed */
   bool ready;
-  bool holds_planner_lease; /**< this node holds the planner's lease */
-  bool is_endpoint_watcher; /**< it passes changes of the list of endpoints on
+  bool holds_planner_lease; /**< this node's planner is the active one */
+  bool is_endpoint_watcher; /**< this node relays changes of the endpoint list
                              */
-  uint64_t limited_endpoints;    /**< endpoints that name a limit */
-  uint64_t quarantined_requests; /**< requests that go to no endpoint */
-  uint64_t suspect_requests; /**< requests under which an endpoint has ended */
+  uint64_t limited_endpoints;    /**< endpoints that announce a rate limit */
+  uint64_t quarantined_requests; /**< not sent to any endpoint */
+  uint64_t suspect_requests;     /**< during which an endpoint has ended */
 };
 
-/** Set the gauges and return all metrics as text; free() it. */
+/** Set the gauges and return all metrics as text, to be freed with free(). */
 char *metrics_format (struct metrics *metrics,
                       const struct metrics_gauges *gauges);
 
--- a/gatewayd/notices.c
+++ b/gatewayd/notices.c
@@ -1,10 +1,11 @@
 #include "notices.h"
 
-/* Changes are told together, so often at most. */
+/* Delay by which changes are batched into one message. */
 #define SEND_DELAY_MS 20
-/* What is new is told again, and older things in turns. */
+/* Interval at which new notices are repeated and older ones are sent in
+ * turns. */
 #define REPEAT_MS 500
-/* Peers that hear of what is older. */
+/* Number of peers that older notices go to. */
 #define OLDER_NOTICE_PEERS 2
 
 struct notices
@@ -12,13 +13,13 @@
   struct loop *loop;
   struct beryl_forward *forward;
   struct members *members;
-  uint32_t node; /* the number of this one's name */
+  uint32_t node; /* numeric id of this node */
   struct loop_timer *repeat_timer;
   struct loop_timer *send_timer;
 };
 
-/* Writes what is new, with ALL also older things in turns; false if there is
- * nothing. */
+/* Fills MESSAGE with new notices, and WITH_OLDER in turns with older ones;
+ * returns false if there are none. */
 static bool
 write_message (struct notices *n, struct notices_message *message,
                bool with_older)
--- a/gatewayd/notices.h
+++ b/gatewayd/notices.h
@@ -1,9 +1,10 @@
 /** @file
- * Tells the other nodes what this one has found out about requests that crash
- * endpoints, about limits that endpoints name, and what it sends there.  What
- * is new goes to all, some times; what is older goes to a few drawn at random,
- * so that nodes that were away hear of it and a node's share does not grow
- * with the fleet.
+ * Sends notices to the other nodes: requests that crash endpoints, rate limits
+ * that endpoints announce, and what this node sends to such endpoints.
+ *
+ * New notices go to all peers, several times.  Older ones go to a few random
+ * peers, so that nodes that were away learn of them and a node's share does
+ * not grow with the fleet.
  */
 #ifndef GATEWAYD_NOTICES_H
 #define GATEWAYD_NOTICES_H
@@ -14,7 +15,8 @@
 
 struct notices;
 
-/** Create for the node with this name; FORWARD and MEMBERS must outlive it. */
+/** Create for this node, whose name is NODE; FORWARD and MEMBERS must outlive
+ * it. */
 struct notices *notices_create (struct loop *loop, const char *node,
                                 struct beryl_forward *forward,
                                 struct members *members);
@@ -22,10 +24,11 @@
 /** Release; NULL is allowed. */
 void notices_destroy (struct notices *notices);
 
-/** Have what is new told soon; returns whether a crash or a quarantine is. */
+/** Schedule the sending of new notices; return whether a crash or a quarantine
+ * is among them. */
 bool notices_schedule (struct notices *notices);
 
-/** Take what a peer tells. */
+/** Handle the notices of a peer. */
 void notices_receive (struct notices *notices,
                       const struct notices_message *message);
 
--- a/gatewayd/outbound.c
+++ b/gatewayd/outbound.c
@@ -4,7 +4,7 @@
 
 #include "h1/client.h"
 
-/* Answers to engine calls are small; more than this is not one. */
+/* Limit of the response body of an engine call; valid ones are small. */
 #define ENGINE_RESPONSE_MAX_BYTES 65536
 
 struct outbound
@@ -12,7 +12,7 @@
   struct loop *loop;
   const struct gateway_wire *wire;
   struct beryl_forward *forward;
-  GHashTable *calls; /* number to struct call */
+  GHashTable *calls; /* exchange number to struct call */
 };
 
 struct call
@@ -23,8 +23,8 @@
   enum beryl_exchange_kind kind;
   char endpoint[BERYL_NAME_BYTES];
   struct h1_call *http;
-  const struct h1_head *head; /* NULL before it came */
-  GString *body;              /* of an answer other than RUN's */
+  const struct h1_head *head; /* NULL until it has arrived */
+  GString *body;              /* response body; unused for RUN */
 };
 
 static void
@@ -68,7 +68,7 @@
     g_string_append_len (call->body, bytes, (gssize)bytes_count);
 }
 
-/* Takes CALL out of the table; it is freed once the event was told. */
+/* Removes CALL from the table; it is freed after its event was reported. */
 static void
 call_detach (struct call *call)
 {
@@ -107,8 +107,8 @@
       report_result (call);
       return;
     }
-  /* The forwarder may begin the caller's answer now, which reads the head
-     by the exchange's number. */
+  /* The call stays in the table meanwhile, because the forwarder may begin the
+     caller's response, which reads the head by exchange number. */
   beryl_forward_done (o->forward, exchange, loop_now_ms (o->loop));
   g_hash_table_remove (o->calls, &exchange);
 }
--- a/gatewayd/outbound.h
+++ b/gatewayd/outbound.h
@@ -1,6 +1,6 @@
 /** @file
- * Exchanges with endpoints: each is one HTTP call, told to the forwarder by
- * its number.
+ * Exchanges with endpoints: each is one HTTP call, whose events are reported
+ * to the forwarder by exchange number.
  */
 #ifndef GATEWAYD_OUTBOUND_H
 #define GATEWAYD_OUTBOUND_H
@@ -16,28 +16,29 @@
                                   const struct gateway_wire *wire,
                                   struct beryl_forward *forward);
 
-/** Close all calls and release them; NULL is allowed. */
+/** Cancel all calls and release; NULL is allowed. */
 void outbound_destroy (struct outbound *outbound);
 
-/** Start an exchange.  HEAD and BODY are the caller's request; they are used
- * for RUN and PREFILL only. */
+/** Start an exchange.  HEAD and BODY are the caller's request; only RUN and
+ * PREFILL use them. */
 void outbound_start (struct outbound *outbound,
                      const struct beryl_exchange_start *start,
                      const struct h1_head *head, const char *body,
                      size_t body_bytes);
 
-/** Close an exchange's connection. */
+/** Close an exchange's connection; no event follows. */
 void outbound_abort (struct outbound *outbound, uint64_t exchange);
 
-/** Stop or restart reading one. */
+/** Pause or resume reading an exchange's response. */
 void outbound_pause (struct outbound *outbound, uint64_t exchange,
                      bool paused);
 
-/** Return the head of an exchange's answer, valid until its end. */
+/** Return the head of an exchange's response, valid until its end; NULL if it
+ * has not arrived. */
 const struct h1_head *outbound_response_head (const struct outbound *outbound,
                                               uint64_t exchange);
 
-/** Whether its body has a stated length, and the length. */
+/** Return whether the response has a Content-Length, and set LENGTH to it. */
 bool outbound_response_length (const struct outbound *outbound,
                                uint64_t exchange, uint64_t *length);
 
--- a/gatewayd/planner.c
+++ b/gatewayd/planner.c
@@ -9,11 +9,11 @@
 #define LEASE_KIND "gateway-leases"
 #define LEASE_NAME "stage-planner"
 #define PLAN_INTERVAL_MS 500
-/* Part of the lease's time at its end in which its holder does nothing;
- * covers clocks that run at different rates. */
+/* The holder stays idle in the last part of the lease's duration, one in
+ * LEASE_MARGIN_DIVISOR; this covers clocks that run at different rates. */
 #define LEASE_MARGIN_DIVISOR 6
-/* An order shows in the engine's entry within some seconds; one that does not
- * was lost or waits to be carried out late. */
+/* How long an order counts as pending.  It shows in the engine's entry within
+ * some seconds; one that does not was lost or is carried out late. */
 #define PENDING_ORDER_MS 15000
 #define RESPONSE_MAX_BYTES 65536
 
@@ -27,20 +27,20 @@
   struct beryl_lives *endpoints;
   struct stored_lease *lease;
   struct loop_timer *plan_timer;
-  struct loop_timer *next_plan;     /* the plan after an order; NULL: none */
-  GHashTable *services;             /* name to struct beryl_stages */
+  struct loop_timer *next_plan;     /* plan after an order; NULL if none */
+  GHashTable *services;             /* service name to struct beryl_stages */
   GPtrArray *pending_orders;        /* struct pending_order */
-  struct engine_call *call;         /* one at a time; NULL: none */
-  char target_id[BERYL_NAME_BYTES]; /* the engine of CALL */
-  uint64_t target_start_ms;         /* of its life */
-  enum beryl_stage target_stage;    /* the stage that CALL is about */
+  struct engine_call *call;         /* one at a time; NULL if none */
+  char target_id[BERYL_NAME_BYTES]; /* engine that CALL goes to */
+  uint64_t target_start_ms;         /* start of the engine's process */
+  enum beryl_stage target_stage;    /* stage that the engine is to have */
 };
 
-/* An order that was given. */
+/* An order that was sent and has not been seen to take effect. */
 struct pending_order
 {
   char id[BERYL_NAME_BYTES];
-  uint64_t start_ms; /* of the life that it was given to */
+  uint64_t start_ms; /* start of the engine's process */
   enum beryl_stage stage;
   int64_t expires_ms;
 };
@@ -68,7 +68,7 @@
       = { "accepted", "holds", "busy", "fenced", "refused" };
 
   p->call = NULL;
-  /* An order without an answer stays pending: it may be carried out. */
+  /* An order without a response stays pending: it may be carried out. */
   if (response->head == NULL)
     g_info ("planner engine=%s order failed=%s sent=%d", p->target_id,
             h1_failure_name (response->failure), response->sent);
@@ -80,8 +80,8 @@
   schedule_plan (p);
 }
 
-/* The engine of the call, unless it has started again since: it then knows
- * nothing of the state that the order was decided by. */
+/* Returns the engine of the call, or NULL if it has restarted since: the order
+ * was decided for the state of its previous process. */
 static struct beryl_live *
 find_target (struct planner *p)
 {
@@ -91,8 +91,9 @@
                                                                   : NULL;
 }
 
-/* Right before an order the lease is asked again: the report's answer may
- * have come after a pause in which another node took over. */
+/* Sends the planned order.  The lease is checked again right before, because
+ * the report may have been read after a pause in which another node took
+ * over. */
 static void
 send_order (struct planner *p, uint64_t orders)
 {
@@ -133,11 +134,11 @@
   else if (!p->wire->impl->read_report (p->wire, response->head,
                                         response->body, response->body_bytes,
                                         &report))
-    g_info ("planner engine=%s gave no report, status=%u", p->target_id,
+    g_info ("planner engine=%s report invalid, status=%u", p->target_id,
             response->head->status);
   else if (report.start_ms != 0 && p->target_start_ms != 0
            && report.start_ms != p->target_start_ms)
-    g_info ("planner engine=%s has started again born=%" G_GUINT64_FORMAT
+    g_info ("planner engine=%s restarted born=%" G_GUINT64_FORMAT
             " listed=%" G_GUINT64_FORMAT,
             p->target_id, report.start_ms, p->target_start_ms);
   else if (!report.stage_change_pending && report.stage != p->target_stage)
@@ -281,9 +282,10 @@
   plan (p);
 }
 
-/* An order was answered; where one is due others are.  Given one in half a
- * second, seven of 45 engines would be back in their new stage some seconds
- * later than they could be, with too few for decode meanwhile. */
+/* Plans again right after an order, because others are often due as well.
+ * With one order per plan interval of half a second, seven of 45 engines would
+ * reach their new stage some seconds later than possible, with too few for
+ * decode meanwhile. */
 static void
 schedule_plan (struct planner *p)
 {
@@ -312,7 +314,7 @@
 planner_create (struct loop *loop, const struct gateway_wire *wire,
                 const struct gateway_settings *settings,
                 struct platform_client *client, struct beryl_forward *forward,
-                struct beryl_lives *lives)
+                struct beryl_lives *endpoints)
 {
   struct planner *p = g_new0 (struct planner, 1);
   struct beryl_lease_settings lease = {
@@ -321,8 +323,8 @@
     .ttl_ms = settings->lease_ms,
     .margin_ms = settings->lease_ms / LEASE_MARGIN_DIVISOR,
     .poll_ms = settings->lease_ms,
-    /* Engines that do not look at the number are given no order before the
-       last one of a former holder must have arrived. */
+    /* Engines that do not check the fencing token get no order until the last
+       one of an earlier holder must have arrived. */
     .settle_ms = settings->engines_check_fence
                      ? 0
                      : settings->lease_ms + settings->thaw_ms,
@@ -334,7 +336,7 @@
   p->wire = wire;
   p->settings = settings;
   p->forward = forward;
-  p->endpoints = lives;
+  p->endpoints = endpoints;
   p->services
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, stages_free);
   p->pending_orders = g_ptr_array_new_with_free_func (g_free);
--- a/gatewayd/planner.h
+++ b/gatewayd/planner.h
@@ -1,6 +1,6 @@
 /** @file
- * Orders engines between prefill and decode, at the one node that holds the
- * planner's lease.
+ * Plans the stages of engines and orders them to switch between prefill and
+ * decode; only the node that holds the planner's lease does so.
  */
 #ifndef GATEWAYD_PLANNER_H
 #define GATEWAYD_PLANNER_H
@@ -19,20 +19,20 @@
                                 const struct gateway_settings *settings,
                                 struct platform_client *client,
                                 struct beryl_forward *forward,
-                                struct beryl_lives *lives);
+                                struct beryl_lives *endpoints);
 
 /** Release; NULL is allowed. */
 void planner_destroy (struct planner *planner);
 
-/** Add to SET the engines whose orders are being carried out, as far as this
- * node gave them. */
+/** Add to SET the engines that have pending orders from this node. */
 void planner_add_pending (const struct planner *planner,
                           struct beryl_endpoint_set *set);
 
-/** Whether this node holds the lease. */
+/** Return whether this node holds the planner's lease. */
 bool planner_holds_lease (const struct planner *planner);
 
-/** Whether this node competes for the lease. */
+/** Set whether this node competes for the lease; a holder keeps it in any
+ * case. */
 void planner_set_candidate (struct planner *planner, bool candidate);
 
 #endif
--- a/gatewayd/platform_source.c
+++ b/gatewayd/platform_source.c
@@ -2,27 +2,29 @@
 
 #include <string.h>
 
-/* A watch that is behind a peer's for so long is asked anew. */
+/* A watch that is behind a peer's for this long is polled. */
 #define BEHIND_MAX_MS 400
-/* And not again for so long: the answer of a slow store must be able to come,
- * or asking anew would keep this node behind for as long as it is slow. */
-#define REWATCH_INTERVAL_MS 2000
-/* How often that and lapsed endpoints are looked at. */
+/* Minimum interval between such polls.  A slow store must be given time to
+ * respond, or polling would keep this node behind for as long as the store is
+ * slow. */
+#define POLL_INTERVAL_MS 2000
+/* Interval at which the watches, the store and expired endpoints are
+ * checked. */
 #define CHECK_INTERVAL_MS 250
-/* A line about entries that no endpoint wrote comes so often at most. */
+/* Minimum interval between log lines about invalid entries. */
 #define INVALID_LOG_INTERVAL_MS 1000
-/* The store sends a change to all at the same moment, so that a peer that is
- * ahead is only quicker.  What the peer sends would take half of a slow link
- * from the store's answer, which then comes twice as late: a peer is asked if
- * no answer has begun to arrive by then ... */
+/* The store sends a change to all nodes at the same time, so a peer that is
+ * ahead is merely faster.  Pulling from it would take half of a slow link from
+ * the store's response, which would then arrive twice as late.  So a peer is
+ * asked if no response has begun to arrive by this time ... */
 #define RESPONSE_START_MAX_MS 400
-/* ... or it is still arriving then: less than half of the time in which a
- * change must be in force is left. */
+/* ... or if the response is still arriving at this time, when less than half
+ * of the time in which a change must be in use is left. */
 #define RESPONSE_END_MAX_MS 3500
-/* Changes of one answer that are kept to be passed on. */
+/* Changes of one response that are buffered to be relayed. */
 #define BUFFERED_CHANGES_MAX 128
-/* A node that missed what was passed on looks by itself so often at most. */
-#define GAP_REREAD_INTERVAL_MS 400
+/* Minimum interval between polls because of missed relayed changes. */
+#define GAP_POLL_INTERVAL_MS 400
 #define INVALID_ENTRY_COUNTER "beryl_foreign_entries_total"
 
 struct platform_source
@@ -34,29 +36,27 @@
   struct platform_source_owner *owner;
   uint64_t configuration_watch;
   uint64_t endpoint_watch;
-  uint64_t configuration_version;  /* of the configuration in use; 0: none */
-  uint64_t configuration_revision; /* of the configuration object in use */
-  GString *configuration_text;     /* its text */
+  uint64_t configuration_version;  /* 0 if there is none */
+  uint64_t configuration_revision; /* of the object in use */
+  GString *configuration_text;     /* JSON text of the object in use */
   bool has_routes;
   bool has_endpoints;
   bool store_unreachable;
   bool endpoints_dirty;
-  uint64_t endpoint_revision; /* of the newest change seen */
-  uint64_t peer_revision;     /* that a peer has seen */
-  int64_t behind_since_ms;    /* 0: not behind */
-  int64_t
-      peer_ahead_since_ms; /* a peer's configuration, since; 0: not known */
-  int64_t rewatched_ms;    /* 0: never */
+  uint64_t endpoint_revision;  /* newest change seen here */
+  uint64_t peer_revision;      /* newest change seen by a peer */
+  int64_t behind_since_ms;     /* 0 if not behind */
+  int64_t peer_ahead_since_ms; /* 0 if no peer is ahead */
+  int64_t polled_ms;           /* 0 if never */
   struct loop_timer *check_timer;
   struct counters *counters;
-  uint32_t
-      unlogged_invalid_entries; /* entries since the last line about them */
-  int64_t invalid_logged_ms;    /* 0: never */
-  GArray *changes; /* of the answer that is read, struct entry_change */
+  uint32_t unlogged_invalid_entries; /* since the last line */
+  int64_t invalid_logged_ms;         /* 0 if never */
+  GArray *changes; /* struct entry_change, of the current response */
   bool changes_complete;
-  bool applying_peer_changes; /* what is told now comes from a peer */
-  uint64_t synced_revision;   /* revision up to which all changes were told */
-  int64_t gap_reread_ms;      /* 0: never */
+  bool applying_peer_changes; /* events come from a peer, not the store */
+  uint64_t synced_revision;   /* all changes up to it were seen */
+  int64_t gap_polled_ms;      /* 0 if never */
 };
 
 static void
@@ -65,7 +65,7 @@
   g_free ((char *)((struct entry_change *)item)->value);
 }
 
-/* Keeps what the store told until all of its answer is read. */
+/* Buffers a change from the store until its response has been read whole. */
 static void
 buffer_change (struct platform_source *s,
                const struct beryl_platform_event *event)
@@ -98,7 +98,7 @@
   return left < right ? -1 : left > right;
 }
 
-/* Passes on what the store's answer brought. */
+/* Reports the changes in the store's response to the owner. */
 static void
 report_changes (struct platform_source *s, uint64_t revision)
 {
@@ -112,9 +112,9 @@
   s->changes_complete = true;
 }
 
-/* Uses a configuration unless it is older than the one in use: an answer of
- * the platform and a peer's copy may overtake each other, and what is in
- * force must never go back. */
+/* Uses a configuration unless it is older than the one in use: the platform's
+ * response and a peer's copy may arrive in any order, and the node must never
+ * go back to an older configuration. */
 static void
 use_configuration (struct platform_source *s,
                    const struct beryl_object *object, const char *origin)
@@ -128,7 +128,7 @@
   if (routes == NULL)
     {
       g_warning ("configuration revision=%" G_GUINT64_FORMAT
-                 " from=%s is not used, the last good one stays: %s",
+                 " from=%s rejected, keeping the last valid one: %s",
                  object->version, origin, error.message);
       return;
     }
@@ -193,9 +193,9 @@
   return s->configuration_text->str;
 }
 
-/* An entry that no endpoint has written names none to be used, also if one
- * stood there before; the endpoint's next heartbeat brings it back.  A foreign
- * writer may be quick, so that one line a second tells of it. */
+/* Rejects an entry that was not written by an endpoint.  An endpoint that had
+ * this name is removed until its next heartbeat restores the entry.  Foreign
+ * writers may be fast, so that at most one line a second is logged. */
 static void
 reject_entry (struct platform_source *s, const char *name, const char *why)
 {
@@ -207,7 +207,7 @@
   if (s->invalid_logged_ms != 0
       && now_ms - s->invalid_logged_ms < INVALID_LOG_INTERVAL_MS)
     return;
-  g_warning ("endpoint entry '%s' is not used: %s; entries=%u since the last "
+  g_warning ("endpoint entry '%s' ignored: %s; entries=%u since the last "
              "such line",
              name, why, s->unlogged_invalid_entries);
   s->invalid_logged_ms = now_ms;
@@ -280,18 +280,18 @@
     s->peer_revision = revision;
 }
 
-/* Looks by itself for changes that were passed on and did not come. */
+/* Polls the store for relayed changes that did not arrive. */
 static void
-reread_after_gap (struct platform_source *s, uint64_t after)
+poll_after_gap (struct platform_source *s, uint64_t after)
 {
   int64_t now_ms = loop_now_ms (s->loop);
 
-  if (s->gap_reread_ms != 0
-      && now_ms - s->gap_reread_ms < GAP_REREAD_INTERVAL_MS)
+  if (s->gap_polled_ms != 0
+      && now_ms - s->gap_polled_ms < GAP_POLL_INTERVAL_MS)
     return;
-  s->gap_reread_ms = now_ms;
-  g_info ("endpoints missed changes: seen=%" G_GUINT64_FORMAT
-          " passed on after=%" G_GUINT64_FORMAT,
+  s->gap_polled_ms = now_ms;
+  g_info ("endpoints missed relayed changes: seen=%" G_GUINT64_FORMAT
+          " relayed after=%" G_GUINT64_FORMAT,
           s->synced_revision, after);
   platform_client_poke (s->client, s->endpoint_watch);
 }
@@ -322,7 +322,7 @@
                                   message->revision, events, message->count);
   s->applying_peer_changes = false;
   if (!applied && s->has_endpoints)
-    reread_after_gap (s, message->after);
+    poll_after_gap (s, message->after);
 }
 
 void
@@ -349,8 +349,9 @@
          || beryl_platform_is_away (platform_client_core (s->client));
 }
 
-/* The waiting watches of all nodes are answered at the same moment.  One that
- * stays behind waits on a connection that went silent. */
+/* Polls the store if this node stays behind its peers.  The waiting watches of
+ * all nodes are answered at the same time, so one that stays behind is waiting
+ * on a dead connection. */
 static void
 check_behind (struct platform_source *s)
 {
@@ -361,19 +362,18 @@
   else if (s->behind_since_ms == 0)
     s->behind_since_ms = now_ms;
   else if (now_ms - s->behind_since_ms >= BEHIND_MAX_MS
-           && (s->rewatched_ms == 0
-               || now_ms - s->rewatched_ms >= REWATCH_INTERVAL_MS))
+           && (s->polled_ms == 0 || now_ms - s->polled_ms >= POLL_INTERVAL_MS))
     {
       g_info ("endpoints behind peers: seen=%" G_GUINT64_FORMAT
               " peers=%" G_GUINT64_FORMAT,
               s->endpoint_revision, s->peer_revision);
-      s->rewatched_ms = now_ms;
+      s->polled_ms = now_ms;
       platform_client_poke (s->client, s->endpoint_watch);
       platform_client_poke (s->client, s->configuration_watch);
     }
 }
 
-/* Tells once when the store stops answering, and once when it is back. */
+/* Logs once when the store becomes unreachable and once when it is back. */
 static void
 check_store (struct platform_source *s)
 {
@@ -387,7 +387,7 @@
                "%" G_GUINT64_FORMAT " endpoints revision=%" G_GUINT64_FORMAT,
                s->configuration_revision, s->endpoint_revision);
   else
-    g_info ("store regained");
+    g_info ("store reachable again");
 }
 
 static void
@@ -399,14 +399,16 @@
   check_behind (s);
   if (!beryl_lives_expire (s->endpoints, loop_now_ms (s->loop)))
     return;
-  g_info ("endpoints that lapsed with the outage are not back: gone");
+  g_info ("endpoints removed whose entries expired in the outage and did not "
+          "return");
   s->owner->impl->endpoints_changed (s->owner);
 }
 
 struct platform_source *
 platform_source_create (struct loop *loop, const struct gateway_wire *wire,
                         struct platform_client *client,
-                        struct beryl_lives *lives, struct counters *counters,
+                        struct beryl_lives *endpoints,
+                        struct counters *counters,
                         struct platform_source_owner *owner)
 {
   struct platform_source *s = g_new0 (struct platform_source, 1);
@@ -414,7 +416,7 @@
   s->loop = loop;
   s->wire = wire;
   s->client = client;
-  s->endpoints = lives;
+  s->endpoints = endpoints;
   s->counters = counters;
   s->owner = owner;
   s->configuration_text = g_string_new (NULL);
--- a/gatewayd/platform_source.h
+++ b/gatewayd/platform_source.h
@@ -1,6 +1,6 @@
 /** @file
- * Watches the platform's API: the configuration object, and the entries of
- * the endpoints.
+ * Watches the platform's API: the configuration object and the entries of the
+ * endpoints.
  */
 #ifndef GATEWAYD_SOURCE_H
 #define GATEWAYD_SOURCE_H
@@ -16,17 +16,17 @@
 struct platform_source;
 struct platform_source_owner;
 
-/** What the owner does with news. */
+/** Callbacks to the owner. */
 struct platform_source_owner_impl
 {
-  /** A newer configuration is in force; the callee takes its reference. */
+  /** A newer configuration is in use; the callee takes over the reference. */
   void (*routes_changed) (struct platform_source_owner *owner,
                           struct beryl_routes *routes);
   /** The set of endpoints changed. */
   void (*endpoints_changed) (struct platform_source_owner *owner);
-  /** The store answered: these are the COUNT changes after revision AFTER, up
-   * to REVISION, in order of versions.  If COMPLETE is not set there were more
-   * than are kept.  May be NULL. */
+  /** The store returned COUNT changes of endpoints after revision AFTER, up to
+   * REVISION, ordered by version.  If COMPLETE is not set, there were more
+   * than can be buffered.  May be NULL. */
   void (*changes_received) (struct platform_source_owner *owner,
                             uint64_t after, uint64_t revision,
                             const struct entry_change *changes, size_t count,
@@ -39,27 +39,27 @@
   const struct platform_source_owner_impl *impl;
 };
 
-/** Watch through CLIENT; LIVES takes the endpoints. */
-struct platform_source *
-platform_source_create (struct loop *loop, const struct gateway_wire *wire,
-                        struct platform_client *client,
-                        struct beryl_lives *lives, struct counters *counters,
-                        struct platform_source_owner *owner);
+/** Watch through CLIENT and keep ENDPOINTS up to date. */
+struct platform_source *platform_source_create (
+    struct loop *loop, const struct gateway_wire *wire,
+    struct platform_client *client, struct beryl_lives *endpoints,
+    struct counters *counters, struct platform_source_owner *owner);
 
 /** Release; NULL is allowed. */
 void platform_source_destroy (struct platform_source *source);
 
-/** Take a configuration that another node has; an older one than this node's
- * is not used. */
+/** Use a configuration from another node, unless it is older than the one in
+ * use. */
 void platform_source_offer_configuration (struct platform_source *source,
                                           uint64_t revision, const char *value,
                                           size_t value_bytes);
 
-/** Return the configuration's version; 0: none. */
+/** Return the version of the configuration in use; 0 if there is none. */
 uint64_t
 platform_source_configuration_version (const struct platform_source *source);
 
-/** Return the revision and the text of the configuration in use. */
+/** Return the revision and the JSON text of the configuration object in
+ * use. */
 uint64_t
 platform_source_configuration_revision (const struct platform_source *source);
 const char *
@@ -70,25 +70,25 @@
 uint64_t
 platform_source_endpoint_revision (const struct platform_source *source);
 
-/** A peer has seen endpoints' changes up to REVISION: look, if this node has
- * not. */
+/** A peer has seen changes of endpoints up to REVISION; poll the store if this
+ * node stays behind. */
 void platform_source_set_peer_revision (struct platform_source *source,
                                         uint64_t revision);
 
-/** A node that watches the list of endpoints passed MESSAGE on. */
+/** Apply MESSAGE, which a watcher of the endpoint list relayed. */
 void platform_source_apply_changes (struct platform_source *source,
                                     const struct changes_message *message);
 
-/** Watch the list of endpoints as ROLE asks; calls of a watcher wait for
- * WAIT_MS. */
+/** Watch the endpoint list according to ROLE: a follower makes no calls, those
+ * of a watcher wait for WAIT_MS. */
 void platform_source_set_role (struct platform_source *source,
                                enum beryl_relay_role role, int64_t wait_ms);
 
-/** A peer has a newer configuration: return whether to ask it for that now.
- * Not if the store is likely to bring it as soon. */
+/** A peer has a newer configuration: return whether to pull it now.  False
+ * while the store is likely to deliver it as soon. */
 bool platform_source_should_pull (struct platform_source *source);
 
-/** Whether both were read whole at least once. */
+/** Return whether a configuration and the endpoint list have been read. */
 bool platform_source_is_synced (const struct platform_source *source);
 
 #endif
--- a/gatewayd/quarantine_records.c
+++ b/gatewayd/quarantine_records.c
@@ -24,13 +24,12 @@
   struct loop_timer *retry;
 };
 
-/* One that is to be written. */
+/* A record to be written. */
 struct record
 {
   uint64_t fingerprint;
   int64_t expires_s;         /* Unix time */
-  uint64_t existing_version; /* version of a record that stands there; 0: none
-                                does */
+  uint64_t existing_version; /* of a record to replace; 0 if none */
 };
 
 static const struct platform_client_options options
@@ -67,12 +66,12 @@
       write_first (q);
       return;
     }
-  /* What stands there may be from a former time. */
+  /* The existing record may be from an earlier quarantine: replace it. */
   if (result->code == BERYL_ERROR_CONFLICT)
     record->existing_version = result->version;
   else
     g_warning ("record of fingerprint=%016" G_GINT64_MODIFIER
-               "x is not written: %s",
+               "x not written: %s",
                record->fingerprint, beryl_error_code_name (result->code));
   q->retry = loop_timer_start (q->loop, RETRY_MS, 0, retry_due, q);
 }
@@ -178,7 +177,7 @@
   ((struct quarantine_records *)user)->delete_request = 0;
 }
 
-/* One at a time; the next list shows what is left. */
+/* Deletes one record at a time; the next list shows the others again. */
 static void
 remove_record (struct quarantine_records *q, const struct beryl_object *object)
 {
--- a/gatewayd/quarantine_records.h
+++ b/gatewayd/quarantine_records.h
@@ -1,8 +1,10 @@
 /** @file
- * Records of quarantined requests in the platform's API, which outlive all
- * nodes.  They stand among the records of nodes, so that the list of those
- * brings them without a call of their own.  An operator lifts a quarantine by
- * deleting its record.
+ * Records of quarantined requests in the platform's API, which survive a
+ * restart of all nodes.
+ *
+ * They have the kind of the node records, so that the list of those returns
+ * them without another call.  An operator lifts a quarantine by deleting its
+ * record.
  */
 #ifndef GATEWAYD_QUARANTINE_RECORDS_H
 #define GATEWAYD_QUARANTINE_RECORDS_H
@@ -23,11 +25,13 @@
 /** Release; the records stay.  NULL is allowed. */
 void quarantine_records_destroy (struct quarantine_records *records);
 
-/** Put FINGERPRINT on record for LEFT_MS, until that is done. */
+/** Write a record that quarantines FINGERPRINT for LEFT_MS; retries until it
+ * is written. */
 void quarantine_records_add (struct quarantine_records *records,
                              uint64_t fingerprint, int64_t left_ms);
 
-/** Take all records of the kind, those of nodes included. */
+/** Update the quarantine from all records of the kind, which include those of
+ * nodes. */
 void quarantine_records_update (struct quarantine_records *records,
                                 const struct beryl_object *objects,
                                 size_t count);
--- a/gatewayd/registry.c
+++ b/gatewayd/registry.c
@@ -7,11 +7,12 @@
 
 #define CALL_TIMEOUT_MS 3000
 #define RETRY_MS 200
-/* The first lists come quickly, since the nodes of a fleet start together;
- * later news travels between the nodes and the list only repairs. */
+/* The first lists follow each other quickly, since the nodes of a fleet start
+ * together.  Later changes spread between the nodes, and the list only
+ * repairs. */
 #define INITIAL_LIST_MS 1000
 #define INITIAL_LIST_COUNT 2
-/* With more nodes each lists less often. */
+/* With more nodes each one lists less often. */
 #define LIST_MIN_MS 10000
 #define LIST_PER_NODE_MS 2000
 
@@ -23,9 +24,9 @@
   struct registry_owner *owner;
   struct loop_timer *timer;
   uint64_t request;
-  uint64_t version;          /* of the record; 0: not written by this life */
-  uint64_t existing_version; /* version that a former life left */
-  uint64_t delete_request; /* request that takes back another node's record */
+  uint64_t version;          /* of the record; 0 until this process wrote it */
+  uint64_t existing_version; /* of a record left by an earlier process */
+  uint64_t delete_request;   /* request that removes another node's record */
   uint32_t list_count;
 };
 
@@ -146,7 +147,7 @@
   ((struct registry *)user)->delete_request = 0;
 }
 
-/* One at a time; the next list shows what is left. */
+/* Removes one record at a time; the next list shows the others again. */
 static void
 remove_stale_record (struct registry *r, const struct beryl_object *objects,
                      size_t count)
@@ -158,7 +159,7 @@
       if (strcmp (node, r->settings->node) == 0
           || !r->owner->impl->should_remove (r->owner, node))
         continue;
-      g_info ("record of node=%s is taken back", node);
+      g_info ("record of node=%s removed", node);
       r->delete_request
           = platform_client_delete (r->client, &write_options, REGISTRY_KIND,
                                     node, objects[i].version, delete_done, r);
@@ -194,7 +195,8 @@
     count += read_record (&result->objects[i], &items[count]);
   r->owner->impl->records_listed (r->owner, items, count);
   remove_stale_record (r, result->objects, result->object_count);
-  /* Another node took this one for gone, for instance in a partition. */
+  /* Another node has removed this one's record, for instance in a partition:
+     register again. */
   if (!contains_own (r, items, count))
     {
       r->existing_version = 0;
--- a/gatewayd/registry.h
+++ b/gatewayd/registry.h
@@ -1,10 +1,9 @@
 /** @file
- * This node's record in the platform's API, and those of the others.
- * Nothing expires there by itself, so that one node takes back the records of
- * those that never will.
+ * This node's record in the platform's API, and those of the other nodes.
  *
- * The record's version numbers this life of the node: it only grows,
- * whatever the clock does, and no disk is needed.
+ * The API expires nothing, so one node removes the records of nodes that are
+ * gone for good.  The version of the record is the incarnation of this
+ * process: it only grows, whatever the clock does, and needs no disk.
  */
 #ifndef GATEWAYD_REGISTRY_H
 #define GATEWAYD_REGISTRY_H
@@ -14,25 +13,26 @@
 #include "common/platform_client.h"
 #include "settings.h"
 
-/** Kind of the records; also of others that concern the whole fleet. */
+/** Kind of the node records and of others that concern the whole fleet. */
 #define REGISTRY_KIND "gateway-nodes"
 
 struct registry;
 struct registry_owner;
 
-/** What the owner does with news. */
+/** Callbacks to the owner. */
 struct registry_owner_impl
 {
-  /** This node is on record; INCARNATION is above any former one's. */
+  /** This node has a record; INCARNATION is above that of any earlier
+   * process. */
   void (*registered) (struct registry_owner *owner, uint64_t incarnation);
-  /** All records. */
+  /** All node records were listed. */
   void (*records_listed) (struct registry_owner *owner,
                           const struct beryl_listed *items, size_t count);
-  /** All objects of the kind; told before the records. */
+  /** All objects of the kind were listed; called before records_listed. */
   void (*objects_listed) (struct registry_owner *owner,
                           const struct beryl_object *objects, size_t count);
-  /** Whether this node is to take back the record of NODE, which is gone for
-   * good. */
+  /** Return whether this node is to remove the record of NODE, which is gone
+   * for good. */
   bool (*should_remove) (struct registry_owner *owner, const char *node);
 };
 
@@ -42,7 +42,7 @@
   const struct registry_owner_impl *impl;
 };
 
-/** Begin to register.  PEER_PORT is told to the others. */
+/** Start registering this node, with the address and peer port in SETTINGS. */
 struct registry *registry_create (struct loop *loop,
                                   struct platform_client *client,
                                   const struct gateway_settings *settings,
@@ -51,10 +51,10 @@
 /** Release; the record stays.  NULL is allowed. */
 void registry_destroy (struct registry *registry);
 
-/** Read the records now rather than later. */
+/** List the records now instead of at the next interval. */
 void registry_refresh (struct registry *registry);
 
-/** Take the record back, at a planned stop. */
+/** Remove this node's record, at a graceful shutdown. */
 void registry_withdraw (struct registry *registry);
 
 #endif
--- a/gatewayd/relay.c
+++ b/gatewayd/relay.c
@@ -7,15 +7,16 @@
 #include "store.h"
 #include "wire/link.h"
 
-/* How often it is looked who watches and whether the watchers fell silent. */
+/* Interval at which the candidates for watchers and the silence of watchers
+ * are checked. */
 #define ROLE_CHECK_MS 100
-/* Watchers in each data centre: with one, its loss would be noticed by all of
- * its followers at once. */
+/* Watchers in each data centre.  If there were only one, its loss would affect
+ * all of its followers at once. */
 #define WATCHER_COUNT 2
 #define ROLE_NAME "endpoint-watcher"
-/* Bytes of one message: a datagram's, less the fields of the message. */
+/* Bytes of changes in one message: a datagram's, less the other fields. */
 #define MESSAGE_MAX_BYTES (DATAGRAM_MAX_BYTES - 64)
-/* Of one change, beside its name and value. */
+/* Bytes of one change beside its name and value. */
 #define CHANGE_OVERHEAD_BYTES 24
 
 struct relay
@@ -83,8 +84,8 @@
   return strlen (change->name) + change->value_bytes + CHANGE_OVERHEAD_BYTES;
 }
 
-/* Takes into MESSAGE as many of COUNT changes as one datagram holds; returns
- * their number, 0 if the first is too large. */
+/* Fills MESSAGE with as many of COUNT changes as fit into one datagram;
+ * returns their number, 0 if the first one is too large. */
 static size_t
 fill_message (struct changes_message *message,
               const struct entry_change *changes, size_t count)
@@ -104,8 +105,9 @@
   return message->count;
 }
 
-/* Whether all changes have versions of their own.  Those that a whole list
- * shows by absence have not, and two messages could not share them. */
+/* Returns whether all changes have distinct versions.  Deletions that follow
+ * from a full list do not, and messages must not be split between changes of
+ * one version. */
 static bool
 has_distinct_versions (const struct entry_change *changes, size_t count)
 {
@@ -126,7 +128,7 @@
     return;
   if (!complete || !has_distinct_versions (changes, count))
     {
-      /* Followers see a gap in it and look by themselves. */
+      /* Followers detect a gap and poll the store themselves. */
       message.after = revision;
       count = 0;
     }
@@ -139,7 +141,8 @@
     {
       size_t taken = fill_message (&message, changes + sent, count - sent);
 
-      /* One that no datagram holds is left out, which is a gap too. */
+      /* A change that fits into no datagram is left out, which is a gap
+         too. */
       sent += taken > 0 ? taken : 1;
       message.revision = sent == count ? revision : changes[sent - 1].version;
       if (taken > 0)
--- a/gatewayd/relay.h
+++ b/gatewayd/relay.h
@@ -1,6 +1,6 @@
 /** @file
- * Passes changes of the list of endpoints on to the nodes of the own data
- * centre, or takes them from there.
+ * Relays changes of the endpoint list between the nodes of a data centre:
+ * watchers send them, followers receive them.
  */
 #ifndef GATEWAYD_RELAY_H
 #define GATEWAYD_RELAY_H
@@ -13,7 +13,8 @@
 
 struct relay;
 
-/** Create for SOURCE, which is fed, and MEMBERS, who are told. */
+/** Create a relay that applies received changes to SOURCE and sends changes
+ * through MEMBERS. */
 struct relay *relay_create (struct loop *loop,
                             const struct gateway_settings *settings,
                             struct platform_source *source,
@@ -23,16 +24,16 @@
 /** Release; NULL is allowed. */
 void relay_destroy (struct relay *relay);
 
-/** The store answered the source's watch; as in struct
- * platform_source_owner_impl. */
+/** Send changes that the store reported, if this node is a watcher; parameters
+ * as in struct platform_source_owner_impl. */
 void relay_send (struct relay *relay, uint64_t after, uint64_t revision,
                  const struct entry_change *changes, size_t count,
                  bool complete);
 
-/** Whether this node passes on what it sees. */
+/** Return whether this node is a watcher. */
 bool relay_is_watcher (const struct relay *relay);
 
-/** A peer passed MESSAGE on. */
+/** Handle changes that a peer relayed. */
 void relay_receive (struct relay *relay,
                     const struct changes_message *message);
 
--- a/gatewayd/settings.h
+++ b/gatewayd/settings.h
@@ -35,11 +35,10 @@
   double repeat_ratio;
   uint32_t repeat_slack;
   int64_t repeat_window_ms;
-  int64_t address_keep_ms; /**< how long callers may cache node addresses */
-  int64_t
-      endpoint_leave_ms;  /**< how long an endpoint that left may get work */
-  int64_t stop_ms;        /**< time from the stop signal to the kill */
-  int64_t record_keep_ms; /**< how long a silent node's record is kept */
+  int64_t address_keep_ms;   /**< how long callers may cache node addresses */
+  int64_t endpoint_leave_ms; /**< grace period of an endpoint that left */
+  int64_t stop_ms;           /**< time from the stop signal to the kill */
+  int64_t record_keep_ms;    /**< how long a silent node's record is kept */
   int64_t lease_ms;
   int64_t thaw_ms; /**< longest delay of an order on its way to an engine */
   bool engines_check_fence;
--- a/gatewayd/store.c
+++ b/gatewayd/store.c
@@ -1,20 +1,22 @@
 #include "store.h"
 
-/* Store calls are short; one that takes longer has met a silent store. */
+/* Store calls are short; if one takes longer, the store does not respond. */
 #define CALL_TIMEOUT_MS 700
-/* A waiting watch is renewed so often: a connection that went silent is
- * noticed by the answer that does not come.  With more nodes each renews less
- * often, since one of them notices as soon and tells the others: the calls of
- * the fleet stay the same. */
+/* How long a watch waits until it is renewed; a dead connection is detected by
+ * the missing response.  The time grows with the number of nodes, since one of
+ * them still notices a change as soon and informs the others: the call rate of
+ * the fleet stays the same. */
 #define WATCH_MIN_MS 2000
 #define WATCH_PER_NODE_MS 500
 #define WATCH_MAX_MS 25000
 #define BACKOFF_MIN_MS 50
 #define BACKOFF_MAX_MS 400
-/* While the store is away the calls of the fleet stay the same too. */
+/* The longest backoff grows likewise, so that the call rate of the fleet stays
+ * the same while the store is unreachable. */
 #define BACKOFF_PER_NODE_MS 15
 #define BACKOFF_LIMIT_MS 1300
-/* Before the first list of nodes this one takes itself for one of many. */
+/* Number of nodes that are assumed to share the rates until the nodes have
+ * been listed. */
 #define ASSUMED_NODES 50
 
 struct platform_client *
--- a/gatewayd/store.h
+++ b/gatewayd/store.h
@@ -1,5 +1,6 @@
 /** @file
- * The client of the platform's API, with the limits that a gateway keeps to.
+ * The client of the platform's API, with limits that depend on the size of the
+ * fleet.
  */
 #ifndef GATEWAYD_STORE_H
 #define GATEWAYD_STORE_H
@@ -10,8 +11,8 @@
 #include "gateway/wire.h"
 #include "settings.h"
 
-/** Between an answer to a watch and its next call: changes that come together
- * are taken together. */
+/** Delay between a watch's response and its next call, by which changes that
+ * occur together are read together. */
 #define STORE_WATCH_SPACING_MS 400
 
 /** Create the client; SEED fixes its jitter. */
@@ -22,12 +23,12 @@
                                       struct counters *counters,
                                       uint64_t seed);
 
-/** Keep to this node's part of the API's rates, as one of NODES. */
+/** Limit this node to its share of the API's rates, as one of NODES. */
 void store_set_nodes (struct platform_client *client,
                       const struct gateway_settings *settings, uint32_t nodes);
 
-/** Change how long a watch waits.  NODES live; an ISOLATED one has nobody who
- * would tell it of a change. */
+/** Set how long a watch waits, in a fleet of NODES.  An ISOLATED node uses the
+ * shortest time, since no peer would tell it of a change. */
 void store_set_watch_wait (struct platform_client *client, uint32_t nodes,
                            bool isolated);
 
--- a/gatewayd/survey.c
+++ b/gatewayd/survey.c
@@ -4,10 +4,10 @@
 
 #include "engine_call.h"
 
-/* How often it is looked whether the list of engines is there; it comes whole
- * within some tens of milliseconds of a start. */
+/* Interval at which the node checks whether the endpoint list has arrived,
+ * which takes some tens of milliseconds after a start. */
 #define LIST_CHECK_MS 50
-/* Engines that one node asks: enough for all of a small fleet's, and a bound
+/* Engines that one node asks: enough for all of a small fleet, and a bound
  * where hundreds of nodes and thousands of engines start together. */
 #define ENGINES_MAX 32
 #define RESPONSE_MAX_BYTES (256U << 10)
@@ -104,14 +104,14 @@
 
 struct survey *
 survey_create (struct loop *loop, const struct gateway_wire *wire,
-               struct beryl_forward *forward, struct beryl_lives *lives)
+               struct beryl_forward *forward, struct beryl_lives *endpoints)
 {
   struct survey *survey = g_new0 (struct survey, 1);
 
   survey->loop = loop;
   survey->wire = wire;
   survey->forward = forward;
-  survey->endpoints = lives;
+  survey->endpoints = endpoints;
   survey->queries = g_ptr_array_new_with_free_func (query_free);
   survey->timer = loop_timer_start (loop, LIST_CHECK_MS, LIST_CHECK_MS,
                                     start_queries, survey);
--- a/gatewayd/survey.h
+++ b/gatewayd/survey.h
@@ -1,9 +1,9 @@
 /** @file
- * After a start, asks the engines which prompts they keep.
+ * After a start, asks the decode engines which prompts they have cached.
  *
- * When nodes lose power, their callers come back with the same prompts within
- * seconds, all at once; the engines still have most of them.  Nodes that live
- * on know where those prompts ran, this one does not.
+ * When nodes lose power, their callers return with the same prompts within
+ * seconds, all at once, and the engines still have most of them.  Nodes that
+ * kept running know where those prompts ran, a restarted one does not.
  */
 #ifndef GATEWAYD_SURVEY_H
 #define GATEWAYD_SURVEY_H
@@ -18,7 +18,7 @@
 struct survey *survey_create (struct loop *loop,
                               const struct gateway_wire *wire,
                               struct beryl_forward *forward,
-                              struct beryl_lives *lives);
+                              struct beryl_lives *endpoints);
 
 /** Release; NULL is allowed. */
 void survey_destroy (struct survey *survey);
--- a/include/gateway/wire.h
+++ b/include/gateway/wire.h
@@ -46,10 +46,9 @@
 {
   const struct beryl_live_info *engine;
   enum beryl_stage stage;
-  const char *holder; /**< node that gives the order */
-  uint64_t fence;     /**< fencing token; grows with each lease holder */
-  uint64_t
-      expected_orders; /**< the engine must have accepted this many so far */
+  const char *holder;       /**< node that gives the order */
+  uint64_t fence;           /**< fencing token; grows with each lease holder */
+  uint64_t expected_orders; /**< orders it must have accepted so far */
 };
 
 /** Result of an order. */
@@ -105,7 +104,7 @@
   /** Parse the head of ENDPOINT's response to RUN. */
   void (*read_response) (const struct gateway_wire *wire, const char *endpoint,
                          const struct h1_head *head,
-                         struct beryl_answer_head *answer);
+                         struct beryl_answer_head *response);
   /** Parse ENDPOINT's response to any other exchange. */
   void (*read_engine_response) (const struct gateway_wire *wire,
                                 const char *endpoint,
