--- a/tests/gateway/slow_link.c
+++ b/tests/gateway/slow_link.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #define TICK_MS 10
-/* More than that of one connection is left in the sender's socket. */
+/* Bytes buffered for one connection; the rest stays in the sender's socket. */
 #define BUFFER_MAX_BYTES 16384
 #define ROUTES_MAX 4
 
@@ -27,19 +27,19 @@
   size_t route_count;
 };
 
-/* Two sockets; both are closed together and release it. */
+/* A pair of sockets, closed together; freed when both are closed. */
 struct connection
 {
   struct slow_link *link;
   uv_tcp_t node;
   uv_tcp_t remote;
   uv_connect_t connect;
-  GByteArray *buffer; /* on the way to the node */
-  bool reading;       /* from the far end */
+  GByteArray *buffer; /* bytes on their way to the node */
+  bool reading;       /* from the remote socket */
   bool remote_ended;
   bool frozen;
   bool closing;
-  unsigned int open_sockets; /* sockets */
+  unsigned int open_sockets; /* sockets not closed yet */
 };
 
 struct write
@@ -164,7 +164,8 @@
     connection_close (c);
 }
 
-/* Carries up to BYTES of a connection, which ends with its far end. */
+/* Forwards up to BYTES to the node; closes the connection once the remote end
+ * has closed and its bytes are forwarded. */
 static void
 forward_buffered (struct connection *c, size_t bytes)
 {
--- a/tests/gateway/slow_link.h
+++ b/tests/gateway/slow_link.h
@@ -1,6 +1,7 @@
 /** @file
- * A link of limited rate between a node and others, on the test's loop: bytes
- * towards the node share its rate, bytes from it are not limited.
+ * A link of limited bandwidth between a node and other processes, simulated on
+ * the test's loop: connections towards the node share its bandwidth, bytes
+ * from the node are not limited.
  */
 #ifndef TESTS_GATEWAY_SLOW_LINK_H
 #define TESTS_GATEWAY_SLOW_LINK_H
@@ -12,17 +13,18 @@
 /** Create a link that carries BYTES_PER_S towards the node. */
 struct slow_link *slow_link_create (struct loop *loop, uint32_t bytes_per_s);
 
-/** Let the node reach PORT at 127.0.0.1 through LINK; returns the port to
- * connect to instead.  Fails the test if it cannot. */
+/** Route connections to 127.0.0.1:PORT through LINK; returns the port to
+ * connect to instead.  Fails the test if it cannot listen. */
 uint16_t slow_link_add_route (struct slow_link *link, uint16_t port);
 
-/** Let all connections that are open go silent for good; new ones work. */
+/** Stop carrying bytes towards the node on all open connections; new ones
+ * work. */
 void slow_link_freeze (struct slow_link *link);
 
-/** Return the bytes that were carried towards the node. */
+/** Return the number of bytes that were carried towards the node. */
 uint64_t slow_link_carried_bytes (const struct slow_link *link);
 
-/** Close all connections and release; the loop must turn once more. */
+/** Close all connections and release; the loop must run once more. */
 void slow_link_destroy (struct slow_link *link);
 
 #endif
--- a/tests/gateway/test_crashes.c
+++ b/tests/gateway/test_crashes.c
@@ -7,9 +7,9 @@
 #define NODES 3
 #define CRASH_PATH "/crash/"
 #define MODEL_FIELDS "X-Token-Counts: 1000,1000\r\nX-Length-Hint: 1000\r\n"
-/* Runners are back so soon. */
+/* Time after which a crashed endpoint restarts. */
 #define RESTART_MS 400
-/* By then each node has heard of the third crash. */
+/* Time by which each node knows of the third crash. */
 #define PROPAGATION_MS 700
 #define CRASHES_ALLOWED 3
 #define REFUSED_REQUESTS (4 * NODES)
@@ -36,8 +36,8 @@
                       CRASH_PATH "x", model ? MODEL_FIELDS : "");
 }
 
-/* Has the request come again, at one node after the other, until it has
- * crashed as many runners as it may. */
+/* Sends the request to one node after the other until it has crashed as many
+ * endpoints as allowed. */
 static void
 crash_runners (bool model)
 {
@@ -51,8 +51,8 @@
   testbed_run (&w, PROPAGATION_MS);
 }
 
-/* Sends it to each node some times: it reaches no runner, and its callers hear
- * at once that it has not run. */
+/* Sends the request to each node several times.  It must reach no endpoint,
+ * and its callers must learn at once that it was not run. */
 static void
 assert_refused (bool model)
 {
@@ -85,8 +85,8 @@
   return response->done && response->status == 200;
 }
 
-/* A generation that crashes each engine which runs it comes again at every
- * node and takes one engine after the other. */
+/* Guards against a generation that crashes every engine it runs on, is retried
+ * at every node and takes down one engine after the other. */
 START_TEST (test_crashing_generation)
 {
   testbed_start_nodes (&w, NODES);
@@ -105,8 +105,8 @@
 }
 END_TEST
 
-/* A node that has started again does not know what the others know, and the
- * request crashes three more runners. */
+/* Guards against a restarted node that does not know of the quarantine, so
+ * that the request crashes three more endpoints. */
 START_TEST (test_node_restarts)
 {
   testbed_start_nodes (&w, NODES);
@@ -119,7 +119,8 @@
 }
 END_TEST
 
-/* All nodes were killed together, and with them all that they knew. */
+/* Guards against losing the quarantine when all nodes are killed at the same
+ * time. */
 START_TEST (test_all_nodes_restart)
 {
   testbed_start_nodes (&w, NODES);
@@ -136,7 +137,7 @@
 int
 main (void)
 {
-  Suite *suite = suite_create ("requests that crash runners");
+  Suite *suite = suite_create ("requests that crash endpoints");
   TCase *tcase = tcase_create ("crashes");
 
   tcase_add_checked_fixture (tcase, setup, teardown);
--- a/tests/gateway/test_fingerprint.c
+++ b/tests/gateway/test_fingerprint.c
@@ -16,7 +16,8 @@
   return fingerprint_request (&head, caller, body, strlen (body));
 }
 
-/* A request that comes again under another id is not recognised. */
+/* Guards against not recognising a request that is retried under another
+ * id. */
 START_TEST (test_same_request)
 {
   ck_assert_uint_eq (fingerprint ("1", "h", "/x", "c", "body"),
@@ -24,7 +25,7 @@
 }
 END_TEST
 
-/* Requests that differ are taken for the same. */
+/* Guards against equal fingerprints of requests that differ. */
 START_TEST (test_other_requests)
 {
   uint64_t first = fingerprint ("1", "h", "/x", "c", "body");
--- a/tests/gateway/test_gateway.c
+++ b/tests/gateway/test_gateway.c
@@ -4,8 +4,8 @@
 #include "../suite.h"
 #include "testbed.h"
 
-/* By then a node has heard of several changes in the store, one after the
- * other. */
+/* Time by which a node has learned of several successive changes in the
+ * store. */
 #define PROPAGATION_MS 1500
 
 static struct testbed w;
@@ -31,7 +31,7 @@
   ck_assert_ptr_nonnull (strstr (response->fields->str, "X-Response-Seal: "));
 }
 
-/* A stream has events 1 to COUNT and no others. */
+/* Checks that a stream has exactly the events 1 to COUNT. */
 static void
 assert_stream (const struct testbed_response *response, uint32_t count)
 {
@@ -80,8 +80,8 @@
 }
 END_TEST
 
-/* Before the first configuration nothing can be said of any request; the node
- * is not ready, and says so instead of "not found". */
+/* Guards against answering "not found" before the first configuration: the
+ * node must report itself as not ready and refuse requests with 503. */
 START_TEST (test_not_ready)
 {
   struct testbed_response *response;
@@ -98,8 +98,8 @@
 }
 END_TEST
 
-/* The nodes find each other through the store alone, and one that is killed
- * is no longer named. */
+/* Guards against a killed node that is still listed to callers.  The nodes
+ * discover each other only through the store. */
 static bool
 killed_node_is_unlisted (struct testbed *testbed)
 {
@@ -124,8 +124,8 @@
   return standin_count (testbed->standin, "gateway-nodes") == 2;
 }
 
-/* A node is gone for good.  Nothing expires in the store by itself: the node
- * that plans the stages takes its record back, and only that one. */
+/* Guards against records of nodes that are gone for good, since the store
+ * expires nothing.  The planning node must remove that record and no other. */
 START_TEST (test_stale_record_is_removed)
 {
   testbed_start_nodes (&w, 3);
@@ -135,8 +135,8 @@
 }
 END_TEST
 
-/* The store lost a living node's record, as after a partition in which others
- * took it for gone: it registers again. */
+/* Guards against a running node that stays without a record after another one
+ * removed it, as may happen in a partition: it must register again. */
 START_TEST (test_lost_record_is_rewritten)
 {
   testbed_start_nodes (&w, 2);
@@ -145,8 +145,8 @@
 }
 END_TEST
 
-/* The operator moves a route to another service: every node follows, also one
- * that does not reach the store and hears of it from its peers. */
+/* Guards against nodes that miss a change of routes.  Nodes that cannot reach
+ * the store get it from their peers. */
 static bool
 three_nodes_serve_new_route (struct testbed *testbed)
 {
@@ -170,7 +170,7 @@
 }
 END_TEST
 
-/* Twenty requests are answered whole, none of them by RUNNER. */
+/* Checks that 20 requests succeed and none of them is sent to ENDPOINT. */
 static void
 assert_gets_no_work (const struct standin_runner *endpoint)
 {
@@ -187,8 +187,8 @@
   ck_assert_uint_eq (standin_runner_executions (endpoint), before);
 }
 
-/* A runner says that it leaves: it gets no more work, and what it has runs to
- * its end. */
+/* Guards against new work for an endpoint that announced that it is leaving;
+ * requests it already has run to their end. */
 START_TEST (test_draining_runner)
 {
   testbed_start_nodes (&w, 1);
@@ -198,8 +198,8 @@
 }
 END_TEST
 
-/* Guards against a stand-in that lists a runner again after its entry was
- * removed for leaving, by which nodes would send it work until it exits. */
+/* Guards against a simulated platform that lists an endpoint again after its
+ * entry was removed for leaving: nodes would send it work until it exits. */
 START_TEST (test_removed_runner_stays_removed)
 {
   testbed_start_nodes (&w, 1);
@@ -210,8 +210,8 @@
 }
 END_TEST
 
-/* A decode engine dies in the middle of a stream; the caller gets each event
- * once, from two engines. */
+/* Guards against lost or repeated events when a decode engine crashes during a
+ * stream: the caller must get each event once, from two engines. */
 START_TEST (test_engine_crashes)
 {
   struct testbed_response *response;
@@ -227,7 +227,8 @@
 }
 END_TEST
 
-/* An engine freezes; its connections stay open. */
+/* Guards against a stream that hangs because its engine froze with open
+ * connections. */
 START_TEST (test_engine_freezes)
 {
   struct testbed_response *response;
@@ -241,8 +242,8 @@
 }
 END_TEST
 
-/* An engine leaves while it streams: the run moves to another one, from its
- * memory and without a second prefill. */
+/* Guards against a second prefill when an engine leaves during a stream: the
+ * run must move to another engine together with its KV cache. */
 START_TEST (test_engine_leaves)
 {
   struct testbed_response *response;
@@ -259,9 +260,10 @@
 }
 END_TEST
 
-/* A plain runner freezes with requests in hand.  Those that may be repeated
- * are answered by another one long before their deadline; one that may run
- * only once waits, and is never sent again. */
+/* Guards against requests that wait for a frozen endpoint until their
+ * deadline.  Those that may be repeated must be answered by another endpoint
+ * long before; one that may run only once waits and must never be sent
+ * again. */
 START_TEST (test_plain_runner_freezes)
 {
   struct testbed_response *responses[12];
@@ -291,8 +293,8 @@
 }
 END_TEST
 
-/* The store is silent: everything known goes on to be served, and what changed
- * meanwhile is known soon after it is back. */
+/* Guards against an outage of the store that affects requests, and against
+ * changes during the outage that are not noticed soon after it. */
 START_TEST (test_store_silent)
 {
   testbed_start_nodes (&w, 2);
@@ -339,9 +341,9 @@
   return true;
 }
 
-/* Each answer of the store takes longer than a node waits before it takes its
- * watch for dead.  Asking anew before the answer has come, again and again,
- * would keep it from ever hearing of a change. */
+/* Guards against a node that never learns of a change because each response of
+ * the store takes longer than the node waits before it takes its watch for
+ * dead, so that it polls again and again before a response can arrive. */
 START_TEST (test_slow_store)
 {
   struct standin_runner_settings settings = { .id = "o0",
@@ -361,8 +363,8 @@
 }
 END_TEST
 
-/* The store forgets its history, and something changed in between: the nodes
- * list everything again. */
+/* Guards against missing changes from before a compaction of the store's
+ * history: the nodes must list everything again. */
 START_TEST (test_store_compacts)
 {
   testbed_start_nodes (&w, 1);
@@ -385,8 +387,9 @@
 }
 END_TEST
 
-/* A planned stop in the middle of work: what the node has read it finishes,
- * its name leaves the directory, and then it takes no more connections. */
+/* Guards against lost requests in a graceful shutdown: the node must finish
+ * the requests it has read, disappear from the directory and only then refuse
+ * connections. */
 START_TEST (test_graceful_shutdown)
 {
   struct testbed_response *stream, *response;
@@ -397,7 +400,7 @@
   gateway_stop (w.nodes[0]);
   ck_assert_uint_ne (
       testbed_query (&w, 0, TESTBED_READY_PORT, "/v1/ready")->status, 200);
-  /* A caller that has the address still is served, and told to leave. */
+  /* A caller that still has the address is served and told to close. */
   response = testbed_get (&w, 0, "a.example", "/x", "");
   testbed_wait (&w, response);
   assert_succeeded (response);
@@ -405,7 +408,7 @@
   testbed_run (&w, 300);
   response = testbed_query (&w, 1, TESTBED_DIRECTORY_PORT, "/v1/resolve");
   ck_assert_ptr_null (strstr (response->body->str, w.ips[0]));
-  /* The stop ends the loop; nothing is left then. */
+  /* The shutdown quits the loop once no request is open. */
   testbed_wait (&w, stream);
   assert_stream (stream, 30);
   testbed_run (&w, 1500);
@@ -416,7 +419,8 @@
 }
 END_TEST
 
-/* A caller leaves in the middle of its stream.  Its engine must stop. */
+/* Guards against an engine that keeps generating after its caller has
+ * disconnected. */
 START_TEST (test_caller_disconnects)
 {
   struct testbed_response *response;
@@ -434,9 +438,9 @@
 }
 END_TEST
 
-/* A node is killed in the middle of streams.  Their callers come back to
- * another node with the same prompts, which engines still have: nothing is
- * read a second time. */
+/* Guards against repeated prefills after a node is killed during streams: its
+ * callers retry at another node with the same prompts, which engines still
+ * have cached. */
 START_TEST (test_cached_prompts_after_node_killed)
 {
   static const char *const prompts[]
@@ -462,8 +466,8 @@
 }
 END_TEST
 
-/* All nodes lose power at once and start again; nobody remembers where
- * prompts ran, but the engines do. */
+/* Guards against repeated prefills after all nodes lose power at once: the
+ * restarted nodes must ask the engines which prompts they have cached. */
 START_TEST (test_cached_prompts_after_restart)
 {
   struct testbed_response *response;
@@ -482,8 +486,9 @@
 }
 END_TEST
 
-/* Three nodes place 60 generations at the same engines, and each is answered
- * by one run; at most MOST are rejected on the way. */
+/* Places 60 generations from three nodes at the same engines and checks that
+ * each is answered by exactly one run and at most REJECTED_MAX are rejected on
+ * the way. */
 static void
 share_engines (uint32_t rejected_max)
 {
@@ -506,14 +511,14 @@
     ck_assert_uint_eq (standin_runner_held (testbed_endpoint (&w, i)), 0);
 }
 
-/* Several nodes place generations at the same engines.  Together they keep to
- * the engines' memory: hardly a run is rejected, none is run twice. */
+/* Guards against nodes that together exceed the engines' memory: hardly any
+ * run may be rejected and none may run twice. */
 START_TEST (test_nodes_share_engines) { share_engines (3); }
 END_TEST
 
-/* The same with nodes in three data centres, who hear of each other's runs up
- * to a quarter of a second late: the engines' own word keeps them from running
- * over, at the price of some more questions. */
+/* The same with nodes in three data centres, which learn of each other's runs
+ * up to a quarter of a second late.  The engines' own rejections prevent them
+ * from exceeding the memory, at the price of some more calls. */
 START_TEST (test_remote_nodes_share_engines)
 {
   w.data_centres[1] = "dc-2";
@@ -529,9 +534,9 @@
                  line, response->body->str);
 }
 
-/* Story: an engine crashes and is back under its id at once.  Callers who
- * come after that are served by it as by a new one, and each is answered by
- * one run. */
+/* Guards against a restarted engine that is still taken for its previous
+ * process, under the same id: later callers must be served by it, each by one
+ * run. */
 START_TEST (test_engines_restart)
 {
   struct beryl_error error = { 0 };
@@ -554,9 +559,10 @@
 }
 END_TEST
 
-/* Story: somebody else writes into the store: entries that are none, one over
- * an endpoint's own, and a lease that nobody can read.  Callers notice
- * nothing, and the lease is held again once its last holder's time is over. */
+/* Guards against foreign writes in the store: invalid entries, one that
+ * overwrites an endpoint's own, and an unreadable lease.  Callers must not be
+ * affected, and the lease must be held again once its last holder's time has
+ * expired. */
 static bool
 lease_is_readable (struct testbed *testbed)
 {
@@ -594,7 +600,7 @@
 }
 END_TEST
 
-/* The metrics tell the same as the callers saw. */
+/* Guards against metrics that differ from what the callers saw. */
 START_TEST (test_metrics)
 {
   struct testbed_response *response;
@@ -625,8 +631,8 @@
 }
 END_TEST
 
-/* A foreign writer fills a page of the list of endpoints, and no node finds
- * one of those behind it. */
+/* Guards against endpoints that are not found because foreign entries fill a
+ * whole page of the endpoint list before them. */
 START_TEST (test_many_foreign_entries)
 {
   struct testbed_response *response;
--- a/tests/gateway/test_limits.c
+++ b/tests/gateway/test_limits.c
@@ -5,11 +5,11 @@
 #include "testbed.h"
 
 #define NODES 3
-/* Nodes may need so long until they keep to a limit, and are judged by windows
- * of this length. */
+/* Time that nodes may need to comply with a limit, and length of the windows
+ * in which the rate is checked. */
 #define PROPAGATION_MS 1500
 #define WINDOW_MS 4000
-/* Between two requests of the callers. */
+/* Interval between two requests. */
 #define SPACING_MS 12
 
 static struct testbed w;
@@ -26,8 +26,8 @@
   testbed_close (&w);
 }
 
-/* Sends plain requests to one node after the other for MS; returns how many
- * were answered whole. */
+/* Sends plain requests to the nodes in turn for MS; returns how many
+ * succeeded. */
 static uint32_t
 send_plain (int64_t ms, uint32_t *sent)
 {
@@ -61,7 +61,8 @@
                      (uint32_t)(1.5 * per_s * WINDOW_MS / 1000 + 5));
 }
 
-/* Endpoints that name a limit get as much as before. */
+/* Guards against endpoints that announce a rate limit and still get as many
+ * requests as before. */
 START_TEST (test_limits_of_plain_endpoints)
 {
   int64_t limited_ms;
@@ -75,16 +76,16 @@
   succeeded = send_plain (PROPAGATION_MS + WINDOW_MS + 500, &sent);
   assert_rate_limited (0, 4.2, limited_ms + PROPAGATION_MS);
   assert_rate_limited (1, 2, limited_ms + PROPAGATION_MS);
-  /* The third has room for all of it. */
+  /* The third endpoint has room for all requests. */
   ck_assert_uint_eq (succeeded, sent);
-  /* They are not cut off either. */
+  /* The limited endpoints still get requests. */
   ck_assert_uint_ge (
       standin_runner_most_in (testbed_endpoint (&w, 0), WINDOW_MS, limited_ms),
       8);
 }
 END_TEST
 
-/* A node that has started again takes the whole limit for its own. */
+/* Guards against a restarted node that uses the whole limit by itself. */
 START_TEST (test_node_restarts)
 {
   int64_t limited_ms;
@@ -104,8 +105,8 @@
 }
 END_TEST
 
-/* All endpoints of a service are limited: requests beyond that wait for them
- * until their deadlines. */
+/* Guards against requests that wait until their deadlines because all
+ * endpoints of a service have reached their limits. */
 START_TEST (test_all_endpoints_limited)
 {
   int64_t limited_ms;
@@ -132,7 +133,8 @@
 }
 END_TEST
 
-/* An endpoint names no limit any more, and gets as little as before. */
+/* Guards against an endpoint that no longer announces a limit and still gets
+ * as few requests as before. */
 START_TEST (test_limit_removed)
 {
   int64_t unlimited_ms;
@@ -153,7 +155,7 @@
 }
 END_TEST
 
-/* The same as the first with engines that take generations. */
+/* The same as the first test, with engines and generations. */
 START_TEST (test_limits_of_engines)
 {
   int64_t limited_ms, end_ms;
--- a/tests/gateway/test_relay.c
+++ b/tests/gateway/test_relay.c
@@ -3,11 +3,12 @@
 #include "../suite.h"
 #include "testbed.h"
 
-/* Nodes of one data centre, enough for some of them to be fed. */
+/* Nodes of one data centre, enough for some of them to be followers. */
 #define NODES 8
-/* In which a node must know that an endpoint leaves; of the world's nodes. */
+/* endpoint_leave_ms of the nodes: by then each must know of a leaving
+ * endpoint. */
 #define LEAVE_MS 2000
-/* The calls of nodes that began to be fed have ended by then. */
+/* Time by which the last watch calls of new followers have ended. */
 #define SETTLED_MS 5000
 
 static struct testbed w;
@@ -45,7 +46,7 @@
   return standin_counts (w.standin)->store_calls - before;
 }
 
-/* Whether no live node sends to runner 0. */
+/* Checks that no running node sends requests to endpoint 0. */
 static void
 assert_unused (void)
 {
@@ -58,7 +59,8 @@
                      before);
 }
 
-/* A change of the list is known to all nodes and costs a call a watcher. */
+/* Guards against a change of the list that costs a call by every node instead
+ * of one by each watcher, or that some nodes do not learn of. */
 START_TEST (test_change_is_relayed)
 {
   uint32_t idle_calls = count_store_calls (LEAVE_MS);
@@ -75,8 +77,8 @@
 }
 END_TEST
 
-/* Guards against followers that wait for watchers which are gone: an endpoint
- * that leaves just then would still get their requests. */
+/* Guards against followers that keep waiting for dead watchers: an endpoint
+ * that leaves at that time would still get their requests. */
 START_TEST (test_watchers_lost)
 {
   for (size_t i = 0; i < NODES; i++)
@@ -88,8 +90,8 @@
 }
 END_TEST
 
-/* Guards against followers that never learn of a change because the history
- * was dropped before a watcher's next look. */
+/* Guards against followers that never learn of a change because the store
+ * compacted its history before a watcher's next call. */
 START_TEST (test_history_compacted)
 {
   standin_runner_drain (testbed_endpoint (&w, 0));
--- a/tests/gateway/test_transfers.c
+++ b/tests/gateway/test_transfers.c
@@ -11,14 +11,14 @@
 #include "platform_source.h"
 #include "store.h"
 
-/* A change of configuration is in force everywhere by then. */
+/* Time by which a change of the configuration must be in use everywhere. */
 #define APPLY_MAX_MS 7000
-/* A link that needs three seconds for the large configuration: four times as
- * long as a call to the store may be silent, and longer than it is from one
- * look for silent connections to the next. */
+/* Bandwidth at which the large configuration takes three seconds: four times
+ * as long as a call to the store may be silent, and longer than the interval
+ * at which dead connections are checked. */
 #define LINK_BYTES_PER_S 200000
 #define LARGE_ROUTES 3000
-/* How often peers tell what they have seen, and what they ask is renewed. */
+/* Interval of announcements from peers and of decisions to pull. */
 #define PEER_INTERVAL_MS 100
 
 static struct loop *loop;
@@ -27,7 +27,7 @@
 static struct slow_link *slow_link;
 static uint64_t version;
 
-/* A node's part that has to do with configurations. */
+/* The parts of a node that handle configurations. */
 struct node
 {
   struct platform_source_owner source_base; /* first member */
@@ -83,8 +83,8 @@
 static const struct config_sync_owner_impl pulls_impl
     = { .configuration_received = configuration_received };
 
-/* Starts a node that reaches the store at STORE_PORT and listens for peers at
- * PORT of 127.0.0.1. */
+/* Starts a node that uses the store at STORE_PORT and listens for peers at
+ * PORT, both on 127.0.0.1. */
 static void
 node_open (struct node *n, uint16_t store_port, uint16_t port)
 {
@@ -159,16 +159,16 @@
   node_close (&node);
   node_close (&peer);
   slow_link_destroy (slow_link);
-  /* Nothing may accept a connection any more: the library closes a descriptor
-     of its own twice when it is released. */
+  /* No connection may be accepted any more: the HTTP library closes one of its
+     descriptors twice when it is released. */
   standin_destroy (standin);
   http_context_destroy (http);
   run_loop (20);
   loop_destroy (loop);
 }
 
-/* Writes a configuration with COUNT routes more than the smallest, of about
- * 200 bytes each; returns its version. */
+/* Writes a configuration with COUNT additional routes of about 200 bytes each;
+ * returns its version. */
 static uint64_t
 configure (size_t count)
 {
@@ -189,14 +189,15 @@
   return version;
 }
 
-/* What a node hears from peers meanwhile. */
+/* Announcements from peers while a node waits. */
 struct peer_input
 {
-  uint64_t endpoints; /* revision that grows each time; 0: nothing */
-  uint16_t pull_port; /* of one that has a newer configuration; 0: none */
+  uint64_t endpoints; /* endpoint revision, incremented each time; 0: none */
+  uint16_t pull_port; /* of a peer with a newer configuration; 0: none */
 };
 
-/* Turns until the node uses VERSION, and fails if it does so too late. */
+/* Runs the loop until the node uses version WANTED; fails the test if that
+ * takes too long. */
 static void
 wait_applied (uint64_t wanted, struct peer_input input)
 {
@@ -205,8 +206,8 @@
   while (node.configuration_version < wanted)
     {
       ck_assert_msg (loop_now_ms (loop) < end_ms,
-                     "version %" G_GUINT64_FORMAT " is not in force after "
-                     "%d ms, %" G_GUINT64_FORMAT " bytes came",
+                     "version %" G_GUINT64_FORMAT " is not in use after "
+                     "%d ms, %" G_GUINT64_FORMAT " bytes received",
                      wanted, APPLY_MAX_MS,
                      slow_link_carried_bytes (slow_link));
       run_loop (PEER_INTERVAL_MS);
@@ -220,7 +221,7 @@
     }
 }
 
-/* Turns until the slow link has carried BYTES more. */
+/* Runs the loop until the slow link has carried BYTES more. */
 static void
 wait_carried_bytes (uint64_t bytes)
 {
@@ -230,10 +231,10 @@
     run_loop (5);
 }
 
-/* Operators start a new node on a link of 200 KB a second while the
- * configuration has 600 KB: it never serves.  It lists the configuration,
- * which takes three seconds, and a call of its store client may take 700 ms in
- * all; each time it gives up and begins at the first byte again. */
+/* Guards against a new node that never serves because its link carries 200 KB
+ * a second while the configuration has 600 KB.  Listing it takes three
+ * seconds, and with a limit of 700 ms for a whole call to the store, the node
+ * would give up and restart from the first byte each time. */
 START_TEST (test_list_over_slow_link)
 {
   uint64_t wanted = configure (LARGE_ROUTES);
@@ -244,11 +245,11 @@
 }
 END_TEST
 
-/* A route that was added answers 404 at some nodes for ever.  The store sends
- * the new configuration to all; on a slow link it is still arriving when peers
- * tell of changes of endpoints that this node has not seen.  The node takes
- * its connections for silent ones, gives the answer up and asks for both lists
- * anew: every two seconds, for an answer that needs three. */
+/* Guards against a new route that answers 404 at some nodes forever.  While
+ * the new configuration arrives over a slow link, peers announce endpoint
+ * changes that this node has not seen.  If the node took its connections for
+ * dead and polled both watches again every two seconds, it would never receive
+ * a response that takes three. */
 START_TEST (test_poll_during_slow_response)
 {
   node_open (&node, slow_link_add_route (slow_link, standin_port (standin)),
@@ -259,9 +260,9 @@
 }
 END_TEST
 
-/* A route that was added answers 404 at one node for half a minute: its
- * connection to the store goes silent while the configuration arrives, and
- * the watch may wait for that long.  New connections work. */
+/* Guards against a new route that answers 404 at one node for half a minute:
+ * its connection to the store freezes while the configuration arrives, and the
+ * watch may wait for that long.  New connections work. */
 START_TEST (test_store_connection_freezes)
 {
   uint64_t wanted;
@@ -270,7 +271,7 @@
              0);
   wait_applied (configure (0), (struct peer_input){ 0 });
   store_set_watch_wait (node.store, 100, false);
-  run_loop (2500); /* a watch that waits so long is open */
+  run_loop (2500); /* a watch call with the long wait is open */
   wanted = configure (LARGE_ROUTES);
   wait_carried_bytes (100000);
   slow_link_freeze (slow_link);
@@ -291,8 +292,8 @@
   return port;
 }
 
-/* A peer that has the newest configuration; returns where the node may ask
- * for it over the slow link. */
+/* Starts a peer and waits until it has the newest configuration; returns the
+ * port at which the node may pull it over the slow link. */
 static uint16_t
 start_peer (uint64_t wanted)
 {
@@ -305,10 +306,10 @@
   return slow_link_add_route (slow_link, port);
 }
 
-/* The store turns one node away, so that it can take the configuration from
- * its peers alone; a route that was added answers 404 there for ever.  A pull
- * was given up a second after its start by both sides: the node had a third
- * of the configuration and began anew with the next peer. */
+/* Guards against a new route that answers 404 forever at a node that the store
+ * rejects, which can get the configuration only from its peers.  With a limit
+ * of one second for a whole pull, both sides would give up at a third of the
+ * configuration and start again with the next peer. */
 START_TEST (test_pull_over_slow_link)
 {
   uint64_t wanted = configure (LARGE_ROUTES);
@@ -319,8 +320,8 @@
 }
 END_TEST
 
-/* The same, and the peer loses its power while it answers.  The node must not
- * wait for it, but ask the next one. */
+/* Guards against a node that keeps waiting for a peer that loses power during
+ * the pull, instead of asking the next one. */
 START_TEST (test_peer_freezes)
 {
   uint64_t wanted = configure (LARGE_ROUTES);
@@ -334,9 +335,9 @@
 }
 END_TEST
 
-/* A new configuration takes twice as long as the link needs for it: the node
- * hears of it from a peer while the store sends it, asks the peer too, and
- * each gets half of the link. */
+/* Guards against a new configuration that takes twice as long as necessary:
+ * the node learns of it from a peer while the store is sending it, pulls it
+ * from the peer as well, and each transfer gets half of the link. */
 START_TEST (test_store_and_peer_share_link)
 {
   uint16_t port;
--- a/tests/gateway/testbed.c
+++ b/tests/gateway/testbed.c
@@ -58,8 +58,8 @@
 {
   for (size_t i = 0; i < TESTBED_NODES_MAX; i++)
     testbed_kill_node (w, i);
-  /* Nothing may accept a connection any more: the library closes a descriptor
-     of its own twice when it is released. */
+  /* No connection may be accepted any more: the HTTP library closes one of its
+     descriptors twice when it is released. */
   standin_destroy (w->standin);
   http_context_destroy (w->http);
   g_ptr_array_free (w->endpoints, TRUE);
@@ -81,7 +81,7 @@
 testbed_start_node (struct testbed *w, size_t i)
 {
   struct gateway_settings settings = {
-    .data_centre = "dc-1", /* the runners' */
+    .data_centre = "dc-1", /* that of the endpoints */
     .region = "r",
     .peer_port = TESTBED_PEER_PORT,
     .metrics_port = TESTBED_METRICS_PORT,
@@ -311,7 +311,7 @@
   return response;
 }
 
-/* Whether each node is ready and names as many addresses as there are
+/* Returns whether each node is ready and lists as many addresses as there are
  * nodes. */
 static bool
 all_converged (struct testbed *w)
--- a/tests/gateway/testbed.h
+++ b/tests/gateway/testbed.h
@@ -1,6 +1,6 @@
 /** @file
- * The users' platform as a stand-in, some nodes and callers, all on one loop.
- * Each process has loopback addresses of its own, so that ports are fixed.
+ * A simulated platform, some nodes and callers, all on one loop.  Each test
+ * process has its own loopback addresses, so that ports are fixed.
  */
 #ifndef TESTS_GATEWAY_TESTBED_H
 #define TESTS_GATEWAY_TESTBED_H
@@ -10,7 +10,7 @@
 #include "standin.h"
 
 #define TESTBED_NODES_MAX 8
-/** Runners of demo_fill. */
+/** Number of endpoints that demo_fill creates. */
 #define TESTBED_ENDPOINTS 8
 #define TESTBED_FRONT_PORT 8100
 #define TESTBED_READY_PORT 8101
@@ -18,17 +18,17 @@
 #define TESTBED_METRICS_PORT 8103
 #define TESTBED_PEER_PORT 8104
 
-/** What a caller has of its answer. */
+/** What a caller has received of its response. */
 struct testbed_response
 {
-  bool done; /**< whole */
+  bool done; /**< received completely */
   bool failed;
   enum h1_failure failure;
   unsigned int status;
-  GString *fields; /**< "name: value\n", each */
+  GString *fields; /**< header fields, "name: value\n" each */
   GString *body;
   int64_t start_ms;
-  int64_t first_ms; /**< time of the first byte of the body */
+  int64_t first_ms; /**< first byte of the body */
   int64_t end_ms;
 };
 
@@ -39,7 +39,8 @@
   struct http_context *http;
   struct gateway *nodes[TESTBED_NODES_MAX];
   char ips[TESTBED_NODES_MAX][32];
-  /** Of each node; NULL: that of the runners.  Set before testbed_start_node. */
+  /** Data centre of each node; NULL: that of the endpoints.  Set before
+   * testbed_start_node. */
   const char *data_centres[TESTBED_NODES_MAX];
   GPtrArray *endpoints;
   uint64_t request_count;
@@ -47,50 +48,52 @@
   GPtrArray *responses;
 };
 
-/** Start the store and the runners of demo_fill. */
+/** Start the store and the endpoints of demo_fill. */
 void testbed_open (struct testbed *w);
 void testbed_close (struct testbed *w);
 
-/** Start node I, and stop it without notice. */
+/** Start node I; destroy it without a graceful shutdown. */
 void testbed_start_node (struct testbed *w, size_t i);
 void testbed_kill_node (struct testbed *w, size_t i);
-/** Start COUNT nodes and wait until each is ready and knows all. */
+/** Start COUNT nodes and wait until each is ready and lists all. */
 void testbed_start_nodes (struct testbed *w, size_t count);
-/** Wait until each node that was started is ready and knows all. */
+/** Wait until each running node is ready and lists all running nodes. */
 void testbed_wait_converged (struct testbed *w);
 
-/** Turn the loop for MS, or until UNTIL holds; false if it did not within
- * MS. */
+/** Run the loop for MS, or until UNTIL returns true; false if it did not
+ * within MS. */
 void testbed_run (struct testbed *w, int64_t ms);
 bool testbed_run_until (struct testbed *w, bool (*until) (struct testbed *w),
-                  int64_t ms);
+                        int64_t ms);
 
-/** Send a request to node I; owned by W. */
-struct testbed_response *testbed_get (struct testbed *w, size_t i, const char *host,
-                                const char *path, const char *fields);
-/** The same for a model's request. */
+/** Send a request to node I; the response is owned by W. */
+struct testbed_response *testbed_get (struct testbed *w, size_t i,
+                                      const char *host, const char *path,
+                                      const char *fields);
+/** Send a generation request. */
 struct testbed_response *testbed_generate (struct testbed *w, size_t i,
-                                     uint32_t prompt_tokens,
-                                     uint32_t output_tokens);
-/** The same with a prompt's name, and after an event (0: from the start). */
+                                           uint32_t prompt_tokens,
+                                           uint32_t output_tokens);
+/** Send a generation request with the prompt called PROMPT that resumes after
+ * LAST_EVENT (0: from the start). */
 struct testbed_response *testbed_generate_prompt (struct testbed *w, size_t i,
-                                            const char *prompt,
-                                            uint64_t last_event);
-/** Ask another port of node I, and wait for the answer's body. */
-struct testbed_response *testbed_query (struct testbed *w, size_t i, uint16_t port,
-                                const char *path);
-/** The caller leaves. */
+                                                  const char *prompt,
+                                                  uint64_t last_event);
+/** Send a GET to another port of node I and wait for the response. */
+struct testbed_response *testbed_query (struct testbed *w, size_t i,
+                                        uint16_t port, const char *path);
+/** Close the caller's connection. */
 void testbed_disconnect (struct testbed *w, struct testbed_response *response);
-/** Turn until ANSWER has ended; fails the test after 10 s. */
+/** Run the loop until RESPONSE has ended; fails the test after 10 s. */
 void testbed_wait (struct testbed *w, struct testbed_response *response);
 
 /** Write demo_configuration as a new version. */
 void testbed_configure (struct testbed *w, const char *service,
-                      const char *extra_host);
+                        const char *extra_host);
 
-/** Return runner I. */
+/** Return endpoint I. */
 struct standin_runner *testbed_endpoint (struct testbed *w, size_t i);
-/** Return the runner that runs most at present. */
+/** Return the endpoint with the most running requests. */
 struct standin_runner *testbed_busiest_endpoint (struct testbed *w);
 
 #endif
