--- a/gatewayd/gateway.c
+++ b/gatewayd/gateway.c
@@ -244,11 +244,11 @@
 
 static void
 forward_learned (struct beryl_forward_owner *owner,
-                 const struct beryl_live *live, const char *what,
+                 const struct beryl_live *endpoint, const char *what,
                  const char *from)
 {
   g_info ("endpoint id=%s revision=%" G_GUINT64_FORMAT " %s from=%s",
-          live->info.id, live->info.revision, what, from);
+          endpoint->info.id, endpoint->info.revision, what, from);
 }
 
 static const struct beryl_forward_owner_impl forward_impl = {
--- a/gatewayd/planner.c
+++ b/gatewayd/planner.c
@@ -85,10 +85,11 @@
 static struct beryl_live *
 find_target (struct planner *p)
 {
-  struct beryl_live *live = beryl_lives_find (p->endpoints, p->target_id);
+  struct beryl_live *endpoint = beryl_lives_find (p->endpoints, p->target_id);
 
-  return live != NULL && live->info.born_ms == p->target_start_ms ? live
-                                                                  : NULL;
+  return endpoint != NULL && endpoint->info.born_ms == p->target_start_ms
+             ? endpoint
+             : NULL;
 }
 
 /* Sends the planned order.  The lease is checked again right before, because
@@ -97,25 +98,25 @@
 static void
 send_order (struct planner *p, uint64_t orders)
 {
-  struct beryl_live *live = find_target (p);
+  struct beryl_live *endpoint = find_target (p);
   struct gateway_stage_order o = { .stage = p->target_stage,
                                    .holder = p->settings->node,
                                    .expected_orders = orders };
   GString *head, *body;
 
-  if (live == NULL || !stored_lease_held (p->lease, &o.fence)
+  if (endpoint == NULL || !stored_lease_held (p->lease, &o.fence)
       || !stored_lease_settled (p->lease))
     return;
-  o.engine = &live->info;
+  o.engine = &endpoint->info;
   head = g_string_new (NULL);
   body = g_string_new (NULL);
   p->wire->impl->format_order (p->wire, &o, head, body);
   g_info ("planner engine=%s order stage=%s fence=%" G_GUINT64_FORMAT
           " expected=%" G_GUINT64_FORMAT,
-          live->info.id, beryl_stage_name (o.stage), o.fence,
+          endpoint->info.id, beryl_stage_name (o.stage), o.fence,
           o.expected_orders);
-  pending_add (p, &live->info, o.stage);
-  p->call = engine_call_start (p->loop, &live->info, head, body,
+  pending_add (p, &endpoint->info, o.stage);
+  p->call = engine_call_start (p->loop, &endpoint->info, head, body,
                                RESPONSE_MAX_BYTES, order_done, p);
   g_string_free (head, TRUE);
   g_string_free (body, TRUE);
@@ -148,14 +149,14 @@
 static void
 request_report (struct planner *p, const struct beryl_stage_order *wanted)
 {
-  struct beryl_live *live = beryl_lives_find (p->endpoints, wanted->id);
+  struct beryl_live *endpoint = beryl_lives_find (p->endpoints, wanted->id);
   GString *head = g_string_new (NULL);
 
-  memcpy (p->target_id, live->info.id, sizeof p->target_id);
-  p->target_start_ms = live->info.born_ms;
+  memcpy (p->target_id, endpoint->info.id, sizeof p->target_id);
+  p->target_start_ms = endpoint->info.born_ms;
   p->target_stage = wanted->stage;
-  p->wire->impl->format_report_request (p->wire, &live->info, head);
-  p->call = engine_call_start (p->loop, &live->info, head, NULL,
+  p->wire->impl->format_report_request (p->wire, &endpoint->info, head);
+  p->call = engine_call_start (p->loop, &endpoint->info, head, NULL,
                                RESPONSE_MAX_BYTES, report_done, p);
   g_string_free (head, TRUE);
 }
@@ -181,11 +182,11 @@
     {
       struct pending_order *pending
           = g_ptr_array_index (p->pending_orders, i - 1);
-      const struct beryl_live *live
+      const struct beryl_live *endpoint
           = beryl_lives_find (p->endpoints, pending->id);
 
-      if (live == NULL || live->info.born_ms != pending->start_ms
-          || live->info.stage == pending->stage
+      if (endpoint == NULL || endpoint->info.born_ms != pending->start_ms
+          || endpoint->info.stage == pending->stage
           || loop_now_ms (p->loop) >= pending->expires_ms)
         g_ptr_array_remove_index_fast (p->pending_orders, i - 1);
     }
@@ -199,18 +200,19 @@
 
   for (size_t i = 0; i < beryl_lives_count (p->endpoints); i++)
     {
-      struct beryl_live *live = beryl_lives_get (p->endpoints, i);
-      const struct pending_order *pending = pending_find (p, &live->info);
+      struct beryl_live *endpoint = beryl_lives_get (p->endpoints, i);
+      const struct pending_order *pending = pending_find (p, &endpoint->info);
       struct beryl_stage_engine engine = {
-        .id = live->info.id,
-        .stage = pending != NULL ? pending->stage : live->info.stage,
+        .id = endpoint->info.id,
+        .stage = pending != NULL ? pending->stage : endpoint->info.stage,
         .changing = pending != NULL,
-        .used_tokens = beryl_forward_engine_used (p->forward, service, live,
-                                                  loop_now_ms (p->loop)),
+        .used_tokens = beryl_forward_engine_used (
+            p->forward, service, endpoint, loop_now_ms (p->loop)),
       };
 
-      if (live->info.stage != BERYL_STAGE_NONE && beryl_live_takes_work (live)
-          && strcmp (live->info.service, service) == 0)
+      if (endpoint->info.stage != BERYL_STAGE_NONE
+          && beryl_live_takes_work (endpoint)
+          && strcmp (endpoint->info.service, service) == 0)
         g_array_append_val (engines, engine);
     }
   return engines;
@@ -247,11 +249,11 @@
 {
   for (size_t i = 0; i < beryl_lives_count (p->endpoints); i++)
     {
-      const struct beryl_live *live = beryl_lives_get (p->endpoints, i);
+      const struct beryl_live *endpoint = beryl_lives_get (p->endpoints, i);
 
-      if (live->info.stage != BERYL_STAGE_NONE
-          && !g_hash_table_contains (p->services, live->info.service))
-        g_hash_table_insert (p->services, g_strdup (live->info.service),
+      if (endpoint->info.stage != BERYL_STAGE_NONE
+          && !g_hash_table_contains (p->services, endpoint->info.service))
+        g_hash_table_insert (p->services, g_strdup (endpoint->info.service),
                              beryl_stages_create ());
     }
 }
@@ -375,11 +377,11 @@
     {
       const struct pending_order *pending
           = g_ptr_array_index (p->pending_orders, i);
-      const struct beryl_live *live
+      const struct beryl_live *endpoint
           = beryl_lives_find (p->endpoints, pending->id);
 
-      if (live != NULL && live->info.born_ms == pending->start_ms)
-        beryl_endpoint_set_add (set, beryl_live_number (live));
+      if (endpoint != NULL && endpoint->info.born_ms == pending->start_ms)
+        beryl_endpoint_set_add (set, beryl_live_number (endpoint));
     }
 }
 
--- a/gatewayd/settings.h
+++ b/gatewayd/settings.h
@@ -22,19 +22,17 @@
   char node[BERYL_NAME_BYTES];
   char data_centre[BERYL_NAME_BYTES];
   char region[BERYL_NAME_BYTES];
-  struct gateway_address front; /**< listens for callers */
-  struct gateway_address
-      ready; /**< listens for the platform's readiness checks */
-  struct gateway_address
-      directory; /**< listens for requests for node addresses */
+  struct gateway_address front;     /**< listens for callers */
+  struct gateway_address ready;     /**< listens for readiness checks */
+  struct gateway_address directory; /**< listens for address requests */
   struct gateway_address platform;
   uint16_t peer_port;           /**< listens for other nodes, TCP and UDP */
   uint16_t metrics_port;        /**< 0: no metrics */
   double platform_reads_per_s;  /**< limit for all nodes together */
   double platform_writes_per_s; /**< limit for all nodes together */
-  double repeat_ratio;
-  uint32_t repeat_slack;
-  int64_t repeat_window_ms;
+  double repeat_ratio;          /**< retry budget: retries per request */
+  uint32_t repeat_slack;        /**< retries allowed beyond the ratio */
+  int64_t repeat_window_ms;     /**< period that the retry budget covers */
   int64_t address_keep_ms;   /**< how long callers may cache node addresses */
   int64_t endpoint_leave_ms; /**< grace period of an endpoint that left */
   int64_t stop_ms;           /**< time from the stop signal to the kill */
--- a/gatewayd/survey.c
+++ b/gatewayd/survey.c
@@ -65,15 +65,16 @@
 }
 
 static void
-query_engine (struct survey *survey, const struct beryl_live *live)
+query_engine (struct survey *survey, const struct beryl_live *endpoint)
 {
   struct query *query = g_new0 (struct query, 1);
   GString *head = g_string_new (NULL);
 
   query->survey = survey;
-  query->engine = beryl_live_number (live);
-  survey->wire->impl->format_prompts_request (survey->wire, &live->info, head);
-  query->call = engine_call_start (survey->loop, &live->info, head, NULL,
+  query->engine = beryl_live_number (endpoint);
+  survey->wire->impl->format_prompts_request (survey->wire, &endpoint->info,
+                                              head);
+  query->call = engine_call_start (survey->loop, &endpoint->info, head, NULL,
                                    RESPONSE_MAX_BYTES, query_done, query);
   g_ptr_array_add (survey->queries, query);
   g_string_free (head, TRUE);
@@ -93,12 +94,12 @@
   survey->timer = NULL;
   for (size_t i = 0; i < count && survey->engine_count < ENGINES_MAX; i++)
     {
-      const struct beryl_live *live
+      const struct beryl_live *endpoint
           = beryl_lives_get (survey->endpoints, (first + i) % count);
 
-      if (live->info.stage == BERYL_STAGE_DECODE
-          && beryl_live_takes_work (live))
-        query_engine (survey, live);
+      if (endpoint->info.stage == BERYL_STAGE_DECODE
+          && beryl_live_takes_work (endpoint))
+        query_engine (survey, endpoint);
     }
 }
 
--- a/tests/gateway/slow_link.c
+++ b/tests/gateway/slow_link.c
@@ -71,11 +71,11 @@
 }
 
 static void
-allocate (uv_handle_t *handle, size_t suggested, uv_buf_t *read_buffer)
+allocate (uv_handle_t *handle, size_t suggested, uv_buf_t *buf)
 {
   static char bytes[BUFFER_MAX_BYTES];
 
-  *read_buffer = uv_buf_init (bytes, sizeof bytes);
+  *buf = uv_buf_init (bytes, sizeof bytes);
 }
 
 static void
@@ -88,38 +88,34 @@
 forward (uv_tcp_t *to, const void *bytes, size_t bytes_count)
 {
   struct write *write = g_malloc0 (sizeof *write + bytes_count);
-  uv_buf_t read_buffer = uv_buf_init (write->bytes, (unsigned int)bytes_count);
+  uv_buf_t buf = uv_buf_init (write->bytes, (unsigned int)bytes_count);
 
   write->request.data = write;
   memcpy (write->bytes, bytes, bytes_count);
-  if (uv_write (&write->request, (uv_stream_t *)to, &read_buffer, 1,
-                write_done)
-      < 0)
+  if (uv_write (&write->request, (uv_stream_t *)to, &buf, 1, write_done) < 0)
     g_free (write);
 }
 
 static void
-node_readable (uv_stream_t *stream, ssize_t count, const uv_buf_t *read_buffer)
+node_readable (uv_stream_t *stream, ssize_t count, const uv_buf_t *buf)
 {
   struct connection *c = stream->data;
 
   if (count < 0)
     connection_close (c);
   else if (count > 0)
-    forward (&c->remote, read_buffer->base, (size_t)count);
+    forward (&c->remote, buf->base, (size_t)count);
 }
 
 static void
-remote_readable (uv_stream_t *stream, ssize_t count,
-                 const uv_buf_t *read_buffer)
+remote_readable (uv_stream_t *stream, ssize_t count, const uv_buf_t *buf)
 {
   struct connection *c = stream->data;
 
   if (count < 0)
     c->remote_ended = true;
   else
-    g_byte_array_append (c->buffer, (const guint8 *)read_buffer->base,
-                         (guint)count);
+    g_byte_array_append (c->buffer, (const guint8 *)buf->base, (guint)count);
   if (count >= 0 && c->buffer->len < BUFFER_MAX_BYTES)
     return;
   c->reading = false;
--- a/tests/gateway/test_crashes.c
+++ b/tests/gateway/test_crashes.c
@@ -14,25 +14,25 @@
 #define CRASHES_ALLOWED 3
 #define REFUSED_REQUESTS (4 * NODES)
 
-static struct testbed w;
+static struct testbed t;
 
 static void
 setup (void)
 {
-  testbed_open (&w);
-  standin_set_crash (w.standin, CRASH_PATH, RESTART_MS);
+  testbed_open (&t);
+  standin_set_crash (t.standin, CRASH_PATH, RESTART_MS);
 }
 
 static void
 teardown (void)
 {
-  testbed_close (&w);
+  testbed_close (&t);
 }
 
 static struct testbed_response *
 send_crashing (size_t node, bool model)
 {
-  return testbed_get (&w, node, model ? "model.example" : "a.example",
+  return testbed_get (&t, node, model ? "model.example" : "a.example",
                       CRASH_PATH "x", model ? MODEL_FIELDS : "");
 }
 
@@ -41,14 +41,14 @@
 static void
 crash_runners (bool model)
 {
-  for (size_t i = 0; standin_counts (w.standin)->crashes < CRASHES_ALLOWED;
+  for (size_t i = 0; standin_counts (t.standin)->crashes < CRASHES_ALLOWED;
        i++)
     {
       ck_assert_uint_lt (i, 50);
-      testbed_wait (&w, send_crashing (i % NODES, model));
-      testbed_run (&w, 100);
+      testbed_wait (&t, send_crashing (i % NODES, model));
+      testbed_run (&t, 100);
     }
-  testbed_run (&w, PROPAGATION_MS);
+  testbed_run (&t, PROPAGATION_MS);
 }
 
 /* Sends the request to each node several times.  It must reach no endpoint,
@@ -56,16 +56,16 @@
 static void
 assert_refused (bool model)
 {
-  uint32_t before = standin_counts (w.standin)->crash_arrivals;
+  uint32_t before = standin_counts (t.standin)->crash_arrivals;
   struct testbed_response *responses[REFUSED_REQUESTS];
 
   for (size_t i = 0; i < REFUSED_REQUESTS; i++)
     {
       responses[i] = send_crashing (i % NODES, model);
-      testbed_wait (&w, responses[i]);
-      testbed_run (&w, 50);
+      testbed_wait (&t, responses[i]);
+      testbed_run (&t, 50);
     }
-  ck_assert_uint_eq (standin_counts (w.standin)->crash_arrivals - before, 0);
+  ck_assert_uint_eq (standin_counts (t.standin)->crash_arrivals - before, 0);
   for (size_t i = 0; i < REFUSED_REQUESTS; i++)
     {
       ck_assert (responses[i]->done);
@@ -89,17 +89,17 @@
  * at every node and takes down one engine after the other. */
 START_TEST (test_crashing_generation)
 {
-  testbed_start_nodes (&w, NODES);
+  testbed_start_nodes (&t, NODES);
   crash_runners (true);
   assert_refused (true);
-  ck_assert (testbed_run_until (&w, node_serves, 3000));
+  ck_assert (testbed_run_until (&t, node_serves, 3000));
 }
 END_TEST
 
 /* The same with a plain request. */
 START_TEST (test_crashing_plain_request)
 {
-  testbed_start_nodes (&w, NODES);
+  testbed_start_nodes (&t, NODES);
   crash_runners (false);
   assert_refused (false);
 }
@@ -109,12 +109,12 @@
  * that the request crashes three more endpoints. */
 START_TEST (test_node_restarts)
 {
-  testbed_start_nodes (&w, NODES);
+  testbed_start_nodes (&t, NODES);
   crash_runners (true);
-  testbed_kill_node (&w, 1);
-  testbed_start_node (&w, 1);
-  testbed_wait_converged (&w);
-  testbed_run (&w, PROPAGATION_MS);
+  testbed_kill_node (&t, 1);
+  testbed_start_node (&t, 1);
+  testbed_wait_converged (&t);
+  testbed_run (&t, PROPAGATION_MS);
   assert_refused (true);
 }
 END_TEST
@@ -123,13 +123,13 @@
  * time. */
 START_TEST (test_all_nodes_restart)
 {
-  testbed_start_nodes (&w, NODES);
+  testbed_start_nodes (&t, NODES);
   crash_runners (true);
-  testbed_run (&w, 500);
+  testbed_run (&t, 500);
   for (size_t i = 0; i < NODES; i++)
-    testbed_kill_node (&w, i);
-  testbed_start_nodes (&w, NODES);
-  testbed_run (&w, PROPAGATION_MS);
+    testbed_kill_node (&t, i);
+  testbed_start_nodes (&t, NODES);
+  testbed_run (&t, PROPAGATION_MS);
   assert_refused (true);
 }
 END_TEST
--- a/tests/gateway/test_gateway.c
+++ b/tests/gateway/test_gateway.c
@@ -8,18 +8,18 @@
  * store. */
 #define PROPAGATION_MS 1500
 
-static struct testbed w;
+static struct testbed t;
 
 static void
 setup (void)
 {
-  testbed_open (&w);
+  testbed_open (&t);
 }
 
 static void
 teardown (void)
 {
-  testbed_close (&w);
+  testbed_close (&t);
 }
 
 static void
@@ -54,14 +54,14 @@
 {
   struct testbed_response *response;
 
-  testbed_start_nodes (&w, 1);
-  response = testbed_get (&w, 0, "a.example", "/x", "X-Other: 1\r\n");
-  testbed_wait (&w, response);
+  testbed_start_nodes (&t, 1);
+  response = testbed_get (&t, 0, "a.example", "/x", "X-Other: 1\r\n");
+  testbed_wait (&t, response);
   assert_succeeded (response);
   ck_assert_ptr_nonnull (strstr (response->body->str, "q-1 /x at a"));
   ck_assert_ptr_null (strstr (response->fields->str, "Connection"));
-  response = testbed_get (&w, 0, "unknown.example", "/x", "");
-  testbed_wait (&w, response);
+  response = testbed_get (&t, 0, "unknown.example", "/x", "");
+  testbed_wait (&t, response);
   ck_assert_uint_eq (response->status, 404);
 }
 END_TEST
@@ -70,12 +70,12 @@
 {
   struct testbed_response *response;
 
-  testbed_start_nodes (&w, 1);
-  response = testbed_generate (&w, 0, 2000, 500);
-  testbed_wait (&w, response);
+  testbed_start_nodes (&t, 1);
+  response = testbed_generate (&t, 0, 2000, 500);
+  testbed_wait (&t, response);
   assert_stream (response, 10);
-  ck_assert_uint_eq (standin_counts (w.standin)->prefills, 1);
-  ck_assert_uint_eq (standin_counts (w.standin)->executions, 1);
+  ck_assert_uint_eq (standin_counts (t.standin)->prefills, 1);
+  ck_assert_uint_eq (standin_counts (t.standin)->executions, 1);
   ck_assert_int_lt (response->first_ms - response->start_ms, 500);
 }
 END_TEST
@@ -86,13 +86,13 @@
 {
   struct testbed_response *response;
 
-  standin_set_silent (w.standin, true);
-  testbed_start_node (&w, 0);
-  testbed_run (&w, 300);
+  standin_set_silent (t.standin, true);
+  testbed_start_node (&t, 0);
+  testbed_run (&t, 300);
   ck_assert_uint_ne (
-      testbed_query (&w, 0, TESTBED_READY_PORT, "/v1/ready")->status, 200);
-  response = testbed_get (&w, 0, "a.example", "/x", "");
-  testbed_wait (&w, response);
+      testbed_query (&t, 0, TESTBED_READY_PORT, "/v1/ready")->status, 200);
+  response = testbed_get (&t, 0, "a.example", "/x", "");
+  testbed_wait (&t, response);
   ck_assert_uint_eq (response->status, 503);
   ck_assert_ptr_nonnull (strstr (response->fields->str, "Retry-After: "));
 }
@@ -112,9 +112,9 @@
 
 START_TEST (test_killed_node_is_not_listed)
 {
-  testbed_start_nodes (&w, 3);
-  testbed_kill_node (&w, 1);
-  ck_assert (testbed_run_until (&w, killed_node_is_unlisted, 8000));
+  testbed_start_nodes (&t, 3);
+  testbed_kill_node (&t, 1);
+  ck_assert (testbed_run_until (&t, killed_node_is_unlisted, 8000));
 }
 END_TEST
 
@@ -128,10 +128,10 @@
  * expires nothing.  The planning node must remove that record and no other. */
 START_TEST (test_stale_record_is_removed)
 {
-  testbed_start_nodes (&w, 3);
-  testbed_kill_node (&w, 1);
-  ck_assert (testbed_run_until (&w, two_records_remain, 30000));
-  ck_assert_ptr_null (standin_spec (w.standin, "gateway-nodes", "node-1"));
+  testbed_start_nodes (&t, 3);
+  testbed_kill_node (&t, 1);
+  ck_assert (testbed_run_until (&t, two_records_remain, 30000));
+  ck_assert_ptr_null (standin_spec (t.standin, "gateway-nodes", "node-1"));
 }
 END_TEST
 
@@ -139,9 +139,9 @@
  * removed it, as may happen in a partition: it must register again. */
 START_TEST (test_lost_record_is_rewritten)
 {
-  testbed_start_nodes (&w, 2);
-  standin_remove (w.standin, "gateway-nodes", "node-1");
-  ck_assert (testbed_run_until (&w, two_records_remain, 30000));
+  testbed_start_nodes (&t, 2);
+  standin_remove (t.standin, "gateway-nodes", "node-1");
+  ck_assert (testbed_run_until (&t, two_records_remain, 30000));
 }
 END_TEST
 
@@ -164,9 +164,9 @@
 
 START_TEST (test_configuration_spreads)
 {
-  testbed_start_nodes (&w, 3);
-  testbed_configure (&w, "plain", "new.example");
-  ck_assert (testbed_run_until (&w, three_nodes_serve_new_route, 3000));
+  testbed_start_nodes (&t, 3);
+  testbed_configure (&t, "plain", "new.example");
+  ck_assert (testbed_run_until (&t, three_nodes_serve_new_route, 3000));
 }
 END_TEST
 
@@ -179,9 +179,9 @@
   for (int i = 0; i < 20; i++)
     {
       struct testbed_response *response
-          = testbed_get (&w, 0, "a.example", "/x", "");
+          = testbed_get (&t, 0, "a.example", "/x", "");
 
-      testbed_wait (&w, response);
+      testbed_wait (&t, response);
       assert_succeeded (response);
     }
   ck_assert_uint_eq (standin_runner_executions (endpoint), before);
@@ -191,10 +191,10 @@
  * requests it already has run to their end. */
 START_TEST (test_draining_runner)
 {
-  testbed_start_nodes (&w, 1);
-  standin_runner_drain (testbed_endpoint (&w, 0));
-  testbed_run (&w, 1500);
-  assert_gets_no_work (testbed_endpoint (&w, 0));
+  testbed_start_nodes (&t, 1);
+  standin_runner_drain (testbed_endpoint (&t, 0));
+  testbed_run (&t, 1500);
+  assert_gets_no_work (testbed_endpoint (&t, 0));
 }
 END_TEST
 
@@ -202,11 +202,11 @@
  * entry was removed for leaving: nodes would send it work until it exits. */
 START_TEST (test_removed_runner_stays_removed)
 {
-  testbed_start_nodes (&w, 1);
-  standin_runner_leave (testbed_endpoint (&w, 0));
-  standin_runner_list (testbed_endpoint (&w, 0));
-  testbed_run (&w, 1500);
-  assert_gets_no_work (testbed_endpoint (&w, 0));
+  testbed_start_nodes (&t, 1);
+  standin_runner_leave (testbed_endpoint (&t, 0));
+  standin_runner_list (testbed_endpoint (&t, 0));
+  testbed_run (&t, 1500);
+  assert_gets_no_work (testbed_endpoint (&t, 0));
 }
 END_TEST
 
@@ -216,14 +216,14 @@
 {
   struct testbed_response *response;
 
-  testbed_start_nodes (&w, 1);
-  response = testbed_generate (&w, 0, 2000, 1000);
-  testbed_run (&w, 300);
+  testbed_start_nodes (&t, 1);
+  response = testbed_generate (&t, 0, 2000, 1000);
+  testbed_run (&t, 300);
   ck_assert_uint_gt (response->body->len, 0);
-  standin_runner_kill (testbed_busiest_endpoint (&w));
-  testbed_wait (&w, response);
+  standin_runner_kill (testbed_busiest_endpoint (&t));
+  testbed_wait (&t, response);
   assert_stream (response, 20);
-  ck_assert_uint_eq (standin_counts (w.standin)->resumed, 1);
+  ck_assert_uint_eq (standin_counts (t.standin)->resumed, 1);
 }
 END_TEST
 
@@ -233,11 +233,11 @@
 {
   struct testbed_response *response;
 
-  testbed_start_nodes (&w, 1);
-  response = testbed_generate (&w, 0, 2000, 1000);
-  testbed_run (&w, 300);
-  standin_runner_freeze (testbed_busiest_endpoint (&w), true);
-  testbed_wait (&w, response);
+  testbed_start_nodes (&t, 1);
+  response = testbed_generate (&t, 0, 2000, 1000);
+  testbed_run (&t, 300);
+  standin_runner_freeze (testbed_busiest_endpoint (&t), true);
+  testbed_wait (&t, response);
   assert_stream (response, 20);
 }
 END_TEST
@@ -248,15 +248,15 @@
 {
   struct testbed_response *response;
 
-  testbed_start_nodes (&w, 1);
-  response = testbed_generate (&w, 0, 2000, 1500);
-  testbed_run (&w, 250);
-  standin_runner_drain (testbed_busiest_endpoint (&w));
-  testbed_wait (&w, response);
+  testbed_start_nodes (&t, 1);
+  response = testbed_generate (&t, 0, 2000, 1500);
+  testbed_run (&t, 250);
+  standin_runner_drain (testbed_busiest_endpoint (&t));
+  testbed_wait (&t, response);
   assert_stream (response, 30);
-  ck_assert_uint_eq (standin_counts (w.standin)->moved, 1);
-  ck_assert_uint_eq (standin_counts (w.standin)->prefills, 1);
-  ck_assert_uint_eq (standin_counts (w.standin)->repeated, 0);
+  ck_assert_uint_eq (standin_counts (t.standin)->moved, 1);
+  ck_assert_uint_eq (standin_counts (t.standin)->prefills, 1);
+  ck_assert_uint_eq (standin_counts (t.standin)->repeated, 0);
 }
 END_TEST
 
@@ -270,26 +270,26 @@
   struct testbed_response *once;
   uint32_t succeeded = 0;
 
-  testbed_start_nodes (&w, 1);
+  testbed_start_nodes (&t, 1);
   for (int i = 0; i < 10; i++)
-    testbed_wait (&w, testbed_get (&w, 0, "a.example", "/x", ""));
-  standin_runner_freeze (testbed_endpoint (&w, 0), true);
+    testbed_wait (&t, testbed_get (&t, 0, "a.example", "/x", ""));
+  standin_runner_freeze (testbed_endpoint (&t, 0), true);
   for (int i = 0; i < 12; i++)
-    responses[i] = testbed_get (&w, 0, "a.example", "/x", "");
+    responses[i] = testbed_get (&t, 0, "a.example", "/x", "");
   for (int i = 0; i < 12; i++)
     {
-      testbed_wait (&w, responses[i]);
+      testbed_wait (&t, responses[i]);
       assert_succeeded (responses[i]);
       ck_assert_int_lt (responses[i]->end_ms - responses[i]->start_ms, 1000);
     }
   for (int i = 0; i < 12; i++)
     {
-      once = testbed_get (&w, 0, "a.example", "/once/x", "");
-      testbed_wait (&w, once);
+      once = testbed_get (&t, 0, "a.example", "/once/x", "");
+      testbed_wait (&t, once);
       succeeded += once->done && once->status == 200;
     }
   ck_assert_uint_ge (succeeded, 9);
-  ck_assert_uint_eq (standin_counts (w.standin)->repeated, 0);
+  ck_assert_uint_eq (standin_counts (t.standin)->repeated, 0);
 }
 END_TEST
 
@@ -297,30 +297,30 @@
  * changes during the outage that are not noticed soon after it. */
 START_TEST (test_store_silent)
 {
-  testbed_start_nodes (&w, 2);
-  standin_set_silent (w.standin, true);
+  testbed_start_nodes (&t, 2);
+  standin_set_silent (t.standin, true);
   for (int i = 0; i < 30; i++)
     {
       struct testbed_response *response
-          = testbed_get (&w, (size_t)i % 2, "a.example", "/x", "");
+          = testbed_get (&t, (size_t)i % 2, "a.example", "/x", "");
 
-      testbed_wait (&w, response);
+      testbed_wait (&t, response);
       assert_succeeded (response);
-      testbed_run (&w, 100);
+      testbed_run (&t, 100);
     }
   ck_assert_uint_eq (
-      testbed_query (&w, 0, TESTBED_READY_PORT, "/v1/ready")->status, 200);
-  standin_runner_drain (testbed_endpoint (&w, 0));
-  standin_set_silent (w.standin, false);
-  testbed_run (&w, 2000);
+      testbed_query (&t, 0, TESTBED_READY_PORT, "/v1/ready")->status, 200);
+  standin_runner_drain (testbed_endpoint (&t, 0));
+  standin_set_silent (t.standin, false);
+  testbed_run (&t, 2000);
   for (int i = 0; i < 10; i++)
     {
-      uint32_t before = standin_runner_executions (testbed_endpoint (&w, 0));
+      uint32_t before = standin_runner_executions (testbed_endpoint (&t, 0));
       struct testbed_response *response
-          = testbed_get (&w, 0, "a.example", "/x", "");
+          = testbed_get (&t, 0, "a.example", "/x", "");
 
-      testbed_wait (&w, response);
-      ck_assert_uint_eq (standin_runner_executions (testbed_endpoint (&w, 0)),
+      testbed_wait (&t, response);
+      ck_assert_uint_eq (standin_runner_executions (testbed_endpoint (&t, 0)),
                          before);
     }
 }
@@ -354,12 +354,12 @@
                                               .work_ms = 5 };
   struct beryl_error error = { 0 };
 
-  testbed_start_nodes (&w, 2);
-  standin_set_delay (w.standin, 620);
-  testbed_run (&w, 2500);
-  standin_runner_start (w.standin, &settings, &error);
-  testbed_configure (&w, "other", "new.example");
-  ck_assert (testbed_run_until (&w, both_nodes_serve_new_route, 6000));
+  testbed_start_nodes (&t, 2);
+  standin_set_delay (t.standin, 620);
+  testbed_run (&t, 2500);
+  standin_runner_start (t.standin, &settings, &error);
+  testbed_configure (&t, "other", "new.example");
+  ck_assert (testbed_run_until (&t, both_nodes_serve_new_route, 6000));
 }
 END_TEST
 
@@ -367,21 +367,21 @@
  * history: the nodes must list everything again. */
 START_TEST (test_store_compacts)
 {
-  testbed_start_nodes (&w, 1);
-  standin_set_silent (w.standin, true);
-  testbed_run (&w, 100);
-  testbed_configure (&w, "plain", "new.example");
-  standin_remove (w.standin, "servers", "a1");
-  standin_compact (w.standin);
-  standin_set_silent (w.standin, false);
-  testbed_run (&w, 2500);
-  testbed_wait (&w, testbed_get (&w, 0, "a.example", "/x", ""));
+  testbed_start_nodes (&t, 1);
+  standin_set_silent (t.standin, true);
+  testbed_run (&t, 100);
+  testbed_configure (&t, "plain", "new.example");
+  standin_remove (t.standin, "servers", "a1");
+  standin_compact (t.standin);
+  standin_set_silent (t.standin, false);
+  testbed_run (&t, 2500);
+  testbed_wait (&t, testbed_get (&t, 0, "a.example", "/x", ""));
   for (int i = 0; i < 3; i++)
     {
       struct testbed_response *response
-          = testbed_get (&w, 0, "new.example", "/x", "");
+          = testbed_get (&t, 0, "new.example", "/x", "");
 
-      testbed_wait (&w, response);
+      testbed_wait (&t, response);
       assert_succeeded (response);
     }
 }
@@ -394,26 +394,26 @@
 {
   struct testbed_response *stream, *response;
 
-  testbed_start_nodes (&w, 2);
-  stream = testbed_generate (&w, 0, 1000, 1500);
-  testbed_run (&w, 200);
-  gateway_stop (w.nodes[0]);
+  testbed_start_nodes (&t, 2);
+  stream = testbed_generate (&t, 0, 1000, 1500);
+  testbed_run (&t, 200);
+  gateway_stop (t.nodes[0]);
   ck_assert_uint_ne (
-      testbed_query (&w, 0, TESTBED_READY_PORT, "/v1/ready")->status, 200);
+      testbed_query (&t, 0, TESTBED_READY_PORT, "/v1/ready")->status, 200);
   /* A caller that still has the address is served and told to close. */
-  response = testbed_get (&w, 0, "a.example", "/x", "");
-  testbed_wait (&w, response);
+  response = testbed_get (&t, 0, "a.example", "/x", "");
+  testbed_wait (&t, response);
   assert_succeeded (response);
   ck_assert_ptr_nonnull (strstr (response->fields->str, "Connection: close"));
-  testbed_run (&w, 300);
-  response = testbed_query (&w, 1, TESTBED_DIRECTORY_PORT, "/v1/resolve");
-  ck_assert_ptr_null (strstr (response->body->str, w.ips[0]));
+  testbed_run (&t, 300);
+  response = testbed_query (&t, 1, TESTBED_DIRECTORY_PORT, "/v1/resolve");
+  ck_assert_ptr_null (strstr (response->body->str, t.ips[0]));
   /* The shutdown quits the loop once no request is open. */
-  testbed_wait (&w, stream);
+  testbed_wait (&t, stream);
   assert_stream (stream, 30);
-  testbed_run (&w, 1500);
-  response = testbed_get (&w, 0, "a.example", "/x", "");
-  testbed_wait (&w, response);
+  testbed_run (&t, 1500);
+  response = testbed_get (&t, 0, "a.example", "/x", "");
+  testbed_wait (&t, response);
   ck_assert (response->failed);
   ck_assert_int_eq (response->failure, H1_FAILURE_REFUSED);
 }
@@ -425,15 +425,15 @@
 {
   struct testbed_response *response;
 
-  testbed_start_nodes (&w, 1);
-  response = testbed_generate (&w, 0, 1000, 1900);
-  testbed_run (&w, 200);
+  testbed_start_nodes (&t, 1);
+  response = testbed_generate (&t, 0, 1000, 1900);
+  testbed_run (&t, 200);
   ck_assert_uint_gt (response->body->len, 0);
-  ck_assert_uint_eq (standin_runner_running (testbed_busiest_endpoint (&w)),
+  ck_assert_uint_eq (standin_runner_running (testbed_busiest_endpoint (&t)),
                      1);
-  testbed_disconnect (&w, response);
-  testbed_run (&w, 100);
-  ck_assert_uint_eq (standin_runner_running (testbed_busiest_endpoint (&w)),
+  testbed_disconnect (&t, response);
+  testbed_run (&t, 100);
+  ck_assert_uint_eq (standin_runner_running (testbed_busiest_endpoint (&t)),
                      0);
 }
 END_TEST
@@ -447,22 +447,22 @@
       = { "part-1", "part-2", "part-3", "part-4" };
   struct testbed_response *responses[4];
 
-  testbed_start_nodes (&w, 2);
+  testbed_start_nodes (&t, 2);
   for (int i = 0; i < 4; i++)
-    testbed_generate_prompt (&w, 0, prompts[i], 0);
-  testbed_run (&w, 700);
-  ck_assert_uint_eq (standin_counts (w.standin)->prefills, 4);
-  testbed_kill_node (&w, 0);
-  testbed_run (&w, 100);
+    testbed_generate_prompt (&t, 0, prompts[i], 0);
+  testbed_run (&t, 700);
+  ck_assert_uint_eq (standin_counts (t.standin)->prefills, 4);
+  testbed_kill_node (&t, 0);
+  testbed_run (&t, 100);
   for (int i = 0; i < 4; i++)
-    responses[i] = testbed_generate_prompt (&w, 1, prompts[i], 0);
+    responses[i] = testbed_generate_prompt (&t, 1, prompts[i], 0);
   for (int i = 0; i < 4; i++)
     {
-      testbed_wait (&w, responses[i]);
+      testbed_wait (&t, responses[i]);
       assert_stream (responses[i], 30);
     }
-  ck_assert_uint_eq (standin_counts (w.standin)->prefills, 4);
-  ck_assert_uint_eq (standin_counts (w.standin)->warm, 4);
+  ck_assert_uint_eq (standin_counts (t.standin)->prefills, 4);
+  ck_assert_uint_eq (standin_counts (t.standin)->warm, 4);
 }
 END_TEST
 
@@ -472,17 +472,17 @@
 {
   struct testbed_response *response;
 
-  testbed_start_nodes (&w, 2);
-  testbed_generate_prompt (&w, 0, "part-1", 0);
-  testbed_run (&w, 700);
-  testbed_kill_node (&w, 0);
-  testbed_kill_node (&w, 1);
-  testbed_start_nodes (&w, 2);
-  response = testbed_generate_prompt (&w, 1, "part-1", 0);
-  testbed_wait (&w, response);
+  testbed_start_nodes (&t, 2);
+  testbed_generate_prompt (&t, 0, "part-1", 0);
+  testbed_run (&t, 700);
+  testbed_kill_node (&t, 0);
+  testbed_kill_node (&t, 1);
+  testbed_start_nodes (&t, 2);
+  response = testbed_generate_prompt (&t, 1, "part-1", 0);
+  testbed_wait (&t, response);
   assert_stream (response, 30);
-  ck_assert_uint_eq (standin_counts (w.standin)->prefills, 1);
-  ck_assert_uint_eq (standin_counts (w.standin)->warm, 1);
+  ck_assert_uint_eq (standin_counts (t.standin)->prefills, 1);
+  ck_assert_uint_eq (standin_counts (t.standin)->warm, 1);
 }
 END_TEST
 
@@ -494,21 +494,21 @@
 {
   struct testbed_response *responses[60];
 
-  testbed_start_nodes (&w, 3);
+  testbed_start_nodes (&t, 3);
   for (size_t i = 0; i < 60; i++)
     {
-      responses[i] = testbed_generate (&w, i % 3, 3000, 500);
-      testbed_run (&w, 30);
+      responses[i] = testbed_generate (&t, i % 3, 3000, 500);
+      testbed_run (&t, 30);
     }
   for (size_t i = 0; i < 60; i++)
-    testbed_wait (&w, responses[i]);
+    testbed_wait (&t, responses[i]);
   for (size_t i = 0; i < 60; i++)
     assert_stream (responses[i], 10);
-  ck_assert_uint_eq (standin_counts (w.standin)->executions, 60);
-  ck_assert_uint_eq (standin_counts (w.standin)->repeated, 0);
-  ck_assert_uint_le (standin_counts (w.standin)->rejected, rejected_max);
+  ck_assert_uint_eq (standin_counts (t.standin)->executions, 60);
+  ck_assert_uint_eq (standin_counts (t.standin)->repeated, 0);
+  ck_assert_uint_le (standin_counts (t.standin)->rejected, rejected_max);
   for (size_t i = 0; i < TESTBED_ENDPOINTS; i++)
-    ck_assert_uint_eq (standin_runner_held (testbed_endpoint (&w, i)), 0);
+    ck_assert_uint_eq (standin_runner_held (testbed_endpoint (&t, i)), 0);
 }
 
 /* Guards against nodes that together exceed the engines' memory: hardly any
@@ -521,8 +521,8 @@
  * from exceeding the memory, at the price of some more calls. */
 START_TEST (test_remote_nodes_share_engines)
 {
-  w.data_centres[1] = "dc-2";
-  w.data_centres[2] = "dc-3";
+  t.data_centres[1] = "dc-2";
+  t.data_centres[2] = "dc-3";
   share_engines (6);
 }
 END_TEST
@@ -541,21 +541,21 @@
 {
   struct beryl_error error = { 0 };
 
-  testbed_start_nodes (&w, 2);
-  testbed_wait (&w, testbed_generate (&w, 0, 2000, 500));
+  testbed_start_nodes (&t, 2);
+  testbed_wait (&t, testbed_generate (&t, 0, 2000, 500));
   for (size_t i = 3; i < TESTBED_ENDPOINTS; i++)
-    ck_assert_msg (standin_runner_restart (testbed_endpoint (&w, i), &error),
+    ck_assert_msg (standin_runner_restart (testbed_endpoint (&t, i), &error),
                    "%s", error.message);
-  testbed_run (&w, 300);
+  testbed_run (&t, 300);
   for (size_t i = 0; i < 6; i++)
     {
       struct testbed_response *response
-          = testbed_generate (&w, i % 2, 2000, 500);
+          = testbed_generate (&t, i % 2, 2000, 500);
 
-      testbed_wait (&w, response);
+      testbed_wait (&t, response);
       assert_stream (response, 10);
     }
-  ck_assert_uint_eq (standin_counts (w.standin)->repeated, 0);
+  ck_assert_uint_eq (standin_counts (t.standin)->repeated, 0);
 }
 END_TEST
 
@@ -574,29 +574,29 @@
 
 START_TEST (test_foreign_writer)
 {
-  testbed_start_nodes (&w, 2);
-  standin_put (w.standin, "servers", "foreign", json_stringn ("a\0b", 3));
-  standin_put (w.standin, "servers", "a0",
+  testbed_start_nodes (&t, 2);
+  standin_put (t.standin, "servers", "foreign", json_stringn ("a\0b", 3));
+  standin_put (t.standin, "servers", "a0",
                json_pack ("{s:s, s:i}", "service", "plain", "address", 1));
-  standin_put (w.standin, "gateway-leases", "stage-planner", json_integer (1));
-  testbed_run (&w, PROPAGATION_MS);
+  standin_put (t.standin, "gateway-leases", "stage-planner", json_integer (1));
+  testbed_run (&t, PROPAGATION_MS);
   for (size_t i = 0; i < 6; i++)
     {
       struct testbed_response *response
-          = testbed_get (&w, i % 2, "a.example", "/x", "");
+          = testbed_get (&t, i % 2, "a.example", "/x", "");
 
-      testbed_wait (&w, response);
+      testbed_wait (&t, response);
       assert_succeeded (response);
     }
-  ck_assert_uint_eq (standin_runner_executions (testbed_endpoint (&w, 0)), 0);
-  assert_contains (testbed_query (&w, 0, TESTBED_METRICS_PORT, "/metrics"),
+  ck_assert_uint_eq (standin_runner_executions (testbed_endpoint (&t, 0)), 0);
+  assert_contains (testbed_query (&t, 0, TESTBED_METRICS_PORT, "/metrics"),
                    "beryl_foreign_entries_total 2\n");
-  standin_runner_list (testbed_endpoint (&w, 0));
-  testbed_run (&w, PROPAGATION_MS);
+  standin_runner_list (testbed_endpoint (&t, 0));
+  testbed_run (&t, PROPAGATION_MS);
   for (size_t i = 0; i < 6; i++)
-    testbed_wait (&w, testbed_get (&w, 0, "a.example", "/x", ""));
-  ck_assert_uint_gt (standin_runner_executions (testbed_endpoint (&w, 0)), 0);
-  ck_assert (testbed_run_until (&w, lease_is_readable, 20000));
+    testbed_wait (&t, testbed_get (&t, 0, "a.example", "/x", ""));
+  ck_assert_uint_gt (standin_runner_executions (testbed_endpoint (&t, 0)), 0);
+  ck_assert (testbed_run_until (&t, lease_is_readable, 20000));
 }
 END_TEST
 
@@ -605,13 +605,13 @@
 {
   struct testbed_response *response;
 
-  testbed_start_nodes (&w, 1);
+  testbed_start_nodes (&t, 1);
   for (int i = 0; i < 7; i++)
-    testbed_wait (&w, testbed_get (&w, 0, "a.example", "/x", ""));
+    testbed_wait (&t, testbed_get (&t, 0, "a.example", "/x", ""));
   for (int i = 0; i < 2; i++)
-    testbed_wait (&w, testbed_generate (&w, 0, 1000, 200));
-  testbed_wait (&w, testbed_get (&w, 0, "unknown.example", "/x", ""));
-  response = testbed_query (&w, 0, TESTBED_METRICS_PORT, "/metrics");
+    testbed_wait (&t, testbed_generate (&t, 0, 1000, 200));
+  testbed_wait (&t, testbed_get (&t, 0, "unknown.example", "/x", ""));
+  response = testbed_query (&t, 0, TESTBED_METRICS_PORT, "/metrics");
   ck_assert_uint_eq (response->status, 200);
   assert_contains (response, "beryl_gateway_requests_total{service=\"plain\","
                              "end=\"answer\",cause=\"whole\"} 7\n");
@@ -641,11 +641,11 @@
   for (int i = 0; i < 600; i++)
     {
       g_snprintf (name, sizeof name, "A b/%03d", i);
-      standin_put (w.standin, "servers", name, json_object ());
+      standin_put (t.standin, "servers", name, json_object ());
     }
-  testbed_start_nodes (&w, 1);
-  response = testbed_get (&w, 0, "a.example", "/x", "");
-  testbed_wait (&w, response);
+  testbed_start_nodes (&t, 1);
+  response = testbed_get (&t, 0, "a.example", "/x", "");
+  testbed_wait (&t, response);
   assert_succeeded (response);
 }
 END_TEST
--- a/tests/gateway/test_limits.c
+++ b/tests/gateway/test_limits.c
@@ -12,18 +12,18 @@
 /* Interval between two requests. */
 #define SPACING_MS 12
 
-static struct testbed w;
+static struct testbed t;
 
 static void
 setup (void)
 {
-  testbed_open (&w);
+  testbed_open (&t);
 }
 
 static void
 teardown (void)
 {
-  testbed_close (&w);
+  testbed_close (&t);
 }
 
 /* Sends plain requests to the nodes in turn for MS; returns how many
@@ -31,21 +31,21 @@
 static uint32_t
 send_plain (int64_t ms, uint32_t *sent)
 {
-  int64_t end_ms = loop_now_ms (w.loop) + ms;
+  int64_t end_ms = loop_now_ms (t.loop) + ms;
   GPtrArray *responses = g_ptr_array_new ();
   uint32_t succeeded = 0;
 
-  while (loop_now_ms (w.loop) < end_ms)
+  while (loop_now_ms (t.loop) < end_ms)
     {
-      g_ptr_array_add (responses, testbed_get (&w, responses->len % NODES,
+      g_ptr_array_add (responses, testbed_get (&t, responses->len % NODES,
                                                "a.example", "/x", ""));
-      testbed_run (&w, SPACING_MS);
+      testbed_run (&t, SPACING_MS);
     }
   for (guint i = 0; i < responses->len; i++)
     {
       struct testbed_response *response = g_ptr_array_index (responses, i);
 
-      testbed_wait (&w, response);
+      testbed_wait (&t, response);
       succeeded += response->done && response->status == 200;
     }
   *sent = responses->len;
@@ -56,7 +56,7 @@
 static void
 assert_rate_limited (size_t endpoint, double per_s, int64_t since_ms)
 {
-  ck_assert_uint_le (standin_runner_most_in (testbed_endpoint (&w, endpoint),
+  ck_assert_uint_le (standin_runner_most_in (testbed_endpoint (&t, endpoint),
                                              WINDOW_MS, since_ms),
                      (uint32_t)(1.5 * per_s * WINDOW_MS / 1000 + 5));
 }
@@ -68,11 +68,11 @@
   int64_t limited_ms;
   uint32_t sent, succeeded;
 
-  testbed_start_nodes (&w, NODES);
+  testbed_start_nodes (&t, NODES);
   send_plain (300, &sent);
-  standin_runner_limit (testbed_endpoint (&w, 0), "4.2");
-  standin_runner_limit (testbed_endpoint (&w, 1), "2");
-  limited_ms = loop_now_ms (w.loop);
+  standin_runner_limit (testbed_endpoint (&t, 0), "4.2");
+  standin_runner_limit (testbed_endpoint (&t, 1), "2");
+  limited_ms = loop_now_ms (t.loop);
   succeeded = send_plain (PROPAGATION_MS + WINDOW_MS + 500, &sent);
   assert_rate_limited (0, 4.2, limited_ms + PROPAGATION_MS);
   assert_rate_limited (1, 2, limited_ms + PROPAGATION_MS);
@@ -80,7 +80,7 @@
   ck_assert_uint_eq (succeeded, sent);
   /* The limited endpoints still get requests. */
   ck_assert_uint_ge (
-      standin_runner_most_in (testbed_endpoint (&w, 0), WINDOW_MS, limited_ms),
+      standin_runner_most_in (testbed_endpoint (&t, 0), WINDOW_MS, limited_ms),
       8);
 }
 END_TEST
@@ -91,14 +91,14 @@
   int64_t limited_ms;
   uint32_t sent;
 
-  testbed_start_nodes (&w, NODES);
-  standin_runner_limit (testbed_endpoint (&w, 0), "3");
-  standin_runner_limit (testbed_endpoint (&w, 1), "3");
-  limited_ms = loop_now_ms (w.loop);
+  testbed_start_nodes (&t, NODES);
+  standin_runner_limit (testbed_endpoint (&t, 0), "3");
+  standin_runner_limit (testbed_endpoint (&t, 1), "3");
+  limited_ms = loop_now_ms (t.loop);
   send_plain (PROPAGATION_MS, &sent);
-  testbed_kill_node (&w, 1);
-  testbed_start_node (&w, 1);
-  testbed_wait_converged (&w);
+  testbed_kill_node (&t, 1);
+  testbed_start_node (&t, 1);
+  testbed_wait_converged (&t);
   send_plain (WINDOW_MS + 500, &sent);
   assert_rate_limited (0, 3, limited_ms + PROPAGATION_MS);
   assert_rate_limited (1, 3, limited_ms + PROPAGATION_MS);
@@ -113,18 +113,18 @@
   uint32_t sent, succeeded;
   struct testbed_response *response;
 
-  testbed_start_nodes (&w, NODES);
+  testbed_start_nodes (&t, NODES);
   for (size_t i = 0; i < 3; i++)
-    standin_runner_limit (testbed_endpoint (&w, i), "2");
-  limited_ms = loop_now_ms (w.loop);
+    standin_runner_limit (testbed_endpoint (&t, i), "2");
+  limited_ms = loop_now_ms (t.loop);
   succeeded = send_plain (PROPAGATION_MS + WINDOW_MS, &sent);
   for (size_t i = 0; i < 3; i++)
     assert_rate_limited (i, 2, limited_ms + PROPAGATION_MS);
   ck_assert_uint_gt (succeeded, 20);
   do
     {
-      response = testbed_get (&w, 0, "a.example", "/x", "");
-      testbed_wait (&w, response);
+      response = testbed_get (&t, 0, "a.example", "/x", "");
+      testbed_wait (&t, response);
     }
   while (response->status == 200);
   ck_assert_uint_eq (response->status, 503);
@@ -140,17 +140,17 @@
   int64_t unlimited_ms;
   uint32_t sent;
 
-  testbed_start_nodes (&w, NODES);
+  testbed_start_nodes (&t, NODES);
   for (size_t i = 0; i < 3; i++)
-    standin_runner_limit (testbed_endpoint (&w, i), "3");
+    standin_runner_limit (testbed_endpoint (&t, i), "3");
   send_plain (PROPAGATION_MS, &sent);
   for (size_t i = 0; i < 3; i++)
-    standin_runner_limit (testbed_endpoint (&w, i), NULL);
+    standin_runner_limit (testbed_endpoint (&t, i), NULL);
   send_plain (PROPAGATION_MS, &sent);
-  unlimited_ms = loop_now_ms (w.loop);
+  unlimited_ms = loop_now_ms (t.loop);
   ck_assert_uint_eq (send_plain (1000, &sent), sent);
   ck_assert_uint_ge (
-      standin_runner_most_in (testbed_endpoint (&w, 0), 1000, unlimited_ms),
+      standin_runner_most_in (testbed_endpoint (&t, 0), 1000, unlimited_ms),
       10);
 }
 END_TEST
@@ -162,22 +162,22 @@
   uint32_t succeeded = 0;
   GPtrArray *responses = g_ptr_array_new ();
 
-  testbed_start_nodes (&w, NODES);
-  standin_runner_limit (testbed_endpoint (&w, 5), "1");
-  standin_runner_limit (testbed_endpoint (&w, 3), "1");
-  limited_ms = loop_now_ms (w.loop);
+  testbed_start_nodes (&t, NODES);
+  standin_runner_limit (testbed_endpoint (&t, 5), "1");
+  standin_runner_limit (testbed_endpoint (&t, 3), "1");
+  limited_ms = loop_now_ms (t.loop);
   end_ms = limited_ms + PROPAGATION_MS + WINDOW_MS + 500;
-  while (loop_now_ms (w.loop) < end_ms)
+  while (loop_now_ms (t.loop) < end_ms)
     {
       g_ptr_array_add (
-          responses, testbed_generate (&w, responses->len % NODES, 500, 200));
-      testbed_run (&w, 60);
+          responses, testbed_generate (&t, responses->len % NODES, 500, 200));
+      testbed_run (&t, 60);
     }
   for (guint i = 0; i < responses->len; i++)
     {
       struct testbed_response *response = g_ptr_array_index (responses, i);
 
-      testbed_wait (&w, response);
+      testbed_wait (&t, response);
       succeeded += response->done && response->status == 200;
     }
   assert_rate_limited (5, 1, limited_ms + PROPAGATION_MS);
--- a/tests/gateway/test_relay.c
+++ b/tests/gateway/test_relay.c
@@ -11,27 +11,27 @@
 /* Time by which the last watch calls of new followers have ended. */
 #define SETTLED_MS 5000
 
-static struct testbed w;
+static struct testbed t;
 
 static void
 setup (void)
 {
-  testbed_open (&w);
-  testbed_start_nodes (&w, NODES);
-  testbed_run (&w, SETTLED_MS);
+  testbed_open (&t);
+  testbed_start_nodes (&t, NODES);
+  testbed_run (&t, SETTLED_MS);
 }
 
 static void
 teardown (void)
 {
-  testbed_close (&w);
+  testbed_close (&t);
 }
 
 static bool
 is_watcher (size_t i)
 {
   struct testbed_response *response
-      = testbed_query (&w, i, TESTBED_METRICS_PORT, "/metrics");
+      = testbed_query (&t, i, TESTBED_METRICS_PORT, "/metrics");
 
   return strstr (response->body->str, "beryl_gateway_endpoint_watcher 1")
          != NULL;
@@ -40,22 +40,22 @@
 static uint32_t
 count_store_calls (int64_t ms)
 {
-  uint32_t before = standin_counts (w.standin)->store_calls;
+  uint32_t before = standin_counts (t.standin)->store_calls;
 
-  testbed_run (&w, ms);
-  return standin_counts (w.standin)->store_calls - before;
+  testbed_run (&t, ms);
+  return standin_counts (t.standin)->store_calls - before;
 }
 
 /* Checks that no running node sends requests to endpoint 0. */
 static void
 assert_unused (void)
 {
-  uint32_t before = standin_runner_executions (testbed_endpoint (&w, 0));
+  uint32_t before = standin_runner_executions (testbed_endpoint (&t, 0));
 
   for (size_t i = 0; i < NODES; i++)
-    for (int k = 0; w.nodes[i] != NULL && k < 4; k++)
-      testbed_wait (&w, testbed_get (&w, i, "a.example", "/x", ""));
-  ck_assert_uint_eq (standin_runner_executions (testbed_endpoint (&w, 0)),
+    for (int k = 0; t.nodes[i] != NULL && k < 4; k++)
+      testbed_wait (&t, testbed_get (&t, i, "a.example", "/x", ""));
+  ck_assert_uint_eq (standin_runner_executions (testbed_endpoint (&t, 0)),
                      before);
 }
 
@@ -70,7 +70,7 @@
   for (size_t i = 0; i < NODES; i++)
     watchers += is_watcher (i);
   ck_assert_uint_eq (watchers, 2);
-  standin_runner_drain (testbed_endpoint (&w, 0));
+  standin_runner_drain (testbed_endpoint (&t, 0));
   change_calls = count_store_calls (LEAVE_MS);
   ck_assert_uint_lt (change_calls, idle_calls + NODES);
   assert_unused ();
@@ -83,9 +83,9 @@
 {
   for (size_t i = 0; i < NODES; i++)
     if (is_watcher (i))
-      testbed_kill_node (&w, i);
-  standin_runner_drain (testbed_endpoint (&w, 0));
-  testbed_run (&w, LEAVE_MS);
+      testbed_kill_node (&t, i);
+  standin_runner_drain (testbed_endpoint (&t, 0));
+  testbed_run (&t, LEAVE_MS);
   assert_unused ();
 }
 END_TEST
@@ -94,9 +94,9 @@
  * compacted its history before a watcher's next call. */
 START_TEST (test_history_compacted)
 {
-  standin_runner_drain (testbed_endpoint (&w, 0));
-  standin_compact (w.standin);
-  testbed_run (&w, LEAVE_MS);
+  standin_runner_drain (testbed_endpoint (&t, 0));
+  standin_compact (t.standin);
+  testbed_run (&t, LEAVE_MS);
   assert_unused ();
 }
 END_TEST
--- a/tests/gateway/test_transfers.c
+++ b/tests/gateway/test_transfers.c
@@ -31,12 +31,12 @@
 struct node
 {
   struct platform_source_owner source_base; /* first member */
-  struct config_sync_owner pulls_base;
+  struct config_sync_owner sync_base;
   struct platform_client *store;
-  struct beryl_lives *lives;
+  struct beryl_lives *endpoints;
   struct counters *counters;
   struct platform_source *source;
-  struct config_sync *pulls;
+  struct config_sync *sync;
   size_t routes;
   uint64_t configuration_version;
 };
@@ -56,7 +56,7 @@
   n->configuration_version = routes->version;
   beryl_routes_unref (routes);
   config_sync_set_configuration (
-      n->pulls, platform_source_configuration_revision (n->source), value,
+      n->sync, platform_source_configuration_revision (n->source), value,
       value_bytes);
 }
 
@@ -74,13 +74,13 @@
                         const char *value, size_t value_bytes)
 {
   struct node *n
-      = (struct node *)((char *)owner - offsetof (struct node, pulls_base));
+      = (struct node *)((char *)owner - offsetof (struct node, sync_base));
 
   platform_source_offer_configuration (n->source, revision, value,
                                        value_bytes);
 }
 
-static const struct config_sync_owner_impl pulls_impl
+static const struct config_sync_owner_impl sync_impl
     = { .configuration_received = configuration_received };
 
 /* Starts a node that uses the store at STORE_PORT and listens for peers at
@@ -96,17 +96,18 @@
 
   memset (n, 0, sizeof *n);
   n->source_base.impl = &source_impl;
-  n->pulls_base.impl = &pulls_impl;
+  n->sync_base.impl = &sync_impl;
   n->counters = counters_create ();
-  n->lives = beryl_lives_create (2000);
+  n->endpoints = beryl_lives_create (2000);
   n->store = store_create (loop, http, platform_gateway_wire (), &settings,
                            n->counters, 1);
-  n->pulls
-      = config_sync_create (loop, "127.0.0.1", port, &n->pulls_base, &error);
-  ck_assert_msg (n->pulls != NULL, "%s", error.message);
-  config_sync_set_key (n->pulls, "key");
-  n->source = platform_source_create (loop, platform_gateway_wire (), n->store,
-                                      n->lives, n->counters, &n->source_base);
+  n->sync
+      = config_sync_create (loop, "127.0.0.1", port, &n->sync_base, &error);
+  ck_assert_msg (n->sync != NULL, "%s", error.message);
+  config_sync_set_key (n->sync, "key");
+  n->source
+      = platform_source_create (loop, platform_gateway_wire (), n->store,
+                                n->endpoints, n->counters, &n->source_base);
 }
 
 static void
@@ -115,12 +116,12 @@
   if (n->source == NULL)
     return;
   platform_source_destroy (n->source);
-  config_sync_destroy (n->pulls);
+  config_sync_destroy (n->sync);
   platform_client_destroy (n->store);
-  beryl_lives_destroy (n->lives);
+  beryl_lives_destroy (n->endpoints);
   counters_destroy (n->counters);
   n->source = NULL;
-  n->pulls = NULL;
+  n->sync = NULL;
 }
 
 static void
@@ -211,13 +212,13 @@
                      wanted, APPLY_MAX_MS,
                      slow_link_carried_bytes (slow_link));
       run_loop (PEER_INTERVAL_MS);
-      config_sync_expire (node.pulls);
-      if (peer.pulls != NULL)
-        config_sync_expire (peer.pulls);
+      config_sync_expire (node.sync);
+      if (peer.sync != NULL)
+        config_sync_expire (peer.sync);
       if (input.endpoints > 0)
         platform_source_set_peer_revision (node.source, ++input.endpoints);
       if (input.pull_port > 0 && platform_source_should_pull (node.source))
-        config_sync_pull (node.pulls, "127.0.0.1", input.pull_port);
+        config_sync_pull (node.sync, "127.0.0.1", input.pull_port);
     }
 }
 
@@ -328,7 +329,7 @@
   uint16_t port = start_peer (wanted);
 
   node_open (&node, free_port (), 0);
-  config_sync_pull (node.pulls, "127.0.0.1", port);
+  config_sync_pull (node.sync, "127.0.0.1", port);
   wait_carried_bytes (100000);
   slow_link_freeze (slow_link);
   wait_applied (wanted, (struct peer_input){ .pull_port = port });
--- a/tests/gateway/testbed.c
+++ b/tests/gateway/testbed.c
@@ -18,31 +18,31 @@
 };
 
 void
-testbed_configure (struct testbed *w, const char *to, const char *extra_host)
+testbed_configure (struct testbed *t, const char *to, const char *extra_host)
 {
-  w->configuration_version += 3;
-  standin_put (w->standin, "config", "main",
-               demo_configuration (w->configuration_version, to, extra_host));
+  t->configuration_version += 3;
+  standin_put (t->standin, "config", "main",
+               demo_configuration (t->configuration_version, to, extra_host));
 }
 
 void
-testbed_open (struct testbed *w)
+testbed_open (struct testbed *t)
 {
   struct beryl_error error = { 0 };
 
-  memset (w, 0, sizeof *w);
+  memset (t, 0, sizeof *t);
   log_init ("test", LOG_FORMAT_TEXT,
             g_getenv ("BERYL_TEST_LOG") != NULL ? "info" : "error");
-  w->loop = loop_create ();
-  w->http = http_context_create (w->loop, NULL);
-  w->responses = g_ptr_array_new ();
-  w->standin = standin_create (w->loop, "127.0.0.1", 0, &error);
-  ck_assert_msg (w->standin != NULL, "%s", error.message);
+  t->loop = loop_create ();
+  t->http = http_context_create (t->loop, NULL);
+  t->responses = g_ptr_array_new ();
+  t->standin = standin_create (t->loop, "127.0.0.1", 0, &error);
+  ck_assert_msg (t->standin != NULL, "%s", error.message);
   for (size_t i = 0; i < TESTBED_NODES_MAX; i++)
-    g_snprintf (w->ips[i], sizeof w->ips[i], "127.%d.%d.%zu",
+    g_snprintf (t->ips[i], sizeof t->ips[i], "127.%d.%d.%zu",
                 1 + getpid () / 250 % 250, 1 + getpid () % 250, i + 1);
-  w->configuration_version = 1;
-  w->endpoints = demo_fill (w->standin);
+  t->configuration_version = 1;
+  t->endpoints = demo_fill (t->standin);
 }
 
 static void
@@ -54,20 +54,20 @@
 }
 
 void
-testbed_close (struct testbed *w)
+testbed_close (struct testbed *t)
 {
   for (size_t i = 0; i < TESTBED_NODES_MAX; i++)
-    testbed_kill_node (w, i);
+    testbed_kill_node (t, i);
   /* No connection may be accepted any more: the HTTP library closes one of its
      descriptors twice when it is released. */
-  standin_destroy (w->standin);
-  http_context_destroy (w->http);
-  g_ptr_array_free (w->endpoints, TRUE);
-  testbed_run (w, 20);
-  for (guint i = 0; i < w->responses->len; i++)
-    caller_free (g_ptr_array_index (w->responses, i));
-  g_ptr_array_free (w->responses, TRUE);
-  loop_destroy (w->loop);
+  standin_destroy (t->standin);
+  http_context_destroy (t->http);
+  g_ptr_array_free (t->endpoints, TRUE);
+  testbed_run (t, 20);
+  for (guint i = 0; i < t->responses->len; i++)
+    caller_free (g_ptr_array_index (t->responses, i));
+  g_ptr_array_free (t->responses, TRUE);
+  loop_destroy (t->loop);
 }
 
 static void
@@ -78,7 +78,7 @@
 }
 
 void
-testbed_start_node (struct testbed *w, size_t i)
+testbed_start_node (struct testbed *t, size_t i)
 {
   struct gateway_settings settings = {
     .data_centre = "dc-1", /* that of the endpoints */
@@ -102,25 +102,25 @@
   struct beryl_error error = { 0 };
 
   g_snprintf (settings.node, sizeof settings.node, "node-%zu", i);
-  if (w->data_centres[i] != NULL)
-    g_strlcpy (settings.data_centre, w->data_centres[i],
+  if (t->data_centres[i] != NULL)
+    g_strlcpy (settings.data_centre, t->data_centres[i],
                sizeof settings.data_centre);
-  set_address (&settings.front, w->ips[i], TESTBED_FRONT_PORT);
-  set_address (&settings.ready, w->ips[i], TESTBED_READY_PORT);
-  set_address (&settings.directory, w->ips[i], TESTBED_DIRECTORY_PORT);
-  set_address (&settings.platform, "127.0.0.1", standin_port (w->standin));
-  w->nodes[i] = gateway_create (w->loop, w->http, platform_gateway_wire (),
+  set_address (&settings.front, t->ips[i], TESTBED_FRONT_PORT);
+  set_address (&settings.ready, t->ips[i], TESTBED_READY_PORT);
+  set_address (&settings.directory, t->ips[i], TESTBED_DIRECTORY_PORT);
+  set_address (&settings.platform, "127.0.0.1", standin_port (t->standin));
+  t->nodes[i] = gateway_create (t->loop, t->http, platform_gateway_wire (),
                                 &settings, &error);
-  ck_assert_msg (w->nodes[i] != NULL, "%s", error.message);
+  ck_assert_msg (t->nodes[i] != NULL, "%s", error.message);
 }
 
 void
-testbed_kill_node (struct testbed *w, size_t i)
+testbed_kill_node (struct testbed *t, size_t i)
 {
-  if (w->nodes[i] == NULL)
+  if (t->nodes[i] == NULL)
     return;
-  gateway_destroy (w->nodes[i]);
-  w->nodes[i] = NULL;
+  gateway_destroy (t->nodes[i]);
+  t->nodes[i] = NULL;
 }
 
 static void
@@ -130,26 +130,26 @@
 }
 
 void
-testbed_run (struct testbed *w, int64_t ms)
+testbed_run (struct testbed *t, int64_t ms)
 {
   struct loop_timer *timer
-      = loop_timer_start (w->loop, ms, 0, quit_loop, w->loop);
+      = loop_timer_start (t->loop, ms, 0, quit_loop, t->loop);
 
-  loop_run (w->loop);
+  loop_run (t->loop);
   loop_timer_stop (timer);
 }
 
 bool
-testbed_run_until (struct testbed *w, bool (*until) (struct testbed *w),
+testbed_run_until (struct testbed *t, bool (*until) (struct testbed *t),
                    int64_t ms)
 {
-  int64_t end_ms = loop_now_ms (w->loop) + ms;
+  int64_t end_ms = loop_now_ms (t->loop) + ms;
 
-  while (!until (w))
+  while (!until (t))
     {
-      if (loop_now_ms (w->loop) > end_ms)
+      if (loop_now_ms (t->loop) > end_ms)
         return false;
-      testbed_run (w, 5);
+      testbed_run (t, 5);
     }
   return true;
 }
@@ -211,7 +211,7 @@
 };
 
 static struct testbed_response *
-send_request (struct testbed *w, const char *ip, uint16_t port,
+send_request (struct testbed *t, const char *ip, uint16_t port,
               const char *head)
 {
   struct caller *caller = g_new0 (struct caller, 1);
@@ -220,46 +220,46 @@
   };
 
   caller->handler.impl = &caller_impl;
-  caller->testbed = w;
+  caller->testbed = t;
   caller->response.fields = g_string_new (NULL);
   caller->response.body = g_string_new (NULL);
-  caller->response.start_ms = loop_now_ms (w->loop);
-  g_ptr_array_add (w->responses, caller);
-  caller->call = h1_call_start (w->loop, &request, &caller->handler);
+  caller->response.start_ms = loop_now_ms (t->loop);
+  g_ptr_array_add (t->responses, caller);
+  caller->call = h1_call_start (t->loop, &request, &caller->handler);
   return &caller->response;
 }
 
 struct testbed_response *
-testbed_get (struct testbed *w, size_t i, const char *host, const char *path,
+testbed_get (struct testbed *t, size_t i, const char *host, const char *path,
              const char *fields)
 {
   char *head = g_strdup_printf (
       "GET %s HTTP/1.1\r\nHost: %s\r\nX-Request-Id: q-%" G_GUINT64_FORMAT
       "\r\nX-Deadline-Ms: 5000\r\n%s\r\n",
-      path, host, ++w->request_count, fields);
+      path, host, ++t->request_count, fields);
   struct testbed_response *response
-      = send_request (w, w->ips[i], TESTBED_FRONT_PORT, head);
+      = send_request (t, t->ips[i], TESTBED_FRONT_PORT, head);
 
   g_free (head);
   return response;
 }
 
 struct testbed_response *
-testbed_generate (struct testbed *w, size_t i, uint32_t prompt_tokens,
+testbed_generate (struct testbed *t, size_t i, uint32_t prompt_tokens,
                   uint32_t output_tokens)
 {
   char *fields = g_strdup_printf (
       "X-Token-Counts: %u,%u\r\nX-Length-Hint: %u\r\nX-Model: m\r\n",
       prompt_tokens, output_tokens, output_tokens);
   struct testbed_response *response
-      = testbed_get (w, i, "model.example", "/chat", fields);
+      = testbed_get (t, i, "model.example", "/chat", fields);
 
   g_free (fields);
   return response;
 }
 
 struct testbed_response *
-testbed_generate_prompt (struct testbed *w, size_t i, const char *prompt,
+testbed_generate_prompt (struct testbed *t, size_t i, const char *prompt,
                          uint64_t last_event)
 {
   char *fields
@@ -269,7 +269,7 @@
   char *resume = g_strdup_printf ("%sLast-Event-Id: %" G_GUINT64_FORMAT "\r\n",
                                   fields, last_event);
   struct testbed_response *response = testbed_get (
-      w, i, "model.example", "/chat", last_event > 0 ? resume : fields);
+      t, i, "model.example", "/chat", last_event > 0 ? resume : fields);
 
   g_free (fields);
   g_free (resume);
@@ -277,11 +277,11 @@
 }
 
 void
-testbed_disconnect (struct testbed *w, struct testbed_response *response)
+testbed_disconnect (struct testbed *t, struct testbed_response *response)
 {
-  for (guint i = 0; i < w->responses->len; i++)
+  for (guint i = 0; i < t->responses->len; i++)
     {
-      struct caller *caller = g_ptr_array_index (w->responses, i);
+      struct caller *caller = g_ptr_array_index (t->responses, i);
 
       if (&caller->response == response)
         h1_call_cancel (caller->call);
@@ -289,49 +289,49 @@
 }
 
 void
-testbed_wait (struct testbed *w, struct testbed_response *response)
+testbed_wait (struct testbed *t, struct testbed_response *response)
 {
-  int64_t end_ms = loop_now_ms (w->loop) + WAIT_MS;
+  int64_t end_ms = loop_now_ms (t->loop) + WAIT_MS;
 
   while (!response->done && !response->failed)
     {
-      ck_assert_msg (loop_now_ms (w->loop) < end_ms, "no answer");
-      testbed_run (w, 2);
+      ck_assert_msg (loop_now_ms (t->loop) < end_ms, "no answer");
+      testbed_run (t, 2);
     }
 }
 
 struct testbed_response *
-testbed_query (struct testbed *w, size_t i, uint16_t port, const char *path)
+testbed_query (struct testbed *t, size_t i, uint16_t port, const char *path)
 {
   char *head = g_strdup_printf ("GET %s HTTP/1.1\r\nHost: node\r\n\r\n", path);
-  struct testbed_response *response = send_request (w, w->ips[i], port, head);
+  struct testbed_response *response = send_request (t, t->ips[i], port, head);
 
   g_free (head);
-  testbed_wait (w, response);
+  testbed_wait (t, response);
   return response;
 }
 
 /* Returns whether each node is ready and lists as many addresses as there are
  * nodes. */
 static bool
-all_converged (struct testbed *w)
+all_converged (struct testbed *t)
 {
   size_t count = 0;
 
   for (size_t i = 0; i < TESTBED_NODES_MAX; i++)
-    count += w->nodes[i] != NULL;
+    count += t->nodes[i] != NULL;
   for (size_t i = 0; i < TESTBED_NODES_MAX; i++)
     {
       struct testbed_response *response;
       char **parts;
       size_t listed;
 
-      if (w->nodes[i] == NULL)
+      if (t->nodes[i] == NULL)
         continue;
-      response = testbed_query (w, i, TESTBED_READY_PORT, "/v1/ready");
+      response = testbed_query (t, i, TESTBED_READY_PORT, "/v1/ready");
       if (response->status != 200)
         return false;
-      response = testbed_query (w, i, TESTBED_DIRECTORY_PORT,
+      response = testbed_query (t, i, TESTBED_DIRECTORY_PORT,
                                 "/v1/resolve?zone=dc-1");
       parts = g_strsplit (response->body->str, ":8100", -1);
       listed = g_strv_length (parts) - 1;
@@ -343,34 +343,34 @@
 }
 
 void
-testbed_start_nodes (struct testbed *w, size_t count)
+testbed_start_nodes (struct testbed *t, size_t count)
 {
   for (size_t i = 0; i < count; i++)
-    testbed_start_node (w, i);
-  testbed_wait_converged (w);
+    testbed_start_node (t, i);
+  testbed_wait_converged (t);
 }
 
 void
-testbed_wait_converged (struct testbed *w)
+testbed_wait_converged (struct testbed *t)
 {
-  ck_assert (testbed_run_until (w, all_converged, WAIT_MS));
+  ck_assert (testbed_run_until (t, all_converged, WAIT_MS));
 }
 
 struct standin_runner *
-testbed_endpoint (struct testbed *w, size_t i)
+testbed_endpoint (struct testbed *t, size_t i)
 {
-  return g_ptr_array_index (w->endpoints, i);
+  return g_ptr_array_index (t->endpoints, i);
 }
 
 struct standin_runner *
-testbed_busiest_endpoint (struct testbed *w)
+testbed_busiest_endpoint (struct testbed *t)
 {
   struct standin_runner *best = NULL;
 
   for (size_t i = 0; i < TESTBED_ENDPOINTS; i++)
     if (best == NULL
-        || standin_runner_running (testbed_endpoint (w, i))
+        || standin_runner_running (testbed_endpoint (t, i))
                > standin_runner_running (best))
-      best = testbed_endpoint (w, i);
+      best = testbed_endpoint (t, i);
   return best;
 }
--- a/tests/gateway/testbed.h
+++ b/tests/gateway/testbed.h
@@ -49,51 +49,51 @@
 };
 
 /** Start the store and the endpoints of demo_fill. */
-void testbed_open (struct testbed *w);
-void testbed_close (struct testbed *w);
+void testbed_open (struct testbed *t);
+void testbed_close (struct testbed *t);
 
 /** Start node I; destroy it without a graceful shutdown. */
-void testbed_start_node (struct testbed *w, size_t i);
-void testbed_kill_node (struct testbed *w, size_t i);
+void testbed_start_node (struct testbed *t, size_t i);
+void testbed_kill_node (struct testbed *t, size_t i);
 /** Start COUNT nodes and wait until each is ready and lists all. */
-void testbed_start_nodes (struct testbed *w, size_t count);
+void testbed_start_nodes (struct testbed *t, size_t count);
 /** Wait until each running node is ready and lists all running nodes. */
-void testbed_wait_converged (struct testbed *w);
+void testbed_wait_converged (struct testbed *t);
 
 /** Run the loop for MS, or until UNTIL returns true; false if it did not
  * within MS. */
-void testbed_run (struct testbed *w, int64_t ms);
-bool testbed_run_until (struct testbed *w, bool (*until) (struct testbed *w),
+void testbed_run (struct testbed *t, int64_t ms);
+bool testbed_run_until (struct testbed *t, bool (*until) (struct testbed *t),
                         int64_t ms);
 
-/** Send a request to node I; the response is owned by W. */
-struct testbed_response *testbed_get (struct testbed *w, size_t i,
+/** Send a request to node I; the response is owned by T. */
+struct testbed_response *testbed_get (struct testbed *t, size_t i,
                                       const char *host, const char *path,
                                       const char *fields);
 /** Send a generation request. */
-struct testbed_response *testbed_generate (struct testbed *w, size_t i,
+struct testbed_response *testbed_generate (struct testbed *t, size_t i,
                                            uint32_t prompt_tokens,
                                            uint32_t output_tokens);
 /** Send a generation request with the prompt called PROMPT that resumes after
  * LAST_EVENT (0: from the start). */
-struct testbed_response *testbed_generate_prompt (struct testbed *w, size_t i,
+struct testbed_response *testbed_generate_prompt (struct testbed *t, size_t i,
                                                   const char *prompt,
                                                   uint64_t last_event);
 /** Send a GET to another port of node I and wait for the response. */
-struct testbed_response *testbed_query (struct testbed *w, size_t i,
+struct testbed_response *testbed_query (struct testbed *t, size_t i,
                                         uint16_t port, const char *path);
 /** Close the caller's connection. */
-void testbed_disconnect (struct testbed *w, struct testbed_response *response);
+void testbed_disconnect (struct testbed *t, struct testbed_response *response);
 /** Run the loop until RESPONSE has ended; fails the test after 10 s. */
-void testbed_wait (struct testbed *w, struct testbed_response *response);
+void testbed_wait (struct testbed *t, struct testbed_response *response);
 
 /** Write demo_configuration as a new version. */
-void testbed_configure (struct testbed *w, const char *service,
+void testbed_configure (struct testbed *t, const char *service,
                         const char *extra_host);
 
 /** Return endpoint I. */
-struct standin_runner *testbed_endpoint (struct testbed *w, size_t i);
+struct standin_runner *testbed_endpoint (struct testbed *t, size_t i);
 /** Return the endpoint with the most running requests. */
-struct standin_runner *testbed_busiest_endpoint (struct testbed *w);
+struct standin_runner *testbed_busiest_endpoint (struct testbed *t);
 
 #endif
