--- a/gatewayd/cluster_key.c
+++ b/gatewayd/cluster_key.c
@@ -20,8 +20,7 @@
   void *user;
   struct loop_timer *retry_timer;
   uint64_t request;
-  char generated[CLUSTER_KEY_BYTES]; /* proposed by this node if there is none
-                                        yet */
+  char generated[CLUSTER_KEY_BYTES]; /* key proposed by this node */
 };
 
 static const struct platform_client_options options
--- a/gatewayd/cluster_key.h
+++ b/gatewayd/cluster_key.h
@@ -2,8 +2,8 @@
  * Key that authenticates the messages between nodes.
  *
  * The first node of a fleet creates it and stores it in the platform's API,
- * which only nodes and operators can read.  Without it, anyone able to send
- * datagrams could declare a node dead or distribute a configuration.
+ * which only nodes and operators can read.  It prevents anyone who can merely
+ * send datagrams from declaring a node dead or distributing a configuration.
  */
 #ifndef GATEWAYD_CLUSTER_KEY_H
 #define GATEWAYD_CLUSTER_KEY_H
--- a/gatewayd/metrics.h
+++ b/gatewayd/metrics.h
@@ -36,9 +36,8 @@
   uint64_t configuration_revision; /**< of the configuration object */
   int64_t list_age_ms; /**< time since the endpoint list was confirmed */
   bool ready;
-  bool holds_planner_lease; /**< this node's planner is the active one */
-  bool is_endpoint_watcher; /**< this node relays changes of the endpoint list
-                             */
+  bool holds_planner_lease;      /**< this node's planner is the active one */
+  bool is_endpoint_watcher;      /**< it relays changes of the endpoint list */
   uint64_t limited_endpoints;    /**< endpoints that announce a rate limit */
   uint64_t quarantined_requests; /**< not sent to any endpoint */
   uint64_t suspect_requests;     /**< during which an endpoint has ended */
--- a/gatewayd/quarantine_records.c
+++ b/gatewayd/quarantine_records.c
@@ -21,7 +21,7 @@
   GQueue *pending; /* struct record, the first is being written */
   uint64_t write_request;
   uint64_t delete_request;
-  struct loop_timer *retry;
+  struct loop_timer *retry_timer;
 };
 
 /* A record to be written. */
@@ -48,8 +48,8 @@
 {
   struct quarantine_records *q = user;
 
-  loop_timer_stop (q->retry);
-  q->retry = NULL;
+  loop_timer_stop (q->retry_timer);
+  q->retry_timer = NULL;
   write_first (q);
 }
 
@@ -73,7 +73,7 @@
     g_warning ("record of fingerprint=%016" G_GINT64_MODIFIER
                "x not written: %s",
                record->fingerprint, beryl_error_code_name (result->code));
-  q->retry = loop_timer_start (q->loop, RETRY_MS, 0, retry_due, q);
+  q->retry_timer = loop_timer_start (q->loop, RETRY_MS, 0, retry_due, q);
 }
 
 static void
@@ -87,7 +87,7 @@
   json_t *value;
   char *text;
 
-  if (record == NULL || q->write_request != 0 || q->retry != NULL)
+  if (record == NULL || q->write_request != 0 || q->retry_timer != NULL)
     return;
   g_snprintf (name, sizeof name, NAME_PREFIX "%016" G_GINT64_MODIFIER "x",
               record->fingerprint);
@@ -127,7 +127,7 @@
 {
   if (q == NULL)
     return;
-  loop_timer_stop (q->retry);
+  loop_timer_stop (q->retry_timer);
   if (q->write_request != 0)
     platform_client_forget (q->client, q->write_request);
   if (q->delete_request != 0)
--- a/gatewayd/registry.c
+++ b/gatewayd/registry.c
@@ -159,7 +159,7 @@
       if (strcmp (node, r->settings->node) == 0
           || !r->owner->impl->should_remove (r->owner, node))
         continue;
-      g_info ("record of node=%s removed", node);
+      g_info ("record of node=%s is being removed", node);
       r->delete_request
           = platform_client_delete (r->client, &write_options, REGISTRY_KIND,
                                     node, objects[i].version, delete_done, r);
--- a/gatewayd/survey.c
+++ b/gatewayd/survey.c
@@ -4,8 +4,8 @@
 
 #include "engine_call.h"
 
-/* Interval at which the node checks whether the endpoint list has arrived,
- * which takes some tens of milliseconds after a start. */
+/* Interval at which the node checks whether the endpoint list has arrived; it
+ * arrives whole within some tens of milliseconds of a start. */
 #define LIST_CHECK_MS 50
 /* Engines that one node asks: enough for all of a small fleet, and a bound
  * where hundreds of nodes and thousands of engines start together. */
