--- a/gatewayd/directory.c
+++ b/gatewayd/directory.c
@@ -13,7 +13,7 @@
   struct h1_server_handler base;
   const struct gateway_wire *wire;
   struct directory_owner *owner;
-  int64_t keep_ms;
+  int64_t address_keep_ms;
   struct h1_server *servers[PORTS_MAX];
   size_t server_count;
 };
@@ -30,7 +30,7 @@
 static void
 reply_ready (struct directory *d, struct h1_exchange *ex)
 {
-  bool ready = d->owner->impl->ready (d->owner);
+  bool ready = d->owner->impl->is_ready (d->owner);
 
   reply (ex, ready ? 200 : 503, "text/plain",
          ready ? "ready\n" : "not ready\n");
@@ -38,15 +38,15 @@
 
 static void
 reply_addresses (struct directory *d, struct h1_exchange *ex,
-                 const struct gateway_place *place)
+                 const struct gateway_location *location)
 {
   GPtrArray *addresses = g_ptr_array_new_with_free_func (g_free);
   GString *body = g_string_new (NULL);
 
-  d->owner->impl->addresses (d->owner, place, addresses);
+  d->owner->impl->append_addresses (d->owner, location, addresses);
   d->wire->impl->format_addresses (d->wire,
                                    (const char *const *)addresses->pdata,
-                                   addresses->len, d->keep_ms, body);
+                                   addresses->len, d->address_keep_ms, body);
   reply (ex, addresses->len > 0 ? 200 : 503, "application/json", body->str);
   g_string_free (body, TRUE);
   g_ptr_array_free (addresses, TRUE);
@@ -55,28 +55,28 @@
 static void
 reply_metrics (struct directory *d, struct h1_exchange *ex)
 {
-  char *text = d->owner->impl->metrics (d->owner);
+  char *text = d->owner->impl->format_metrics (d->owner);
 
   reply (ex, 200, "text/plain; version=0.0.4", text);
   free (text);
 }
 
 static void
-asked (struct h1_server_handler *handler, struct h1_exchange *ex)
+handle_request (struct h1_server_handler *handler, struct h1_exchange *ex)
 {
   struct directory *d = (struct directory *)handler;
   const struct h1_head *head = h1_exchange_head (ex);
-  struct gateway_place place = { 0 };
+  struct gateway_location location = { 0 };
 
-  switch (d->wire->impl->read_question (d->wire, head, &place))
+  switch (d->wire->impl->read_node_request (d->wire, head, &location))
     {
-    case GATEWAY_QUESTION_READY:
+    case GATEWAY_NODE_REQUEST_READY:
       reply_ready (d, ex);
       return;
-    case GATEWAY_QUESTION_ADDRESSES:
-      reply_addresses (d, ex, &place);
+    case GATEWAY_NODE_REQUEST_ADDRESSES:
+      reply_addresses (d, ex, &location);
       return;
-    case GATEWAY_QUESTION_NONE:
+    case GATEWAY_NODE_REQUEST_NONE:
       break;
     }
   if (strcmp (head->target, METRICS_PATH) == 0)
@@ -86,12 +86,13 @@
 }
 
 static void
-closed (struct h1_server_handler *handler, struct h1_exchange *ex, bool whole)
+handle_closed (struct h1_server_handler *handler, struct h1_exchange *ex,
+               bool whole)
 {
 }
 
 static const struct h1_server_handler_impl handler_impl
-    = { .request = asked, .closed = closed };
+    = { .request = handle_request, .closed = handle_closed };
 
 static bool
 listen_on (struct directory *d, struct loop *loop, const char *ip,
@@ -118,7 +119,7 @@
   d->base.impl = &handler_impl;
   d->wire = wire;
   d->owner = owner;
-  d->keep_ms = settings->address_keep_ms;
+  d->address_keep_ms = settings->address_keep_ms;
   if (listen_on (d, loop, settings->ready.ip, settings->ready.port, error)
       && listen_on (d, loop, settings->directory.ip, settings->directory.port,
                     error)
@@ -130,9 +131,9 @@
 }
 
 void
-directory_set_keep (struct directory *d, int64_t keep_ms)
+directory_set_address_keep (struct directory *d, int64_t address_keep_ms)
 {
-  d->keep_ms = keep_ms;
+  d->address_keep_ms = address_keep_ms;
 }
 
 void
--- a/gatewayd/metrics.c
+++ b/gatewayd/metrics.c
@@ -12,8 +12,8 @@
   struct counters *counters;
 };
 
-/* Upper ends of the histogram's buckets; the objectives of small calls and of
- * first events lie among them. */
+/* Upper bounds of the histogram buckets; they include the latency objectives
+ * of plain calls and of first events. */
 static const int64_t bucket_ends_ms[]
     = { 5, 10, 20, 50, 100, 200, 300, 500, 900, 1500, 3000, 6000, 14000 };
 
@@ -32,7 +32,8 @@
   g_free (metrics);
 }
 
-/* Cumulative, as the text format wants it. */
+/* Adds VALUE_MS to a histogram, whose buckets are cumulative in the text
+ * format. */
 static void
 observe (struct metrics *metrics, const char *name, const char *service,
          int64_t value_ms)
@@ -60,7 +61,7 @@
 }
 
 static void
-count_end (struct metrics *metrics, const struct beryl_decision *d)
+count_final_decision (struct metrics *metrics, const struct beryl_decision *d)
 {
   char labels[LABEL_BYTES];
 
@@ -75,7 +76,8 @@
 }
 
 void
-metrics_decided (struct metrics *metrics, const struct beryl_decision *d)
+metrics_count_decision (struct metrics *metrics,
+                        const struct beryl_decision *d)
 {
   char labels[LABEL_BYTES];
 
@@ -83,11 +85,11 @@
               d->outcome);
   counters_add (metrics->counters, "beryl_gateway_steps_total", labels, 1);
   if (d->final)
-    count_end (metrics, d);
+    count_final_decision (metrics, d);
 }
 
 void
-metrics_quarantined (struct metrics *metrics, const char *cause)
+metrics_count_quarantine (struct metrics *metrics, const char *cause)
 {
   char labels[LABEL_BYTES];
 
@@ -97,7 +99,7 @@
 }
 
 static void
-set (struct metrics *metrics, const char *name, uint64_t value)
+set_gauge (struct metrics *metrics, const char *name, uint64_t value)
 {
   counters_set (metrics->counters, name, "", value);
 }
@@ -107,22 +109,25 @@
 {
   struct log_counts lines = log_counts ();
 
-  set (metrics, "beryl_gateway_open", g->open);
-  set (metrics, "beryl_gateway_waiting", g->waiting);
-  set (metrics, "beryl_gateway_connections", g->connections);
-  set (metrics, "beryl_gateway_malformed_total", g->malformed);
-  set (metrics, "beryl_gateway_nodes", g->nodes);
-  set (metrics, "beryl_gateway_endpoints", g->endpoints);
-  set (metrics, "beryl_gateway_configuration_version", g->configuration);
-  set (metrics, "beryl_gateway_configuration_revision", g->revision);
-  set (metrics, "beryl_gateway_endpoint_list_age_ms",
-       (uint64_t)g->list_age_ms);
-  set (metrics, "beryl_gateway_ready", g->ready);
-  set (metrics, "beryl_gateway_planner", g->planner);
-  set (metrics, "beryl_gateway_endpoint_watcher", g->watcher);
-  set (metrics, "beryl_gateway_limited_endpoints", g->limited);
-  set (metrics, "beryl_gateway_quarantined", g->quarantined);
-  set (metrics, "beryl_gateway_suspects", g->suspects);
+  set_gauge (metrics, "beryl_gateway_open", g->open_requests);
+  set_gauge (metrics, "beryl_gateway_waiting", g->waiting_requests);
+  set_gauge (metrics, "beryl_gateway_connections", g->connections);
+  set_gauge (metrics, "beryl_gateway_malformed_total", g->malformed_requests);
+  set_gauge (metrics, "beryl_gateway_nodes", g->nodes);
+  set_gauge (metrics, "beryl_gateway_endpoints", g->endpoints);
+  set_gauge (metrics, "beryl_gateway_configuration_version",
+             g->configuration_version);
+  set_gauge (metrics, "beryl_gateway_configuration_revision",
+             g->configuration_revision);
+  set_gauge (metrics, "beryl_gateway_endpoint_list_age_ms",
+             (uint64_t)g->list_age_ms);
+  set_gauge (metrics, "beryl_gateway_ready", g->ready);
+  set_gauge (metrics, "beryl_gateway_planner", g->holds_planner_lease);
+  set_gauge (metrics, "beryl_gateway_endpoint_watcher",
+             g->is_endpoint_watcher);
+  set_gauge (metrics, "beryl_gateway_limited_endpoints", g->limited_endpoints);
+  set_gauge (metrics, "beryl_gateway_quarantined", g->quarantined_requests);
+  set_gauge (metrics, "beryl_gateway_suspects", g->suspect_requests);
   counters_set (metrics->counters, "beryl_log_lines_total", "end=\"written\"",
                 lines.written);
   counters_set (metrics->counters, "beryl_log_lines_total",
--- a/gatewayd/outbound.c
+++ b/gatewayd/outbound.c
@@ -4,15 +4,15 @@
 
 #include "h1/client.h"
 
-/* Answers to engine calls are small; more than this is not one. */
-#define ENGINE_ANSWER_MAX_BYTES 65536
+/* Limit of the response body of an engine call; valid ones are small. */
+#define ENGINE_RESPONSE_MAX_BYTES 65536
 
 struct outbound
 {
   struct loop *loop;
   const struct gateway_wire *wire;
   struct beryl_forward *forward;
-  GHashTable *calls; /* number to struct call */
+  GHashTable *calls; /* exchange number to struct call */
 };
 
 struct call
@@ -23,8 +23,8 @@
   enum beryl_exchange_kind kind;
   char endpoint[BERYL_NAME_BYTES];
   struct h1_call *http;
-  const struct h1_head *head; /* NULL before it came */
-  GString *body;              /* of an answer other than RUN's */
+  const struct h1_head *head; /* NULL until it has arrived */
+  GString *body;              /* response body; unused for RUN */
 };
 
 static void
@@ -44,13 +44,13 @@
 {
   struct call *call = (struct call *)handler;
   struct outbound *o = call->outbound;
-  struct beryl_answer_head answer = { 0 };
+  struct beryl_answer_head response = { 0 };
 
   call->head = head;
   if (call->kind != BERYL_EXCHANGE_RUN)
     return;
-  o->wire->impl->read_answer (o->wire, call->endpoint, head, &answer);
-  beryl_forward_answer_head (o->forward, call->exchange, &answer,
+  o->wire->impl->read_response (o->wire, call->endpoint, head, &response);
+  beryl_forward_answer_head (o->forward, call->exchange, &response,
                              loop_now_ms (o->loop));
 }
 
@@ -64,20 +64,20 @@
   if (call->kind == BERYL_EXCHANGE_RUN)
     beryl_forward_answer_data (o->forward, call->exchange, bytes, bytes_count,
                                loop_now_ms (o->loop));
-  else if (call->body->len + bytes_count <= ENGINE_ANSWER_MAX_BYTES)
+  else if (call->body->len + bytes_count <= ENGINE_RESPONSE_MAX_BYTES)
     g_string_append_len (call->body, bytes, (gssize)bytes_count);
 }
 
-/* Takes CALL out of the table; it is freed once the event was told. */
+/* Removes CALL from the table; it is freed after its event was reported. */
 static void
-call_steal (struct call *call)
+call_detach (struct call *call)
 {
   g_hash_table_steal (call->outbound->calls, &call->exchange);
   call->http = NULL;
 }
 
 static void
-tell_result (struct call *call)
+report_result (struct call *call)
 {
   struct outbound *o = call->outbound;
   struct beryl_engine_result result = { 0 };
@@ -85,10 +85,10 @@
   if (call->kind == BERYL_EXCHANGE_DIAL)
     result.ok = true;
   else
-    o->wire->impl->read_engine_answer (o->wire, call->endpoint, call->kind,
-                                       call->head, call->body->str,
-                                       call->body->len, &result);
-  call_steal (call);
+    o->wire->impl->read_engine_response (o->wire, call->endpoint, call->kind,
+                                         call->head, call->body->str,
+                                         call->body->len, &result);
+  call_detach (call);
   beryl_forward_exchange_result (o->forward, call->exchange, &result,
                                  loop_now_ms (o->loop));
   call_free (call);
@@ -104,17 +104,17 @@
   call->http = NULL;
   if (call->kind != BERYL_EXCHANGE_RUN)
     {
-      tell_result (call);
+      report_result (call);
       return;
     }
-  /* The forwarder may begin the caller's answer now, which reads the head
-     by the exchange's number. */
+  /* The call stays in the table meanwhile, because the forwarder may begin the
+     caller's response, which reads the head by exchange number. */
   beryl_forward_answer_done (o->forward, exchange, loop_now_ms (o->loop));
   g_hash_table_remove (o->calls, &exchange);
 }
 
 static enum beryl_exchange_failure
-break_of (enum h1_failure failure)
+break_from_failure (enum h1_failure failure)
 {
   switch (failure)
     {
@@ -138,9 +138,9 @@
   struct call *call = (struct call *)handler;
   struct outbound *o = call->outbound;
 
-  call_steal (call);
+  call_detach (call);
   beryl_forward_exchange_failed (o->forward, call->exchange,
-                                 break_of (failure), sent,
+                                 break_from_failure (failure), sent,
                                  loop_now_ms (o->loop));
   call_free (call);
 }
@@ -176,7 +176,7 @@
 }
 
 static bool
-passes_request (enum beryl_exchange_kind kind)
+forwards_request (enum beryl_exchange_kind kind)
 {
   return kind == BERYL_EXCHANGE_RUN || kind == BERYL_EXCHANGE_PREFILL;
 }
@@ -193,11 +193,11 @@
     .connect_timeout_ms = start->connect_timeout_ms,
   };
   GString *out = g_string_sized_new (1024);
-  GString *own = g_string_new (NULL);
+  GString *engine_body = g_string_new (NULL);
 
   if (start->kind == BERYL_EXCHANGE_DIAL)
     request.connect_only = true;
-  else if (passes_request (start->kind))
+  else if (forwards_request (start->kind))
     {
       o->wire->impl->format_request (o->wire, head, body_bytes, start, out);
       request.body = body;
@@ -206,9 +206,9 @@
     }
   else
     {
-      o->wire->impl->format_engine_call (o->wire, start, out, own);
-      request.body = own->str;
-      request.body_bytes = own->len;
+      o->wire->impl->format_engine_call (o->wire, start, out, engine_body);
+      request.body = engine_body->str;
+      request.body_bytes = engine_body->len;
     }
   request.head = out->str;
   request.head_bytes = out->len;
@@ -221,7 +221,7 @@
   g_hash_table_insert (o->calls, &call->exchange, call);
   call->http = h1_call_start (o->loop, &request, &call->base);
   g_string_free (out, TRUE);
-  g_string_free (own, TRUE);
+  g_string_free (engine_body, TRUE);
 }
 
 static struct call *
@@ -251,7 +251,7 @@
 }
 
 const struct h1_head *
-outbound_head (const struct outbound *o, uint64_t exchange)
+outbound_response_head (const struct outbound *o, uint64_t exchange)
 {
   const struct call *call = call_find (o, exchange);
 
@@ -259,9 +259,10 @@
 }
 
 bool
-outbound_length (const struct outbound *o, uint64_t exchange, uint64_t *length)
+outbound_response_length (const struct outbound *o, uint64_t exchange,
+                          uint64_t *length)
 {
-  const struct h1_head *head = outbound_head (o, exchange);
+  const struct h1_head *head = outbound_response_head (o, exchange);
   const char *text
       = head != NULL ? h1_head_find (head, "content-length") : NULL;
 
--- a/gatewayd/planner.c
+++ b/gatewayd/planner.c
@@ -6,16 +6,16 @@
 #include "common/stored_lease.h"
 #include "engine_call.h"
 
-#define KIND "gateway-leases"
-#define NAME "stage-planner"
-#define PLAN_MS 500
-/* Part of the lease's time at its end in which its holder does nothing;
- * covers clocks that run at different rates. */
-#define MARGIN_PART 6
-/* An order shows in the engine's entry within some seconds; one that does not
- * was lost or waits to be carried out late. */
-#define ORDER_SHOWN_MS 15000
-#define ANSWER_MAX_BYTES 65536
+#define LEASE_KIND "gateway-leases"
+#define LEASE_NAME "stage-planner"
+#define PLAN_INTERVAL_MS 500
+/* The holder stays idle in the last part of the lease's duration, one in
+ * LEASE_MARGIN_DIVISOR; this covers clocks that run at different rates. */
+#define LEASE_MARGIN_DIVISOR 6
+/* How long an order counts as pending.  It shows in the engine's entry within
+ * some seconds; one that does not was lost or is carried out late. */
+#define PENDING_ORDER_MS 15000
+#define RESPONSE_MAX_BYTES 65536
 
 struct planner
 {
@@ -24,148 +24,154 @@
   const struct gateway_wire *wire;
   const struct gateway_settings *settings;
   struct beryl_forward *forward;
-  struct beryl_live_set *lives;
+  struct beryl_live_set *endpoints;
   struct stored_lease *lease;
-  struct loop_timer *timer;
-  struct loop_timer *next;       /* the plan after an order; NULL: none */
-  GHashTable *services;          /* name to struct beryl_stages */
-  GPtrArray *pending;            /* struct pending */
-  struct engine_call *call;      /* one at a time; NULL: none */
-  char called[BERYL_NAME_BYTES]; /* the engine of CALL */
-  uint64_t called_born_ms;       /* of its life */
-  enum beryl_stage called_for;   /* the stage that CALL is about */
+  struct loop_timer *plan_timer;
+  struct loop_timer *next_plan_timer; /* plan after an order; NULL if none */
+  GHashTable *services;               /* service name to struct beryl_stages */
+  GPtrArray *pending_orders;          /* struct pending_order */
+  struct engine_call *call;           /* one at a time; NULL if none */
+  char target_id[BERYL_NAME_BYTES];   /* engine that CALL goes to */
+  uint64_t target_start_ms;           /* start of the engine's process */
+  enum beryl_stage target_stage;      /* stage that the engine is to have */
 };
 
-/* An order that was given. */
-struct pending
+/* An order that was sent and has not been seen to take effect. */
+struct pending_order
 {
   char id[BERYL_NAME_BYTES];
-  uint64_t born_ms; /* of the life that it was given to */
+  uint64_t start_ms; /* start of the engine's process */
   enum beryl_stage stage;
-  int64_t until_ms;
+  int64_t expires_ms;
 };
 
 static void
 pending_add (struct planner *p, const struct beryl_live_info *engine,
              enum beryl_stage stage)
 {
-  struct pending *pending = g_new0 (struct pending, 1);
+  struct pending_order *pending = g_new0 (struct pending_order, 1);
 
   g_strlcpy (pending->id, engine->id, sizeof pending->id);
-  pending->born_ms = engine->process_start_ms;
+  pending->start_ms = engine->process_start_ms;
   pending->stage = stage;
-  pending->until_ms = loop_now_ms (p->loop) + ORDER_SHOWN_MS;
-  g_ptr_array_add (p->pending, pending);
+  pending->expires_ms = loop_now_ms (p->loop) + PENDING_ORDER_MS;
+  g_ptr_array_add (p->pending_orders, pending);
 }
 
-static void plan_next (struct planner *p);
+static void schedule_plan (struct planner *p);
 
 static void
-order_answered (void *user, const struct engine_answer *answer)
+order_done (void *user, const struct engine_response *response)
 {
   struct planner *p = user;
-  static const char *const names[]
+  static const char *const result_names[]
       = { "accepted", "holds", "busy", "fenced", "refused" };
 
   p->call = NULL;
-  /* An order without an answer stays pending: it may be carried out. */
-  if (answer->head == NULL)
-    g_info ("planner engine=%s order failed=%s sent=%d", p->called,
-            h1_failure_name (answer->failure), answer->sent);
+  /* An order without a response stays pending: it may be carried out. */
+  if (response->head == NULL)
+    g_info ("planner engine=%s order failed=%s sent=%d", p->target_id,
+            h1_failure_name (response->failure), response->sent);
   else
-    g_info ("planner engine=%s order stage=%s answer=%s", p->called,
-            beryl_stage_name (p->called_for),
-            names[p->wire->impl->read_order_answer (p->wire, answer->head)]);
-  plan_next (p);
+    g_info ("planner engine=%s order stage=%s answer=%s", p->target_id,
+            beryl_stage_name (p->target_stage),
+            result_names[p->wire->impl->read_order_result (p->wire,
+                                                           response->head)]);
+  schedule_plan (p);
 }
 
-/* The engine of the call, unless it has started again since: it then knows
- * nothing of the state that the order was decided by. */
+/* Returns the engine of the call, or NULL if it has restarted since: the order
+ * was decided for the state of its previous process. */
 static struct beryl_live *
-called_engine (struct planner *p)
+find_target (struct planner *p)
 {
-  struct beryl_live *live = beryl_live_set_find (p->lives, p->called);
+  struct beryl_live *endpoint
+      = beryl_live_set_find (p->endpoints, p->target_id);
 
-  return live != NULL && live->info.process_start_ms == p->called_born_ms
-             ? live
+  return endpoint != NULL
+                 && endpoint->info.process_start_ms == p->target_start_ms
+             ? endpoint
              : NULL;
 }
 
-/* Right before an order the lease is asked again: the report's answer may
- * have come after a pause in which another node took over. */
+/* Sends the planned order.  The lease is checked again right before, because
+ * the report may have been read after a pause in which another node took
+ * over. */
 static void
-order (struct planner *p, uint64_t orders)
+send_order (struct planner *p, uint64_t orders)
 {
-  struct beryl_live *live = called_engine (p);
-  struct gateway_order o = { .stage = p->called_for,
-                             .holder = p->settings->node,
-                             .orders = orders };
+  struct beryl_live *endpoint = find_target (p);
+  struct gateway_stage_order o = { .stage = p->target_stage,
+                                   .holder = p->settings->node,
+                                   .expected_orders = orders };
   GString *head, *body;
 
-  if (live == NULL || !stored_lease_held (p->lease, &o.fence)
+  if (endpoint == NULL || !stored_lease_held (p->lease, &o.fence)
       || !stored_lease_settled (p->lease))
     return;
-  o.engine = &live->info;
+  o.engine = &endpoint->info;
   head = g_string_new (NULL);
   body = g_string_new (NULL);
   p->wire->impl->format_order (p->wire, &o, head, body);
   g_info ("planner engine=%s order stage=%s fence=%" G_GUINT64_FORMAT
           " expected=%" G_GUINT64_FORMAT,
-          live->info.id, beryl_stage_name (o.stage), o.fence, o.orders);
-  pending_add (p, &live->info, o.stage);
-  p->call = engine_call_start (p->loop, &live->info, head, body,
-                               ANSWER_MAX_BYTES, order_answered, p);
+          endpoint->info.id, beryl_stage_name (o.stage), o.fence,
+          o.expected_orders);
+  pending_add (p, &endpoint->info, o.stage);
+  p->call = engine_call_start (p->loop, &endpoint->info, head, body,
+                               RESPONSE_MAX_BYTES, order_done, p);
   g_string_free (head, TRUE);
   g_string_free (body, TRUE);
 }
 
 static void
-report_answered (void *user, const struct engine_answer *answer)
+report_done (void *user, const struct engine_response *response)
 {
   struct planner *p = user;
-  struct gateway_report report;
+  struct gateway_engine_report report;
 
   p->call = NULL;
-  if (answer->head == NULL)
-    g_info ("planner engine=%s report failed=%s", p->called,
-            h1_failure_name (answer->failure));
-  else if (!p->wire->impl->read_report (p->wire, answer->head, answer->body,
-                                        answer->body_bytes, &report))
-    g_info ("planner engine=%s gave no report, status=%u", p->called,
-            answer->head->status);
-  else if (report.born_ms != 0 && p->called_born_ms != 0
-           && report.born_ms != p->called_born_ms)
-    g_info ("planner engine=%s has started again born=%" G_GUINT64_FORMAT
+  if (response->head == NULL)
+    g_info ("planner engine=%s report failed=%s", p->target_id,
+            h1_failure_name (response->failure));
+  else if (!p->wire->impl->read_report (p->wire, response->head,
+                                        response->body, response->body_bytes,
+                                        &report))
+    g_info ("planner engine=%s report invalid, status=%u", p->target_id,
+            response->head->status);
+  else if (report.start_ms != 0 && p->target_start_ms != 0
+           && report.start_ms != p->target_start_ms)
+    g_info ("planner engine=%s restarted born=%" G_GUINT64_FORMAT
             " listed=%" G_GUINT64_FORMAT,
-            p->called, report.born_ms, p->called_born_ms);
-  else if (!report.changing && report.stage != p->called_for)
-    order (p, report.orders);
+            p->target_id, report.start_ms, p->target_start_ms);
+  else if (!report.stage_change_pending && report.stage != p->target_stage)
+    send_order (p, report.accepted_orders);
 }
 
 static void
-ask_report (struct planner *p, const struct beryl_stage_order *wanted)
+request_report (struct planner *p, const struct beryl_stage_order *wanted)
 {
-  struct beryl_live *live = beryl_live_set_find (p->lives, wanted->id);
+  struct beryl_live *endpoint = beryl_live_set_find (p->endpoints, wanted->id);
   GString *head = g_string_new (NULL);
 
-  memcpy (p->called, live->info.id, sizeof p->called);
-  p->called_born_ms = live->info.process_start_ms;
-  p->called_for = wanted->stage;
-  p->wire->impl->format_report (p->wire, &live->info, head);
-  p->call = engine_call_start (p->loop, &live->info, head, NULL,
-                               ANSWER_MAX_BYTES, report_answered, p);
+  memcpy (p->target_id, endpoint->info.id, sizeof p->target_id);
+  p->target_start_ms = endpoint->info.process_start_ms;
+  p->target_stage = wanted->stage;
+  p->wire->impl->format_report_request (p->wire, &endpoint->info, head);
+  p->call = engine_call_start (p->loop, &endpoint->info, head, NULL,
+                               RESPONSE_MAX_BYTES, report_done, p);
   g_string_free (head, TRUE);
 }
 
-static struct pending *
+static struct pending_order *
 pending_find (const struct planner *p, const struct beryl_live_info *engine)
 {
-  for (guint i = 0; i < p->pending->len; i++)
+  for (guint i = 0; i < p->pending_orders->len; i++)
     {
-      struct pending *pending = g_ptr_array_index (p->pending, i);
+      struct pending_order *pending = g_ptr_array_index (p->pending_orders, i);
 
       if (strcmp (pending->id, engine->id) == 0
-          && pending->born_ms == engine->process_start_ms)
+          && pending->start_ms == engine->process_start_ms)
         return pending;
     }
   return NULL;
@@ -174,40 +180,42 @@
 static void
 pending_expire (struct planner *p)
 {
-  for (guint i = p->pending->len; i > 0; i--)
+  for (guint i = p->pending_orders->len; i > 0; i--)
     {
-      struct pending *pending = g_ptr_array_index (p->pending, i - 1);
-      const struct beryl_live *live
-          = beryl_live_set_find (p->lives, pending->id);
-
-      if (live == NULL || live->info.process_start_ms != pending->born_ms
-          || live->info.stage == pending->stage
-          || loop_now_ms (p->loop) >= pending->until_ms)
-        g_ptr_array_remove_index_fast (p->pending, i - 1);
+      struct pending_order *pending
+          = g_ptr_array_index (p->pending_orders, i - 1);
+      const struct beryl_live *endpoint
+          = beryl_live_set_find (p->endpoints, pending->id);
+
+      if (endpoint == NULL
+          || endpoint->info.process_start_ms != pending->start_ms
+          || endpoint->info.stage == pending->stage
+          || loop_now_ms (p->loop) >= pending->expires_ms)
+        g_ptr_array_remove_index_fast (p->pending_orders, i - 1);
     }
 }
 
 static GArray *
-engines_of (struct planner *p, const char *service)
+collect_engines (struct planner *p, const char *service)
 {
   GArray *engines
       = g_array_new (FALSE, FALSE, sizeof (struct beryl_stage_engine));
 
-  for (size_t i = 0; i < beryl_live_set_count (p->lives); i++)
+  for (size_t i = 0; i < beryl_live_set_count (p->endpoints); i++)
     {
-      struct beryl_live *live = beryl_live_set_get (p->lives, i);
-      const struct pending *pending = pending_find (p, &live->info);
+      struct beryl_live *endpoint = beryl_live_set_get (p->endpoints, i);
+      const struct pending_order *pending = pending_find (p, &endpoint->info);
       struct beryl_stage_engine engine = {
-        .id = live->info.id,
-        .stage = pending != NULL ? pending->stage : live->info.stage,
+        .id = endpoint->info.id,
+        .stage = pending != NULL ? pending->stage : endpoint->info.stage,
         .changing = pending != NULL,
         .used_tokens = beryl_forward_engine_used_tokens (
-            p->forward, service, live, loop_now_ms (p->loop)),
+            p->forward, service, endpoint, loop_now_ms (p->loop)),
       };
 
-      if (live->info.stage != BERYL_STAGE_NONE
-          && beryl_live_accepts_work (live)
-          && strcmp (live->info.service, service) == 0)
+      if (endpoint->info.stage != BERYL_STAGE_NONE
+          && beryl_live_accepts_work (endpoint)
+          && strcmp (endpoint->info.service, service) == 0)
         g_array_append_val (engines, engine);
     }
   return engines;
@@ -217,7 +225,7 @@
 plan_service (struct planner *p, const char *service,
               struct beryl_stages *stages)
 {
-  GArray *engines = engines_of (p, service);
+  GArray *engines = collect_engines (p, service);
   struct beryl_generation_mix mix
       = beryl_forward_generation_mix (p->forward, service);
   struct beryl_stage_order wanted;
@@ -236,21 +244,21 @@
               mix.decode_ms_per_token, mix.prefill_samples.prefills,
               mix.prefill_samples.nodes, mix.prefill_samples.min_ms_per_token,
               mix.prefill_samples.max_ms_per_token);
-      ask_report (p, &wanted);
+      request_report (p, &wanted);
     }
   g_array_free (engines, TRUE);
 }
 
 static void
-note_services (struct planner *p)
+add_services (struct planner *p)
 {
-  for (size_t i = 0; i < beryl_live_set_count (p->lives); i++)
+  for (size_t i = 0; i < beryl_live_set_count (p->endpoints); i++)
     {
-      const struct beryl_live *live = beryl_live_set_get (p->lives, i);
+      const struct beryl_live *endpoint = beryl_live_set_get (p->endpoints, i);
 
-      if (live->info.stage != BERYL_STAGE_NONE
-          && !g_hash_table_contains (p->services, live->info.service))
-        g_hash_table_insert (p->services, g_strdup (live->info.service),
+      if (endpoint->info.stage != BERYL_STAGE_NONE
+          && !g_hash_table_contains (p->services, endpoint->info.service))
+        g_hash_table_insert (p->services, g_strdup (endpoint->info.service),
                              beryl_stages_create ());
     }
 }
@@ -265,30 +273,32 @@
   if (!stored_lease_settled (p->lease))
     return;
   pending_expire (p);
-  note_services (p);
+  add_services (p);
   g_hash_table_iter_init (&iter, p->services);
   while (p->call == NULL && g_hash_table_iter_next (&iter, &name, &stages))
     plan_service (p, name, stages);
 }
 
 static void
-plan_next_due (void *user)
+scheduled_plan_due (void *user)
 {
   struct planner *p = user;
 
-  loop_timer_stop (p->next);
-  p->next = NULL;
+  loop_timer_stop (p->next_plan_timer);
+  p->next_plan_timer = NULL;
   plan (p);
 }
 
-/* An order was answered; where one is due others are.  Given one in half a
- * second, seven of 45 engines would be back in their new stage some seconds
- * later than they could be, with too few for decode meanwhile. */
+/* Plans again right after an order, because others are often due as well.
+ * With one order per plan interval of half a second, seven of 45 engines would
+ * reach their new stage some seconds later than possible, with too few for
+ * decode meanwhile. */
 static void
-plan_next (struct planner *p)
+schedule_plan (struct planner *p)
 {
-  if (p->next == NULL)
-    p->next = loop_timer_start (p->loop, 1, 0, plan_next_due, p);
+  if (p->next_plan_timer == NULL)
+    p->next_plan_timer
+        = loop_timer_start (p->loop, 1, 0, scheduled_plan_due, p);
 }
 
 static void
@@ -312,17 +322,17 @@
 planner_create (struct loop *loop, const struct gateway_wire *wire,
                 const struct gateway_settings *settings,
                 struct platform_client *client, struct beryl_forward *forward,
-                struct beryl_live_set *lives)
+                struct beryl_live_set *endpoints)
 {
   struct planner *p = g_new0 (struct planner, 1);
   struct beryl_lease_settings lease = {
-    .name = NAME,
+    .name = LEASE_NAME,
     .holder = settings->node,
     .ttl_ms = settings->lease_ms,
-    .margin_ms = settings->lease_ms / MARGIN_PART,
+    .margin_ms = settings->lease_ms / LEASE_MARGIN_DIVISOR,
     .poll_ms = settings->lease_ms,
-    /* Engines that do not look at the number are given no order before the
-       last one of a former holder must have arrived. */
+    /* Engines that do not check the fencing token get no order until the last
+       one of an earlier holder must have arrived. */
     .settle_ms = settings->engines_check_fence
                      ? 0
                      : settings->lease_ms + settings->thaw_ms,
@@ -334,12 +344,13 @@
   p->wire = wire;
   p->settings = settings;
   p->forward = forward;
-  p->lives = lives;
+  p->endpoints = endpoints;
   p->services
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, stages_free);
-  p->pending = g_ptr_array_new_with_free_func (g_free);
-  p->lease = stored_lease_create (loop, client, KIND, &lease, &p->base);
-  p->timer = loop_timer_start (loop, PLAN_MS, PLAN_MS, plan, p);
+  p->pending_orders = g_ptr_array_new_with_free_func (g_free);
+  p->lease = stored_lease_create (loop, client, LEASE_KIND, &lease, &p->base);
+  p->plan_timer
+      = loop_timer_start (loop, PLAN_INTERVAL_MS, PLAN_INTERVAL_MS, plan, p);
   return p;
 }
 
@@ -348,37 +359,40 @@
 {
   if (p == NULL)
     return;
-  loop_timer_stop (p->timer);
-  loop_timer_stop (p->next);
+  loop_timer_stop (p->plan_timer);
+  loop_timer_stop (p->next_plan_timer);
   engine_call_cancel (p->call);
   stored_lease_destroy (p->lease);
   g_hash_table_destroy (p->services);
-  g_ptr_array_free (p->pending, TRUE);
+  g_ptr_array_free (p->pending_orders, TRUE);
   g_free (p);
 }
 
 void
-planner_stand (struct planner *p, bool stands)
+planner_set_candidate (struct planner *p, bool candidate)
 {
-  stored_lease_want (p->lease, stands || stored_lease_held (p->lease, NULL));
+  stored_lease_want (p->lease,
+                     candidate || stored_lease_held (p->lease, NULL));
 }
 
 void
-planner_changing (const struct planner *p, struct beryl_endpoint_set *set)
+planner_add_pending (const struct planner *p, struct beryl_endpoint_set *set)
 {
-  for (guint i = 0; i < p->pending->len; i++)
+  for (guint i = 0; i < p->pending_orders->len; i++)
     {
-      const struct pending *pending = g_ptr_array_index (p->pending, i);
-      const struct beryl_live *live
-          = beryl_live_set_find (p->lives, pending->id);
-
-      if (live != NULL && live->info.process_start_ms == pending->born_ms)
-        beryl_endpoint_set_add (set, beryl_live_hash (live));
+      const struct pending_order *pending
+          = g_ptr_array_index (p->pending_orders, i);
+      const struct beryl_live *endpoint
+          = beryl_live_set_find (p->endpoints, pending->id);
+
+      if (endpoint != NULL
+          && endpoint->info.process_start_ms == pending->start_ms)
+        beryl_endpoint_set_add (set, beryl_live_hash (endpoint));
     }
 }
 
 bool
-planner_holds (const struct planner *p)
+planner_holds_lease (const struct planner *p)
 {
   return stored_lease_held (p->lease, NULL);
 }
--- a/tests/gateway/test_transfers.c
+++ b/tests/gateway/test_transfers.c
@@ -6,20 +6,20 @@
 #include "common/daemon.h"
 #include "demo.h"
 #include "platform.h"
-#include "pulls.h"
+#include "config_sync.h"
 #include "slow_link.h"
-#include "source.h"
+#include "platform_source.h"
 #include "store.h"
 
-/* A change of configuration is in force everywhere by then. */
-#define IN_FORCE_MS 7000
-/* A link that needs three seconds for the large configuration: four times as
- * long as a call to the store may be silent, and longer than it is from one
- * look for silent connections to the next. */
+/* Time by which a change of the configuration must be in use everywhere. */
+#define APPLY_MAX_MS 7000
+/* Bandwidth at which the large configuration takes three seconds: four times
+ * as long as a call to the store may be silent, and longer than the interval
+ * at which dead connections are checked. */
 #define LINK_BYTES_PER_S 200000
 #define LARGE_ROUTES 3000
-/* How often peers tell what they have seen, and what they ask is renewed. */
-#define PEERS_MS 100
+/* Interval of announcements from peers and of decisions to pull. */
+#define PEER_INTERVAL_MS 100
 
 static struct loop *loop;
 static struct http_context *http;
@@ -27,59 +27,64 @@
 static struct slow_link *slow_link;
 static uint64_t version;
 
-/* A node's part that has to do with configurations. */
+/* The parts of a node that handle configurations. */
 struct node
 {
-  struct source_owner source_base; /* first member */
-  struct pulls_owner pulls_base;
+  struct platform_source_owner source_base; /* first member */
+  struct config_sync_owner sync_base;
   struct platform_client *store;
-  struct beryl_live_set *lives;
+  struct beryl_live_set *endpoints;
   struct counters *counters;
-  struct source *source;
-  struct pulls *pulls;
+  struct platform_source *source;
+  struct config_sync *sync;
   size_t routes;
-  uint64_t routes_version;
+  uint64_t configuration_version;
 };
 
 static struct node node, peer;
 
 static void
-take_routes (struct source_owner *owner, struct beryl_routes *routes)
+routes_changed (struct platform_source_owner *owner,
+                struct beryl_routes *routes)
 {
   struct node *n = (struct node *)owner;
   size_t value_bytes;
-  const char *value = source_value (n->source, &value_bytes);
+  const char *value
+      = platform_source_configuration_text (n->source, &value_bytes);
 
   n->routes = routes->route_count;
-  n->routes_version = routes->version;
+  n->configuration_version = routes->version;
   beryl_routes_unref (routes);
-  pulls_set_configuration (n->pulls, source_revision (n->source), value,
-                           value_bytes);
+  config_sync_set_configuration (
+      n->sync, platform_source_configuration_revision (n->source), value,
+      value_bytes);
 }
 
 static void
-take_endpoints (struct source_owner *owner)
+endpoints_changed (struct platform_source_owner *owner)
 {
 }
 
-static const struct source_owner_impl source_impl
-    = { .routes = take_routes, .endpoints = take_endpoints };
+static const struct platform_source_owner_impl source_impl
+    = { .routes_changed = routes_changed,
+        .endpoints_changed = endpoints_changed };
 
 static void
-take_pulled (struct pulls_owner *owner, uint64_t revision, const char *value,
-             size_t value_bytes)
+configuration_received (struct config_sync_owner *owner, uint64_t revision,
+                        const char *value, size_t value_bytes)
 {
   struct node *n
-      = (struct node *)((char *)owner - offsetof (struct node, pulls_base));
+      = (struct node *)((char *)owner - offsetof (struct node, sync_base));
 
-  source_offer (n->source, revision, value, value_bytes);
+  platform_source_offer_configuration (n->source, revision, value,
+                                       value_bytes);
 }
 
-static const struct pulls_owner_impl pulls_impl
-    = { .configuration = take_pulled };
+static const struct config_sync_owner_impl sync_impl
+    = { .configuration_received = configuration_received };
 
-/* Starts a node that reaches the store at STORE_PORT and listens for peers at
- * PORT of 127.0.0.1. */
+/* Starts a node that uses the store at STORE_PORT and listens for peers at
+ * PORT, both on 127.0.0.1. */
 static void
 node_open (struct node *n, uint16_t store_port, uint16_t port)
 {
@@ -91,16 +96,18 @@
 
   memset (n, 0, sizeof *n);
   n->source_base.impl = &source_impl;
-  n->pulls_base.impl = &pulls_impl;
+  n->sync_base.impl = &sync_impl;
   n->counters = counters_create ();
-  n->lives = beryl_live_set_create (2000);
+  n->endpoints = beryl_live_set_create (2000);
   n->store = store_create (loop, http, platform_gateway_wire (), &settings,
                            n->counters, 1);
-  n->pulls = pulls_create (loop, "127.0.0.1", port, &n->pulls_base, &error);
-  ck_assert_msg (n->pulls != NULL, "%s", error.message);
-  pulls_set_key (n->pulls, "key");
-  n->source = source_create (loop, platform_gateway_wire (), n->store,
-                             n->lives, n->counters, &n->source_base);
+  n->sync
+      = config_sync_create (loop, "127.0.0.1", port, &n->sync_base, &error);
+  ck_assert_msg (n->sync != NULL, "%s", error.message);
+  config_sync_set_key (n->sync, "key");
+  n->source
+      = platform_source_create (loop, platform_gateway_wire (), n->store,
+                                n->endpoints, n->counters, &n->source_base);
 }
 
 static void
@@ -108,25 +115,25 @@
 {
   if (n->source == NULL)
     return;
-  source_destroy (n->source);
-  pulls_destroy (n->pulls);
+  platform_source_destroy (n->source);
+  config_sync_destroy (n->sync);
   platform_client_destroy (n->store);
-  beryl_live_set_destroy (n->lives);
+  beryl_live_set_destroy (n->endpoints);
   counters_destroy (n->counters);
   n->source = NULL;
-  n->pulls = NULL;
+  n->sync = NULL;
 }
 
 static void
-time_over (void *user)
+quit_loop (void *user)
 {
   loop_quit (loop);
 }
 
 static void
-turn (int64_t ms)
+run_loop (int64_t ms)
 {
-  struct loop_timer *timer = loop_timer_start (loop, ms, 0, time_over, NULL);
+  struct loop_timer *timer = loop_timer_start (loop, ms, 0, quit_loop, NULL);
 
   loop_run (loop);
   loop_timer_stop (timer);
@@ -153,16 +160,16 @@
   node_close (&node);
   node_close (&peer);
   slow_link_destroy (slow_link);
-  /* Nothing may accept a connection any more: the library closes a descriptor
-     of its own twice when it is released. */
+  /* No connection may be accepted any more: the HTTP library closes one of its
+     descriptors twice when it is released. */
   standin_destroy (standin);
   http_context_destroy (http);
-  turn (20);
+  run_loop (20);
   loop_destroy (loop);
 }
 
-/* Writes a configuration with COUNT routes more than the smallest, of about
- * 200 bytes each; returns its version. */
+/* Writes a configuration with COUNT additional routes of about 200 bytes each;
+ * returns its version. */
 static uint64_t
 configure (size_t count)
 {
@@ -183,88 +190,93 @@
   return version;
 }
 
-/* What a node hears from peers meanwhile. */
-struct peers_say
+/* Announcements from peers while a node waits. */
+struct peer_input
 {
-  uint64_t endpoints; /* revision that grows each time; 0: nothing */
-  uint16_t pull_port; /* of one that has a newer configuration; 0: none */
+  uint64_t endpoints; /* endpoint revision, incremented each time; 0: none */
+  uint16_t pull_port; /* of a peer with a newer configuration; 0: none */
 };
 
-/* Turns until the node uses VERSION, and fails if it does so too late. */
+/* Runs the loop until the node uses version WANTED; fails the test if that
+ * takes too long. */
 static void
-wait_in_force (uint64_t wanted, struct peers_say say)
+wait_applied (uint64_t wanted, struct peer_input input)
 {
-  int64_t end_ms = loop_now_ms (loop) + IN_FORCE_MS;
+  int64_t end_ms = loop_now_ms (loop) + APPLY_MAX_MS;
 
-  while (node.routes_version < wanted)
+  while (node.configuration_version < wanted)
     {
       ck_assert_msg (loop_now_ms (loop) < end_ms,
-                     "version %" G_GUINT64_FORMAT " is not in force after "
-                     "%d ms, %" G_GUINT64_FORMAT " bytes came",
-                     wanted, IN_FORCE_MS, slow_link_carried (slow_link));
-      turn (PEERS_MS);
-      pulls_expire (node.pulls);
-      if (peer.pulls != NULL)
-        pulls_expire (peer.pulls);
-      if (say.endpoints > 0)
-        source_peer_revision (node.source, ++say.endpoints);
-      if (say.pull_port > 0 && source_should_pull (node.source))
-        pulls_ask (node.pulls, "127.0.0.1", say.pull_port);
+                     "version %" G_GUINT64_FORMAT " is not in use after "
+                     "%d ms, %" G_GUINT64_FORMAT " bytes received",
+                     wanted, APPLY_MAX_MS,
+                     slow_link_carried_bytes (slow_link));
+      run_loop (PEER_INTERVAL_MS);
+      config_sync_expire (node.sync);
+      if (peer.sync != NULL)
+        config_sync_expire (peer.sync);
+      if (input.endpoints > 0)
+        platform_source_set_peer_revision (node.source, ++input.endpoints);
+      if (input.pull_port > 0 && platform_source_should_pull (node.source))
+        config_sync_pull (node.sync, "127.0.0.1", input.pull_port);
     }
 }
 
-/* Turns until the slow link has carried BYTES more. */
+/* Runs the loop until the slow link has carried BYTES more. */
 static void
-wait_carried (uint64_t bytes)
+wait_carried_bytes (uint64_t bytes)
 {
-  uint64_t wanted = slow_link_carried (slow_link) + bytes;
+  uint64_t wanted = slow_link_carried_bytes (slow_link) + bytes;
 
-  while (slow_link_carried (slow_link) < wanted)
-    turn (5);
+  while (slow_link_carried_bytes (slow_link) < wanted)
+    run_loop (5);
 }
 
-/* Operators start a new node on a link of 200 KB a second while the
- * configuration has 600 KB: it never serves.  It lists the configuration,
- * which takes three seconds, and a call of its store client may take 700 ms in
- * all; each time it gives up and begins at the first byte again. */
-START_TEST (test_node_starts)
+/* Guards against a new node that never serves because its link carries 200 KB
+ * a second while the configuration has 600 KB.  Listing it takes three
+ * seconds, and with a limit of 700 ms for a whole call to the store, the node
+ * would give up and restart from the first byte each time. */
+START_TEST (test_list_over_slow_link)
 {
   uint64_t wanted = configure (LARGE_ROUTES);
 
-  node_open (&node, slow_link_to (slow_link, standin_port (standin)), 0);
-  wait_in_force (wanted, (struct peers_say){ 0 });
+  node_open (&node, slow_link_add_route (slow_link, standin_port (standin)),
+             0);
+  wait_applied (wanted, (struct peer_input){ 0 });
 }
 END_TEST
 
-/* A route that was added answers 404 at some nodes for ever.  The store sends
- * the new configuration to all; on a slow link it is still arriving when peers
- * tell of changes of endpoints that this node has not seen.  The node takes
- * its connections for silent ones, gives the answer up and asks for both lists
- * anew: every two seconds, for an answer that needs three. */
-START_TEST (test_peers_are_ahead)
+/* Guards against a new route that answers 404 at some nodes forever.  While
+ * the new configuration arrives over a slow link, peers announce endpoint
+ * changes that this node has not seen.  If the node took its connections for
+ * dead and polled both watches again every two seconds, it would never receive
+ * a response that takes three. */
+START_TEST (test_poll_during_slow_response)
 {
-  node_open (&node, slow_link_to (slow_link, standin_port (standin)), 0);
-  wait_in_force (configure (0), (struct peers_say){ 0 });
-  wait_in_force (configure (LARGE_ROUTES),
-                 (struct peers_say){ .endpoints = 1000 });
+  node_open (&node, slow_link_add_route (slow_link, standin_port (standin)),
+             0);
+  wait_applied (configure (0), (struct peer_input){ 0 });
+  wait_applied (configure (LARGE_ROUTES),
+                (struct peer_input){ .endpoints = 1000 });
 }
 END_TEST
 
-/* A route that was added answers 404 at one node for half a minute: its
- * connection to the store goes silent while the configuration arrives, and
- * the watch may wait for that long.  New connections work. */
-START_TEST (test_silent_in_the_middle)
+/* Guards against a new route that answers 404 at one node for half a minute:
+ * its connection to the store freezes while the configuration arrives, and the
+ * watch may wait for that long.  New connections work. */
+START_TEST (test_store_connection_freezes)
 {
   uint64_t wanted;
 
-  node_open (&node, slow_link_to (slow_link, standin_port (standin)), 0);
-  wait_in_force (configure (0), (struct peers_say){ 0 });
+  node_open (&node, slow_link_add_route (slow_link, standin_port (standin)),
+             0);
+  wait_applied (configure (0), (struct peer_input){ 0 });
   store_set_watch_wait (node.store, 100, false);
-  turn (2500); /* a watch that waits so long is open */
+  run_loop (2500); /* a watch call with the long wait is open */
   wanted = configure (LARGE_ROUTES);
-  wait_carried (100000);
-  slow_link_silence (slow_link);
-  wait_in_force (wanted, (struct peers_say){ 0 });
+  wait_carried_bytes (100000);
+  slow_link_freeze (slow_link);
+  wait_applied (wanted, (struct peer_input){ 0 });
 }
 END_TEST
 
@@ -273,75 +285,76 @@
 free_port (void)
 {
   struct beryl_error error = { 0 };
-  struct standin *other = standin_create (loop, "127.0.0.1", 0, &error);
-  uint16_t port = standin_port (other);
+  struct standin *probe = standin_create (loop, "127.0.0.1", 0, &error);
+  uint16_t port = standin_port (probe);
 
-  standin_destroy (other);
-  turn (1);
+  standin_destroy (probe);
+  run_loop (1);
   return port;
 }
 
-/* A peer that has the newest configuration; returns where the node may ask
- * for it over the slow link. */
+/* Starts a peer and waits until it has the newest configuration; returns the
+ * port at which the node may pull it over the slow link. */
 static uint16_t
-peer_with (uint64_t wanted)
+start_peer (uint64_t wanted)
 {
   uint16_t port = free_port ();
 
   node_open (&peer, standin_port (standin), port);
-  for (int i = 0; i < 100 && peer.routes_version < wanted; i++)
-    turn (10);
-  ck_assert_uint_eq (peer.routes_version, wanted);
-  return slow_link_to (slow_link, port);
+  for (int i = 0; i < 100 && peer.configuration_version < wanted; i++)
+    run_loop (10);
+  ck_assert_uint_eq (peer.configuration_version, wanted);
+  return slow_link_add_route (slow_link, port);
 }
 
-/* The store turns one node away, so that it can take the configuration from
- * its peers alone; a route that was added answers 404 there for ever.  A pull
- * was given up a second after its start by both sides: the node had a third
- * of the configuration and began anew with the next peer. */
-START_TEST (test_pulled_from_peer)
+/* Guards against a new route that answers 404 forever at a node that the store
+ * rejects, which can get the configuration only from its peers.  With a limit
+ * of one second for a whole pull, both sides would give up at a third of the
+ * configuration and start again with the next peer. */
+START_TEST (test_pull_over_slow_link)
 {
   uint64_t wanted = configure (LARGE_ROUTES);
-  uint16_t port = peer_with (wanted);
+  uint16_t port = start_peer (wanted);
 
   node_open (&node, free_port (), 0);
-  wait_in_force (wanted, (struct peers_say){ .pull_port = port });
+  wait_applied (wanted, (struct peer_input){ .pull_port = port });
 }
 END_TEST
 
-/* The same, and the peer loses its power while it answers.  The node must not
- * wait for it, but ask the next one. */
-START_TEST (test_peer_falls_silent)
+/* Guards against a node that keeps waiting for a peer that loses power during
+ * the pull, instead of asking the next one. */
+START_TEST (test_peer_freezes)
 {
   uint64_t wanted = configure (LARGE_ROUTES);
-  uint16_t port = peer_with (wanted);
+  uint16_t port = start_peer (wanted);
 
   node_open (&node, free_port (), 0);
-  pulls_ask (node.pulls, "127.0.0.1", port);
-  wait_carried (100000);
-  slow_link_silence (slow_link);
-  wait_in_force (wanted, (struct peers_say){ .pull_port = port });
+  config_sync_pull (node.sync, "127.0.0.1", port);
+  wait_carried_bytes (100000);
+  slow_link_freeze (slow_link);
+  wait_applied (wanted, (struct peer_input){ .pull_port = port });
 }
 END_TEST
 
-/* A new configuration takes twice as long as the link needs for it: the node
- * hears of it from a peer while the store sends it, asks the peer too, and
- * each gets half of the link. */
-START_TEST (test_store_and_peer_share_the_link)
+/* Guards against a new configuration that takes twice as long as necessary:
+ * the node learns of it from a peer while the store is sending it, pulls it
+ * from the peer as well, and each transfer gets half of the link. */
+START_TEST (test_store_and_peer_share_link)
 {
   uint16_t port;
   uint64_t wanted, before;
   size_t value_bytes;
 
-  node_open (&node, slow_link_to (slow_link, standin_port (standin)), 0);
-  wait_in_force (configure (0), (struct peers_say){ 0 });
+  node_open (&node, slow_link_add_route (slow_link, standin_port (standin)),
+             0);
+  wait_applied (configure (0), (struct peer_input){ 0 });
   wanted = configure (LARGE_ROUTES);
-  before = slow_link_carried (slow_link);
-  port = peer_with (wanted);
-  wait_in_force (wanted,
-                 (struct peers_say){ .endpoints = 1000, .pull_port = port });
-  source_value (node.source, &value_bytes);
-  ck_assert_uint_lt (slow_link_carried (slow_link) - before,
+  before = slow_link_carried_bytes (slow_link);
+  port = start_peer (wanted);
+  wait_applied (wanted,
+                (struct peer_input){ .endpoints = 1000, .pull_port = port });
+  platform_source_configuration_text (node.source, &value_bytes);
+  ck_assert_uint_lt (slow_link_carried_bytes (slow_link) - before,
                      value_bytes + value_bytes / 4);
 }
 END_TEST
@@ -354,12 +367,12 @@
 
   tcase_set_timeout (tc, 30);
   tcase_add_checked_fixture (tc, setup, teardown);
-  tcase_add_test (tc, test_node_starts);
-  tcase_add_test (tc, test_peers_are_ahead);
-  tcase_add_test (tc, test_silent_in_the_middle);
-  tcase_add_test (tc, test_pulled_from_peer);
-  tcase_add_test (tc, test_peer_falls_silent);
-  tcase_add_test (tc, test_store_and_peer_share_the_link);
+  tcase_add_test (tc, test_list_over_slow_link);
+  tcase_add_test (tc, test_poll_during_slow_response);
+  tcase_add_test (tc, test_store_connection_freezes);
+  tcase_add_test (tc, test_pull_over_slow_link);
+  tcase_add_test (tc, test_peer_freezes);
+  tcase_add_test (tc, test_store_and_peer_share_link);
   suite_add_tcase (s, tc);
   return suite_run (s);
 }
