--- a/controld/config_task.c
+++ b/controld/config_task.c
@@ -275,8 +275,8 @@
   (void)revision;
   if (task->reading != 0)
     return;
-  beryl_membership_set_fresh (task->control->members,
-                              control_now_ms (task->control));
+  beryl_membership_confirm_config (task->control->members,
+                                   control_now_ms (task->control));
 }
 
 static const struct platform_watch_callbacks watch_callbacks
--- a/controld/control.c
+++ b/controld/control.c
@@ -161,13 +161,14 @@
               const struct beryl_instance *items, size_t count)
 {
   struct control *control = user;
-  struct beryl_listed *listed = g_new0 (struct beryl_listed, count + 1);
+  struct beryl_listed_instance *listed
+      = g_new0 (struct beryl_listed_instance, count + 1);
   size_t entries = 0;
 
   (void)revision;
   for (size_t i = 0; i < count; i++)
     {
-      struct beryl_listed *to = &listed[entries];
+      struct beryl_listed_instance *to = &listed[entries];
 
       if (!items[i].entry)
         continue;
@@ -180,8 +181,8 @@
       to->leaving = items[i].leaving;
       entries++;
     }
-  beryl_membership_listed (control->members, listed, entries,
-                           control_now_ms (control));
+  beryl_membership_set_instances (control->members, listed, entries,
+                                  control_now_ms (control));
   g_free (listed);
   gossip_task_wake (control->gossip);
   /* The list was needed for the first contact only; the acceptor watches it
@@ -200,10 +201,11 @@
 is_lonely (const struct control *control)
 {
   int64_t now_ms = control_now_ms (control);
-  int64_t stale_ms = beryl_membership_stale_ms (control->members, now_ms);
+  int64_t stale_ms = beryl_membership_config_age_ms (control->members, now_ms);
 
   return beryl_membership_count (control->members) > 1
-         && now_ms - beryl_membership_heard_ms (control->members) > LONELY_MS
+         && now_ms - beryl_membership_last_contact_ms (control->members)
+                > LONELY_MS
          && (stale_ms < 0 || stale_ms > LONELY_MS);
 }
 
--- a/controld/entry_task.c
+++ b/controld/entry_task.c
@@ -177,8 +177,8 @@
 is_isolated (const struct control *control)
 {
   int64_t now_ms = control_now_ms (control);
-  int64_t stale_ms = beryl_membership_stale_ms (control->members, now_ms);
-  int64_t heard_ms = beryl_membership_heard_ms (control->members);
+  int64_t stale_ms = beryl_membership_config_age_ms (control->members, now_ms);
+  int64_t heard_ms = beryl_membership_last_contact_ms (control->members);
 
   if (stale_ms >= 0 && stale_ms < ISOLATED_MS)
     return false;
@@ -261,8 +261,8 @@
         = beryl_spread_objects (control->spread, &view->objects_bytes);
   view_members (control, view);
   view_leaving (control, view);
-  view->stale_ms
-      = beryl_membership_stale_ms (control->members, control_now_ms (control));
+  view->stale_ms = beryl_membership_config_age_ms (control->members,
+                                                   control_now_ms (control));
   view->isolated = is_isolated (control);
   local_put (task->writer, &message);
   if (link_send (task->link, task->writer))
--- a/controld/facts.c
+++ b/controld/facts.c
@@ -170,14 +170,14 @@
 static void
 members_witness (struct facts *f)
 {
-  struct beryl_listed *listed
-      = g_new0 (struct beryl_listed, f->list_count + 1);
+  struct beryl_listed_instance *listed
+      = g_new0 (struct beryl_listed_instance, f->list_count + 1);
   size_t count = 0;
 
   for (size_t i = 0; i < f->list_count; i++)
     {
       const struct beryl_instance *from = &f->list[i];
-      struct beryl_listed *to = &listed[count];
+      struct beryl_listed_instance *to = &listed[count];
 
       if (!from->entry)
         continue;
@@ -189,8 +189,8 @@
       to->leaving = from->leaving;
       count++;
     }
-  beryl_membership_listed (f->control->members, listed, count,
-                           control_now_ms (f->control));
+  beryl_membership_set_instances (f->control->members, listed, count,
+                                  control_now_ms (f->control));
   g_free (listed);
 }
 
--- a/controld/gossip_task.c
+++ b/controld/gossip_task.c
@@ -65,7 +65,7 @@
 static const struct beryl_membership_owner_impl owner_impl = {
   .send = task_send,
   .changed = task_changed,
-  .behind = task_behind,
+  .pull_config = task_behind,
   .sync = task_sync,
 };
 
--- a/controld/metrics_task.c
+++ b/controld/metrics_task.c
@@ -55,8 +55,8 @@
 {
   struct control *control = task->control;
   struct counters *set = control->counters;
-  int64_t stale_ms
-      = beryl_membership_stale_ms (control->members, control_now_ms (control));
+  int64_t stale_ms = beryl_membership_config_age_ms (control->members,
+                                                     control_now_ms (control));
 
   struct http_traffic traffic = http_context_client_traffic (control->http);
 
--- a/controld/role_task.c
+++ b/controld/role_task.c
@@ -117,7 +117,7 @@
   for (int i = 0; i < CONTROL_ROLE_COUNT; i++)
     {
       struct role *role = &task->roles[i];
-      bool wanted = beryl_membership_stands_for (
+      bool wanted = beryl_membership_is_candidate (
           control->members, role->object, role->data_centre, CONTENDERS);
 
       if (i == CONTROL_ROLE_PLANNER && !control->settings.planner)
--- a/gatewayd/gateway.c
+++ b/gatewayd/gateway.c
@@ -466,7 +466,7 @@
 
 static void
 registry_listed (struct registry_owner *owner,
-                 const struct beryl_listed *items, size_t count)
+                 const struct beryl_listed_instance *items, size_t count)
 {
   members_listed (of_registry (owner)->members, items, count);
 }
--- a/gatewayd/members.c
+++ b/gatewayd/members.c
@@ -191,7 +191,7 @@
 static const struct beryl_membership_owner_impl membership_impl = {
   .send = membership_send,
   .changed = membership_changed,
-  .behind = membership_behind,
+  .pull_config = membership_behind,
   .sync = membership_sync,
 };
 
@@ -498,7 +498,7 @@
 }
 
 void
-members_listed (struct members *m, const struct beryl_listed *items,
+members_listed (struct members *m, const struct beryl_listed_instance *items,
                 size_t count)
 {
   if (m->table == NULL)
@@ -506,7 +506,7 @@
   g_hash_table_remove_all (m->records);
   for (size_t i = 0; i < count; i++)
     g_hash_table_add (m->records, g_strdup (items[i].name));
-  beryl_membership_listed (m->table, items, count, now_ms (m));
+  beryl_membership_set_instances (m->table, items, count, now_ms (m));
   count_check (m);
   wake (m);
 }
@@ -586,15 +586,15 @@
 members_stands_for (const struct members *m, const char *role, uint32_t most)
 {
   return m->table != NULL
-         && beryl_membership_stands_for (m->table, role, "", most);
+         && beryl_membership_is_candidate (m->table, role, "", most);
 }
 
 bool
 members_stands_near (const struct members *m, const char *role, uint32_t most)
 {
   return m->table != NULL
-         && beryl_membership_stands_for (m->table, role,
-                                         m->settings->data_centre, most);
+         && beryl_membership_is_candidate (m->table, role,
+                                           m->settings->data_centre, most);
 }
 
 uint32_t
--- a/gatewayd/members.h
+++ b/gatewayd/members.h
@@ -73,8 +73,8 @@
 void members_join (struct members *members, uint64_t incarnation);
 
 /** Take the records of all nodes. */
-void members_listed (struct members *members, const struct beryl_listed *items,
-                     size_t count);
+void members_listed (struct members *members,
+                     const struct beryl_listed_instance *items, size_t count);
 
 /** Return for how long NODE has not been heard by any node; 0: it is. */
 int64_t members_silent_ms (const struct members *members, const char *node);
--- a/gatewayd/registry.c
+++ b/gatewayd/registry.c
@@ -117,11 +117,12 @@
 }
 
 static bool
-read_record (const struct beryl_object *object, struct beryl_listed *item)
+read_record (const struct beryl_object *object,
+             struct beryl_listed_instance *item)
 {
   json_t *record = json_loadb (object->value, object->value_bytes, 0, NULL);
 
-  *item = (struct beryl_listed){ 0 };
+  *item = (struct beryl_listed_instance){ 0 };
   g_strlcpy (item->name, object->name, sizeof item->name);
   copy_text (record, "address", item->address, sizeof item->address);
   copy_text (record, "data_centre", item->data_centre,
@@ -166,7 +167,7 @@
 }
 
 static bool
-has_own (const struct registry *r, const struct beryl_listed *items,
+has_own (const struct registry *r, const struct beryl_listed_instance *items,
          size_t count)
 {
   for (size_t i = 0; i < count; i++)
@@ -179,7 +180,7 @@
 listed (void *user, const struct beryl_platform_result *result)
 {
   struct registry *r = user;
-  struct beryl_listed *items;
+  struct beryl_listed_instance *items;
   size_t count = 0;
 
   r->request = 0;
@@ -188,7 +189,7 @@
   if (result->code != BERYL_OK)
     return;
   r->owner->impl->objects (r->owner, result->objects, result->object_count);
-  items = g_new0 (struct beryl_listed, result->object_count + 1);
+  items = g_new0 (struct beryl_listed_instance, result->object_count + 1);
   for (size_t i = 0; i < result->object_count; i++)
     count += read_record (&result->objects[i], &items[count]);
   r->owner->impl->listed (r->owner, items, count);
--- a/gatewayd/registry.h
+++ b/gatewayd/registry.h
@@ -27,7 +27,7 @@
   void (*registered) (struct registry_owner *owner, uint64_t incarnation);
   /** All records. */
   void (*listed) (struct registry_owner *owner,
-                  const struct beryl_listed *items, size_t count);
+                  const struct beryl_listed_instance *items, size_t count);
   /** All objects of the kind; told before the records. */
   void (*objects) (struct registry_owner *owner,
                    const struct beryl_object *objects, size_t count);
--- a/include/beryl/membership.h
+++ b/include/beryl/membership.h
@@ -65,14 +65,14 @@
   BERYL_GOSSIP_PING = 1,
   BERYL_GOSSIP_ACK,
   BERYL_GOSSIP_PING_REQUEST, /**< ping the target for me */
-  BERYL_GOSSIP_NEWS,         /**< something changed; no answer */
+  BERYL_GOSSIP_UPDATE,       /**< something changed; no answer */
 };
 
 /** Most member records in one message; fits a datagram. */
 #define BERYL_GOSSIP_UPDATES_MAX 5
 
 /** Age of a proof that nobody has. */
-#define BERYL_FRESH_UNKNOWN UINT32_MAX
+#define BERYL_CONFIG_AGE_UNKNOWN UINT32_MAX
 
 /** One message. */
 struct beryl_gossip
@@ -85,7 +85,7 @@
   uint64_t config_version;
   uint64_t config_applied; /**< in use at FROM */
   /** Age of the proof that this was the newest configuration. */
-  uint32_t fresh_ms;
+  uint32_t config_age_ms;
   struct beryl_member updates[BERYL_GOSSIP_UPDATES_MAX];
   size_t update_count;
 };
@@ -103,8 +103,8 @@
   void (*changed) (struct beryl_membership_owner *owner,
                    const struct beryl_member *member);
   /** PEER has a newer configuration: pull it. */
-  void (*behind) (struct beryl_membership_owner *owner,
-                  const struct beryl_member *peer);
+  void (*pull_config) (struct beryl_membership_owner *owner,
+                       const struct beryl_member *peer);
   /** Compare member lists with PEER over a connection (anti-entropy). */
   void (*sync) (struct beryl_membership_owner *owner,
                 const struct beryl_member *peer);
@@ -126,7 +126,7 @@
   int64_t sync_ms;  /**< between comparisons of lists [30000] */
   /** How long a member must be silent and absent from the instance list to
    * be declared dead [5000]. */
-  int64_t witness_ms;
+  int64_t dead_after_ms;
 };
 
 /** Create; OWNER must outlive it. */
@@ -150,7 +150,7 @@
 int64_t beryl_membership_next_ms (const struct beryl_membership *m);
 
 /** One of our instances in the platform's list. */
-struct beryl_listed
+struct beryl_listed_instance
 {
   char name[BERYL_NAME_BYTES];
   char address[BERYL_ADDRESS_BYTES];
@@ -161,9 +161,9 @@
 };
 
 /** Take the platform's list: seeds for contact, witness of deaths. */
-void beryl_membership_listed (struct beryl_membership *m,
-                              const struct beryl_listed *items, size_t count,
-                              int64_t now_ms);
+void beryl_membership_set_instances (struct beryl_membership *m,
+                                     const struct beryl_listed_instance *items,
+                                     size_t count, int64_t now_ms);
 
 /** Merge records that a peer gave over a connection. */
 void beryl_membership_merge (struct beryl_membership *m,
@@ -191,15 +191,16 @@
 
 /** The platform proved just now that this node's configuration is the
  * newest. */
-void beryl_membership_set_fresh (struct beryl_membership *m, int64_t now_ms);
+void beryl_membership_confirm_config (struct beryl_membership *m,
+                                      int64_t now_ms);
 
 /** Return the age of the last such proof, from here or from a peer with the
  * same configuration; -1: none. */
-int64_t beryl_membership_stale_ms (const struct beryl_membership *m,
-                                   int64_t now_ms);
+int64_t beryl_membership_config_age_ms (const struct beryl_membership *m,
+                                        int64_t now_ms);
 
 /** Return when another node was heard last; 0: never. */
-int64_t beryl_membership_heard_ms (const struct beryl_membership *m);
+int64_t beryl_membership_last_contact_ms (const struct beryl_membership *m);
 
 /** Return all records, this node's and dead ones included, by name. */
 size_t beryl_membership_count (const struct beryl_membership *m);
@@ -215,9 +216,9 @@
 
 /** Whether this node is among the MOST live nodes that stand for ROLE, of
  * DATA_CENTRE unless it is "". */
-bool beryl_membership_stands_for (const struct beryl_membership *m,
-                                  const char *role, const char *data_centre,
-                                  uint32_t most);
+bool beryl_membership_is_candidate (const struct beryl_membership *m,
+                                    const char *role, const char *data_centre,
+                                    uint32_t most);
 
 /** Return the stable name of STATE. */
 const char *beryl_member_state_name (enum beryl_member_state state);
--- a/libberyl/membership/discovery.c
+++ b/libberyl/membership/discovery.c
@@ -30,7 +30,8 @@
   size_t home_count;
   uint64_t *organisations; /* hashes, ascending */
   size_t organisation_count;
-  struct homed *homed; /* those with a data centre, by it and by hash */
+  struct homed_organisation
+      *homed; /* those with a data centre, by it and by hash */
   size_t homed_count;
 };
 
@@ -165,7 +166,8 @@
     size_t organisation_count)
 {
   uint64_t *hashes = calloc (organisation_count + 1, sizeof *hashes);
-  struct homed *homed = calloc (organisation_count + 1, sizeof *homed);
+  struct homed_organisation *homed
+      = calloc (organisation_count + 1, sizeof *homed);
   size_t homed_count = 0;
 
   if (hashes == NULL || homed == NULL)
@@ -185,7 +187,7 @@
       copy_name (homed[homed_count++].data_centre, o->data_centre);
     }
   qsort (hashes, organisation_count, sizeof *hashes, compare_hashes);
-  qsort (homed, homed_count, sizeof *homed, homed_compare);
+  qsort (homed, homed_count, sizeof *homed, homed_organisation_compare);
   free (discovery->organisations);
   free (discovery->homed);
   discovery->organisations = hashes;
@@ -228,9 +230,9 @@
 static bool
 organisation_home (const struct beryl_discovery *discovery,
                    const char *organisation, const char *data_centre,
-                   struct home_place *place)
+                   struct home_position *place)
 {
-  struct homed key
+  struct homed_organisation key
       = { .hash = XXH3_64bits (organisation, strlen (organisation)) };
   struct home *homes;
   bool found = false;
@@ -238,7 +240,7 @@
   copy_name (key.data_centre, data_centre);
   if (discovery->homed_count == 0
       || bsearch (&key, discovery->homed, discovery->homed_count,
-                  sizeof *discovery->homed, homed_compare)
+                  sizeof *discovery->homed, homed_organisation_compare)
              == NULL)
     return false;
   homes = calloc (discovery->home_count + 1, sizeof *homes);
@@ -246,8 +248,8 @@
     return false;
   if (discovery->home_count > 0)
     memcpy (homes, discovery->homes, discovery->home_count * sizeof *homes);
-  found = homes_place (homes, discovery->home_count, discovery->homed,
-                       discovery->homed_count, &key, place);
+  found = homes_locate (homes, discovery->home_count, discovery->homed,
+                        discovery->homed_count, &key, place);
   free (homes);
   return found;
 }
@@ -322,7 +324,7 @@
                         const char *region,
                         struct beryl_discovery_choice *choices, size_t max)
 {
-  struct home_place place = { data_centre, region, 0 };
+  struct home_position place = { data_centre, region, 0 };
   size_t *members = calloc (discovery->node_count + 1, sizeof *members);
   size_t chosen = 0;
   size_t sharing = 0;
--- a/libberyl/membership/gossip.c
+++ b/libberyl/membership/gossip.c
@@ -5,12 +5,12 @@
 #include "beryl/clock.h"
 
 /* Nodes that one round of news goes to. */
-#define NEWS_FANOUT 3
+#define UPDATE_FANOUT 3
 /* Between two rounds of news; bounds what a mass event costs. */
-#define NEWS_SPACING_MS 100
+#define UPDATE_SPACING_MS 100
 
 static bool
-update_listed (const struct beryl_gossip *message, const char *name)
+update_included (const struct beryl_gossip *message, const char *name)
 {
   for (size_t i = 0; i < message->update_count; i++)
     if (strcmp (message->updates[i].name, name) == 0)
@@ -22,16 +22,16 @@
 update_add (struct beryl_gossip *message, const struct beryl_member *member)
 {
   if (message->update_count == BERYL_GOSSIP_UPDATES_MAX
-      || update_listed (message, member->name))
+      || update_included (message, member->name))
     return;
   message->updates[message->update_count++] = *member;
 }
 
 /* How often a record is still to be sent. */
 static uint32_t
-sendings_left (const struct slot *slot)
+sends_left (const struct slot *slot)
 {
-  return slot->transmits + slot->news_left;
+  return slot->transmits_left + slot->immediate_left;
 }
 
 /* Puts SLOT among the COUNT PICKED ones, in falling order of what is left to
@@ -42,7 +42,7 @@
 {
   size_t place = count;
 
-  while (place > 0 && sendings_left (picked[place - 1]) < sendings_left (slot))
+  while (place > 0 && sends_left (picked[place - 1]) < sends_left (slot))
     place--;
   if (place == most)
     return count;
@@ -66,26 +66,28 @@
     {
       struct slot *slot = &m->slots[i];
 
-      if (slot->transmits > 0 && !update_listed (message, slot->member.name))
+      if (slot->transmits_left > 0
+          && !update_included (message, slot->member.name))
         count = pick_record (picked, count, most, slot);
     }
   for (size_t i = 0; i < count; i++)
     {
       message->updates[message->update_count++] = picked[i]->member;
-      if (message->type == BERYL_GOSSIP_NEWS && picked[i]->news_left > 0)
-        picked[i]->news_left--;
+      if (message->type == BERYL_GOSSIP_UPDATE
+          && picked[i]->immediate_left > 0)
+        picked[i]->immediate_left--;
       else
-        picked[i]->transmits--;
+        picked[i]->transmits_left--;
     }
 }
 
 static uint32_t
-fresh_age_ms (const struct beryl_membership *m, int64_t now_ms)
+config_age_ms (const struct beryl_membership *m, int64_t now_ms)
 {
-  int64_t age_ms = beryl_membership_stale_ms (m, now_ms);
+  int64_t age_ms = beryl_membership_config_age_ms (m, now_ms);
 
-  if (age_ms < 0 || age_ms >= BERYL_FRESH_UNKNOWN)
-    return BERYL_FRESH_UNKNOWN;
+  if (age_ms < 0 || age_ms >= BERYL_CONFIG_AGE_UNKNOWN)
+    return BERYL_CONFIG_AGE_UNKNOWN;
   return (uint32_t)age_ms;
 }
 
@@ -102,7 +104,7 @@
   message->from_incarnation = self->incarnation;
   message->config_version = self->config_version;
   message->config_applied = self->config_applied;
-  message->fresh_ms = fresh_age_ms (m, now_ms);
+  message->config_age_ms = config_age_ms (m, now_ms);
   /* A suspect member must learn of it to refute, and one that is only
    * known from the instance list does not know this node yet. */
   if (to->member.state != BERYL_MEMBER_ALIVE || to->member.incarnation == 0)
@@ -123,7 +125,7 @@
 }
 
 static bool
-takes_news (const struct beryl_membership *m, const struct slot *slot)
+is_live_peer (const struct beryl_membership *m, const struct slot *slot)
 {
   return slot->member.state == BERYL_MEMBER_ALIVE
          && strcmp (slot->member.name, m->self) != 0;
@@ -140,7 +142,7 @@
     {
       struct slot *slot = &m->slots[i];
 
-      if (!takes_news (m, slot)
+      if (!is_live_peer (m, slot)
           || (local && strcmp (slot->member.data_centre, m->data_centre) != 0))
         continue;
       if (membership_random (m, ++seen) == 0)
@@ -154,57 +156,57 @@
 /* The watcher of the data centre writes where a configuration is in force;
  * by probes it would hear of each node only after many seconds. */
 static void
-gossip_report (struct beryl_membership *m, int64_t now_ms)
+gossip_report_applied (struct beryl_membership *m, int64_t now_ms)
 {
-  m->report_due = false;
+  m->applied_due = false;
   for (size_t i = 0; i < m->count; i++)
     {
       struct slot *slot = &m->slots[i];
       struct beryl_gossip message;
 
       if ((slot->member.roles & BERYL_MEMBER_WATCHER) == 0
-          || !takes_news (m, slot)
+          || !is_live_peer (m, slot)
           || strcmp (slot->member.data_centre, m->data_centre) != 0)
         continue;
-      gossip_prepare (m, &message, BERYL_GOSSIP_NEWS, slot, now_ms);
+      gossip_prepare (m, &message, BERYL_GOSSIP_UPDATE, slot, now_ms);
       gossip_send (m, &message, slot);
     }
 }
 
 static bool
-has_news (const struct beryl_membership *m)
+has_updates (const struct beryl_membership *m)
 {
   for (size_t i = 0; i < m->count; i++)
-    if (m->slots[i].news_left > 0)
+    if (m->slots[i].immediate_left > 0)
       return true;
   return m->version_due;
 }
 
 void
-gossip_news (struct beryl_membership *m, int64_t now_ms)
+gossip_updates (struct beryl_membership *m, int64_t now_ms)
 {
-  if (m->report_due)
-    gossip_report (m, now_ms);
-  m->news_ms = BERYL_NEVER_MS;
-  m->last_news_ms = now_ms;
+  if (m->applied_due)
+    gossip_report_applied (m, now_ms);
+  m->next_update_ms = BERYL_NEVER_MS;
+  m->last_update_ms = now_ms;
   /* What is in use here is the watchers' alone. */
-  if (!has_news (m))
+  if (!has_updates (m))
     return;
   m->version_due = false;
-  for (int i = 0; i < NEWS_FANOUT; i++)
+  for (int i = 0; i < UPDATE_FANOUT; i++)
     {
       /* Two stay near, one may cross to another data centre. */
-      struct slot *to = pick_member (m, i < NEWS_FANOUT - 1);
+      struct slot *to = pick_member (m, i < UPDATE_FANOUT - 1);
       struct beryl_gossip message;
 
       if (to == NULL)
         return;
-      gossip_prepare (m, &message, BERYL_GOSSIP_NEWS, to, now_ms);
+      gossip_prepare (m, &message, BERYL_GOSSIP_UPDATE, to, now_ms);
       gossip_send (m, &message, to);
     }
   for (size_t i = 0; i < m->count; i++)
-    if (m->slots[i].news_left > 0)
-      m->news_ms = now_ms;
+    if (m->slots[i].immediate_left > 0)
+      m->next_update_ms = now_ms;
 }
 
 static void
@@ -219,13 +221,13 @@
   from->member.config_applied = message->config_applied;
   /* A proof is about the sender's configuration; it is none for another. */
   if (message->config_version == mine
-      && message->fresh_ms != BERYL_FRESH_UNKNOWN
-      && now_ms - (int64_t)message->fresh_ms > m->fresh_ms)
-    m->fresh_ms = now_ms - (int64_t)message->fresh_ms;
+      && message->config_age_ms != BERYL_CONFIG_AGE_UNKNOWN
+      && now_ms - (int64_t)message->config_age_ms > m->config_confirmed_ms)
+    m->config_confirmed_ms = now_ms - (int64_t)message->config_age_ms;
   if (message->config_version <= mine)
     return;
   copy = from->member;
-  m->owner->impl->behind (m->owner, &copy);
+  m->owner->impl->pull_config (m->owner, &copy);
 }
 
 void
@@ -244,7 +246,7 @@
   from = table_find (m, message->from);
   if (from == NULL)
     return;
-  table_heard (m, from, message->from_incarnation, now_ms);
+  table_confirm_alive (m, from, message->from_incarnation, now_ms);
   receive_config (m, message, from, now_ms);
   /* The owner may have changed the table in a callback. */
   from = table_find (m, message->from);
@@ -256,10 +258,11 @@
 beryl_membership_next_ms (const struct beryl_membership *m)
 {
   int64_t next_ms = probe_next_ms (m);
-  int64_t news_ms = m->news_ms;
+  int64_t news_ms = m->next_update_ms;
 
-  if (news_ms != BERYL_NEVER_MS && news_ms < m->last_news_ms + NEWS_SPACING_MS)
-    news_ms = m->last_news_ms + NEWS_SPACING_MS;
+  if (news_ms != BERYL_NEVER_MS
+      && news_ms < m->last_update_ms + UPDATE_SPACING_MS)
+    news_ms = m->last_update_ms + UPDATE_SPACING_MS;
   return news_ms < next_ms ? news_ms : next_ms;
 }
 
@@ -299,9 +302,9 @@
 beryl_membership_tick (struct beryl_membership *m, int64_t now_ms)
 {
   probe_tick (m, now_ms);
-  if (m->news_ms != BERYL_NEVER_MS
-      && now_ms >= m->last_news_ms + NEWS_SPACING_MS)
-    gossip_news (m, now_ms);
+  if (m->next_update_ms != BERYL_NEVER_MS
+      && now_ms >= m->last_update_ms + UPDATE_SPACING_MS)
+    gossip_updates (m, now_ms);
   if (now_ms < m->next_sync_ms)
     return;
   table_expire (m, now_ms);
--- a/libberyl/membership/homes.c
+++ b/libberyl/membership/homes.c
@@ -8,10 +8,10 @@
 #define AWAY_MAX_PERCENT 25
 
 int
-homed_compare (const void *a, const void *b)
+homed_organisation_compare (const void *a, const void *b)
 {
-  const struct homed *x = a;
-  const struct homed *y = b;
+  const struct homed_organisation *x = a;
+  const struct homed_organisation *y = b;
   int order = strcmp (x->data_centre, y->data_centre);
 
   if (order != 0)
@@ -41,8 +41,9 @@
 
 /* How many come before DATA_CENTRE's one of HASH. */
 static size_t
-homed_before (const struct homed *organisations, size_t organisation_count,
-              const char *data_centre, uint64_t hash)
+homed_before (const struct homed_organisation *organisations,
+              size_t organisation_count, const char *data_centre,
+              uint64_t hash)
 {
   size_t low = 0;
   size_t high = organisation_count;
@@ -50,7 +51,7 @@
   while (low < high)
     {
       size_t middle = low + (high - low) / 2;
-      const struct homed *o = &organisations[middle];
+      const struct homed_organisation *o = &organisations[middle];
       int order = strcmp (o->data_centre, data_centre);
 
       if (order < 0 || (order == 0 && o->hash < hash))
@@ -64,8 +65,8 @@
 /* Organisations of DATA_CENTRE.  Should a name hash to the greatest number,
  * the count is short by one. */
 static size_t
-homed_count (const struct homed *organisations, size_t organisation_count,
-             const char *data_centre)
+homed_count (const struct homed_organisation *organisations,
+             size_t organisation_count, const char *data_centre)
 {
   return homed_before (organisations, organisation_count, data_centre,
                        UINT64_MAX)
@@ -75,7 +76,8 @@
 /* Returns how many have a home among HOMES. */
 static size_t
 homes_count (struct home *homes, size_t home_count,
-             const struct homed *organisations, size_t organisation_count)
+             const struct homed_organisation *organisations,
+             size_t organisation_count)
 {
   size_t total = 0;
 
@@ -110,42 +112,42 @@
           = total * (before + h->nodes) / nodes - total * before / nodes;
 
       before += h->nodes;
-      h->kept = h->organisations;
-      h->room = fair > h->organisations ? fair - h->organisations : 0;
+      h->retained = h->organisations;
+      h->spare = fair > h->organisations ? fair - h->organisations : 0;
       if (h->organisations > fair)
-        h->kept -= least (h->organisations - fair,
-                          h->organisations * AWAY_MAX_PERCENT / 100);
+        h->retained -= least (h->organisations - fair,
+                              h->organisations * AWAY_MAX_PERCENT / 100);
     }
 }
 
 /* One that is sent from FROM: the home that takes it, and its rank there. */
-struct transfer
+struct reassignment
 {
   const struct home *from;
   size_t rank; /* among those that FROM sends */
   const struct home *to;
-  size_t rank_there;
+  size_t target_rank;
 };
 
 /* Hand what FROM still sends to homes with room, in its region or anywhere;
  * SENT is how many it has sent before.  Notes where the one of T goes. */
 static void
 home_send (struct home *homes, size_t home_count, const struct home *from,
-           bool any_region, size_t *sent, struct transfer *t)
+           bool any_region, size_t *sent, struct reassignment *t)
 {
-  size_t most = from->organisations - from->kept;
+  size_t most = from->organisations - from->retained;
 
   for (size_t i = 0; i < home_count && *sent < most; i++)
     {
       struct home *to = &homes[i];
-      size_t n = least (most - *sent, to->room - to->received);
+      size_t n = least (most - *sent, to->spare - to->received);
 
       if (!any_region && strcmp (to->region, from->region) != 0)
         continue;
       if (t->from == from && t->rank >= *sent && t->rank < *sent + n)
         {
           t->to = to;
-          t->rank_there = to->kept + to->received + t->rank - *sent;
+          t->target_rank = to->retained + to->received + t->rank - *sent;
         }
       to->received += n;
       *sent += n;
@@ -153,7 +155,7 @@
 }
 
 static bool
-homes_send (struct home *homes, size_t home_count, struct transfer *t)
+homes_send (struct home *homes, size_t home_count, struct reassignment *t)
 {
   size_t *sent = calloc (home_count, sizeof *sent);
 
@@ -167,12 +169,14 @@
 }
 
 bool
-homes_place (struct home *homes, size_t home_count,
-             const struct homed *organisations, size_t organisation_count,
-             const struct homed *organisation, struct home_place *place)
+homes_locate (struct home *homes, size_t home_count,
+              const struct homed_organisation *organisations,
+              size_t organisation_count,
+              const struct homed_organisation *organisation,
+              struct home_position *place)
 {
   const struct home *home;
-  struct transfer t = { 0 };
+  struct reassignment t = { 0 };
   const char *name = organisation->data_centre;
   size_t count = homed_count (organisations, organisation_count, name);
   size_t rank = homed_before (organisations, organisation_count, name,
@@ -189,17 +193,17 @@
   homes_share (
       homes, home_count,
       homes_count (homes, home_count, organisations, organisation_count));
-  if (rank >= home->kept)
-    t = (struct transfer){ .from = home, .rank = rank - home->kept };
+  if (rank >= home->retained)
+    t = (struct reassignment){ .from = home, .rank = rank - home->retained };
   if (!homes_send (homes, home_count, &t))
     return false;
   if (t.to != NULL)
     {
       home = t.to;
-      rank = t.rank_there;
+      rank = t.target_rank;
     }
   place->data_centre = home->data_centre;
   place->region = home->region;
-  place->position = (double)rank / (double)(home->kept + home->received);
+  place->position = (double)rank / (double)(home->retained + home->received);
   return true;
 }
--- a/libberyl/membership/homes.h
+++ b/libberyl/membership/homes.h
@@ -15,7 +15,7 @@
 #include "beryl/ids.h"
 
 /** An organisation that is listed. */
-struct homed
+struct homed_organisation
 {
   uint64_t hash; /**< of its name */
   char data_centre[BERYL_NAME_BYTES];
@@ -28,14 +28,14 @@
   const char *region;      /**< borrowed */
   size_t nodes;            /**< live ones */
   size_t organisations;    /**< that have their home here */
-  size_t kept;             /**< of these; the others go elsewhere */
-  size_t room;             /**< for others' organisations */
+  size_t retained;         /**< of these; the others go elsewhere */
+  size_t spare;            /**< for others' organisations */
   size_t received;         /**< others' organisations */
 };
 
 /** Where an organisation's calls go; the names are those of the home that is
  * to serve it, and stay as they are if its own has no live node. */
-struct home_place
+struct home_position
 {
   const char *data_centre; /**< borrowed from the home */
   const char *region;      /**< borrowed from the home */
@@ -43,13 +43,16 @@
 };
 
 /** Order by home, then by hash. */
-int homed_compare (const void *a, const void *b);
+int homed_organisation_compare (const void *a, const void *b);
 
 /** Find the place of ORGANISATION among ORGANISATIONS (in the order of
- * homed_compare).  HOMES, in any order, have their names and nodes set; the
- * rest is filled in.  False without memory or if it is not listed. */
-bool homes_place (struct home *homes, size_t home_count,
-                  const struct homed *organisations, size_t organisation_count,
-                  const struct homed *organisation, struct home_place *place);
+ * homed_organisation_compare).  HOMES, in any order, have their names and
+ * nodes set; the rest is filled in.  False without memory or if it is not
+ * listed. */
+bool homes_locate (struct home *homes, size_t home_count,
+                   const struct homed_organisation *organisations,
+                   size_t organisation_count,
+                   const struct homed_organisation *organisation,
+                   struct home_position *place);
 
 #endif
--- a/libberyl/membership/membership.c
+++ b/libberyl/membership/membership.c
@@ -9,7 +9,7 @@
 #define PROBE_MS 1000
 #define ACK_MS 300
 #define SYNC_MS 30000
-#define WITNESS_MS 5000
+#define DEAD_AFTER_MS 5000
 #define FIRST_SYNC_MS 500
 
 static int64_t
@@ -56,9 +56,9 @@
   m->probe_ms = or_default (settings->probe_ms, PROBE_MS);
   m->ack_ms = or_default (settings->ack_ms, ACK_MS);
   m->sync_ms = or_default (settings->sync_ms, SYNC_MS);
-  m->witness_ms = or_default (settings->witness_ms, WITNESS_MS);
-  m->news_ms = BERYL_NEVER_MS;
-  m->acked_ms = now_ms;
+  m->dead_after_ms = or_default (settings->dead_after_ms, DEAD_AFTER_MS);
+  m->next_update_ms = BERYL_NEVER_MS;
+  m->last_ack_ms = now_ms;
   m->next_probe_ms
       = now_ms + (int64_t)membership_random (m, (uint64_t)m->probe_ms);
   m->sync_spacing_ms = FIRST_SYNC_MS;
@@ -94,21 +94,22 @@
 }
 
 int64_t
-beryl_membership_heard_ms (const struct beryl_membership *m)
+beryl_membership_last_contact_ms (const struct beryl_membership *m)
 {
-  return m->heard_ms;
+  return m->last_contact_ms;
 }
 
 int64_t
-beryl_membership_stale_ms (const struct beryl_membership *m, int64_t now_ms)
+beryl_membership_config_age_ms (const struct beryl_membership *m,
+                                int64_t now_ms)
 {
-  return m->fresh_ms != 0 ? now_ms - m->fresh_ms : -1;
+  return m->config_confirmed_ms != 0 ? now_ms - m->config_confirmed_ms : -1;
 }
 
 void
-beryl_membership_set_fresh (struct beryl_membership *m, int64_t now_ms)
+beryl_membership_confirm_config (struct beryl_membership *m, int64_t now_ms)
 {
-  m->fresh_ms = now_ms;
+  m->config_confirmed_ms = now_ms;
 }
 
 void
@@ -126,7 +127,7 @@
 self_changed (struct beryl_membership *m, struct slot *self, int64_t now_ms)
 {
   self->member.incarnation++;
-  table_pass_on (m, self, now_ms);
+  table_queue_update (m, self, now_ms);
 }
 
 void
@@ -183,8 +184,8 @@
     return;
   self->member.config_version = version;
   m->version_due = true;
-  if (m->news_ms == BERYL_NEVER_MS)
-    m->news_ms = now_ms;
+  if (m->next_update_ms == BERYL_NEVER_MS)
+    m->next_update_ms = now_ms;
 }
 
 void
@@ -196,13 +197,14 @@
   if (version == self->member.config_applied)
     return;
   self->member.config_applied = version;
-  m->report_due = true;
-  if (m->news_ms == BERYL_NEVER_MS)
-    m->news_ms = now_ms;
+  m->applied_due = true;
+  if (m->next_update_ms == BERYL_NEVER_MS)
+    m->next_update_ms = now_ms;
 }
 
-static const struct beryl_listed *
-listed_find (const struct beryl_listed *items, size_t count, const char *name)
+static const struct beryl_listed_instance *
+listed_find (const struct beryl_listed_instance *items, size_t count,
+             const char *name)
 {
   for (size_t i = 0; i < count; i++)
     if (strcmp (items[i].name, name) == 0)
@@ -211,8 +213,8 @@
 }
 
 static void
-listed_seed (struct beryl_membership *m, const struct beryl_listed *item,
-             int64_t now_ms)
+seed_insert (struct beryl_membership *m,
+             const struct beryl_listed_instance *item, int64_t now_ms)
 {
   struct beryl_member seed = { .state = BERYL_MEMBER_SUSPECT };
 
@@ -228,8 +230,8 @@
  * the list lags and flaps, packets are lost, and a live member must not lose
  * its streams.  Presence never makes a silent member live. */
 static void
-listed_witness (struct beryl_membership *m, struct slot *slot, bool listed,
-                int64_t now_ms)
+absence_check (struct beryl_membership *m, struct slot *slot, bool listed,
+               int64_t now_ms)
 {
   if (listed)
     {
@@ -241,28 +243,28 @@
   if (slot->member.state == BERYL_MEMBER_DEAD
       || !BERYL_GUARD (BERYL_GUARD_MEMBER_SILENT,
                        slot->member.state == BERYL_MEMBER_SUSPECT
-                           && now_ms - slot->suspect_ms >= m->witness_ms)
+                           && now_ms - slot->suspect_ms >= m->dead_after_ms)
       || !BERYL_GUARD (BERYL_GUARD_MEMBER_LASTING,
-                       now_ms - slot->unlisted_ms >= m->witness_ms))
+                       now_ms - slot->unlisted_ms >= m->dead_after_ms))
     return;
   slot->member.state = BERYL_MEMBER_DEAD;
   slot->dead_ms = now_ms;
-  table_pass_on (m, slot, now_ms);
+  table_queue_update (m, slot, now_ms);
   m->owner->impl->changed (m->owner, &slot->member);
 }
 
 void
-beryl_membership_listed (struct beryl_membership *m,
-                         const struct beryl_listed *items, size_t count,
-                         int64_t now_ms)
+beryl_membership_set_instances (struct beryl_membership *m,
+                                const struct beryl_listed_instance *items,
+                                size_t count, int64_t now_ms)
 {
   for (size_t i = 0; i < count; i++)
     if (table_find (m, items[i].name) == NULL)
-      listed_seed (m, &items[i], now_ms);
+      seed_insert (m, &items[i], now_ms);
   for (size_t i = 0; i < m->count; i++)
     {
       struct slot *slot = &m->slots[i];
-      const struct beryl_listed *item
+      const struct beryl_listed_instance *item
           = listed_find (items, count, slot->member.name);
 
       if (strcmp (slot->member.name, m->self) == 0)
@@ -274,7 +276,7 @@
           record.leaving = true;
           table_merge (m, &record, now_ms);
         }
-      listed_witness (m, slot, item != NULL, now_ms);
+      absence_check (m, slot, item != NULL, now_ms);
     }
 }
 
--- a/libberyl/membership/private.h
+++ b/libberyl/membership/private.h
@@ -10,12 +10,12 @@
 struct slot
 {
   struct beryl_member member;
-  uint32_t transmits;  /* how often its record is still passed on */
-  int64_t unlisted_ms; /* absent from the instance list since; 0: listed */
-  int64_t suspect_ms;  /* suspect since */
-  int64_t dead_ms;     /* when it was declared dead */
-  uint32_t news_left;  /* sendings before it is news no more */
-  bool probed;         /* in this round */
+  uint32_t transmits_left; /* how often its record is still passed on */
+  int64_t unlisted_ms;     /* absent from the instance list since; 0: listed */
+  int64_t suspect_ms;      /* suspect since */
+  int64_t dead_ms;         /* when it was declared dead */
+  uint32_t immediate_left; /* sendings before it is news no more */
+  bool probed;             /* in this round */
 };
 
 struct probe
@@ -29,9 +29,9 @@
 /** A ping made for another node. */
 struct relay
 {
-  uint32_t sequence; /* of our ping */
-  uint32_t asked;    /* of the request */
-  char asker[BERYL_NAME_BYTES];
+  uint32_t sequence;         /* of our ping */
+  uint32_t request_sequence; /* of the request */
+  char requester[BERYL_NAME_BYTES];
   int64_t sent_ms;
 };
 
@@ -50,29 +50,30 @@
   int64_t probe_ms;
   int64_t ack_ms;
   int64_t sync_ms;
-  int64_t witness_ms;
+  int64_t dead_after_ms;
   int64_t next_probe_ms;
   int64_t next_sync_ms;
   int64_t sync_spacing_ms; /* short at first, see sync_tick */
-  int64_t news_ms;         /* when news are due; BERYL_NEVER_MS: none */
-  int64_t last_news_ms;
-  bool report_due;  /* watchers are to hear what is in use here */
-  bool version_due; /* anybody is to hear of a new configuration */
-  int64_t heard_ms; /* any other node */
-  int64_t acked_ms; /* an answer to a probe of ours */
-  int64_t fresh_ms; /* time of the newest proof; 0: none */
+  int64_t next_update_ms;  /* when news are due; BERYL_NEVER_MS: none */
+  int64_t last_update_ms;
+  bool applied_due;            /* watchers are to hear what is in use here */
+  bool version_due;            /* anybody is to hear of a new configuration */
+  int64_t last_contact_ms;     /* any other node */
+  int64_t last_ack_ms;         /* an answer to a probe of ours */
+  int64_t config_confirmed_ms; /* time of the newest proof; 0: none */
   uint32_t sequence;
   struct probe probes[PROBES_MAX];
   size_t probe_count;
   struct relay relays[RELAYS_MAX];
   size_t relay_next;
-  char focus[BERYL_NAME_BYTES]; /* data centre that may be lost */
+  char
+      suspect_data_centre[BERYL_NAME_BYTES]; /* data centre that may be lost */
 };
 
 /** Each node that learns of a change sends it so many times at once, so that
  * all but a few in a thousand have it after some steps; the rest learns it
  * with the probes. */
-#define NEWS_SENDINGS 6
+#define IMMEDIATE_SENDS 6
 
 /** Return the slot of NAME or NULL. */
 struct slot *table_find (struct beryl_membership *m, const char *name);
@@ -85,16 +86,16 @@
                   const struct beryl_member *record, int64_t now_ms);
 
 /** Have SLOT's record passed on. */
-void table_pass_on (struct beryl_membership *m, struct slot *slot,
-                    int64_t now_ms);
+void table_queue_update (struct beryl_membership *m, struct slot *slot,
+                         int64_t now_ms);
 
 /** Suspect a member that did not answer. */
 void table_suspect (struct beryl_membership *m, struct slot *slot,
                     int64_t now_ms);
 
 /** A message of this incarnation came from the member itself. */
-void table_heard (struct beryl_membership *m, struct slot *slot,
-                  uint64_t incarnation, int64_t now_ms);
+void table_confirm_alive (struct beryl_membership *m, struct slot *slot,
+                          uint64_t incarnation, int64_t now_ms);
 
 /** Forget the dead after a while. */
 void table_expire (struct beryl_membership *m, int64_t now_ms);
@@ -112,7 +113,7 @@
                   const struct beryl_gossip *message, const struct slot *to);
 
 /** Send news to a few. */
-void gossip_news (struct beryl_membership *m, int64_t now_ms);
+void gossip_updates (struct beryl_membership *m, int64_t now_ms);
 
 /** Take the probing parts of a message. */
 void probe_receive (struct beryl_membership *m,
--- a/libberyl/membership/probe.c
+++ b/libberyl/membership/probe.c
@@ -6,11 +6,11 @@
 #include "beryl/clock.h"
 
 /* Others that are asked to ping a silent member. */
-#define INDIRECT 3
+#define INDIRECT_PROBES 3
 /* Nodes of a data centre that probe the others. */
-#define BRIDGES 2
+#define BRIDGE_COUNT 2
 /* Probes a second into a data centre that may be lost. */
-#define FOCUS_PROBES 4
+#define SUSPECT_CENTRE_PROBES 4
 
 static bool
 is_local (const struct beryl_membership *m, const struct slot *slot)
@@ -30,7 +30,8 @@
 {
   const struct beryl_member *self = &table_self (m)->member;
 
-  return beryl_membership_stands_for (m, "bridge", self->data_centre, BRIDGES)
+  return beryl_membership_is_candidate (m, "bridge", self->data_centre,
+                                        BRIDGE_COUNT)
          || self->leaving;
 }
 
@@ -106,7 +107,7 @@
 }
 
 static struct slot *
-focus_target (struct beryl_membership *m)
+suspect_centre_target (struct beryl_membership *m)
 {
   struct slot *picked = NULL;
   uint64_t seen = 0;
@@ -116,7 +117,7 @@
       struct slot *slot = &m->slots[i];
 
       if (slot->member.state != BERYL_MEMBER_ALIVE
-          || strcmp (slot->member.data_centre, m->focus) != 0
+          || strcmp (slot->member.data_centre, m->suspect_data_centre) != 0
           || is_pending (m, slot->member.name))
         continue;
       if (membership_random (m, ++seen) == 0)
@@ -128,14 +129,15 @@
 /* After one silent member the others of its data centre are probed next:
  * by turns it would take minutes to notice that all of it is lost. */
 static void
-probe_focus (struct beryl_membership *m, int64_t now_ms)
+probe_suspect_centre (struct beryl_membership *m, int64_t now_ms)
 {
-  for (int i = 0; i < FOCUS_PROBES && m->focus[0] != '\0'; i++)
+  for (int i = 0;
+       i < SUSPECT_CENTRE_PROBES && m->suspect_data_centre[0] != '\0'; i++)
     {
-      struct slot *to = focus_target (m);
+      struct slot *to = suspect_centre_target (m);
 
       if (to == NULL)
-        m->focus[0] = '\0';
+        m->suspect_data_centre[0] = '\0';
       else
         probe_send (m, to, now_ms);
     }
@@ -165,7 +167,7 @@
 
   p->indirect = true;
   probe_repeat (m, p, now_ms);
-  for (size_t i = 0; i < m->count && asked < INDIRECT; i++)
+  for (size_t i = 0; i < m->count && asked < INDIRECT_PROBES; i++)
     {
       struct slot *via = &m->slots[(offset + i) % m->count];
       struct beryl_gossip message;
@@ -189,7 +191,8 @@
   if (slot == NULL)
     return;
   if (!is_local (m, slot) && slot->member.state == BERYL_MEMBER_ALIVE)
-    memcpy (m->focus, slot->member.data_centre, sizeof m->focus);
+    memcpy (m->suspect_data_centre, slot->member.data_centre,
+            sizeof m->suspect_data_centre);
   table_suspect (m, slot, now_ms);
 }
 
@@ -242,8 +245,8 @@
   probe_one (m, true, now_ms);
   if (!self_is_bridge (m))
     return;
-  if (m->focus[0] != '\0')
-    probe_focus (m, now_ms);
+  if (m->suspect_data_centre[0] != '\0')
+    probe_suspect_centre (m, now_ms);
   probe_one (m, false, now_ms);
 }
 
@@ -270,9 +273,9 @@
 }
 
 static void
-request_received (struct beryl_membership *m,
-                  const struct beryl_gossip *message, const struct slot *from,
-                  int64_t now_ms)
+ping_request_received (struct beryl_membership *m,
+                       const struct beryl_gossip *message,
+                       const struct slot *from, int64_t now_ms)
 {
   struct slot *to = table_find (m, message->target);
   struct relay *r = &m->relays[m->relay_next++ % RELAYS_MAX];
@@ -282,9 +285,9 @@
     return;
   memset (r, 0, sizeof *r);
   r->sequence = ++m->sequence;
-  r->asked = message->sequence;
+  r->request_sequence = message->sequence;
   r->sent_ms = now_ms;
-  memcpy (r->asker, from->member.name, sizeof r->asker);
+  memcpy (r->requester, from->member.name, sizeof r->requester);
   gossip_prepare (m, &ping, BERYL_GOSSIP_PING, to, now_ms);
   ping.sequence = r->sequence;
   memcpy (ping.target, to->member.name, sizeof ping.target);
@@ -300,16 +303,16 @@
       struct slot *to;
       struct beryl_gossip ack;
 
-      if (r->sequence != sequence || r->asker[0] == '\0')
+      if (r->sequence != sequence || r->requester[0] == '\0')
         continue;
-      to = table_find (m, r->asker);
+      to = table_find (m, r->requester);
       if (to != NULL)
         {
           gossip_prepare (m, &ack, BERYL_GOSSIP_ACK, to, now_ms);
-          ack.sequence = r->asked;
+          ack.sequence = r->request_sequence;
           gossip_send (m, &ack, to);
         }
-      r->asker[0] = '\0';
+      r->requester[0] = '\0';
       return;
     }
 }
@@ -318,14 +321,15 @@
 ack_received (struct beryl_membership *m, const struct beryl_gossip *message,
               int64_t now_ms)
 {
-  m->acked_ms = now_ms;
+  m->last_ack_ms = now_ms;
   for (size_t i = 0; i < m->probe_count; i++)
     if (m->probes[i].sequence == message->sequence)
       {
         const struct slot *slot = table_find (m, m->probes[i].target);
 
-        if (slot != NULL && strcmp (slot->member.data_centre, m->focus) == 0)
-          m->focus[0] = '\0';
+        if (slot != NULL
+            && strcmp (slot->member.data_centre, m->suspect_data_centre) == 0)
+          m->suspect_data_centre[0] = '\0';
         m->probes[i] = m->probes[--m->probe_count];
         return;
       }
@@ -345,9 +349,9 @@
       ack_received (m, message, now_ms);
       return;
     case BERYL_GOSSIP_PING_REQUEST:
-      request_received (m, message, from, now_ms);
+      ping_request_received (m, message, from, now_ms);
       return;
-    case BERYL_GOSSIP_NEWS:
+    case BERYL_GOSSIP_UPDATE:
       return;
     }
 }
--- a/libberyl/membership/table.c
+++ b/libberyl/membership/table.c
@@ -9,14 +9,14 @@
 #include "beryl/clock.h"
 
 /* How long a dead member is remembered, against old news. */
-#define DEAD_KEPT_MS 600000
+#define DEAD_RETENTION_MS 600000
 /* A record is passed on this often, times the logarithm of the members. */
 #define TRANSMITS_FACTOR 4
 /* Without an answer for so many probes this node may itself be cut off. */
-#define TROUBLE_PROBES 3
+#define ISOLATION_PROBES 3
 
 static size_t
-table_place (const struct beryl_membership *m, const char *name, bool *found)
+table_index (const struct beryl_membership *m, const char *name, bool *found)
 {
   size_t low = 0;
   size_t high = m->count;
@@ -38,7 +38,7 @@
 table_find (struct beryl_membership *m, const char *name)
 {
   bool found;
-  size_t i = table_place (m, name, &found);
+  size_t i = table_index (m, name, &found);
 
   return found ? &m->slots[i] : NULL;
 }
@@ -53,7 +53,7 @@
 table_insert (struct beryl_membership *m, const struct beryl_member *record)
 {
   bool found;
-  size_t i = table_place (m, record->name, &found);
+  size_t i = table_index (m, record->name, &found);
 
   if (m->slots == NULL || m->count == m->capacity)
     {
@@ -84,19 +84,20 @@
 }
 
 void
-table_pass_on (struct beryl_membership *m, struct slot *slot, int64_t now_ms)
+table_queue_update (struct beryl_membership *m, struct slot *slot,
+                    int64_t now_ms)
 {
-  slot->transmits = transmits_limit (m);
-  slot->news_left = NEWS_SENDINGS;
-  if (m->news_ms == BERYL_NEVER_MS)
-    m->news_ms = now_ms;
+  slot->transmits_left = transmits_limit (m);
+  slot->immediate_left = IMMEDIATE_SENDS;
+  if (m->next_update_ms == BERYL_NEVER_MS)
+    m->next_update_ms = now_ms;
 }
 
 const struct beryl_member *
 beryl_membership_find (const struct beryl_membership *m, const char *name)
 {
   bool found;
-  size_t i = table_place (m, name, &found);
+  size_t i = table_index (m, name, &found);
 
   return found ? &m->slots[i].member : NULL;
 }
@@ -125,7 +126,7 @@
       && record->state == BERYL_MEMBER_ALIVE)
     return;
   self->member.incarnation = record->incarnation + 1;
-  table_pass_on (m, self, now_ms);
+  table_queue_update (m, self, now_ms);
 }
 
 static bool
@@ -143,7 +144,7 @@
   slot->member.config_applied = config_applied;
   if (record->state == BERYL_MEMBER_DEAD)
     slot->dead_ms = now_ms;
-  table_pass_on (m, slot, now_ms);
+  table_queue_update (m, slot, now_ms);
   table_changed (m, slot);
   return true;
 }
@@ -196,9 +197,9 @@
  * about the others, and passing on hundreds of them after the partition
  * would make every node refute at once. */
 static bool
-self_in_trouble (const struct beryl_membership *m, int64_t now_ms)
+self_is_isolated (const struct beryl_membership *m, int64_t now_ms)
 {
-  return now_ms - m->acked_ms > TROUBLE_PROBES * m->probe_ms;
+  return now_ms - m->last_ack_ms > ISOLATION_PROBES * m->probe_ms;
 }
 
 void
@@ -208,19 +209,19 @@
     return;
   slot->member.state = BERYL_MEMBER_SUSPECT;
   slot->suspect_ms = now_ms;
-  if (!self_in_trouble (m, now_ms))
-    table_pass_on (m, slot, now_ms);
+  if (!self_is_isolated (m, now_ms))
+    table_queue_update (m, slot, now_ms);
   table_changed (m, slot);
 }
 
 /* The member itself spoke, so it is alive, whoever suspects it. */
 void
-table_heard (struct beryl_membership *m, struct slot *slot,
-             uint64_t incarnation, int64_t now_ms)
+table_confirm_alive (struct beryl_membership *m, struct slot *slot,
+                     uint64_t incarnation, int64_t now_ms)
 {
   struct beryl_member *member = &slot->member;
 
-  m->heard_ms = now_ms;
+  m->last_contact_ms = now_ms;
   if (incarnation < member->incarnation
       || member->state != BERYL_MEMBER_SUSPECT)
     return;
@@ -235,7 +236,7 @@
 
   for (size_t i = 0; i < m->count; i++)
     if (m->slots[i].member.state != BERYL_MEMBER_DEAD
-        || now_ms - m->slots[i].dead_ms < DEAD_KEPT_MS)
+        || now_ms - m->slots[i].dead_ms < DEAD_RETENTION_MS)
       m->slots[kept++] = m->slots[i];
   m->count = kept;
 }
@@ -268,7 +269,7 @@
 }
 
 static bool
-may_stand (const struct beryl_member *member, const char *data_centre)
+is_eligible (const struct beryl_member *member, const char *data_centre)
 {
   if (member->state != BERYL_MEMBER_ALIVE || member->leaving)
     return false;
@@ -277,21 +278,21 @@
 }
 
 bool
-beryl_membership_stands_for (const struct beryl_membership *m,
-                             const char *role, const char *data_centre,
-                             uint32_t most)
+beryl_membership_is_candidate (const struct beryl_membership *m,
+                               const char *role, const char *data_centre,
+                               uint32_t most)
 {
   const struct beryl_member *self = beryl_membership_self (m);
   uint64_t score = role_score (role, self->name);
   uint32_t ahead = 0;
 
-  if (!may_stand (self, data_centre))
+  if (!is_eligible (self, data_centre))
     return false;
   for (size_t i = 0; i < m->count; i++)
     {
       const struct beryl_member *member = &m->slots[i].member;
 
-      if (may_stand (member, data_centre)
+      if (is_eligible (member, data_centre)
           && role_score (role, member->name) > score)
         ahead++;
     }
--- a/tests/control/cluster.c
+++ b/tests/control/cluster.c
@@ -138,7 +138,7 @@
 static const struct beryl_membership_owner_impl node_impl = {
   .send = node_send,
   .changed = node_changed,
-  .behind = node_behind,
+  .pull_config = node_behind,
   .sync = node_sync,
 };
 
@@ -161,7 +161,7 @@
   struct cluster *c = n->cluster;
   struct beryl_membership_settings settings = { 0 };
   struct beryl_member *self = &settings.self;
-  const struct beryl_listed *item = &c->list[n->index];
+  const struct beryl_listed_instance *item = &c->list[n->index];
 
   n->life++;
   n->down = false;
@@ -173,7 +173,8 @@
   self->incarnation = 1000000 * n->life + (uint64_t)cluster_now_ms (c);
   settings.seed = sim_random (c->sim, UINT64_MAX);
   n->m = beryl_membership_create (&settings, &n->base, cluster_now_ms (c));
-  beryl_membership_listed (n->m, c->list, c->listed, cluster_now_ms (c));
+  beryl_membership_set_instances (n->m, c->list, c->listed,
+                                  cluster_now_ms (c));
 }
 
 /* The list is read by every node each second; it may flap. */
@@ -193,7 +194,8 @@
         continue;
       if (c->list_flaps && sim_chance (c->sim, 60))
         count = sim_random (c->sim, c->listed);
-      beryl_membership_listed (n->m, c->list, count, cluster_now_ms (c));
+      beryl_membership_set_instances (n->m, c->list, count,
+                                      cluster_now_ms (c));
     }
 }
 
@@ -210,7 +212,7 @@
   c->listed = (size_t)nodes;
   for (int i = 0; i < nodes; i++)
     {
-      struct beryl_listed *item = &c->list[i];
+      struct beryl_listed_instance *item = &c->list[i];
       int dc = i % data_centres;
 
       snprintf (item->name, sizeof item->name, "entry-%03d", i);
--- a/tests/control/cluster.h
+++ b/tests/control/cluster.h
@@ -36,7 +36,7 @@
   int regions;
   uint32_t loss_percent;
   int cut_region; /* apart from the others; -1: none */
-  struct beryl_listed list[NODES_MAX];
+  struct beryl_listed_instance list[NODES_MAX];
   size_t listed;
   bool list_flaps;
   struct frame_writer *writer;
--- a/wire/gossip.c
+++ b/wire/gossip.c
@@ -112,8 +112,8 @@
   frame_put_uint (writer, MESSAGE_CONFIG_VERSION, message->config_version);
   if (message->config_applied != message->config_version)
     frame_put_uint (writer, MESSAGE_CONFIG_APPLIED, message->config_applied);
-  if (message->fresh_ms != BERYL_FRESH_UNKNOWN)
-    frame_put_uint (writer, MESSAGE_FRESH_MS, message->fresh_ms);
+  if (message->config_age_ms != BERYL_CONFIG_AGE_UNKNOWN)
+    frame_put_uint (writer, MESSAGE_FRESH_MS, message->config_age_ms);
   if (message->update_count == 0)
     return;
   frame_put_array (writer, MESSAGE_UPDATES);
@@ -129,16 +129,17 @@
   struct frame_array updates = frame_array (map, MESSAGE_UPDATES);
   uint64_t type = frame_need_uint (map, MESSAGE_TYPE);
   uint64_t sequence = frame_uint (map, MESSAGE_SEQUENCE, 0);
-  uint64_t fresh_ms = frame_uint (map, MESSAGE_FRESH_MS, BERYL_FRESH_UNKNOWN);
+  uint64_t fresh_ms
+      = frame_uint (map, MESSAGE_FRESH_MS, BERYL_CONFIG_AGE_UNKNOWN);
 
   memset (message, 0, sizeof *message);
   if (frame_type (frame) != GOSSIP_DATAGRAM || type < BERYL_GOSSIP_PING
-      || type > BERYL_GOSSIP_NEWS || sequence > UINT32_MAX
+      || type > BERYL_GOSSIP_UPDATE || sequence > UINT32_MAX
       || fresh_ms > UINT32_MAX || updates.count > BERYL_GOSSIP_UPDATES_MAX)
     return false;
   message->type = (enum beryl_gossip_type)type;
   message->sequence = (uint32_t)sequence;
-  message->fresh_ms = (uint32_t)fresh_ms;
+  message->config_age_ms = (uint32_t)fresh_ms;
   frame_need_string (map, MESSAGE_FROM, message->from, sizeof message->from);
   message->from_incarnation = frame_need_uint (map, MESSAGE_FROM_INCARNATION);
   frame_string (map, MESSAGE_TARGET, message->target, sizeof message->target);
