--- a/common/platform_client.c
+++ b/common/platform_client.c
@@ -89,7 +89,7 @@
   *c->cells[n++] = counts->stale;
   *c->cells[n++] = counts->relisted;
   *c->cells[n++] = counts->malformed;
-  *c->cells[n++] = beryl_platform_is_away (c->core);
+  *c->cells[n++] = beryl_platform_is_unreachable (c->core);
 }
 
 static void timer_arm (struct platform_client *c);
@@ -162,7 +162,7 @@
   struct call *call = (struct call *)handler;
 
   if (call->body->len == 0)
-    beryl_platform_arriving (call->client->core, call->id);
+    beryl_platform_answer_started (call->client->core, call->id);
   if (call->body->len + bytes_count <= ANSWER_MAX_BYTES)
     g_string_append_len (call->body, bytes, (gssize)bytes_count);
 }
@@ -447,7 +447,7 @@
   return (struct beryl_platform_options){
     .use = options->use,
     .deadline_ms = now_ms + options->timeout_ms,
-    .wait = options->wait,
+    .wait_for_recovery = options->wait,
   };
 }
 
@@ -528,7 +528,7 @@
 void
 platform_client_forget (struct platform_client *c, uint64_t request)
 {
-  beryl_platform_forget (c->core, request);
+  beryl_platform_cancel (c->core, request);
   g_hash_table_remove (c->requests, &request);
 }
 
@@ -572,7 +572,7 @@
 void
 platform_client_poke (struct platform_client *c, uint64_t watch)
 {
-  beryl_platform_poke (c->core, watch);
+  beryl_platform_watch_refresh (c->core, watch);
   timer_arm (c);
 }
 
@@ -581,22 +581,23 @@
                       uint64_t after, uint64_t revision,
                       const struct beryl_platform_event *events, size_t count)
 {
-  return beryl_platform_feed (c->core, watch, after, revision, events, count);
+  return beryl_platform_watch_apply (c->core, watch, after, revision, events,
+                                     count);
 }
 
 void
 platform_client_watch_rest (struct platform_client *c, uint64_t watch,
                             bool resting, int64_t wait_ms)
 {
-  beryl_platform_watch_wait (c->core, watch, wait_ms);
-  beryl_platform_watch_rest (c->core, watch, resting);
+  beryl_platform_watch_set_wait (c->core, watch, wait_ms);
+  beryl_platform_watch_pause (c->core, watch, resting);
   timer_arm (c);
 }
 
 bool
 platform_client_watch_arriving (struct platform_client *c, uint64_t watch)
 {
-  return beryl_platform_watch_arriving (c->core, watch);
+  return beryl_platform_watch_is_receiving (c->core, watch);
 }
 
 void
--- a/controld/accept_task.c
+++ b/controld/accept_task.c
@@ -64,7 +64,7 @@
 
 static void
 acceptor_judged (struct beryl_acceptor_owner *owner,
-                 const struct beryl_judgement *judgement)
+                 const struct beryl_validation_result *judgement)
 {
   struct accept_task *task = (struct accept_task *)owner;
   struct accepted *a;
@@ -87,7 +87,7 @@
 }
 
 static const struct beryl_acceptor_owner_impl owner_impl
-    = { .judged = acceptor_judged };
+    = { .validated = acceptor_judged };
 
 static void
 accept_retry (void *user)
@@ -121,7 +121,7 @@
   for (guint i = 0; i < task->accepted->len; i++)
     {
       const struct accepted *a = g_ptr_array_index (task->accepted, i);
-      struct beryl_judgement judgement
+      struct beryl_validation_result judgement
           = { a->kind, a->name, a->version, true, "" };
 
       g_info ("%s %s version %" G_GUINT64_FORMAT
@@ -180,7 +180,7 @@
       = { .use = BERYL_USE_CONFIG, .timeout_ms = WRITE_MS };
   char name[BERYL_NAME_BYTES];
 
-  beryl_spread_entry_name (task->entry_version, name);
+  beryl_config_log_entry_name (task->entry_version, name);
   task->request = platform_client_get (task->control->platform, &options,
                                        BERYL_ACCEPTED_KIND, name, 0,
                                        entry_read_back, task);
@@ -228,7 +228,7 @@
                                         .value = task->entry,
                                         .value_bytes = task->entry_bytes };
 
-  beryl_spread_entry_name (task->entry_version, name);
+  beryl_config_log_entry_name (task->entry_version, name);
   task->request = platform_client_put (task->control->platform, &options,
                                        &write, entry_written, task);
 }
@@ -244,7 +244,7 @@
   task->entry = beryl_acceptor_propose (task->acceptor, &task->entry_bytes);
   if (task->entry == NULL)
     return;
-  task->entry_version = beryl_spread_version (task->control->spread) + 1;
+  task->entry_version = beryl_config_log_version (task->control->spread) + 1;
   entry_write (task);
 }
 
--- a/controld/checkpoint.c
+++ b/controld/checkpoint.c
@@ -36,7 +36,7 @@
   struct checkpoint *c = g_new0 (struct checkpoint, 1);
 
   c->control = control;
-  c->done = beryl_spread_version (control->spread);
+  c->done = beryl_config_log_version (control->spread);
   c->done -= c->done % SPACING;
   c->delete_next = c->done > SPACING ? c->done - SPACING + 1 : 1;
   return c;
@@ -90,14 +90,14 @@
 
   for (uint32_t i = 0; i < c->former_parts; i++)
     {
-      beryl_spread_part_name (c->former_version, i, name);
+      beryl_config_log_part_name (c->former_version, i, name);
       g_queue_push_tail (&c->doomed,
                          g_strdup_printf (BERYL_CHECKPOINT_KIND "/%s", name));
     }
   /* One generation of entries stays, for nodes that are a little behind. */
   while (c->delete_next + SPACING <= c->version)
     {
-      beryl_spread_entry_name (c->delete_next++, name);
+      beryl_config_log_entry_name (c->delete_next++, name);
       g_queue_push_tail (&c->doomed,
                          g_strdup_printf (BERYL_ACCEPTED_KIND "/%s", name));
     }
@@ -217,7 +217,7 @@
 
   if (text == NULL)
     return;
-  beryl_spread_part_name (c->version, c->parts, name);
+  beryl_config_log_part_name (c->version, c->parts, name);
   c->request = platform_client_put (c->control->platform, &options, &write,
                                     part_written, c);
   free (text);
@@ -226,14 +226,14 @@
 void
 checkpoint_consider (struct checkpoint *c)
 {
-  uint64_t version = beryl_spread_version (c->control->spread);
+  uint64_t version = beryl_config_log_version (c->control->spread);
   size_t bytes = 0;
   char *text;
 
   if (c->request != 0 || version < c->done + SPACING)
     return;
   c->former_parts = 0;
-  text = beryl_spread_snapshot (c->control->spread, &bytes);
+  text = beryl_config_log_snapshot (c->control->spread, &bytes);
   json_decref (c->state);
   c->state = json_loadb (text, bytes, 0, NULL);
   free (text);
--- a/controld/config_task.c
+++ b/controld/config_task.c
@@ -33,7 +33,7 @@
   struct config_task *task = g_new0 (struct config_task, 1);
 
   task->control = control;
-  control->spread = beryl_spread_create ();
+  control->spread = beryl_config_log_create ();
   return task;
 }
 
@@ -50,7 +50,7 @@
 const struct beryl_config *
 config_task_parsed (struct config_task *task)
 {
-  uint64_t version = beryl_spread_version (task->control->spread);
+  uint64_t version = beryl_config_log_version (task->control->spread);
   struct beryl_findings *findings;
   struct beryl_config *config;
   size_t bytes = 0;
@@ -58,7 +58,7 @@
 
   if (version == 0 || version == task->config_version)
     return task->config;
-  text = beryl_spread_objects (task->control->spread, &bytes);
+  text = beryl_config_log_objects (task->control->spread, &bytes);
   findings = beryl_findings_create ();
   config = beryl_config_parse (text, bytes, version, findings);
   beryl_findings_destroy (findings);
@@ -79,7 +79,7 @@
 static void
 config_advanced (struct config_task *task, uint64_t before, const char *from)
 {
-  uint64_t version = beryl_spread_version (task->control->spread);
+  uint64_t version = beryl_config_log_version (task->control->spread);
 
   if (version == before)
     return;
@@ -87,15 +87,15 @@
   control_config_changed (task->control);
 }
 
-static enum beryl_spread_result
+static enum beryl_config_log_result
 entry_apply (struct config_task *task, const char *text, size_t bytes_count,
              const char *from)
 {
   struct beryl_error error = { 0 };
-  enum beryl_spread_result result
-      = beryl_spread_apply (task->control->spread, text, bytes_count, &error);
+  enum beryl_config_log_result result = beryl_config_log_apply (
+      task->control->spread, text, bytes_count, &error);
 
-  if (result == BERYL_SPREAD_INVALID)
+  if (result == BERYL_CONFIG_LOG_INVALID)
     g_warning ("entry from %s refused: %s", from, error.message);
   return result;
 }
@@ -104,7 +104,7 @@
 config_task_take_entries (struct config_task *task, const char *text,
                           size_t bytes_count, const char *from)
 {
-  uint64_t before = beryl_spread_version (task->control->spread);
+  uint64_t before = beryl_config_log_version (task->control->spread);
   json_t *array = json_loadb (text, bytes_count, 0, NULL);
   json_t *entry;
   size_t i;
@@ -125,11 +125,11 @@
 config_task_take_snapshot (struct config_task *task, const char *text,
                            size_t bytes_count, const char *from)
 {
-  uint64_t before = beryl_spread_version (task->control->spread);
+  uint64_t before = beryl_config_log_version (task->control->spread);
   struct beryl_error error = { 0 };
 
-  if (beryl_spread_load (task->control->spread, text, bytes_count, &error)
-      == BERYL_SPREAD_INVALID)
+  if (beryl_config_log_load (task->control->spread, text, bytes_count, &error)
+      == BERYL_CONFIG_LOG_INVALID)
     g_warning ("snapshot from %s refused: %s", from, error.message);
   config_advanced (task, before, from);
 }
@@ -140,7 +140,7 @@
 log_listed (void *user, const struct beryl_platform_result *result)
 {
   struct config_task *task = user;
-  uint64_t before = beryl_spread_version (task->control->spread);
+  uint64_t before = beryl_config_log_version (task->control->spread);
 
   task->reading = 0;
   if (result->code != BERYL_OK)
@@ -204,7 +204,7 @@
 {
   char name[BERYL_NAME_BYTES];
 
-  beryl_spread_part_name (task->base_version, task->part, name);
+  beryl_config_log_part_name (task->base_version, task->part, name);
   task->reading
       = platform_client_get (task->control->platform, &read_options,
                              BERYL_CHECKPOINT_KIND, name, 0, part_read, task);
@@ -234,7 +234,7 @@
   json_decref (head);
   json_decref (task->base);
   task->base = NULL;
-  if (task->base_version > beryl_spread_version (task->control->spread)
+  if (task->base_version > beryl_config_log_version (task->control->spread)
       && task->part_count > 0)
     part_get (task);
   else
@@ -255,14 +255,14 @@
 watch_event (void *user, const struct beryl_platform_event *event)
 {
   struct config_task *task = user;
-  uint64_t before = beryl_spread_version (task->control->spread);
+  uint64_t before = beryl_config_log_version (task->control->spread);
 
   if (event->deleted || !g_str_has_prefix (event->object.name, "log-"))
     return;
   /* Entries before it were folded into a checkpoint. */
   if (entry_apply (task, event->object.value, event->object.value_bytes,
                    "the watch")
-      == BERYL_SPREAD_GAP)
+      == BERYL_CONFIG_LOG_GAP)
     config_task_read_log (task);
   config_advanced (task, before, "the watch");
 }
--- a/controld/control.c
+++ b/controld/control.c
@@ -57,7 +57,7 @@
 control_config_changed (struct control *control)
 {
   beryl_membership_set_config (control->members,
-                               beryl_spread_version (control->spread),
+                               beryl_config_log_version (control->spread),
                                control_now_ms (control));
   control_applied_changed (control);
   gossip_task_wake (control->gossip);
@@ -170,7 +170,7 @@
     {
       struct beryl_listed_instance *to = &listed[entries];
 
-      if (!items[i].entry)
+      if (!items[i].is_entry)
         continue;
       g_strlcpy (to->name, items[i].name, sizeof to->name);
       g_strlcpy (to->address, items[i].address, sizeof to->address);
@@ -217,7 +217,7 @@
 {
   if (is_lonely (control))
     return true;
-  return beryl_spread_version (control->spread) == 0
+  return beryl_config_log_version (control->spread) == 0
          && !gossip_task_has_peers (control->gossip);
 }
 
@@ -247,7 +247,7 @@
   control->bootstrap = NULL;
   gossip_task_seek (control->gossip);
   role_task_update (control->roles);
-  if (beryl_spread_version (control->spread) == 0)
+  if (beryl_config_log_version (control->spread) == 0)
     config_task_read_log (control->config);
 }
 
@@ -370,7 +370,7 @@
 {
   metrics_task_destroy (control->metrics);
   beryl_membership_destroy (control->members);
-  beryl_spread_destroy (control->spread);
+  beryl_config_log_destroy (control->spread);
   counters_destroy (control->counters);
   g_free (control);
 }
--- a/controld/control.h
+++ b/controld/control.h
@@ -9,7 +9,7 @@
 
 #include "beryl/config.h"
 #include "beryl/membership.h"
-#include "beryl/spread.h"
+#include "beryl/config_log.h"
 #include "common/counters.h"
 #include "common/loop.h"
 #include "common/platform_client.h"
@@ -45,7 +45,7 @@
   struct http_context *http;
   struct counters *counters;
   struct platform_client *platform;
-  struct beryl_spread *spread;      /**< written by the config task only */
+  struct beryl_config_log *spread;  /**< written by the config task only */
   struct beryl_membership *members; /**< written by the gossip task only */
   struct gossip_task *gossip;
   struct config_task *config;
--- a/controld/drains.c
+++ b/controld/drains.c
@@ -87,11 +87,11 @@
 bool
 drains_done (struct drains *d, const char *endpoint)
 {
-  struct beryl_spread_object fact;
+  struct beryl_config_log_object fact;
   const int64_t *since_ms;
 
-  if (!beryl_spread_find (d->control->spread, BERYL_INSTANCE_KIND, endpoint,
-                          &fact))
+  if (!beryl_config_log_find (d->control->spread, BERYL_INSTANCE_KIND,
+                              endpoint, &fact))
     {
       g_hash_table_remove (d->since, endpoint);
       drain_write (d, endpoint);
--- a/controld/entry_task.c
+++ b/controld/entry_task.c
@@ -184,7 +184,8 @@
     return false;
   return beryl_membership_count (control->members) > 1
          && now_ms - heard_ms > ISOLATED_MS
-         && beryl_platform_is_away (platform_client_core (control->platform));
+         && beryl_platform_is_unreachable (
+             platform_client_core (control->platform));
 }
 
 static bool
@@ -231,13 +232,13 @@
 static void
 view_leaving (const struct control *control, struct local_view *view)
 {
-  size_t count = beryl_spread_count (control->spread);
+  size_t count = beryl_config_log_count (control->spread);
 
   view->leaving = g_malloc0_n (count + 1, sizeof *view->leaving);
   for (size_t i = 0; i < count; i++)
     {
-      struct beryl_spread_object object
-          = beryl_spread_get (control->spread, i);
+      struct beryl_config_log_object object
+          = beryl_config_log_get (control->spread, i);
 
       if (strcmp (object.kind, BERYL_INSTANCE_KIND) == 0)
         g_strlcpy (view->leaving[view->leaving_count++], object.name,
@@ -255,10 +256,10 @@
 
   if (task->link == NULL || task->hello.incarnation == 0)
     return;
-  view->config_version = beryl_spread_version (control->spread);
+  view->config_version = beryl_config_log_version (control->spread);
   if (view->config_version != task->sent_config)
     view->objects_json
-        = beryl_spread_objects (control->spread, &view->objects_bytes);
+        = beryl_config_log_objects (control->spread, &view->objects_bytes);
   view_members (control, view);
   view_leaving (control, view);
   view->stale_ms = beryl_membership_config_age_ms (control->members,
@@ -332,7 +333,7 @@
 {
   /* One whose connection broke may live until it is known to be dead. */
   if (task->hello.incarnation == 0)
-    return beryl_spread_version (task->control->spread);
+    return beryl_config_log_version (task->control->spread);
   return task->applied;
 }
 
--- a/controld/facts.c
+++ b/controld/facts.c
@@ -63,7 +63,7 @@
   f->list_count = count;
   f->list_ms = control_now_ms (f->control);
   for (size_t i = 0; i < count; i++)
-    if (!items[i].entry && items[i].leaving)
+    if (!items[i].is_entry && items[i].leaving)
       leaving_observe (f, items[i].name, revision);
   /* 0 stands for "not read"; an empty list may have no revision yet. */
   f->list_revision = revision != 0 ? revision : 1;
@@ -179,7 +179,7 @@
       const struct beryl_instance *from = &f->list[i];
       struct beryl_listed_instance *to = &listed[count];
 
-      if (!from->entry)
+      if (!from->is_entry)
         continue;
       g_strlcpy (to->name, from->name, sizeof to->name);
       g_strlcpy (to->address, from->address, sizeof to->address);
@@ -202,7 +202,8 @@
     return false;
   leaving_expire (f);
   if (control_now_ms (f->control) - f->list_ms < LIST_CURRENT_MS
-      && !beryl_platform_is_away (platform_client_core (f->control->platform)))
+      && !beryl_platform_is_unreachable (
+          platform_client_core (f->control->platform)))
     members_witness (f);
   return true;
 }
--- a/controld/metrics_task.c
+++ b/controld/metrics_task.c
@@ -68,11 +68,11 @@
   counters_set (set, "beryl_process_resident_bytes", "", resident_bytes ());
   counters_set (set, "beryl_process_cpu_ms_total", "", cpu_ms ());
   counters_set (set, "beryl_config_version", "",
-                beryl_spread_version (control->spread));
+                beryl_config_log_version (control->spread));
   counters_set (set, "beryl_config_applied_version", "",
                 beryl_membership_self (control->members)->config_applied);
   counters_set (set, "beryl_config_objects", "",
-                beryl_spread_count (control->spread));
+                beryl_config_log_count (control->spread));
   if (stale_ms >= 0)
     counters_set (set, "beryl_config_stale_ms", "", (uint64_t)stale_ms);
 }
--- a/controld/orphans.c
+++ b/controld/orphans.c
@@ -146,7 +146,8 @@
 orphans_second (struct orphans *o)
 {
   if (g_hash_table_size (o->drains) == 0 || planner_is_member (o->control)
-      || beryl_platform_is_away (platform_client_core (o->control->platform)))
+      || beryl_platform_is_unreachable (
+          platform_client_core (o->control->platform)))
     {
       o->same = 0;
       return;
--- a/controld/peer_port.c
+++ b/controld/peer_port.c
@@ -93,22 +93,22 @@
 answer_pull (struct exchange *x, uint64_t after)
 {
   struct peer_port *port = x->port;
-  const struct beryl_spread *spread = port->control->spread;
+  const struct beryl_config_log *spread = port->control->spread;
   enum gossip_frame type = GOSSIP_ENTRIES;
   size_t bytes = 0;
   char *text;
 
-  if (beryl_spread_version (spread) <= after)
+  if (beryl_config_log_version (spread) <= after)
     {
       gossip_put_number (port->writer, GOSSIP_SAME, after);
       link_send (x->link, port->writer);
       return;
     }
-  text = beryl_spread_entries_after (spread, after, ENTRIES_BYTES, &bytes);
+  text = beryl_config_log_entries_after (spread, after, ENTRIES_BYTES, &bytes);
   if (text == NULL)
     {
       type = GOSSIP_SNAPSHOT;
-      text = beryl_spread_snapshot (spread, &bytes);
+      text = beryl_config_log_snapshot (spread, &bytes);
       port->snapshots++;
     }
   gossip_put_text (port->writer, type, text, bytes);
@@ -377,7 +377,7 @@
     return;
   request = frame_writer_create (GOSSIP_PULL);
   gossip_put_number (request, GOSSIP_PULL,
-                     beryl_spread_version (port->control->spread));
+                     beryl_config_log_version (port->control->spread));
   x = request_start (port, member, request);
   if (x == NULL)
     return;
--- a/controld/planner_task.c
+++ b/controld/planner_task.c
@@ -327,12 +327,12 @@
   size_t bytes = 0;
   char *text;
 
-  if (beryl_spread_version (task->control->spread) == 0)
+  if (beryl_config_log_version (task->control->spread) == 0)
     return;
-  text = beryl_spread_objects (task->control->spread, &bytes);
+  text = beryl_config_log_objects (task->control->spread, &bytes);
   findings = beryl_findings_create ();
   config = beryl_config_parse (
-      text, bytes, beryl_spread_version (task->control->spread), findings);
+      text, bytes, beryl_config_log_version (task->control->spread), findings);
   beryl_findings_destroy (findings);
   free (text);
   if (config == NULL)
--- a/controld/status_task.c
+++ b/controld/status_task.c
@@ -145,7 +145,8 @@
 
 void
 status_task_judged (struct status_task *task,
-                    const struct beryl_judgement *judgement, uint64_t version)
+                    const struct beryl_validation_result *judgement,
+                    uint64_t version)
 {
   json_t *json = json_object ();
   char object[BERYL_NAME_BYTES];
@@ -182,7 +183,7 @@
 in_force_json (const struct status_task *task)
 {
   const struct beryl_membership *m = task->control->members;
-  uint64_t newest = beryl_spread_version (task->control->spread);
+  uint64_t newest = beryl_config_log_version (task->control->spread);
   uint64_t lowest = newest;
   json_t *json = json_object ();
   json_t *behind = json_array ();
--- a/controld/status_task.h
+++ b/controld/status_task.h
@@ -14,7 +14,7 @@
 
 /** An object was judged; accepted ones are in configuration VERSION. */
 void status_task_judged (struct status_task *task,
-                         const struct beryl_judgement *judgement,
+                         const struct beryl_validation_result *judgement,
                          uint64_t version);
 
 /** A configuration is on its way: look often for a few seconds. */
--- a/examples/object_writer.c
+++ b/examples/object_writer.c
@@ -123,8 +123,9 @@
 {
   struct program p = { .base = { &impl } };
   struct beryl_platform *client = beryl_platform_create (NULL, &p.base, 7);
-  const struct beryl_platform_options options
-      = { .use = BERYL_USE_OPERATOR, .deadline_ms = END_MS, .wait = true };
+  const struct beryl_platform_options options = { .use = BERYL_USE_OPERATOR,
+                                                  .deadline_ms = END_MS,
+                                                  .wait_for_recovery = true };
   char nonce[BERYL_NONCE_BYTES], value[64];
   struct beryl_platform_write write = { .kind = "note",
                                         .name = "first",
--- a/fuzz/fuzz_platform.c
+++ b/fuzz/fuzz_platform.c
@@ -62,8 +62,9 @@
 static void
 start_requests (struct beryl_platform *p)
 {
-  const struct beryl_platform_options options
-      = { .use = BERYL_USE_CLAIM, .deadline_ms = 5000, .wait = true };
+  const struct beryl_platform_options options = { .use = BERYL_USE_CLAIM,
+                                                  .deadline_ms = 5000,
+                                                  .wait_for_recovery = true };
   const struct beryl_platform_write write
       = { "config", "a", BERYL_IF_ABSENT, 0, "{\"nonce\":\"n\"}", 13, "n" };
 
--- a/fuzz/fuzz_spread.c
+++ b/fuzz/fuzz_spread.c
@@ -4,20 +4,20 @@
  */
 #include <stdlib.h>
 
-#include "beryl/spread.h"
+#include "beryl/config_log.h"
 #include "fuzz.h"
 
 int
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
-  struct beryl_spread *spread = beryl_spread_create ();
+  struct beryl_config_log *spread = beryl_config_log_create ();
   struct beryl_error error = { 0 };
   size_t bytes;
 
-  beryl_spread_apply (spread, (const char *)data, size, &error);
-  beryl_spread_load (spread, (const char *)data, size, &error);
-  free (beryl_spread_snapshot (spread, &bytes));
-  free (beryl_spread_objects (spread, &bytes));
-  beryl_spread_destroy (spread);
+  beryl_config_log_apply (spread, (const char *)data, size, &error);
+  beryl_config_log_load (spread, (const char *)data, size, &error);
+  free (beryl_config_log_snapshot (spread, &bytes));
+  free (beryl_config_log_objects (spread, &bytes));
+  beryl_config_log_destroy (spread);
   return 0;
 }
--- a/gatewayd/settings.c
+++ b/gatewayd/settings.c
@@ -13,7 +13,7 @@
 #define DESCRIPTORS_LEAST 64
 
 static void
-read_address (const struct beryl_place *place, json_t *value,
+read_address (const struct beryl_location *place, json_t *value,
               struct gateway_address *address)
 {
   const char *text = json_string_value (value);
@@ -26,7 +26,7 @@
   if (length == 0 || length >= sizeof address->ip || port == 0
       || port > UINT16_MAX)
     {
-      beryl_place_finding (place, NULL, "must be \"IP-number:port\"");
+      beryl_location_finding (place, NULL, "must be \"IP-number:port\"");
       return;
     }
   memcpy (address->ip, text, length);
@@ -35,8 +35,8 @@
 }
 
 #define ADDRESS_READER(member)                                                \
-  static void read_##member (const struct beryl_place *place, json_t *value,  \
-                             void *target)                                    \
+  static void read_##member (const struct beryl_location *place,              \
+                             json_t *value, void *target)                     \
   {                                                                           \
     read_address (place, value,                                               \
                   &((struct gateway_settings *)target)->member);              \
--- a/gatewayd/source.c
+++ b/gatewayd/source.c
@@ -333,7 +333,7 @@
   if (s->peer_ahead_ms == 0)
     s->peer_ahead_ms = now_ms;
   return now_ms - s->peer_ahead_ms >= wait_ms
-         || beryl_platform_is_away (platform_client_core (s->client));
+         || beryl_platform_is_unreachable (platform_client_core (s->client));
 }
 
 /* The waiting watches of all nodes are answered at the same moment.  One that
@@ -364,7 +364,7 @@
 static void
 check_store (struct source *s)
 {
-  bool away = beryl_platform_is_away (platform_client_core (s->client));
+  bool away = beryl_platform_is_unreachable (platform_client_core (s->client));
 
   if (away == s->store_away)
     return;
--- a/gatewayd/store.c
+++ b/gatewayd/store.c
@@ -69,6 +69,6 @@
 {
   int64_t wait_ms = isolated ? 0 : (int64_t)nodes * WATCH_NODE_MS;
 
-  beryl_platform_set_watch_wait (platform_client_core (client),
-                                 CLAMP (wait_ms, WATCH_MS, WATCH_MOST_MS));
+  beryl_platform_set_default_watch_wait (
+      platform_client_core (client), CLAMP (wait_ms, WATCH_MS, WATCH_MOST_MS));
 }
--- a/include/beryl/spread.h
+++ b/include/beryl/config_log.h
@@ -21,61 +21,59 @@
 #include "beryl/error.h"
 #include "beryl/ids.h"
 
-struct beryl_spread;
+struct beryl_config_log;
 
 /** What became of an entry. */
-enum beryl_spread_result
+enum beryl_config_log_result
 {
-  BERYL_SPREAD_APPLIED,
-  BERYL_SPREAD_OLD, /**< already known */
-  BERYL_SPREAD_GAP, /**< entries before it are missing */
-  BERYL_SPREAD_INVALID,
+  BERYL_CONFIG_LOG_APPLIED,
+  BERYL_CONFIG_LOG_OLD, /**< already known */
+  BERYL_CONFIG_LOG_GAP, /**< entries before it are missing */
+  BERYL_CONFIG_LOG_INVALID,
 };
 
 /** Create an empty state, version 0. */
-struct beryl_spread *beryl_spread_create (void);
+struct beryl_config_log *beryl_config_log_create (void);
 
 /** Release SPREAD; NULL is allowed. */
-void beryl_spread_destroy (struct beryl_spread *spread);
+void beryl_config_log_destroy (struct beryl_config_log *spread);
 
 /** Return the number of the last entry applied. */
-uint64_t beryl_spread_version (const struct beryl_spread *spread);
+uint64_t beryl_config_log_version (const struct beryl_config_log *spread);
 
 /** Return the revision up to which operators' objects of KIND were read
  * when they were accepted last. */
-uint64_t beryl_spread_revision (const struct beryl_spread *spread,
-                                const char *kind);
+uint64_t beryl_config_log_revision (const struct beryl_config_log *spread,
+                                    const char *kind);
 
 /** Apply an entry. */
-enum beryl_spread_result beryl_spread_apply (struct beryl_spread *spread,
-                                             const char *entry,
-                                             size_t entry_bytes,
-                                             struct beryl_error *error);
+enum beryl_config_log_result
+beryl_config_log_apply (struct beryl_config_log *spread, const char *entry,
+                        size_t entry_bytes, struct beryl_error *error);
 
 /** Return the entries after version AFTER as a JSON array of at most about
  * MOST_BYTES (at least one entry); NULL if they are no longer kept, or there
  * are none.  free() it. */
-char *beryl_spread_entries_after (const struct beryl_spread *spread,
-                                  uint64_t after, size_t most_bytes,
-                                  size_t *bytes_count);
+char *beryl_config_log_entries_after (const struct beryl_config_log *spread,
+                                      uint64_t after, size_t most_bytes,
+                                      size_t *bytes_count);
 
 /** Return the whole state as JSON; free() it. */
-char *beryl_spread_snapshot (const struct beryl_spread *spread,
-                             size_t *bytes_count);
+char *beryl_config_log_snapshot (const struct beryl_config_log *spread,
+                                 size_t *bytes_count);
 
 /** Take a snapshot.  OLD if it is not newer than the state. */
-enum beryl_spread_result beryl_spread_load (struct beryl_spread *spread,
-                                            const char *snapshot,
-                                            size_t bytes_count,
-                                            struct beryl_error *error);
+enum beryl_config_log_result
+beryl_config_log_load (struct beryl_config_log *spread, const char *snapshot,
+                       size_t bytes_count, struct beryl_error *error);
 
 /** Return all objects of the configuration as the JSON array that
  * beryl_config_parse takes; free() it. */
-char *beryl_spread_objects (const struct beryl_spread *spread,
-                            size_t *bytes_count);
+char *beryl_config_log_objects (const struct beryl_config_log *spread,
+                                size_t *bytes_count);
 
 /** One accepted object. */
-struct beryl_spread_object
+struct beryl_config_log_object
 {
   const char *kind;
   const char *name;
@@ -84,20 +82,21 @@
 };
 
 /** Return the number of objects, and object I in order of kind and name. */
-size_t beryl_spread_count (const struct beryl_spread *spread);
-struct beryl_spread_object beryl_spread_get (const struct beryl_spread *spread,
-                                             size_t i);
+size_t beryl_config_log_count (const struct beryl_config_log *spread);
+struct beryl_config_log_object
+beryl_config_log_get (const struct beryl_config_log *spread, size_t i);
 
 /** Find an object; false if absent. */
-bool beryl_spread_find (const struct beryl_spread *spread, const char *kind,
-                        const char *name, struct beryl_spread_object *object);
+bool beryl_config_log_find (const struct beryl_config_log *spread,
+                            const char *kind, const char *name,
+                            struct beryl_config_log_object *object);
 
 /** Judges the operators' objects against the accepted state. */
 struct beryl_acceptor;
 struct beryl_acceptor_owner;
 
 /** What was found out about one object. */
-struct beryl_judgement
+struct beryl_validation_result
 {
   const char *kind;
   const char *name;
@@ -110,8 +109,8 @@
 struct beryl_acceptor_owner_impl
 {
   /** An object was judged; told once for each version of it and state. */
-  void (*judged) (struct beryl_acceptor_owner *owner,
-                  const struct beryl_judgement *judgement);
+  void (*validated) (struct beryl_acceptor_owner *owner,
+                     const struct beryl_validation_result *judgement);
 };
 
 /** The owner; the first member selects the implementation. */
@@ -122,7 +121,7 @@
 
 /** Create; SPREAD and OWNER must outlive it. */
 struct beryl_acceptor *
-beryl_acceptor_create (const struct beryl_spread *spread,
+beryl_acceptor_create (const struct beryl_config_log *spread,
                        struct beryl_acceptor_owner *owner);
 
 /** Release ACCEPTOR; NULL is allowed. */
@@ -156,10 +155,11 @@
 #define BERYL_INSTANCE_KIND "instance"
 
 /** Write the name of the log entry VERSION. */
-void beryl_spread_entry_name (uint64_t version, char name[BERYL_NAME_BYTES]);
+void beryl_config_log_entry_name (uint64_t version,
+                                  char name[BERYL_NAME_BYTES]);
 
 /** Write the name of PART of the checkpoint at VERSION. */
-void beryl_spread_part_name (uint64_t version, uint32_t part,
-                             char name[BERYL_NAME_BYTES]);
+void beryl_config_log_part_name (uint64_t version, uint32_t part,
+                                 char name[BERYL_NAME_BYTES]);
 
 #endif
--- a/include/beryl/fields.h
+++ b/include/beryl/fields.h
@@ -11,7 +11,7 @@
 #include "beryl/findings.h"
 
 /** Where the reader stands; findings name it as a JSON pointer. */
-struct beryl_place
+struct beryl_location
 {
   struct beryl_findings *findings;
   char object[160];  /**< "service adviesmodel", for messages */
@@ -56,24 +56,25 @@
   double unit; /**< the member's units in one of the text's; 0: 1 */
   bool required;
   bool null_is_default; /**< null leaves the member as it was */
-  void (*custom) (const struct beryl_place *place, json_t *value,
+  void (*custom) (const struct beryl_location *location, json_t *value,
                   void *target);
 };
 
 /** Add a finding at PLACE, below MEMBER unless it is NULL. */
-void beryl_place_finding (const struct beryl_place *place, const char *member,
-                          const char *format, ...)
+void beryl_location_finding (const struct beryl_location *location,
+                             const char *member, const char *format, ...)
     __attribute__ ((format (printf, 3, 4)));
 
 /** Set CHILD to the member KEY below PLACE. */
-void beryl_place_enter (struct beryl_place *child,
-                        const struct beryl_place *place, const char *key);
+void beryl_location_enter (struct beryl_location *child,
+                           const struct beryl_location *location,
+                           const char *key);
 
 /** Whether TEXT is a valid object name. */
 bool beryl_field_name_valid (const char *text);
 
 /** Read JSON into TARGET; members that the table lacks are findings. */
-void beryl_fields_read (const struct beryl_place *place, json_t *json,
+void beryl_fields_read (const struct beryl_location *location, json_t *json,
                         const struct beryl_field *fields, size_t field_count,
                         void *target);
 
--- a/include/beryl/platform.h
+++ b/include/beryl/platform.h
@@ -107,7 +107,7 @@
 struct beryl_instance
 {
   char name[BERYL_NAME_BYTES];
-  bool entry; /**< one of ours, else an endpoint's */
+  bool is_entry; /**< one of ours, else an endpoint's */
   bool leaving;
   char address[64];
   uint16_t port;
@@ -209,7 +209,7 @@
   int64_t deadline_ms; /**< absolute; the result comes by then */
   /** Wait through an outage until the deadline; otherwise the request ends
    * UNAVAILABLE at once while the breaker is open. */
-  bool wait;
+  bool wait_for_recovery;
 };
 
 /** Read an object whose version is at least MIN_VERSION; an older one, from
@@ -254,7 +254,7 @@
                                 uint64_t version, int64_t now_ms);
 
 /** Forget a request: no result follows.  A write may still take effect. */
-void beryl_platform_forget (struct beryl_platform *p, uint64_t request);
+void beryl_platform_cancel (struct beryl_platform *p, uint64_t request);
 
 /** Watch all objects of KIND: first each one as an event, then changes.
  * Returns the watch's number. */
@@ -265,37 +265,38 @@
 /** Have WATCH look at once, because somebody has seen a change that it has
  * not: its waiting call may be on a connection that went silent.  Nothing if
  * an answer is arriving. */
-void beryl_platform_poke (struct beryl_platform *p, uint64_t watch);
+void beryl_platform_watch_refresh (struct beryl_platform *p, uint64_t watch);
 
 /** Take the COUNT changes that another watcher of the same kind saw after
  * revision AFTER, up to REVISION, in order of versions, as though the platform
  * had told them.  The callbacks of events run inside the call.  False if WATCH
  * has not seen all up to AFTER, or has not been listed yet: nothing is taken
  * then. */
-bool beryl_platform_feed (struct beryl_platform *p, uint64_t watch,
-                          uint64_t after, uint64_t revision,
-                          const struct beryl_platform_event *events,
-                          size_t count);
+bool beryl_platform_watch_apply (struct beryl_platform *p, uint64_t watch,
+                                 uint64_t after, uint64_t revision,
+                                 const struct beryl_platform_event *events,
+                                 size_t count);
 
 /** While RESTING, have WATCH make no call but those that a poke asks for:
  * somebody else feeds it.  It looks at once when the rest ends. */
-void beryl_platform_watch_rest (struct beryl_platform *p, uint64_t watch,
-                                bool resting);
+void beryl_platform_watch_pause (struct beryl_platform *p, uint64_t watch,
+                                 bool paused);
 
 /** Have calls of WATCH wait for WAIT_MS from the next one on; 0: as all. */
-void beryl_platform_watch_wait (struct beryl_platform *p, uint64_t watch,
-                                int64_t wait_ms);
+void beryl_platform_watch_set_wait (struct beryl_platform *p, uint64_t watch,
+                                    int64_t wait_ms);
 
 /** Change the longest delay before a call that failed is made again. */
 void beryl_platform_set_backoff_max (struct beryl_platform *p,
                                      int64_t backoff_max_ms);
 
 /** Whether an answer for WATCH is arriving. */
-bool beryl_platform_watch_arriving (struct beryl_platform *p, uint64_t watch);
+bool beryl_platform_watch_is_receiving (struct beryl_platform *p,
+                                        uint64_t watch);
 
 /** Change how long a watch may wait, from its next call on. */
-void beryl_platform_set_watch_wait (struct beryl_platform *p,
-                                    int64_t watch_wait_ms);
+void beryl_platform_set_default_watch_wait (struct beryl_platform *p,
+                                            int64_t watch_wait_ms);
 
 /** Watch the instance list. */
 uint64_t beryl_platform_watch_instances (struct beryl_platform *p,
@@ -323,7 +324,7 @@
                                  const struct json_t *json, int64_t now_ms);
 
 /** The answer of CALL begins to arrive. */
-void beryl_platform_arriving (struct beryl_platform *p, uint64_t call);
+void beryl_platform_answer_started (struct beryl_platform *p, uint64_t call);
 
 /** A call ended without an answer; SENT is false only if no byte of it was
  * handed to the network. */
@@ -337,7 +338,7 @@
 int64_t beryl_platform_next_ms (const struct beryl_platform *p);
 
 /** Whether the platform is thought to be away (the breaker is open). */
-bool beryl_platform_is_away (const struct beryl_platform *p);
+bool beryl_platform_is_unreachable (const struct beryl_platform *p);
 
 /** Counts of one use. */
 struct beryl_platform_use_counts
--- a/include/common/platform_client.h
+++ b/include/common/platform_client.h
@@ -131,15 +131,15 @@
 /** Have WATCH look at once. */
 void platform_client_poke (struct platform_client *client, uint64_t watch);
 
-/** Take changes that another watcher saw, as beryl_platform_feed does; the
- * callbacks of WATCH run inside the call. */
+/** Take changes that another watcher saw, as beryl_platform_watch_apply does;
+ * the callbacks of WATCH run inside the call. */
 bool platform_client_feed (struct platform_client *client, uint64_t watch,
                            uint64_t after, uint64_t revision,
                            const struct beryl_platform_event *events,
                            size_t count);
 
 /** Begin or end a rest of WATCH, and set how long its calls wait, as
- * beryl_platform_watch_rest and beryl_platform_watch_wait do. */
+ * beryl_platform_watch_pause and beryl_platform_watch_set_wait do. */
 void platform_client_watch_rest (struct platform_client *client,
                                  uint64_t watch, bool resting,
                                  int64_t wait_ms);
--- a/libberyl/config/fields.c
+++ b/libberyl/config/fields.c
@@ -13,8 +13,8 @@
 #define ROUNDING_ERROR 1e-6
 
 void
-beryl_place_finding (const struct beryl_place *place, const char *member,
-                     const char *format, ...)
+beryl_location_finding (const struct beryl_location *location,
+                        const char *member, const char *format, ...)
 {
   char pointer[384];
   char message[256];
@@ -23,22 +23,23 @@
   va_start (ap, format);
   vsnprintf (message, sizeof message, format, ap);
   va_end (ap);
-  snprintf (pointer, sizeof pointer, "%s%s%s", place->pointer,
+  snprintf (pointer, sizeof pointer, "%s%s%s", location->pointer,
             member != NULL ? "/" : "", member != NULL ? member : "");
-  beryl_findings_add (place->findings, pointer, 0, 0, "%s%s%s", place->object,
-                      place->object[0] != '\0' ? ": " : "", message);
+  beryl_findings_add (location->findings, pointer, 0, 0, "%s%s%s",
+                      location->object,
+                      location->object[0] != '\0' ? ": " : "", message);
 }
 
 void
-beryl_place_enter (struct beryl_place *child, const struct beryl_place *place,
-                   const char *key)
+beryl_location_enter (struct beryl_location *child,
+                      const struct beryl_location *location, const char *key)
 {
-  int room = (int)sizeof child->pointer - 2;
-  int used = (int)strlen (place->pointer);
+  int capacity = (int)sizeof child->pointer - 2;
+  int used = (int)strlen (location->pointer);
 
-  *child = *place;
-  snprintf (child->pointer, sizeof child->pointer, "%s/%.*s", place->pointer,
-            room > used ? room - used : 0, key);
+  *child = *location;
+  snprintf (child->pointer, sizeof child->pointer, "%s/%.*s",
+            location->pointer, capacity > used ? capacity - used : 0, key);
 }
 
 bool
@@ -59,29 +60,30 @@
 }
 
 static void
-read_text (const struct beryl_place *place, const struct beryl_field *field,
-           json_t *value, char *target)
+read_text (const struct beryl_location *location,
+           const struct beryl_field *field, json_t *value, char *target)
 {
   const char *text = json_string_value (value);
 
   if (text == NULL)
-    beryl_place_finding (place, field->key, "%s must be text", field->key);
+    beryl_location_finding (location, field->key, "%s must be text",
+                            field->key);
   else if (strlen (text) >= field->bytes)
-    beryl_place_finding (place, field->key, "%s has more than %zu bytes",
-                         field->key, field->bytes - 1);
+    beryl_location_finding (location, field->key, "%s has more than %zu bytes",
+                            field->key, field->bytes - 1);
   else if (!text_is_printable (text))
-    beryl_place_finding (place, field->key, "%s contains control characters",
-                         field->key);
+    beryl_location_finding (location, field->key,
+                            "%s contains control characters", field->key);
   else if (field->type == BERYL_FIELD_NAME && !beryl_field_name_valid (text))
-    beryl_place_finding (place, field->key, "%s must match [a-z0-9._-]{1,63}",
-                         field->key);
+    beryl_location_finding (location, field->key,
+                            "%s must match [a-z0-9._-]{1,63}", field->key);
   else
     memcpy (target, text, strlen (text) + 1);
 }
 
 static void
-read_address (const struct beryl_place *place, const struct beryl_field *field,
-              json_t *value, char *target)
+read_address (const struct beryl_location *location,
+              const struct beryl_field *field, json_t *value, char *target)
 {
   const char *text = json_string_value (value);
   unsigned char number[16];
@@ -89,10 +91,10 @@
   if (text == NULL
       || (inet_pton (AF_INET, text, number) != 1
           && inet_pton (AF_INET6, text, number) != 1))
-    beryl_place_finding (place, field->key, "%s must be an IP number",
-                         field->key);
+    beryl_location_finding (location, field->key, "%s must be an IP number",
+                            field->key);
   else
-    read_text (place, field, value, target);
+    read_text (location, field, value, target);
 }
 
 static void
@@ -129,22 +131,23 @@
 
 /* Reads a number in the field's range, in the unit of the text. */
 static bool
-read_number (const struct beryl_place *place, const struct beryl_field *field,
-             json_t *value, double *number)
+read_number (const struct beryl_location *location,
+             const struct beryl_field *field, json_t *value, double *number)
 {
   bool whole = field->type != BERYL_FIELD_DOUBLE;
   double n = clamp_number (field, json_number_value (value));
 
   if (whole && field->rounding == BERYL_ROUND_NONE && !json_is_integer (value))
-    beryl_place_finding (place, field->key, "%s must be an integer",
-                         field->key);
+    beryl_location_finding (location, field->key, "%s must be an integer",
+                            field->key);
   else if (!json_is_number (value))
-    beryl_place_finding (place, field->key, "%s must be a number", field->key);
+    beryl_location_finding (location, field->key, "%s must be a number",
+                            field->key);
   else if (n < field->min || n > field->max)
-    beryl_place_finding (place, field->key,
-                         whole ? "%s must be from %.0f to %.0f"
-                               : "%s must be from %g to %g",
-                         field->key, field->min, field->max);
+    beryl_location_finding (location, field->key,
+                            whole ? "%s must be from %.0f to %.0f"
+                                  : "%s must be from %g to %g",
+                            field->key, field->min, field->max);
   else
     {
       *number = n;
@@ -154,13 +157,13 @@
 }
 
 static void
-read_integer (const struct beryl_place *place, const struct beryl_field *field,
-              json_t *value, void *target)
+read_integer (const struct beryl_location *location,
+              const struct beryl_field *field, json_t *value, void *target)
 {
   double unit = field->unit != 0 ? field->unit : 1;
   double n;
 
-  if (!read_number (place, field, value, &n))
+  if (!read_number (location, field, value, &n))
     return;
   if (json_is_integer (value) && n == (double)json_integer_value (value)
       && unit == 1)
@@ -174,8 +177,9 @@
 }
 
 static void
-read_class (const struct beryl_place *place, const struct beryl_field *field,
-            json_t *value, enum beryl_class *target)
+read_class (const struct beryl_location *location,
+            const struct beryl_field *field, json_t *value,
+            enum beryl_class *target)
 {
   const char *text = json_string_value (value);
 
@@ -185,13 +189,14 @@
         *target = c;
         return;
       }
-  beryl_place_finding (place, field->key, "%s must be urgent, normal or batch",
-                       field->key);
+  beryl_location_finding (location, field->key,
+                          "%s must be urgent, normal or batch", field->key);
 }
 
 static void
-read_role (const struct beryl_place *place, const struct beryl_field *field,
-           json_t *value, enum beryl_role *target)
+read_role (const struct beryl_location *location,
+           const struct beryl_field *field, json_t *value,
+           enum beryl_role *target)
 {
   const char *text = json_string_value (value);
 
@@ -201,58 +206,58 @@
         *target = r;
         return;
       }
-  beryl_place_finding (place, field->key,
-                       "%s must be prefill, decode, both or service",
-                       field->key);
+  beryl_location_finding (location, field->key,
+                          "%s must be prefill, decode, both or service",
+                          field->key);
 }
 
 static void
-read_bool (const struct beryl_place *place, const struct beryl_field *field,
-           json_t *value, bool *target)
+read_bool (const struct beryl_location *location,
+           const struct beryl_field *field, json_t *value, bool *target)
 {
   if (!json_is_boolean (value))
-    beryl_place_finding (place, field->key, "%s must be true or false",
-                         field->key);
+    beryl_location_finding (location, field->key, "%s must be true or false",
+                            field->key);
   else
     *target = json_is_true (value);
 }
 
 static void
-read_field (const struct beryl_place *place, const struct beryl_field *field,
-            json_t *value, void *target)
+read_field (const struct beryl_location *location,
+            const struct beryl_field *field, json_t *value, void *target)
 {
   void *p = (char *)target + field->offset;
-  struct beryl_place child;
+  struct beryl_location child;
 
   switch (field->type)
     {
     case BERYL_FIELD_NAME:
     case BERYL_FIELD_TEXT:
-      read_text (place, field, value, p);
+      read_text (location, field, value, p);
       return;
     case BERYL_FIELD_UINT16:
     case BERYL_FIELD_UINT32:
     case BERYL_FIELD_UINT64:
     case BERYL_FIELD_INT64:
-      read_integer (place, field, value, p);
+      read_integer (location, field, value, p);
       return;
     case BERYL_FIELD_DOUBLE:
-      read_number (place, field, value, p);
+      read_number (location, field, value, p);
       return;
     case BERYL_FIELD_BOOL:
-      read_bool (place, field, value, p);
+      read_bool (location, field, value, p);
       return;
     case BERYL_FIELD_CLASS:
-      read_class (place, field, value, p);
+      read_class (location, field, value, p);
       return;
     case BERYL_FIELD_ROLE:
-      read_role (place, field, value, p);
+      read_role (location, field, value, p);
       return;
     case BERYL_FIELD_ADDRESS:
-      read_address (place, field, value, p);
+      read_address (location, field, value, p);
       return;
     case BERYL_FIELD_CUSTOM:
-      beryl_place_enter (&child, place, field->key);
+      beryl_location_enter (&child, location, field->key);
       field->custom (&child, value, target);
       return;
     }
@@ -269,7 +274,7 @@
 }
 
 void
-beryl_fields_read (const struct beryl_place *place, json_t *json,
+beryl_fields_read (const struct beryl_location *location, json_t *json,
                    const struct beryl_field *fields, size_t field_count,
                    void *target)
 {
@@ -278,7 +283,7 @@
 
   if (!json_is_object (json))
     {
-      beryl_place_finding (place, NULL, "must be an object");
+      beryl_location_finding (location, NULL, "must be an object");
       return;
     }
   json_object_foreach (json, key, value)
@@ -286,11 +291,11 @@
     const struct beryl_field *field = find_field (fields, field_count, key);
 
     if (field == NULL)
-      beryl_place_finding (place, key, "unknown key \"%.64s\"", key);
+      beryl_location_finding (location, key, "unknown key \"%.64s\"", key);
     else if (!json_is_null (value) || !field->null_is_default)
-      read_field (place, field, value, target);
+      read_field (location, field, value, target);
   }
   for (size_t i = 0; i < field_count; i++)
     if (fields[i].required && json_object_get (json, fields[i].key) == NULL)
-      beryl_place_finding (place, NULL, "%s is missing", fields[i].key);
+      beryl_location_finding (location, NULL, "%s is missing", fields[i].key);
 }
--- a/libberyl/config/kinds.c
+++ b/libberyl/config/kinds.c
@@ -42,23 +42,23 @@
 };
 
 static bool
-array_is_valid (const struct beryl_place *place, json_t *value)
+array_is_valid (const struct beryl_location *location, json_t *value)
 {
   if (json_is_array (value) && json_array_size (value) <= MAX_ARRAY)
     return true;
-  beryl_place_finding (place, NULL, "must be an array of at most %d items",
-                       MAX_ARRAY);
+  beryl_location_finding (location, NULL,
+                          "must be an array of at most %d items", MAX_ARRAY);
   return false;
 }
 
 static void
-read_rules (const struct beryl_place *place, json_t *value,
+read_rules (const struct beryl_location *location, json_t *value,
             struct beryl_call_rule **rules, size_t *rule_count)
 {
   size_t i;
   json_t *item;
 
-  if (!array_is_valid (place, value))
+  if (!array_is_valid (location, value))
     return;
   *rules = calloc (json_array_size (value) + 1, sizeof **rules);
   if (*rules == NULL)
@@ -66,11 +66,11 @@
   *rule_count = json_array_size (value);
   json_array_foreach (value, i, item)
   {
-    struct beryl_place child;
+    struct beryl_location child;
     char index[24];
 
     snprintf (index, sizeof index, "%zu", i);
-    beryl_place_enter (&child, place, index);
+    beryl_location_enter (&child, location, index);
     (*rules)[i].call_class = BERYL_CLASS_NORMAL;
     beryl_fields_read (&child, item, rule_fields, COUNT (rule_fields),
                        &(*rules)[i]);
@@ -78,21 +78,21 @@
 }
 
 static void
-read_service_rules (const struct beryl_place *place, json_t *value,
+read_service_rules (const struct beryl_location *location, json_t *value,
                     void *target)
 {
   struct beryl_service *service = target;
 
-  read_rules (place, value, &service->rules, &service->rule_count);
+  read_rules (location, value, &service->rules, &service->rule_count);
 }
 
 static void
-read_urgency_rules (const struct beryl_place *place, json_t *value,
+read_urgency_rules (const struct beryl_location *location, json_t *value,
                     void *target)
 {
   struct urgency *urgency = target;
 
-  read_rules (place, value, &urgency->rules, &urgency->rule_count);
+  read_rules (location, value, &urgency->rules, &urgency->rule_count);
 }
 
 static bool
@@ -103,13 +103,14 @@
 }
 
 static void
-read_tokens (const struct beryl_place *place, json_t *value, void *target)
+read_tokens (const struct beryl_location *location, json_t *value,
+             void *target)
 {
   struct beryl_organisation *organisation = target;
   size_t i;
   json_t *item;
 
-  if (!array_is_valid (place, value))
+  if (!array_is_valid (location, value))
     return;
   organisation->token_sha256 = calloc (json_array_size (value) + 1,
                                        sizeof *organisation->token_sha256);
@@ -122,8 +123,8 @@
 
     snprintf (index, sizeof index, "%zu", i);
     if (!digest_valid (text))
-      beryl_place_finding (place, index,
-                           "token_sha256 must be 64 lower-case hex digits");
+      beryl_location_finding (location, index,
+                              "token_sha256 must be 64 lower-case hex digits");
     else
       memcpy (organisation->token_sha256[organisation->token_count++], text,
               DIGEST_HEX_BYTES + 1);
@@ -178,13 +179,13 @@
 }
 
 static void
-pool_check (const struct beryl_place *place, const void *target)
+pool_check (const struct beryl_location *location, const void *target)
 {
   const struct beryl_pool *pool = target;
 
   if (pool->min_endpoints > pool->max_endpoints)
-    beryl_place_finding (place, "min_endpoints",
-                         "min_endpoints is above max_endpoints");
+    beryl_location_finding (location, "min_endpoints",
+                            "min_endpoints is above max_endpoints");
 }
 
 static const struct beryl_field model_fields[] = {
@@ -279,7 +280,7 @@
 }
 
 static void
-system_check (const struct beryl_place *place, const void *target)
+system_check (const struct beryl_location *location, const void *target)
 {
   static const char *const levels[] = { "error", "warning", "info", "debug" };
   const struct beryl_system *system = target;
@@ -287,8 +288,8 @@
   for (size_t i = 0; i < COUNT (levels); i++)
     if (strcmp (system->log_level, levels[i]) == 0)
       return;
-  beryl_place_finding (place, "log_level",
-                       "log_level must be error, warning, info or debug");
+  beryl_location_finding (location, "log_level",
+                          "log_level must be error, warning, info or debug");
 }
 
 static const struct kind kinds[] = {
--- a/libberyl/config/kinds.h
+++ b/libberyl/config/kinds.h
@@ -26,7 +26,7 @@
   /** Set the defaults; may be NULL. */
   void (*defaults) (void *target);
   /** Check members against each other; may be NULL. */
-  void (*check) (const struct beryl_place *place, const void *target);
+  void (*check) (const struct beryl_location *location, const void *target);
 };
 
 /** Return the kind of a name, or NULL. */
--- a/libberyl/config/parse.c
+++ b/libberyl/config/parse.c
@@ -56,7 +56,8 @@
 /* Reads "kind" and "name" and refuses members that are unknown, so that a
  * misspelt one is not taken for an absent one. */
 static const struct kind *
-read_envelope (struct beryl_place *place, json_t *object, const char **name)
+read_envelope (struct beryl_location *location, json_t *object,
+               const char **name)
 {
   const char *kind_name = json_string_value (json_object_get (object, "kind"));
   const char *version
@@ -68,25 +69,26 @@
   *name = json_string_value (json_object_get (object, "name"));
   if (!json_is_object (object))
     {
-      beryl_place_finding (place, NULL, "must be an object");
+      beryl_location_finding (location, NULL, "must be an object");
       return NULL;
     }
   json_object_foreach (object, key, value)
   {
     if (!is_envelope_key (key))
-      beryl_place_finding (place, key, "unknown key \"%.64s\"", key);
+      beryl_location_finding (location, key, "unknown key \"%.64s\"", key);
   }
   if (version == NULL || strcmp (version, API_VERSION) != 0)
-    beryl_place_finding (place, "api_version",
-                         "api_version must be " API_VERSION);
+    beryl_location_finding (location, "api_version",
+                            "api_version must be " API_VERSION);
   kind = kind_name != NULL ? kind_find (kind_name) : NULL;
   if (kind == NULL)
-    beryl_place_finding (place, "kind",
-                         "kind must be service, pool, model, organisation, "
-                         "urgency, endpoint or system");
+    beryl_location_finding (location, "kind",
+                            "kind must be service, pool, model, organisation, "
+                            "urgency, endpoint or system");
   if (*name == NULL || !beryl_field_name_valid (*name))
     {
-      beryl_place_finding (place, "name", "name must match [a-z0-9._-]{1,63}");
+      beryl_location_finding (location, "name",
+                              "name must match [a-z0-9._-]{1,63}");
       *name = NULL;
     }
   return *name != NULL ? kind : NULL;
@@ -105,43 +107,44 @@
 }
 
 static void
-check_once (struct parser *parser, const struct beryl_place *place,
-            const struct kind *kind, const char *name)
+check_unique (struct parser *parser, const struct beryl_location *location,
+              const struct kind *kind, const char *name)
 {
   char key[BERYL_NAME_BYTES * 2];
 
   snprintf (key, sizeof key, "%s/%s", beryl_kind_name (kind->kind), name);
   if (json_object_get (parser->seen, key) != NULL)
-    beryl_place_finding (place, "name", "declared more than once");
+    beryl_location_finding (location, "name", "declared more than once");
   json_object_set_new (parser->seen, key, json_true ());
 }
 
 static void
-read_object (struct parser *parser, struct beryl_place *place, json_t *object)
+read_object (struct parser *parser, struct beryl_location *location,
+             json_t *object)
 {
   const char *name;
-  const struct kind *kind = read_envelope (place, object, &name);
-  struct beryl_place spec;
+  const struct kind *kind = read_envelope (location, object, &name);
+  struct beryl_location spec;
   void *target;
 
   if (kind == NULL)
     return;
-  snprintf (place->object, sizeof place->object, "%s %s",
+  snprintf (location->object, sizeof location->object, "%s %s",
             beryl_kind_name (kind->kind), name);
-  check_once (parser, place, kind, name);
+  check_unique (parser, location, kind, name);
   if (kind->kind == BERYL_KIND_SYSTEM && strcmp (name, SYSTEM_NAME) != 0)
-    beryl_place_finding (place, "name", "its name must be " SYSTEM_NAME);
+    beryl_location_finding (location, "name", "its name must be " SYSTEM_NAME);
   target = list_append (&parser->lists[kind->kind], kind->bytes);
   if (target == NULL)
     {
-      beryl_place_finding (place, NULL, "out of memory");
+      beryl_location_finding (location, NULL, "out of memory");
       return;
     }
   if (kind->kind != BERYL_KIND_SYSTEM)
     memcpy (target, name, strlen (name) + 1);
   if (kind->defaults != NULL)
     kind->defaults (target);
-  beryl_place_enter (&spec, place, "spec");
+  beryl_location_enter (&spec, location, "spec");
   beryl_fields_read (&spec, json_object_get (object, "spec"), kind->fields,
                      kind->field_count, target);
   if (kind->check != NULL)
@@ -305,11 +308,11 @@
     }
   json_array_foreach (root, i, object)
   {
-    struct beryl_place place = { .findings = parser->findings };
+    struct beryl_location location = { .findings = parser->findings };
 
-    snprintf (place.object, sizeof place.object, "object %zu", i + 1);
-    snprintf (place.pointer, sizeof place.pointer, "/%zu", i);
-    read_object (parser, &place, object);
+    snprintf (location.object, sizeof location.object, "object %zu", i + 1);
+    snprintf (location.pointer, sizeof location.pointer, "/%zu", i);
+    read_object (parser, &location, object);
   }
 }
 
@@ -361,14 +364,15 @@
                            struct beryl_findings *findings)
 {
   struct parser parser = { .findings = findings };
-  struct beryl_place place = { .findings = findings, .object = "object" };
+  struct beryl_location location
+      = { .findings = findings, .object = "object" };
   size_t before = beryl_findings_count (findings);
   json_t *root = load_json (json, json_bytes, findings);
 
   if (root == NULL)
     return false;
   parser.seen = json_object ();
-  read_object (&parser, &place, root);
+  read_object (&parser, &location, root);
   json_decref (root);
   parser_clear (&parser);
   return beryl_findings_count (findings) == before;
--- a/libberyl/platform/client.c
+++ b/libberyl/platform/client.c
@@ -81,8 +81,8 @@
   settings_complete (&p->settings);
   LIST_INIT (&p->fetches);
   LIST_INIT (&p->watches);
-  LIST_INIT (&p->ended);
-  LIST_INIT (&p->telling);
+  LIST_INIT (&p->completed);
+  LIST_INIT (&p->delivering);
   platform_schedule_init (p);
   beryl_platform_set_rates (p, p->settings.reads_per_s,
                             p->settings.writes_per_s);
@@ -131,8 +131,8 @@
     platform_fetch_free (p, f);
   while ((w = LIST_FIRST (&p->watches)))
     platform_watch_free (p, w);
-  waiters_free (&p->ended);
-  waiters_free (&p->telling);
+  waiters_free (&p->completed);
+  waiters_free (&p->delivering);
   free (p);
 }
 
@@ -216,12 +216,12 @@
 }
 
 void
-beryl_platform_arriving (struct beryl_platform *p, uint64_t call)
+beryl_platform_answer_started (struct beryl_platform *p, uint64_t call)
 {
   struct job *job = platform_job_find (p, call);
 
   if (job)
-    job->arriving = true;
+    job->answer_started = true;
 }
 
 void
@@ -258,7 +258,7 @@
 }
 
 bool
-beryl_platform_is_away (const struct beryl_platform *p)
+beryl_platform_is_unreachable (const struct beryl_platform *p)
 {
   return p->breaker.state != BREAKER_CLOSED;
 }
--- a/libberyl/platform/fetch.c
+++ b/libberyl/platform/fetch.c
@@ -30,12 +30,12 @@
 }
 
 void
-platform_tell (struct beryl_platform *p,
-               const struct beryl_platform_result *template)
+platform_deliver_results (struct beryl_platform *p,
+                          const struct beryl_platform_result *template)
 {
   struct waiter *w;
 
-  while ((w = LIST_FIRST (&p->telling)))
+  while ((w = LIST_FIRST (&p->delivering)))
     {
       struct beryl_platform_result result = *template;
 
@@ -52,7 +52,8 @@
 
 /** Move the waiters of F that a read of VERSION satisfies to p->telling. */
 static void
-choose_told (struct beryl_platform *p, struct fetch *f, uint64_t version)
+waiters_take_satisfied (struct beryl_platform *p, struct fetch *f,
+                        uint64_t version)
 {
   struct waiter *w = LIST_FIRST (&f->waiters);
 
@@ -63,7 +64,7 @@
       if (w->min_version <= version)
         {
           LIST_REMOVE (w, entry);
-          LIST_INSERT_HEAD (&p->telling, w, entry);
+          LIST_INSERT_HEAD (&p->delivering, w, entry);
         }
       w = next;
     }
@@ -71,14 +72,14 @@
 
 /** Reads under way may be older than the write that F was. */
 static void
-date_reads (struct beryl_platform *p, const struct fetch *write)
+reads_mark_outdated (struct beryl_platform *p, const struct fetch *write)
 {
   struct fetch *f;
 
   for (f = LIST_FIRST (&p->fetches); f; f = LIST_NEXT (f, entry))
     {
       if (platform_fetch_is_read (f) && strcmp (f->kind, write->kind) == 0)
-        f->dated = true;
+        f->outdated = true;
     }
 }
 
@@ -91,26 +92,26 @@
   struct listing listing = f->listing;
 
   f->listing = (struct listing){ 0 };
-  result.overwritten = code == BERYL_ERROR_CONFLICT && f->unsure;
+  result.overwritten = code == BERYL_ERROR_CONFLICT && f->maybe_applied;
   if (!platform_fetch_is_read (f))
-    date_reads (p, f);
+    reads_mark_outdated (p, f);
   if (code == BERYL_OK && platform_fetch_is_read (f))
     {
       result.objects = listing.objects;
       result.object_count = listing.count;
     }
-  choose_told (p, f, UINT64_MAX);
+  waiters_take_satisfied (p, f, UINT64_MAX);
   platform_fetch_free (p, f);
-  platform_tell (p, &result);
+  platform_deliver_results (p, &result);
   platform_listing_clear (&listing);
 }
 
 /** Read again later. */
 static void
-fetch_again (struct beryl_platform *p, struct fetch *f, int64_t now_ms)
+fetch_retry (struct beryl_platform *p, struct fetch *f, int64_t now_ms)
 {
   platform_listing_clear (&f->listing);
-  f->dated = false;
+  f->outdated = false;
   platform_job_back_off (p, &f->job, now_ms);
 }
 
@@ -118,7 +119,7 @@
 static void
 count_settled (struct beryl_platform *p, const struct fetch *f)
 {
-  if (f->unsure)
+  if (f->maybe_applied)
     p->counts.settled++;
 }
 
@@ -132,7 +133,7 @@
   if (status == 404)
     {
       result.code = BERYL_ERROR_NOT_FOUND;
-      choose_told (p, f, 0);
+      waiters_take_satisfied (p, f, 0);
       object = (struct beryl_object){ 0 };
     }
   else if (status == 200 && platform_object_read (json, f->kind, &object)
@@ -141,14 +142,14 @@
       result.version = object.version;
       result.objects = &object;
       result.object_count = 1;
-      choose_told (p, f, object.version);
+      waiters_take_satisfied (p, f, object.version);
     }
   else
     {
       if (status == 200)
         platform_object_clear (&object);
       p->counts.malformed++;
-      fetch_again (p, f, now_ms);
+      fetch_retry (p, f, now_ms);
       return;
     }
   /* Those left need a newer version than this replica has. */
@@ -157,9 +158,9 @@
   else
     {
       p->counts.stale++;
-      fetch_again (p, f, now_ms);
+      fetch_retry (p, f, now_ms);
     }
-  platform_tell (p, &result);
+  platform_deliver_results (p, &result);
   platform_object_clear (&object);
 }
 
@@ -170,7 +171,7 @@
   if (status != 200 || !platform_listing_add (&f->listing, json, f->kind))
     {
       p->counts.malformed++;
-      fetch_again (p, f, now_ms);
+      fetch_retry (p, f, now_ms);
     }
   else if (f->listing.more)
     platform_job_ready (p, &f->job);
@@ -188,7 +189,7 @@
   bool ours;
 
   if (status != 200 || !platform_object_read (json, f->kind, &object)
-      || object.version < f->conflict)
+      || object.version < f->conflict_version)
     {
       /* Absent or older: a replica that lags.  The write is known to have
          met F->conflict, so only that version or a later one tells. */
@@ -216,10 +217,10 @@
      first try took effect and its version is what the repetition meets.
      Reading the nonce back tells; without it a claim that was granted would
      be reported as taken by another. */
-  if (f->unsure && f->type == FETCH_PUT && current != 0)
+  if (f->maybe_applied && f->type == FETCH_PUT && current != 0)
     {
       f->reading_back = true;
-      f->conflict = current;
+      f->conflict_version = current;
       f->job.rate_class = RATE_READS;
       platform_job_ready (p, &f->job);
       return;
@@ -303,7 +304,7 @@
     }
   if (!safe)
     {
-      f->unsure = true;
+      f->maybe_applied = true;
       if (!fetch_can_settle (f))
         {
           p->counts.unsettled++;
--- a/libberyl/platform/private.h
+++ b/libberyl/platform/private.h
@@ -54,9 +54,9 @@
   enum job_state state;
   enum beryl_platform_use use;
   enum rate_class rate_class;
-  bool is_watch; /**< its failures don't open the breaker */
-  bool delayed;  /**< was counted as delayed */
-  bool arriving; /**< the answer of its call */
+  bool is_watch;        /**< its failures don't open the breaker */
+  bool counted_delayed; /**< was counted as delayed */
+  bool answer_started;  /**< the answer of its call */
   uint64_t call;
   int64_t not_before_ms;
   uint32_t failures; /**< in a row */
@@ -69,7 +69,7 @@
 {
   double rate_per_s;
   double tokens;
-  int64_t filled_ms;
+  int64_t refilled_ms;
   int64_t paused_until_ms; /**< the platform said: over the rate */
   struct job_queue ready[BERYL_USE_COUNT];
   double finish[BERYL_USE_COUNT]; /**< virtual finish time of the last call */
@@ -99,7 +99,7 @@
   LIST_ENTRY (waiter) entry; /**< of its fetch or of the ended ones */
   uint64_t request;
   int64_t deadline_ms;
-  bool wait;
+  bool wait_for_recovery;
   enum beryl_platform_use use;
   uint64_t min_version;
   enum beryl_error_code code; /**< of an ended one */
@@ -140,22 +140,22 @@
   char name[BERYL_NAME_BYTES]; /**< or prefix */
   /** A write of ours to the kind ended while the read was under way: its
    * answer may be older than what a new asker already knows. */
-  bool dated;
+  bool outdated;
   struct listing listing;
   enum beryl_condition condition;
   char version[24]; /**< decimal, for the If-Match header */
   char *value;
   size_t value_bytes;
   char nonce[BERYL_NONCE_BYTES];
-  bool unsure;       /**< an earlier try may have taken effect */
-  bool reading_back; /**< the repeated write met a conflict */
-  uint64_t conflict; /**< the version it met */
+  bool maybe_applied;        /**< an earlier try may have taken effect */
+  bool reading_back;         /**< the repeated write met a conflict */
+  uint64_t conflict_version; /**< the version it met */
 };
 
 LIST_HEAD (fetch_list, fetch);
 
 /** What a watch knows of one object. */
-struct known
+struct known_object
 {
   char name[BERYL_NAME_BYTES];
   uint64_t version;
@@ -170,14 +170,14 @@
   char kind[BERYL_NAME_BYTES];
   bool instances;
   bool listing_now;
-  bool poked; /**< the next call must not wait */
-  bool ended; /**< freed once its callbacks have returned */
-  bool busy;
-  bool resting;    /**< fed by others; calls only when poked */
+  bool refresh_due; /**< the next call must not wait */
+  bool removed;     /**< freed once its callbacks have returned */
+  bool in_callback;
+  bool paused;     /**< fed by others; calls only when poked */
   int64_t wait_ms; /**< of its calls; 0: as in the settings */
   uint64_t revision;
   struct listing listing;
-  struct known *known; /**< in order of names */
+  struct known_object *known; /**< in order of names */
   size_t known_count;
   size_t known_capacity;
 };
@@ -195,8 +195,8 @@
   struct job_queue calling;
   struct fetch_list fetches;
   struct watch_list watches;
-  struct waiter_list ended;   /**< told at the next tick */
-  struct waiter_list telling; /**< being told */
+  struct waiter_list completed;  /**< told at the next tick */
+  struct waiter_list delivering; /**< being told */
   uint32_t waiter_count;
   uint64_t last_id;
   uint64_t random;
@@ -245,14 +245,14 @@
                                   const char *kind, const char *name);
 /** Tell the waiters in p->telling, one after another; each callback may
  * forget others of them. */
-void platform_tell (struct beryl_platform *p,
-                    const struct beryl_platform_result *result);
+void platform_deliver_results (struct beryl_platform *p,
+                               const struct beryl_platform_result *result);
 void platform_fetch_free (struct beryl_platform *p, struct fetch *fetch);
 
 /* request.c */
 /** End the waiters whose time is over and, if REFUSING, those that do not
  * wait while the platform is away. */
-void platform_fetches_expire (struct beryl_platform *p, bool refusing,
+void platform_fetches_expire (struct beryl_platform *p, bool fail_fast,
                               int64_t now_ms);
 int64_t platform_fetches_next_ms (const struct beryl_platform *p);
 
--- a/libberyl/platform/rate.c
+++ b/libberyl/platform/rate.c
@@ -2,15 +2,15 @@
 
 /* Part of the fleet's rate that all nodes together plan to use; the rest is
  * for endpoints, operators and nodes that are not counted yet. */
-#define FLEET_PART 0.5
+#define FLEET_FRACTION 0.5
 /* A node needs so many calls a second however many there are: two watches and
  * a lease, each after every change. */
-#define LEAST_PER_S 4.0
+#define MIN_PER_S 4.0
 
 double
 beryl_platform_node_rate (double fleet_per_s, uint32_t nodes)
 {
-  double rate = FLEET_PART * fleet_per_s / (nodes > 0 ? nodes : 1);
+  double rate = FLEET_FRACTION * fleet_per_s / (nodes > 0 ? nodes : 1);
 
-  return rate > LEAST_PER_S ? rate : LEAST_PER_S;
+  return rate > MIN_PER_S ? rate : MIN_PER_S;
 }
--- a/libberyl/platform/reply.c
+++ b/libberyl/platform/reply.c
@@ -167,9 +167,9 @@
       || !platform_number_read (json, "port", &port) || port > UINT16_MAX)
     return false;
   instance->port = (uint16_t)port;
-  instance->entry = strcmp (kind, "entry") == 0;
+  instance->is_entry = strcmp (kind, "entry") == 0;
   instance->leaving = strcmp (state, "leaving") == 0;
-  return instance->entry || strcmp (kind, "endpoint") == 0;
+  return instance->is_entry || strcmp (kind, "endpoint") == 0;
 }
 
 bool
--- a/libberyl/platform/request.c
+++ b/libberyl/platform/request.c
@@ -7,11 +7,11 @@
 
 /** How a waiter ends that gives up now. */
 static enum beryl_error_code
-give_up_code (struct beryl_platform *p, const struct fetch *f)
+expiry_code (struct beryl_platform *p, const struct fetch *f)
 {
   if (platform_fetch_is_read (f))
     return BERYL_ERROR_UNAVAILABLE;
-  if (!f->unsure && f->job.state != JOB_CALLING)
+  if (!f->maybe_applied && f->job.state != JOB_CALLING)
     return BERYL_ERROR_UNAVAILABLE;
   p->counts.unsettled++;
   return BERYL_ERROR_UNKNOWN;
@@ -19,29 +19,29 @@
 
 /** Move the waiters of F that give up to the ended ones. */
 static void
-waiters_give_up (struct beryl_platform *p, struct fetch *f, bool refusing,
-                 int64_t now_ms)
+waiters_expire (struct beryl_platform *p, struct fetch *f, bool fail_fast,
+                int64_t now_ms)
 {
   struct waiter *w = LIST_FIRST (&f->waiters);
-  bool refused = refusing && p->breaker.state != BREAKER_CLOSED
+  bool refused = fail_fast && p->breaker.state != BREAKER_CLOSED
                  && f->job.state != JOB_CALLING;
 
   while (w)
     {
       struct waiter *next = LIST_NEXT (w, entry);
 
-      if (w->deadline_ms <= now_ms || (refused && !w->wait))
+      if (w->deadline_ms <= now_ms || (refused && !w->wait_for_recovery))
         {
-          w->code = give_up_code (p, f);
+          w->code = expiry_code (p, f);
           LIST_REMOVE (w, entry);
-          LIST_INSERT_HEAD (&p->ended, w, entry);
+          LIST_INSERT_HEAD (&p->completed, w, entry);
         }
       w = next;
     }
 }
 
 void
-platform_fetches_expire (struct beryl_platform *p, bool refusing,
+platform_fetches_expire (struct beryl_platform *p, bool fail_fast,
                          int64_t now_ms)
 {
   struct fetch *f = LIST_FIRST (&p->fetches);
@@ -51,25 +51,25 @@
     {
       struct fetch *next = LIST_NEXT (f, entry);
 
-      waiters_give_up (p, f, refusing, now_ms);
+      waiters_expire (p, f, fail_fast, now_ms);
       if (LIST_EMPTY (&f->waiters))
         platform_fetch_free (p, f);
       f = next;
     }
-  while ((w = LIST_FIRST (&p->ended)))
+  while ((w = LIST_FIRST (&p->completed)))
     {
       struct beryl_platform_result result = { .code = w->code };
 
       LIST_REMOVE (w, entry);
-      LIST_INSERT_HEAD (&p->telling, w, entry);
-      platform_tell (p, &result);
+      LIST_INSERT_HEAD (&p->delivering, w, entry);
+      platform_deliver_results (p, &result);
     }
 }
 
 int64_t
 platform_fetches_next_ms (const struct beryl_platform *p)
 {
-  int64_t next_ms = LIST_EMPTY (&p->ended) ? BERYL_NEVER_MS : 0;
+  int64_t next_ms = LIST_EMPTY (&p->completed) ? BERYL_NEVER_MS : 0;
   const struct fetch *f;
   const struct waiter *w;
 
@@ -80,7 +80,7 @@
 
       for (w = LIST_FIRST (&f->waiters); w; w = LIST_NEXT (w, entry))
         {
-          if (refused && !w->wait)
+          if (refused && !w->wait_for_recovery)
             return 0;
           if (w->deadline_ms < next_ms)
             next_ms = w->deadline_ms;
@@ -98,7 +98,7 @@
 
   for (f = LIST_FIRST (&p->fetches); f; f = LIST_NEXT (f, entry))
     {
-      if (f->type == type && !f->dated && strcmp (f->kind, kind) == 0
+      if (f->type == type && !f->outdated && strcmp (f->kind, kind) == 0
           && strcmp (f->name, name) == 0)
         return f;
     }
@@ -113,7 +113,7 @@
 
   w->request = ++p->last_id;
   w->deadline_ms = options->deadline_ms;
-  w->wait = options->wait;
+  w->wait_for_recovery = options->wait_for_recovery;
   w->use = options->use;
   p->waiter_count++;
   return w;
@@ -121,14 +121,14 @@
 
 /** A request that ends at the next tick with CODE. */
 static uint64_t
-ended_new (struct beryl_platform *p,
-           const struct beryl_platform_options *options,
-           enum beryl_error_code code)
+completed_new (struct beryl_platform *p,
+               const struct beryl_platform_options *options,
+               enum beryl_error_code code)
 {
   struct waiter *w = waiter_new (p, options);
 
   w->code = code;
-  LIST_INSERT_HEAD (&p->ended, w, entry);
+  LIST_INSERT_HEAD (&p->completed, w, entry);
   return w->request;
 }
 
@@ -142,7 +142,7 @@
   struct waiter *w;
 
   if (p->waiter_count >= p->settings.queue_max)
-    return ended_new (p, options, BERYL_ERROR_LIMIT);
+    return completed_new (p, options, BERYL_ERROR_LIMIT);
   f = fetch_find (p, type, kind, name);
   if (f)
     p->counts.uses[options->use].joined++;
@@ -164,7 +164,7 @@
                     int64_t now_ms)
 {
   if (!beryl_platform_name_valid (kind) || !beryl_platform_name_valid (name))
-    return ended_new (p, options, BERYL_ERROR_INVALID);
+    return completed_new (p, options, BERYL_ERROR_INVALID);
   return read_start (p, options, FETCH_GET, kind, name, min_version);
 }
 
@@ -175,7 +175,7 @@
 {
   if (!beryl_platform_name_valid (kind)
       || (prefix[0] != '\0' && !beryl_platform_name_valid (prefix)))
-    return ended_new (p, options, BERYL_ERROR_INVALID);
+    return completed_new (p, options, BERYL_ERROR_INVALID);
   return read_start (p, options, FETCH_LIST, kind, prefix, 0);
 }
 
@@ -201,9 +201,9 @@
   if (!beryl_platform_name_valid (write->kind)
       || !beryl_platform_name_valid (write->name)
       || (write->nonce && strlen (write->nonce) >= BERYL_NONCE_BYTES))
-    return ended_new (p, options, BERYL_ERROR_INVALID);
+    return completed_new (p, options, BERYL_ERROR_INVALID);
   if (p->waiter_count >= p->settings.queue_max)
-    return ended_new (p, options, BERYL_ERROR_LIMIT);
+    return completed_new (p, options, BERYL_ERROR_LIMIT);
   f = platform_fetch_new (p, FETCH_PUT, options->use, write->kind,
                           write->name);
   f->condition = write->condition;
@@ -226,9 +226,9 @@
   struct fetch *f;
 
   if (!beryl_platform_name_valid (kind) || !beryl_platform_name_valid (name))
-    return ended_new (p, options, BERYL_ERROR_INVALID);
+    return completed_new (p, options, BERYL_ERROR_INVALID);
   if (p->waiter_count >= p->settings.queue_max)
-    return ended_new (p, options, BERYL_ERROR_LIMIT);
+    return completed_new (p, options, BERYL_ERROR_LIMIT);
   f = platform_fetch_new (p, FETCH_DELETE, options->use, kind, name);
   f->condition = version ? BERYL_IF_VERSION : BERYL_IF_ANY;
   snprintf (f->version, sizeof f->version, "%" PRIu64, version);
@@ -255,12 +255,12 @@
 }
 
 void
-beryl_platform_forget (struct beryl_platform *p, uint64_t request)
+beryl_platform_cancel (struct beryl_platform *p, uint64_t request)
 {
   struct fetch *f;
 
-  if (waiter_remove (p, &p->ended, request)
-      || waiter_remove (p, &p->telling, request))
+  if (waiter_remove (p, &p->completed, request)
+      || waiter_remove (p, &p->delivering, request))
     return;
   for (f = LIST_FIRST (&p->fetches); f; f = LIST_NEXT (f, entry))
     {
--- a/libberyl/platform/schedule.c
+++ b/libberyl/platform/schedule.c
@@ -23,7 +23,7 @@
 platform_job_ready (struct beryl_platform *p, struct job *job)
 {
   job->state = JOB_READY;
-  job->delayed = false;
+  job->counted_delayed = false;
   TAILQ_INSERT_TAIL (&budget_of (p, job)->ready[job->use], job, entry);
 }
 
@@ -107,7 +107,7 @@
 }
 
 static void
-wake_sleepers (struct beryl_platform *p, int64_t now_ms)
+wake_sleeping (struct beryl_platform *p, int64_t now_ms)
 {
   struct job *job = TAILQ_FIRST (&p->sleeping);
 
@@ -125,17 +125,17 @@
 }
 
 static void
-budget_fill (struct budget *b, int64_t now_ms)
+budget_refill (struct budget *b, int64_t now_ms)
 {
   double most = b->rate_per_s * BURST_S;
 
   if (most < 1)
     most = 1;
-  if (now_ms > b->filled_ms)
-    b->tokens += (double)(now_ms - b->filled_ms) * b->rate_per_s / 1000.0;
+  if (now_ms > b->refilled_ms)
+    b->tokens += (double)(now_ms - b->refilled_ms) * b->rate_per_s / 1000.0;
   if (b->tokens > most)
     b->tokens = most;
-  b->filled_ms = now_ms;
+  b->refilled_ms = now_ms;
 }
 
 /** Start-time fair queueing: the use whose next call would finish first in
@@ -194,7 +194,7 @@
   job_unqueue (p, job);
   job->state = JOB_CALLING;
   job->call = call.id;
-  job->arriving = false;
+  job->answer_started = false;
   TAILQ_INSERT_TAIL (&p->calling, job, entry);
   platform_breaker_sent (p, call.id);
   count_call (p, job);
@@ -213,9 +213,9 @@
       for (job = TAILQ_FIRST (&b->ready[u]); job;
            job = TAILQ_NEXT (job, entry))
         {
-          if (job->delayed)
+          if (job->counted_delayed)
             break;
-          job->delayed = true;
+          job->counted_delayed = true;
           p->counts.uses[u].delayed++;
         }
     }
@@ -226,7 +226,7 @@
 {
   struct job *job;
 
-  budget_fill (b, now_ms);
+  budget_refill (b, now_ms);
   if (now_ms < b->paused_until_ms)
     return;
   while ((job = budget_pick (p, b)))
@@ -245,7 +245,7 @@
 void
 platform_schedule_run (struct beryl_platform *p, int64_t now_ms)
 {
-  wake_sleepers (p, now_ms);
+  wake_sleeping (p, now_ms);
   for (int c = 0; c < RATE_COUNT; c++)
     budget_run (p, &p->budgets[c], now_ms);
 }
@@ -263,7 +263,7 @@
 static int64_t
 budget_next_ms (const struct beryl_platform *p, const struct budget *b)
 {
-  int64_t at_ms = b->filled_ms;
+  int64_t at_ms = b->refilled_ms;
 
   if (budget_is_idle (b) || p->breaker.state == BREAKER_HALF_OPEN)
     return BERYL_NEVER_MS;
--- a/libberyl/platform/watch.c
+++ b/libberyl/platform/watch.c
@@ -40,10 +40,10 @@
   return false;
 }
 
-static struct known *
+static struct known_object *
 known_insert (struct watch *w, size_t place, const char *name)
 {
-  struct known *k;
+  struct known_object *k;
 
   if (w->known_count == w->known_capacity)
     {
@@ -53,7 +53,7 @@
   k = &w->known[place];
   memmove (k + 1, k, (w->known_count - place) * sizeof *k);
   w->known_count++;
-  *k = (struct known){ 0 };
+  *k = (struct known_object){ 0 };
   memcpy (k->name, name, strlen (name) + 1);
   return k;
 }
@@ -68,13 +68,13 @@
 
 /** Tell one change; W may be marked ended by it. */
 static void
-tell_event (struct beryl_platform *p, struct watch *w, bool deleted,
+emit_event (struct beryl_platform *p, struct watch *w, bool deleted,
             const struct beryl_object *object)
 {
   struct beryl_platform_event event
       = { .watch = w->id, .deleted = deleted, .object = *object };
 
-  if (!w->ended)
+  if (!w->removed)
     p->handler->impl->event (p->handler, &event);
 }
 
@@ -84,7 +84,7 @@
            const struct beryl_object *object)
 {
   size_t place;
-  struct known *k;
+  struct known_object *k;
 
   if (known_find (w, object->name, &place))
     k = &w->known[place];
@@ -94,7 +94,7 @@
   if (object->version <= k->version)
     return;
   k->version = object->version;
-  tell_event (p, w, false, object);
+  emit_event (p, w, false, object);
 }
 
 static void
@@ -107,7 +107,7 @@
       || object->version <= w->known[place].version)
     return;
   known_remove (w, place);
-  tell_event (p, w, true, object);
+  emit_event (p, w, true, object);
 }
 
 /** Tell the deletion of all that a whole list did not show. */
@@ -116,7 +116,7 @@
 {
   for (size_t i = 0; i < w->known_count;)
     {
-      struct known k = w->known[i];
+      struct known_object k = w->known[i];
       struct beryl_object object = { .kind = w->kind,
                                      .name = k.name,
                                      .version = w->listing.revision };
@@ -127,7 +127,7 @@
           continue;
         }
       known_remove (w, i);
-      tell_event (p, w, true, &object);
+      emit_event (p, w, true, &object);
     }
 }
 
@@ -142,9 +142,9 @@
 }
 
 static void
-tell_synced (struct beryl_platform *p, struct watch *w)
+emit_synced (struct beryl_platform *p, struct watch *w)
 {
-  if (!w->ended)
+  if (!w->removed)
     p->handler->impl->synced (p->handler, w->id, w->revision);
 }
 
@@ -154,7 +154,7 @@
 answer_stale (struct beryl_platform *p, struct watch *w, int64_t now_ms)
 {
   /* What was fed meanwhile is newer than the answer. */
-  if (w->resting && !w->listing_now)
+  if (w->paused && !w->listing_now)
     return;
   p->counts.stale++;
   platform_listing_clear (&w->listing);
@@ -174,7 +174,7 @@
 watch_again (struct beryl_platform *p, struct watch *w, int64_t now_ms)
 {
   w->job.failures = 0;
-  if (w->resting)
+  if (w->paused)
     return;
   platform_job_sleep (p, &w->job, now_ms + p->settings.watch_spacing_ms);
 }
@@ -202,7 +202,7 @@
   w->revision = w->listing.revision;
   w->listing_now = false;
   platform_listing_clear (&w->listing);
-  tell_synced (p, w);
+  emit_synced (p, w);
   watch_again (p, w, now_ms);
 }
 
@@ -252,7 +252,7 @@
     return;
   }
   w->revision = revision;
-  tell_synced (p, w);
+  emit_synced (p, w);
   watch_again (p, w, now_ms);
 }
 
@@ -305,7 +305,7 @@
       free (list);
     }
   /* An unchanged list was confirmed: who judges by it must know its age. */
-  tell_synced (p, w);
+  emit_synced (p, w);
   watch_again (p, w, now_ms);
 }
 
@@ -325,7 +325,7 @@
       platform_job_ready (p, job);
       return;
     }
-  w->busy = true;
+  w->in_callback = true;
   if (status != 200)
     answer_malformed (p, w, now_ms);
   else if (w->instances)
@@ -334,8 +334,8 @@
     list_answered (p, w, json, now_ms);
   else
     events_answered (p, w, json, now_ms);
-  w->busy = false;
-  if (w->ended)
+  w->in_callback = false;
+  if (w->removed)
     platform_watch_free (p, w);
 }
 
@@ -354,11 +354,11 @@
   /* A probe must be answered at once, and so must the first look, and the
      first after a failure: who watches must know when the platform is back. */
   bool at_once = p->breaker.state == BREAKER_HALF_OPEN || w->listing_now
-                 || job->failures > 0 || w->poked;
+                 || job->failures > 0 || w->refresh_due;
   int64_t set_ms = w->wait_ms != 0 ? w->wait_ms : p->settings.watch_wait_ms;
   int64_t wait_ms = at_once ? 0 : set_ms;
 
-  w->poked = false;
+  w->refresh_due = false;
   call->method = "GET";
   call->path = path;
   call->kind = w->kind;
@@ -440,22 +440,22 @@
 static bool
 is_arriving (const struct watch *w)
 {
-  return w->job.state == JOB_CALLING && w->job.arriving;
+  return w->job.state == JOB_CALLING && w->job.answer_started;
 }
 
 void
-beryl_platform_poke (struct beryl_platform *p, uint64_t id)
+beryl_platform_watch_refresh (struct beryl_platform *p, uint64_t id)
 {
   struct watch *w = watch_find (p, id);
 
   /* A listing is under way or about to begin; it shows all there is. */
-  if (!w || w->busy || w->listing_now)
+  if (!w || w->in_callback || w->listing_now)
     return;
   /* An answer that arrives is no silent connection; given up, a large one on a
      slow link would never be read whole. */
   if (is_arriving (w))
     return;
-  w->poked = true;
+  w->refresh_due = true;
   if (w->job.state == JOB_READY)
     return;
   platform_job_stop (p, &w->job);
@@ -463,17 +463,18 @@
 }
 
 bool
-beryl_platform_feed (struct beryl_platform *p, uint64_t id, uint64_t after,
-                     uint64_t revision,
-                     const struct beryl_platform_event *events, size_t count)
+beryl_platform_watch_apply (struct beryl_platform *p, uint64_t id,
+                            uint64_t after, uint64_t revision,
+                            const struct beryl_platform_event *events,
+                            size_t count)
 {
   struct watch *w = watch_find (p, id);
   uint64_t seen;
 
-  if (!w || w->busy || w->listing_now || after > w->revision)
+  if (!w || w->in_callback || w->listing_now || after > w->revision)
     return false;
   seen = w->revision;
-  w->busy = true;
+  w->in_callback = true;
   /* A change that was seen already may have been undone since. */
   for (size_t i = 0; i < count; i++)
     if (events[i].object.version <= seen)
@@ -484,30 +485,30 @@
       apply_put (p, w, &events[i].object);
   if (revision > w->revision)
     w->revision = revision;
-  tell_synced (p, w);
-  w->busy = false;
-  if (w->ended)
+  emit_synced (p, w);
+  w->in_callback = false;
+  if (w->removed)
     platform_watch_free (p, w);
   return true;
 }
 
 void
-beryl_platform_watch_rest (struct beryl_platform *p, uint64_t id, bool resting)
+beryl_platform_watch_pause (struct beryl_platform *p, uint64_t id, bool paused)
 {
   struct watch *w = watch_find (p, id);
 
-  if (!w || w->resting == resting)
+  if (!w || w->paused == paused)
     return;
-  w->resting = resting;
-  if (!resting)
-    beryl_platform_poke (p, id);
+  w->paused = paused;
+  if (!paused)
+    beryl_platform_watch_refresh (p, id);
   else if (w->job.state == JOB_SLEEPING && !w->listing_now)
     platform_job_stop (p, &w->job);
 }
 
 void
-beryl_platform_watch_wait (struct beryl_platform *p, uint64_t id,
-                           int64_t wait_ms)
+beryl_platform_watch_set_wait (struct beryl_platform *p, uint64_t id,
+                               int64_t wait_ms)
 {
   struct watch *w = watch_find (p, id);
 
@@ -516,7 +517,7 @@
 }
 
 bool
-beryl_platform_watch_arriving (struct beryl_platform *p, uint64_t id)
+beryl_platform_watch_is_receiving (struct beryl_platform *p, uint64_t id)
 {
   const struct watch *w = watch_find (p, id);
 
@@ -524,7 +525,8 @@
 }
 
 void
-beryl_platform_set_watch_wait (struct beryl_platform *p, int64_t watch_wait_ms)
+beryl_platform_set_default_watch_wait (struct beryl_platform *p,
+                                       int64_t watch_wait_ms)
 {
   p->settings.watch_wait_ms = watch_wait_ms;
 }
@@ -545,8 +547,8 @@
     {
       if (w->id != watch)
         continue;
-      if (w->busy)
-        w->ended = true;
+      if (w->in_callback)
+        w->removed = true;
       else
         platform_watch_free (p, w);
       return;
--- a/libberyl/spread/acceptor.c
+++ b/libberyl/spread/acceptor.c
@@ -1,4 +1,4 @@
-#include "beryl/spread.h"
+#include "beryl/config_log.h"
 
 #include <inttypes.h>
 #include <jansson.h>
@@ -17,7 +17,7 @@
 #define KIND_COUNT 7
 /* Facts of the platform's instance list travel with the configuration, in
  * the same order, but are no part of it. */
-#define INSTANCE_PLACE KIND_COUNT
+#define INSTANCE_ORDER KIND_COUNT
 
 /* Puts go in this order and deletions in the reverse one, so that an entry
  * never names an object that a later entry brings. */
@@ -35,34 +35,34 @@
   int order;
   enum
   {
-    CHANGE_OPEN,
-    CHANGE_TAKEN,
+    CHANGE_PENDING,
+    CHANGE_ACCEPTED,
     CHANGE_REJECTED,
   } state;
 };
 
 struct beryl_acceptor
 {
-  const struct beryl_spread *spread;
+  const struct beryl_config_log *log;
   struct beryl_acceptor_owner *owner;
   struct items observed;
   struct items rejected;           /* version and base, to tell each once */
   uint64_t synced[KIND_COUNT + 1]; /* revision; 0: never */
-  uint64_t base_version;           /* of the spread when last judged */
-  bool judged;                     /* nothing new since */
+  uint64_t evaluated_version;      /* of the spread when last judged */
+  bool evaluated;                  /* nothing new since */
   struct change *changes;
   size_t change_count;
 };
 
 struct beryl_acceptor *
-beryl_acceptor_create (const struct beryl_spread *spread,
+beryl_acceptor_create (const struct beryl_config_log *spread,
                        struct beryl_acceptor_owner *owner)
 {
   struct beryl_acceptor *a = calloc (1, sizeof *a);
 
   if (a == NULL)
     return NULL;
-  a->spread = spread;
+  a->log = spread;
   a->owner = owner;
   return a;
 }
@@ -79,12 +79,12 @@
 }
 
 static int
-kind_place (const char *kind)
+kind_index (const char *kind)
 {
   for (int i = 0; i < KIND_COUNT; i++)
     if (strcmp (beryl_kind_name (kind_order[i]), kind) == 0)
       return i;
-  return strcmp (kind, BERYL_INSTANCE_KIND) == 0 ? INSTANCE_PLACE : -1;
+  return strcmp (kind, BERYL_INSTANCE_KIND) == 0 ? INSTANCE_ORDER : -1;
 }
 
 /* A writer's nonce, which settles lost replies, is no part of the object. */
@@ -109,9 +109,9 @@
 {
   char *text;
 
-  if (kind_place (kind) < 0)
+  if (kind_index (kind) < 0)
     return;
-  a->judged = false;
+  a->evaluated = false;
   if (json == NULL)
     {
       items_remove (&a->observed, kind, name);
@@ -127,12 +127,12 @@
 beryl_acceptor_synced (struct beryl_acceptor *a, const char *kind,
                        uint64_t revision)
 {
-  int i = kind_place (kind);
+  int i = kind_index (kind);
 
   if (i < 0 || revision <= a->synced[i])
     return;
   if (a->synced[i] == 0)
-    a->judged = false;
+    a->evaluated = false;
   a->synced[i] = revision;
 }
 
@@ -150,7 +150,7 @@
       if (a->synced[i] == 0
           || !BERYL_GUARD (BERYL_GUARD_ACCEPT_CURRENT,
                            a->synced[i]
-                               >= beryl_spread_revision (a->spread, kind)))
+                               >= beryl_config_log_revision (a->log, kind)))
         return false;
     }
   return true;
@@ -170,38 +170,38 @@
 static void
 change_add (struct beryl_acceptor *a, const struct item *item)
 {
-  struct beryl_spread_object accepted;
-  int place = kind_place (item->kind);
+  struct beryl_config_log_object accepted;
+  int place = kind_index (item->kind);
 
-  if (beryl_spread_find (a->spread, item->kind, item->name, &accepted)
+  if (beryl_config_log_find (a->log, item->kind, item->name, &accepted)
       && !BERYL_GUARD (BERYL_GUARD_ACCEPT_SOURCE,
                        item->version > accepted.source))
     return;
   a->changes[a->change_count++]
       = (struct change){ item->kind, item->name, item->version,
-                         item->json, place,      CHANGE_OPEN };
+                         item->json, place,      CHANGE_PENDING };
 }
 
 static void
 deletion_add (struct beryl_acceptor *a,
-              const struct beryl_spread_object *accepted)
+              const struct beryl_config_log_object *accepted)
 {
-  int place = kind_place (accepted->kind);
+  int place = kind_index (accepted->kind);
   bool found;
 
   items_find (&a->observed, accepted->kind, accepted->name, &found);
   if (found || place < 0 || a->synced[place] == 0)
     return;
   a->changes[a->change_count++] = (struct change){
-    accepted->kind, accepted->name, 0, NULL, 2 * INSTANCE_PLACE - place + 1,
-    CHANGE_OPEN
+    accepted->kind, accepted->name, 0, NULL, 2 * INSTANCE_ORDER - place + 1,
+    CHANGE_PENDING
   };
 }
 
 static bool
 changes_collect (struct beryl_acceptor *a)
 {
-  size_t accepted_count = beryl_spread_count (a->spread);
+  size_t accepted_count = beryl_config_log_count (a->log);
 
   free (a->changes);
   a->change_count = 0;
@@ -213,7 +213,7 @@
     change_add (a, &a->observed.list[i]);
   for (size_t i = 0; i < accepted_count; i++)
     {
-      struct beryl_spread_object object = beryl_spread_get (a->spread, i);
+      struct beryl_config_log_object object = beryl_config_log_get (a->log, i);
 
       deletion_add (a, &object);
     }
@@ -241,9 +241,9 @@
   char *text;
   size_t bytes = 0;
 
-  for (size_t i = 0; i < beryl_spread_count (a->spread); i++)
+  for (size_t i = 0; i < beryl_config_log_count (a->log); i++)
     {
-      struct beryl_spread_object o = beryl_spread_get (a->spread, i);
+      struct beryl_config_log_object o = beryl_config_log_get (a->log, i);
 
       if (strcmp (o.kind, BERYL_INSTANCE_KIND) != 0)
         items_put (&candidate, o.kind, o.name, o.source, o.json,
@@ -251,12 +251,12 @@
     }
   for (size_t i = 0; i < a->change_count; i++)
     if (strcmp (a->changes[i].kind, BERYL_INSTANCE_KIND) != 0
-        && (a->changes[i].state == CHANGE_TAKEN || (i >= from && i < to)))
+        && (a->changes[i].state == CHANGE_ACCEPTED || (i >= from && i < to)))
       change_put (&candidate, &a->changes[i]);
   text = items_array (&candidate, BERYL_INSTANCE_KIND, &bytes);
   if (text != NULL)
     config = beryl_config_parse (
-        text, bytes, beryl_spread_version (a->spread) + 1, findings);
+        text, bytes, beryl_config_log_version (a->log) + 1, findings);
   free (text);
   items_clear (&candidate);
   beryl_config_destroy (config);
@@ -271,7 +271,7 @@
   const char *name;
   bool match;
 
-  if (c->json == NULL || c->order == INSTANCE_PLACE)
+  if (c->json == NULL || c->order == INSTANCE_ORDER)
     return true;
   json = json_loads (c->json, JSON_REJECT_DUPLICATES, NULL);
   kind = json_string_value (json_object_get (json, "kind"));
@@ -286,13 +286,13 @@
 }
 
 static void
-change_tell (struct beryl_acceptor *a, const struct change *c, bool accepted,
-             const char *findings)
+change_report (struct beryl_acceptor *a, const struct change *c, bool accepted,
+               const char *findings)
 {
-  struct beryl_judgement judgement
+  struct beryl_validation_result judgement
       = { c->kind, c->name, c->version, accepted, findings };
 
-  a->owner->impl->judged (a->owner, &judgement);
+  a->owner->impl->validated (a->owner, &judgement);
 }
 
 /* Tells a rejection once; an unchanged object is judged again after every
@@ -316,7 +316,7 @@
     {
       items_put (&a->rejected, c->kind, c->name, c->version, text,
                  strlen (text));
-      change_tell (a, c, false, text);
+      change_report (a, c, false, text);
     }
   free (text);
 }
@@ -324,7 +324,7 @@
 /* Takes what is valid of [FROM, TO): all at once if it can, else in halves,
  * so that one bad object among thousands costs few checks. */
 static void
-changes_take (struct beryl_acceptor *a, size_t from, size_t to)
+changes_accept (struct beryl_acceptor *a, size_t from, size_t to)
 {
   struct beryl_findings *findings = beryl_findings_create ();
 
@@ -332,7 +332,7 @@
                    candidate_valid (a, from, to, findings)))
     {
       for (size_t i = from; i < to; i++)
-        a->changes[i].state = CHANGE_TAKEN;
+        a->changes[i].state = CHANGE_ACCEPTED;
     }
   else if (to - from == 1)
     change_reject (a, &a->changes[from], findings);
@@ -340,8 +340,8 @@
     {
       size_t middle = from + (to - from) / 2;
 
-      changes_take (a, from, middle);
-      changes_take (a, middle, to);
+      changes_accept (a, from, middle);
+      changes_accept (a, middle, to);
     }
   beryl_findings_destroy (findings);
 }
@@ -349,7 +349,7 @@
 /* Judges objects on their own first: a broken one never reaches the check
  * of the whole. */
 static void
-changes_screen (struct beryl_acceptor *a)
+changes_check_objects (struct beryl_acceptor *a)
 {
   size_t kept = 0;
 
@@ -358,7 +358,7 @@
       struct change *c = &a->changes[i];
       struct beryl_findings *findings = beryl_findings_create ();
       bool good = names_match (c, findings)
-                  && (c->json == NULL || c->order == INSTANCE_PLACE
+                  && (c->json == NULL || c->order == INSTANCE_ORDER
                       || beryl_config_check_object (c->json, strlen (c->json),
                                                     findings));
 
@@ -390,12 +390,12 @@
 }
 
 static size_t
-changes_taken (const struct beryl_acceptor *a)
+changes_accepted (const struct beryl_acceptor *a)
 {
   size_t taken = 0;
 
   for (size_t i = 0; i < a->change_count; i++)
-    taken += a->changes[i].state == CHANGE_TAKEN;
+    taken += a->changes[i].state == CHANGE_ACCEPTED;
   return taken;
 }
 
@@ -419,17 +419,17 @@
   if (out == NULL)
     return NULL;
   fprintf (out, "{\"version\":%" PRIu64 ",\"revisions\":{",
-           beryl_spread_version (a->spread) + 1);
+           beryl_config_log_version (a->log) + 1);
   for (int i = 0; i < KIND_COUNT; i++)
     fprintf (out, "%s\"%s\":%" PRIu64, i > 0 ? "," : "",
              beryl_kind_name (kind_order[i]), a->synced[i]);
   fputs ("},\"changes\":[", out);
   for (size_t i = 0; i < a->change_count; i++)
-    if (a->changes[i].state == CHANGE_TAKEN)
+    if (a->changes[i].state == CHANGE_ACCEPTED)
       {
         entry_change (&a->changes[i], first, out);
         items_remove (&a->rejected, a->changes[i].kind, a->changes[i].name);
-        change_tell (a, &a->changes[i], true, "");
+        change_report (a, &a->changes[i], true, "");
         first = false;
       }
   fputs ("]}", out);
@@ -440,22 +440,23 @@
 char *
 beryl_acceptor_propose (struct beryl_acceptor *a, size_t *bytes_count)
 {
-  uint64_t version = beryl_spread_version (a->spread);
+  uint64_t version = beryl_config_log_version (a->log);
 
-  if (!acceptor_is_current (a) || (a->judged && a->base_version == version))
+  if (!acceptor_is_current (a)
+      || (a->evaluated && a->evaluated_version == version))
     return NULL;
-  a->judged = true;
-  a->base_version = version;
+  a->evaluated = true;
+  a->evaluated_version = version;
   if (!changes_collect (a))
     return NULL;
-  changes_screen (a);
+  changes_check_objects (a);
   changes_limit (a);
   if (a->change_count == 0)
     return NULL;
-  changes_take (a, 0, a->change_count);
-  if (changes_taken (a) == 0)
+  changes_accept (a, 0, a->change_count);
+  if (changes_accepted (a) == 0)
     return NULL;
   /* The entry may lose its race; whatever wins, judge again. */
-  a->judged = false;
+  a->evaluated = false;
   return entry_format (a, bytes_count);
 }
--- a/libberyl/spread/spread.c
+++ b/libberyl/spread/config_log.c
@@ -1,4 +1,4 @@
-#include "beryl/spread.h"
+#include "beryl/config_log.h"
 
 #include <inttypes.h>
 #include <jansson.h>
@@ -11,8 +11,8 @@
 
 /* Entries kept for nodes that are a little behind; who is further behind
  * takes a snapshot. */
-#define KEPT_ENTRIES 512
-#define KEPT_BYTES (1U << 20)
+#define RETAINED_ENTRIES 512
+#define RETAINED_BYTES (1U << 20)
 
 #define REVISIONS_MAX 16
 
@@ -22,68 +22,69 @@
   uint64_t revision;
 };
 
-struct kept
+struct retained
 {
   char *text;
   size_t bytes;
 };
 
-struct beryl_spread
+struct beryl_config_log
 {
   uint64_t version;
   struct items items;
   struct revision revisions[REVISIONS_MAX];
   size_t revision_count;
-  struct kept kept[KEPT_ENTRIES]; /* by version modulo the size */
-  uint64_t kept_from;             /* first version kept */
-  size_t kept_bytes;
+  struct retained retained[RETAINED_ENTRIES]; /* by version modulo the size */
+  uint64_t first_retained;                    /* first version kept */
+  size_t retained_bytes;
 };
 
-struct beryl_spread *
-beryl_spread_create (void)
+struct beryl_config_log *
+beryl_config_log_create (void)
 {
-  struct beryl_spread *spread = calloc (1, sizeof *spread);
+  struct beryl_config_log *spread = calloc (1, sizeof *spread);
 
   if (spread != NULL)
-    spread->kept_from = 1;
+    spread->first_retained = 1;
   return spread;
 }
 
 static void
-kept_drop (struct beryl_spread *spread, uint64_t version)
+retained_drop (struct beryl_config_log *spread, uint64_t version)
 {
-  struct kept *k = &spread->kept[version % KEPT_ENTRIES];
+  struct retained *k = &spread->retained[version % RETAINED_ENTRIES];
 
-  spread->kept_bytes -= k->bytes;
+  spread->retained_bytes -= k->bytes;
   free (k->text);
   memset (k, 0, sizeof *k);
 }
 
 static void
-kept_clear (struct beryl_spread *spread)
+retained_clear (struct beryl_config_log *spread)
 {
-  while (spread->kept_from <= spread->version)
-    kept_drop (spread, spread->kept_from++);
+  while (spread->first_retained <= spread->version)
+    retained_drop (spread, spread->first_retained++);
 }
 
 void
-beryl_spread_destroy (struct beryl_spread *spread)
+beryl_config_log_destroy (struct beryl_config_log *spread)
 {
   if (spread == NULL)
     return;
-  kept_clear (spread);
+  retained_clear (spread);
   items_clear (&spread->items);
   free (spread);
 }
 
 uint64_t
-beryl_spread_version (const struct beryl_spread *spread)
+beryl_config_log_version (const struct beryl_config_log *spread)
 {
   return spread->version;
 }
 
 uint64_t
-beryl_spread_revision (const struct beryl_spread *spread, const char *kind)
+beryl_config_log_revision (const struct beryl_config_log *spread,
+                           const char *kind)
 {
   for (size_t i = 0; i < spread->revision_count; i++)
     if (strcmp (spread->revisions[i].kind, kind) == 0)
@@ -92,7 +93,7 @@
 }
 
 static void
-revision_raise (struct beryl_spread *spread, const char *kind,
+revision_raise (struct beryl_config_log *spread, const char *kind,
                 uint64_t revision)
 {
   struct revision *r = spread->revisions;
@@ -112,7 +113,7 @@
 }
 
 static void
-revisions_raise (struct beryl_spread *spread, json_t *revisions)
+revisions_raise (struct beryl_config_log *spread, json_t *revisions)
 {
   const char *kind;
   json_t *value;
@@ -193,28 +194,29 @@
 }
 
 static void
-kept_add (struct beryl_spread *spread, const char *entry, size_t entry_bytes)
+retained_add (struct beryl_config_log *spread, const char *entry,
+              size_t entry_bytes)
 {
-  struct kept *k = &spread->kept[spread->version % KEPT_ENTRIES];
+  struct retained *k = &spread->retained[spread->version % RETAINED_ENTRIES];
 
-  if (spread->version - spread->kept_from >= KEPT_ENTRIES)
-    kept_drop (spread, spread->kept_from++);
+  if (spread->version - spread->first_retained >= RETAINED_ENTRIES)
+    retained_drop (spread, spread->first_retained++);
   k->text = malloc (entry_bytes);
   if (k->text == NULL)
     {
-      kept_clear (spread);
+      retained_clear (spread);
       return;
     }
   memcpy (k->text, entry, entry_bytes);
   k->bytes = entry_bytes;
-  spread->kept_bytes += entry_bytes;
-  while (spread->kept_bytes > KEPT_BYTES
-         && spread->kept_from < spread->version)
-    kept_drop (spread, spread->kept_from++);
+  spread->retained_bytes += entry_bytes;
+  while (spread->retained_bytes > RETAINED_BYTES
+         && spread->first_retained < spread->version)
+    retained_drop (spread, spread->first_retained++);
 }
 
-static enum beryl_spread_result
-entry_apply (struct beryl_spread *spread, json_t *entry, const char *text,
+static enum beryl_config_log_result
+entry_apply (struct beryl_config_log *spread, json_t *entry, const char *text,
              size_t text_bytes, struct beryl_error *error)
 {
   json_t *changes = json_object_get (entry, "changes");
@@ -224,34 +226,34 @@
   if (version == 0 || !changes_valid (changes))
     {
       beryl_error_set (error, BERYL_ERROR_INVALID, "malformed entry");
-      return BERYL_SPREAD_INVALID;
+      return BERYL_CONFIG_LOG_INVALID;
     }
   if (version <= spread->version)
-    return BERYL_SPREAD_OLD;
+    return BERYL_CONFIG_LOG_OLD;
   if (!BERYL_GUARD (BERYL_GUARD_SPREAD_GAP, version == spread->version + 1))
-    return BERYL_SPREAD_GAP;
+    return BERYL_CONFIG_LOG_GAP;
   if (!changes_apply (&spread->items, changes))
     {
       beryl_error_set (error, BERYL_ERROR_INTERNAL, "out of memory");
-      return BERYL_SPREAD_INVALID;
+      return BERYL_CONFIG_LOG_INVALID;
     }
   revisions_raise (spread, json_object_get (entry, "revisions"));
   spread->version = version;
-  kept_add (spread, text, text_bytes);
-  return BERYL_SPREAD_APPLIED;
+  retained_add (spread, text, text_bytes);
+  return BERYL_CONFIG_LOG_APPLIED;
 }
 
-enum beryl_spread_result
-beryl_spread_apply (struct beryl_spread *spread, const char *entry,
-                    size_t entry_bytes, struct beryl_error *error)
+enum beryl_config_log_result
+beryl_config_log_apply (struct beryl_config_log *spread, const char *entry,
+                        size_t entry_bytes, struct beryl_error *error)
 {
   json_t *json = json_loadb (entry, entry_bytes, JSON_REJECT_DUPLICATES, NULL);
-  enum beryl_spread_result result;
+  enum beryl_config_log_result result;
 
   if (json == NULL)
     {
       beryl_error_set (error, BERYL_ERROR_INVALID, "entry is not JSON");
-      return BERYL_SPREAD_INVALID;
+      return BERYL_CONFIG_LOG_INVALID;
     }
   result = entry_apply (spread, json, entry, entry_bytes, error);
   json_decref (json);
@@ -259,15 +261,16 @@
 }
 
 char *
-beryl_spread_entries_after (const struct beryl_spread *spread, uint64_t after,
-                            size_t most_bytes, size_t *bytes_count)
+beryl_config_log_entries_after (const struct beryl_config_log *spread,
+                                uint64_t after, size_t most_bytes,
+                                size_t *bytes_count)
 {
   uint64_t version = after + 1;
   size_t total = 0;
   char *text = NULL;
   FILE *out;
 
-  if (version < spread->kept_from || version > spread->version)
+  if (version < spread->first_retained || version > spread->version)
     return NULL;
   out = open_memstream (&text, bytes_count);
   if (out == NULL)
@@ -275,7 +278,7 @@
   fputc ('[', out);
   for (; version <= spread->version; version++)
     {
-      const struct kept *k = &spread->kept[version % KEPT_ENTRIES];
+      const struct retained *k = &spread->retained[version % RETAINED_ENTRIES];
 
       if (total > 0 && total + k->bytes > most_bytes)
         break;
@@ -290,7 +293,7 @@
 }
 
 static void
-snapshot_revisions (const struct beryl_spread *spread, FILE *out)
+snapshot_revisions (const struct beryl_config_log *spread, FILE *out)
 {
   for (size_t i = 0; i < spread->revision_count; i++)
     fprintf (out, "%s\"%s\":%" PRIu64, i > 0 ? "," : "",
@@ -298,7 +301,8 @@
 }
 
 char *
-beryl_spread_snapshot (const struct beryl_spread *spread, size_t *bytes_count)
+beryl_config_log_snapshot (const struct beryl_config_log *spread,
+                           size_t *bytes_count)
 {
   char *text = NULL;
   FILE *out = open_memstream (&text, bytes_count);
@@ -323,8 +327,8 @@
   return text;
 }
 
-static enum beryl_spread_result
-snapshot_take (struct beryl_spread *spread, json_t *json,
+static enum beryl_config_log_result
+snapshot_load (struct beryl_config_log *spread, json_t *json,
                struct beryl_error *error)
 {
   json_t *changes = json_object_get (json, "changes");
@@ -336,82 +340,84 @@
     {
       items_clear (&items);
       beryl_error_set (error, BERYL_ERROR_INVALID, "malformed snapshot");
-      return BERYL_SPREAD_INVALID;
+      return BERYL_CONFIG_LOG_INVALID;
     }
-  kept_clear (spread);
+  retained_clear (spread);
   items_clear (&spread->items);
   spread->items = items;
   spread->version = version;
-  spread->kept_from = version + 1;
+  spread->first_retained = version + 1;
   revisions_raise (spread, json_object_get (json, "revisions"));
-  return BERYL_SPREAD_APPLIED;
+  return BERYL_CONFIG_LOG_APPLIED;
 }
 
-enum beryl_spread_result
-beryl_spread_load (struct beryl_spread *spread, const char *snapshot,
-                   size_t bytes_count, struct beryl_error *error)
+enum beryl_config_log_result
+beryl_config_log_load (struct beryl_config_log *spread, const char *snapshot,
+                       size_t bytes_count, struct beryl_error *error)
 {
   json_t *json
       = json_loadb (snapshot, bytes_count, JSON_REJECT_DUPLICATES, NULL);
-  enum beryl_spread_result result;
+  enum beryl_config_log_result result;
   uint64_t version;
 
   if (json == NULL)
     {
       beryl_error_set (error, BERYL_ERROR_INVALID, "snapshot is not JSON");
-      return BERYL_SPREAD_INVALID;
+      return BERYL_CONFIG_LOG_INVALID;
     }
   version = (uint64_t)json_integer_value (json_object_get (json, "version"));
   if (!BERYL_GUARD (BERYL_GUARD_SPREAD_NEWER, version > spread->version))
-    result = BERYL_SPREAD_OLD;
+    result = BERYL_CONFIG_LOG_OLD;
   else
-    result = snapshot_take (spread, json, error);
+    result = snapshot_load (spread, json, error);
   json_decref (json);
   return result;
 }
 
 char *
-beryl_spread_objects (const struct beryl_spread *spread, size_t *bytes_count)
+beryl_config_log_objects (const struct beryl_config_log *spread,
+                          size_t *bytes_count)
 {
   return items_array (&spread->items, BERYL_INSTANCE_KIND, bytes_count);
 }
 
 size_t
-beryl_spread_count (const struct beryl_spread *spread)
+beryl_config_log_count (const struct beryl_config_log *spread)
 {
   return spread->items.count;
 }
 
-struct beryl_spread_object
-beryl_spread_get (const struct beryl_spread *spread, size_t i)
+struct beryl_config_log_object
+beryl_config_log_get (const struct beryl_config_log *spread, size_t i)
 {
   const struct item *item = &spread->items.list[i];
 
-  return (struct beryl_spread_object){ item->kind, item->name, item->version,
-                                       item->json };
+  return (struct beryl_config_log_object){ item->kind, item->name,
+                                           item->version, item->json };
 }
 
 bool
-beryl_spread_find (const struct beryl_spread *spread, const char *kind,
-                   const char *name, struct beryl_spread_object *object)
+beryl_config_log_find (const struct beryl_config_log *spread, const char *kind,
+                       const char *name,
+                       struct beryl_config_log_object *object)
 {
   bool found;
   size_t i = items_find (&spread->items, kind, name, &found);
 
   if (found)
-    *object = beryl_spread_get (spread, i);
+    *object = beryl_config_log_get (spread, i);
   return found;
 }
 
 void
-beryl_spread_entry_name (uint64_t version, char name[BERYL_NAME_BYTES])
+beryl_config_log_entry_name (uint64_t version, char name[BERYL_NAME_BYTES])
 {
   snprintf (name, BERYL_NAME_BYTES, "log-%012" PRIu64, version);
 }
 
 void
-beryl_spread_part_name (uint64_t version, uint32_t part,
-                        char name[BERYL_NAME_BYTES])
+beryl_config_log_part_name (uint64_t version, uint32_t part,
+                            char name[BERYL_NAME_BYTES])
 {
   snprintf (name, BERYL_NAME_BYTES, "part-%012" PRIu64 "-%03u", version, part);
 }
--- a/tests/config/test_fields.c
+++ b/tests/config/test_fields.c
@@ -42,7 +42,7 @@
 static size_t
 read_bounds (const char *text, struct bounds *bounds)
 {
-  struct beryl_place place = { .findings = beryl_findings_create () };
+  struct beryl_location place = { .findings = beryl_findings_create () };
   json_t *json = json_loads (text, 0, NULL);
   size_t count;
 
--- a/tests/control/test_orders.c
+++ b/tests/control/test_orders.c
@@ -20,10 +20,10 @@
 static bool
 facts_gone (struct stage *s)
 {
-  struct beryl_spread_object fact;
+  struct beryl_config_log_object fact;
 
-  return !beryl_spread_find (s->nodes[0]->spread, BERYL_INSTANCE_KIND,
-                             "engine-1", &fact);
+  return !beryl_config_log_find (s->nodes[0]->spread, BERYL_INSTANCE_KIND,
+                                 "engine-1", &fact);
 }
 
 /* A fake engine that takes orders; it is asked for its load before it is
@@ -94,7 +94,7 @@
 START_TEST (engine_rests_and_returns)
 {
   struct stage s;
-  struct beryl_spread_object fact;
+  struct beryl_config_log_object fact;
   struct loop_timer *timer;
 
   stage_open (&s, 0);
@@ -109,8 +109,8 @@
   ck_assert (stage_await (&s, engine_serves, 10000));
   s.waiting = 0;
   ck_assert (stage_await (&s, engine_rests, 20000));
-  ck_assert (beryl_spread_find (s.nodes[0]->spread, BERYL_INSTANCE_KIND,
-                                "engine-1", &fact));
+  ck_assert (beryl_config_log_find (s.nodes[0]->spread, BERYL_INSTANCE_KIND,
+                                    "engine-1", &fact));
   s.waiting = 1;
   ck_assert (stage_await (&s, engine_serves, 10000));
   ck_assert (stage_await (&s, facts_gone, 10000));
@@ -132,7 +132,7 @@
 START_TEST (switched_off_planner_leaves_no_drain)
 {
   struct stage s;
-  struct beryl_spread_object fact;
+  struct beryl_config_log_object fact;
 
   stage_open (&s, 0);
   s.planner = true;
@@ -150,8 +150,8 @@
   role_task_release (s.nodes[0]->roles);
   ck_assert (stage_await (&s, facts_gone, 20000));
   stage_await (&s, stage_never, 2500);
-  ck_assert (beryl_spread_find (s.nodes[0]->spread, BERYL_INSTANCE_KIND,
-                                "engine-2", &fact));
+  ck_assert (beryl_config_log_find (s.nodes[0]->spread, BERYL_INSTANCE_KIND,
+                                    "engine-2", &fact));
   stage_close (&s);
 }
 END_TEST
--- a/tests/control/test_spread.c
+++ b/tests/control/test_spread.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "beryl/spread.h"
+#include "beryl/config_log.h"
 
 #define KINDS 7
 
@@ -14,7 +14,7 @@
 struct desk
 {
   struct beryl_acceptor_owner base;
-  struct beryl_spread *spread;
+  struct beryl_config_log *spread;
   struct beryl_acceptor *acceptor;
   uint32_t accepted;
   uint32_t rejected;
@@ -22,7 +22,7 @@
 
 static void
 desk_judged (struct beryl_acceptor_owner *owner,
-             const struct beryl_judgement *judgement)
+             const struct beryl_validation_result *judgement)
 {
   struct desk *d = (struct desk *)owner;
 
@@ -31,14 +31,14 @@
 }
 
 static const struct beryl_acceptor_owner_impl desk_impl
-    = { .judged = desk_judged };
+    = { .validated = desk_judged };
 
 static void
 desk_open (struct desk *d)
 {
   memset (d, 0, sizeof *d);
   d->base.impl = &desk_impl;
-  d->spread = beryl_spread_create ();
+  d->spread = beryl_config_log_create ();
   d->acceptor = beryl_acceptor_create (d->spread, &d->base);
 }
 
@@ -46,7 +46,7 @@
 desk_close (struct desk *d)
 {
   beryl_acceptor_destroy (d->acceptor);
-  beryl_spread_destroy (d->spread);
+  beryl_config_log_destroy (d->spread);
 }
 
 static void
@@ -78,8 +78,8 @@
 
   if (entry == NULL)
     return false;
-  applied = beryl_spread_apply (d->spread, entry, bytes, NULL)
-            == BERYL_SPREAD_APPLIED;
+  applied = beryl_config_log_apply (d->spread, entry, bytes, NULL)
+            == BERYL_CONFIG_LOG_APPLIED;
   free (entry);
   return applied;
 }
@@ -90,7 +90,7 @@
 START_TEST (invalid_edit_keeps_the_last_good)
 {
   struct desk d;
-  struct beryl_spread_object o;
+  struct beryl_config_log_object o;
 
   desk_open (&d);
   desk_observe (&d, "model", "m", 1, "{\"version\":\"1\"}");
@@ -100,7 +100,7 @@
   desk_observe (&d, "service", "s", 3, "{\"modle\":\"m\"}");
   ck_assert (!desk_accept (&d));
   ck_assert_uint_eq (d.rejected, 1);
-  ck_assert (beryl_spread_find (d.spread, "service", "s", &o));
+  ck_assert (beryl_config_log_find (d.spread, "service", "s", &o));
   ck_assert_uint_eq (o.source, 2);
   ck_assert (!desk_accept (&d));
   ck_assert_uint_eq (d.rejected, 1);
@@ -113,7 +113,7 @@
 START_TEST (deletion_of_a_needed_object_is_rejected)
 {
   struct desk d;
-  struct beryl_spread_object o;
+  struct beryl_config_log_object o;
 
   desk_open (&d);
   desk_observe (&d, "model", "m", 1, "{\"version\":\"1\"}");
@@ -125,7 +125,7 @@
   ck_assert_uint_eq (d.rejected, 1);
   beryl_acceptor_observe (d.acceptor, "service", "s", 4, NULL, 0);
   ck_assert (desk_accept (&d));
-  ck_assert (!beryl_spread_find (d.spread, "model", "m", &o));
+  ck_assert (!beryl_config_log_find (d.spread, "model", "m", &o));
   desk_close (&d);
 }
 END_TEST
@@ -136,7 +136,7 @@
 START_TEST (acceptor_from_the_past_does_not_judge)
 {
   struct desk d;
-  struct beryl_spread_object o;
+  struct beryl_config_log_object o;
 
   desk_open (&d);
   desk_observe (&d, "service", "s", 8, "{}");
@@ -146,11 +146,11 @@
   d.acceptor = beryl_acceptor_create (d.spread, &d.base);
   desk_sync (&d, 5);
   ck_assert (!desk_accept (&d));
-  ck_assert (beryl_spread_find (d.spread, "service", "s", &o));
+  ck_assert (beryl_config_log_find (d.spread, "service", "s", &o));
   desk_observe (&d, "service", "s", 8, "{}");
   desk_sync (&d, 9);
   ck_assert (!desk_accept (&d));
-  ck_assert_uint_eq (beryl_spread_version (d.spread), 1);
+  ck_assert_uint_eq (beryl_config_log_version (d.spread), 1);
   desk_close (&d);
 }
 END_TEST
@@ -171,8 +171,8 @@
     }
   desk_sync (&d, 3000);
   while (desk_accept (&d))
-    ck_assert_uint_lt (beryl_spread_version (d.spread), 10);
-  ck_assert_uint_eq (beryl_spread_count (d.spread), 2999);
+    ck_assert_uint_lt (beryl_config_log_version (d.spread), 10);
+  ck_assert_uint_eq (beryl_config_log_count (d.spread), 2999);
   ck_assert_uint_eq (d.rejected, 1);
   desk_close (&d);
 }
@@ -185,21 +185,22 @@
 {
   static const char first[] = "{\"version\":1,\"changes\":[]}";
   static const char second[] = "{\"version\":2,\"changes\":[]}";
-  struct beryl_spread *s = beryl_spread_create ();
+  struct beryl_config_log *s = beryl_config_log_create ();
   size_t bytes = 0;
   char *old;
 
-  ck_assert_int_eq (beryl_spread_apply (s, second, strlen (second), NULL),
-                    BERYL_SPREAD_GAP);
-  ck_assert_int_eq (beryl_spread_apply (s, first, strlen (first), NULL),
-                    BERYL_SPREAD_APPLIED);
-  old = beryl_spread_snapshot (s, &bytes);
-  ck_assert_int_eq (beryl_spread_apply (s, second, strlen (second), NULL),
-                    BERYL_SPREAD_APPLIED);
-  ck_assert_int_eq (beryl_spread_load (s, old, bytes, NULL), BERYL_SPREAD_OLD);
-  ck_assert_uint_eq (beryl_spread_version (s), 2);
+  ck_assert_int_eq (beryl_config_log_apply (s, second, strlen (second), NULL),
+                    BERYL_CONFIG_LOG_GAP);
+  ck_assert_int_eq (beryl_config_log_apply (s, first, strlen (first), NULL),
+                    BERYL_CONFIG_LOG_APPLIED);
+  old = beryl_config_log_snapshot (s, &bytes);
+  ck_assert_int_eq (beryl_config_log_apply (s, second, strlen (second), NULL),
+                    BERYL_CONFIG_LOG_APPLIED);
+  ck_assert_int_eq (beryl_config_log_load (s, old, bytes, NULL),
+                    BERYL_CONFIG_LOG_OLD);
+  ck_assert_uint_eq (beryl_config_log_version (s), 2);
   free (old);
-  beryl_spread_destroy (s);
+  beryl_config_log_destroy (s);
 }
 END_TEST
 
@@ -215,15 +216,16 @@
           "{\"version\":1}",
           "{\"version\":1,\"changes\":[{\"kind\":\"a\"}]}",
           bad_object };
-  struct beryl_spread *s = beryl_spread_create ();
+  struct beryl_config_log *s = beryl_config_log_create ();
   struct beryl_error error = { 0 };
 
   for (size_t i = 0; i < sizeof bad / sizeof bad[0]; i++)
-    ck_assert_int_eq (beryl_spread_apply (s, bad[i], strlen (bad[i]), &error),
-                      BERYL_SPREAD_INVALID);
-  ck_assert_uint_eq (beryl_spread_version (s), 0);
-  ck_assert_uint_eq (beryl_spread_count (s), 0);
-  beryl_spread_destroy (s);
+    ck_assert_int_eq (
+        beryl_config_log_apply (s, bad[i], strlen (bad[i]), &error),
+        BERYL_CONFIG_LOG_INVALID);
+  ck_assert_uint_eq (beryl_config_log_version (s), 0);
+  ck_assert_uint_eq (beryl_config_log_count (s), 0);
+  beryl_config_log_destroy (s);
 }
 END_TEST
 
--- a/tests/control/test_spread_history.c
+++ b/tests/control/test_spread_history.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #include "beryl/config.h"
-#include "beryl/spread.h"
+#include "beryl/config_log.h"
 #include "mutant.h"
 #include "sim.h"
 #include "store.h"
@@ -28,7 +28,7 @@
 {
   struct beryl_acceptor_owner base;
   struct world *world;
-  struct beryl_spread *spread;
+  struct beryl_config_log *spread;
   struct beryl_acceptor *acceptor;
   uint64_t cursors[KINDS];
   bool listed[KINDS];
@@ -72,9 +72,9 @@
 state_check (struct node *n)
 {
   struct world *w = n->world;
-  uint64_t version = beryl_spread_version (n->spread);
+  uint64_t version = beryl_config_log_version (n->spread);
   size_t bytes = 0;
-  char *text = beryl_spread_objects (n->spread, &bytes);
+  char *text = beryl_config_log_objects (n->spread, &bytes);
   struct beryl_findings *findings;
   struct beryl_config *config;
 
@@ -156,9 +156,9 @@
 {
   struct beryl_error error = { 0 };
 
-  ck_assert_int_ne (beryl_spread_apply (n->spread, entry, bytes, &error),
-                    BERYL_SPREAD_INVALID);
-  if (beryl_spread_version (n->spread) > n->world->highest)
+  ck_assert_int_ne (beryl_config_log_apply (n->spread, entry, bytes, &error),
+                    BERYL_CONFIG_LOG_INVALID);
+  if (beryl_config_log_version (n->spread) > n->world->highest)
     entry_check (n->world, entry, bytes);
   state_check (n);
 }
@@ -173,7 +173,8 @@
 
   for (;;)
     {
-      beryl_spread_entry_name (beryl_spread_version (n->spread) + skip, name);
+      beryl_config_log_entry_name (beryl_config_log_version (n->spread) + skip,
+                                   name);
       skip = 1;
       if (store_get (n->world->store, BERYL_ACCEPTED_KIND, name,
                      read_time_ms (n->world), &r)
@@ -256,7 +257,7 @@
 
   if (w->outage)
     return;
-  beryl_spread_entry_name (e->version, name);
+  beryl_config_log_entry_name (e->version, name);
   w->refused_races
       += store_put (w->store, BERYL_ACCEPTED_KIND, name, STORE_IF_ABSENT,
                     &version, e->text, e->bytes, sim_now_ms (w->sim))
@@ -280,7 +281,7 @@
     return;
   e = malloc (sizeof *e + bytes);
   e->life = n->life;
-  e->version = beryl_spread_version (n->spread) + 1;
+  e->version = beryl_config_log_version (n->spread) + 1;
   e->bytes = bytes;
   memcpy (e->text, text, bytes);
   free (text);
@@ -314,8 +315,9 @@
 peer_entries (struct node *to, const struct node *from)
 {
   size_t bytes = 0;
-  uint64_t have = beryl_spread_version (to->spread);
-  char *text = beryl_spread_entries_after (from->spread, have, 4096, &bytes);
+  uint64_t have = beryl_config_log_version (to->spread);
+  char *text
+      = beryl_config_log_entries_after (from->spread, have, 4096, &bytes);
   struct beryl_error error = { 0 };
   json_t *array;
   json_t *entry;
@@ -323,9 +325,10 @@
 
   if (text == NULL)
     {
-      text = beryl_spread_snapshot (from->spread, &bytes);
-      ck_assert_int_ne (beryl_spread_load (to->spread, text, bytes, &error),
-                        BERYL_SPREAD_INVALID);
+      text = beryl_config_log_snapshot (from->spread, &bytes);
+      ck_assert_int_ne (
+          beryl_config_log_load (to->spread, text, bytes, &error),
+          BERYL_CONFIG_LOG_INVALID);
       free (text);
       state_check (to);
       return;
@@ -360,7 +363,7 @@
 
 static void
 node_judged (struct beryl_acceptor_owner *owner,
-             const struct beryl_judgement *judgement)
+             const struct beryl_validation_result *judgement)
 {
   struct node *n = (struct node *)owner;
 
@@ -369,7 +372,7 @@
 }
 
 static const struct beryl_acceptor_owner_impl node_impl
-    = { .judged = node_judged };
+    = { .validated = node_judged };
 
 static void
 node_start (struct node *n)
@@ -377,7 +380,7 @@
   n->base.impl = &node_impl;
   n->life++;
   n->version = 0;
-  n->spread = beryl_spread_create ();
+  n->spread = beryl_config_log_create ();
   n->acceptor = beryl_acceptor_create (n->spread, &n->base);
   memset (n->cursors, 0, sizeof n->cursors);
   memset (n->listed, 0, sizeof n->listed);
@@ -387,7 +390,7 @@
 node_stop (struct node *n)
 {
   beryl_acceptor_destroy (n->acceptor);
-  beryl_spread_destroy (n->spread);
+  beryl_config_log_destroy (n->spread);
 }
 
 static int
@@ -529,7 +532,8 @@
       ck_assert_msg (w.invalid == 0, "seed %lu: invalid in force", seed);
       for (int i = 0; i < NODES; i++)
         {
-          ck_assert_msg (beryl_spread_version (w.nodes[i].spread) == w.highest,
+          ck_assert_msg (beryl_config_log_version (w.nodes[i].spread)
+                             == w.highest,
                          "seed %lu: node %d is behind", seed, i);
           rejected += w.nodes[i].rejected;
         }
--- a/tests/platform/ask.c
+++ b/tests/platform/ask.c
@@ -8,9 +8,10 @@
 ask_within (const struct fake *f, enum beryl_platform_use use, int64_t seconds,
             bool wait)
 {
-  return (struct beryl_platform_options){
-    .use = use, .deadline_ms = f->now_ms + seconds * 1000, .wait = wait
-  };
+  return (struct beryl_platform_options){ .use = use,
+                                          .deadline_ms
+                                          = f->now_ms + seconds * 1000,
+                                          .wait_for_recovery = wait };
 }
 
 uint64_t
--- a/tests/platform/test_feed.c
+++ b/tests/platform/test_feed.c
@@ -51,7 +51,7 @@
   uint64_t sent;
   struct beryl_platform_event event;
 
-  beryl_platform_watch_rest (c->core, watch, true);
+  beryl_platform_watch_pause (c->core, watch, true);
   /* The call that waits is answered by the first change. */
   ask_store_set (&f, "b", "{}");
   fake_run (&f, f.now_ms + 1000);
@@ -60,8 +60,8 @@
     {
       ask_store_set (&f, "c", "{}");
       event = put_of ("c", version);
-      ck_assert (beryl_platform_feed (c->core, watch, version - 1, version,
-                                      &event, 1));
+      ck_assert (beryl_platform_watch_apply (c->core, watch, version - 1,
+                                             version, &event, 1));
       fake_run (&f, f.now_ms + 100);
     }
   ck_assert_uint_eq (c->sent, sent);
@@ -78,10 +78,11 @@
   uint64_t watch = open_watch (&f, &c);
   struct beryl_platform_event event = put_of ("d", 5);
 
-  ck_assert (!beryl_platform_feed (c->core, watch, 4, 5, &event, 1));
+  ck_assert (!beryl_platform_watch_apply (c->core, watch, 4, 5, &event, 1));
   ck_assert_str_eq (c->events, "+a");
   ck_assert_uint_eq (c->revision, 1);
-  ck_assert (!beryl_platform_feed (c->core, watch + 9, 1, 5, &event, 1));
+  ck_assert (
+      !beryl_platform_watch_apply (c->core, watch + 9, 1, 5, &event, 1));
   fake_destroy (&f);
 }
 END_TEST
@@ -96,9 +97,9 @@
   struct beryl_platform_event born = put_of ("b", 2);
   struct beryl_platform_event both[] = { born, delete_of ("b", 3) };
 
-  ck_assert (beryl_platform_feed (c->core, watch, 1, 3, both, 2));
+  ck_assert (beryl_platform_watch_apply (c->core, watch, 1, 3, both, 2));
   ck_assert_str_eq (c->events, "+a +b -b");
-  ck_assert (beryl_platform_feed (c->core, watch, 1, 2, &born, 1));
+  ck_assert (beryl_platform_watch_apply (c->core, watch, 1, 2, &born, 1));
   ck_assert_str_eq (c->events, "+a +b -b");
   ck_assert_uint_eq (c->revision, 3);
   fake_destroy (&f);
@@ -116,7 +117,7 @@
   fake_init (&f, 1);
   c = fake_add (&f, NULL);
   watch = beryl_platform_watch (c->core, BERYL_USE_INSTANCES, "log", f.now_ms);
-  ck_assert (!beryl_platform_feed (c->core, watch, 0, 1, &event, 1));
+  ck_assert (!beryl_platform_watch_apply (c->core, watch, 0, 1, &event, 1));
   ck_assert_str_eq (c->events, "");
   fake_destroy (&f);
 }
@@ -129,13 +130,13 @@
   struct fake_client *c;
   uint64_t watch = open_watch (&f, &c);
 
-  beryl_platform_watch_rest (c->core, watch, true);
+  beryl_platform_watch_pause (c->core, watch, true);
   ask_store_set (&f, "b", "{}");
   fake_run (&f, f.now_ms + 2000);
   ask_store_set (&f, "c", "{}");
   fake_run (&f, f.now_ms + 2000);
   ck_assert_str_eq (c->events, "+a +b");
-  beryl_platform_watch_rest (c->core, watch, false);
+  beryl_platform_watch_pause (c->core, watch, false);
   fake_run (&f, f.now_ms + 100);
   ck_assert_str_eq (c->events, "+a +b +c");
   /* And it watches again. */
@@ -154,12 +155,12 @@
   uint64_t watch = open_watch (&f, &c);
   uint64_t sent;
 
-  beryl_platform_watch_rest (c->core, watch, true);
+  beryl_platform_watch_pause (c->core, watch, true);
   ask_store_set (&f, "b", "{}");
   fake_run (&f, f.now_ms + 1000);
   ask_store_set (&f, "c", "{}");
   sent = c->sent;
-  beryl_platform_poke (c->core, watch);
+  beryl_platform_watch_refresh (c->core, watch);
   fake_run (&f, f.now_ms + 5000);
   ck_assert_str_eq (c->events, "+a +b +c");
   ck_assert_uint_eq (c->sent, sent + 1);
--- a/tests/platform/test_histories.c
+++ b/tests/platform/test_histories.c
@@ -29,7 +29,7 @@
 {
   return (struct beryl_platform_options){ .use = BERYL_USE_CLAIM,
                                           .deadline_ms = f->now_ms + 8000,
-                                          .wait = true };
+                                          .wait_for_recovery = true };
 }
 
 /** Begin a round: read the counter, and race for the round's object. */
--- a/tests/platform/test_outage.c
+++ b/tests/platform/test_outage.c
@@ -146,7 +146,7 @@
     ask_get (c, (const char *[]){ "a", "b", "c", "d", "e", "f", "g", "h" }[i],
              0, 4);
   fake_run (&f, f.now_ms + 10000);
-  ck_assert (beryl_platform_is_away (c->core));
+  ck_assert (beryl_platform_is_unreachable (c->core));
   sent = c->sent;
   fake_run (&f, f.now_ms + 60000);
   ck_assert_uint_lt (c->sent - sent, 30);
@@ -157,7 +157,7 @@
   ck_assert_int_lt (f.now_ms - (int64_t)sent, 2500);
   f.faults.hang = false;
   fake_run (&f, f.now_ms + 8000);
-  ck_assert (!beryl_platform_is_away (c->core));
+  ck_assert (!beryl_platform_is_unreachable (c->core));
   ck_assert_uint_eq (beryl_platform_counts (c->core)->breaker_opened, 1);
   fake_destroy (&f);
 }
@@ -183,9 +183,9 @@
       beryl_platform_get (c->core, &o, "log", "lease", 0, f.now_ms);
       fake_run (&f, f.now_ms + 250);
       if (i == 59)
-        ck_assert (beryl_platform_is_away (c->core));
+        ck_assert (beryl_platform_is_unreachable (c->core));
     }
-  ck_assert (!beryl_platform_is_away (c->core));
+  ck_assert (!beryl_platform_is_unreachable (c->core));
   ck_assert_int_eq (c->results[c->result_count - 1].code,
                     BERYL_ERROR_NOT_FOUND);
   ck_assert_uint_lt (c->sent, 70);
@@ -215,7 +215,7 @@
       beryl_platform_get (c->core, &o, "log", "lease", 0, f.now_ms);
       fake_run (&f, f.now_ms + 250);
     }
-  ck_assert (!beryl_platform_is_away (c->core));
+  ck_assert (!beryl_platform_is_unreachable (c->core));
   fake_destroy (&f);
 }
 END_TEST
@@ -236,7 +236,7 @@
   f.faults.outage = true;
   ask_get (c, "a", 0, 1);
   fake_run (&f, f.now_ms + 100);
-  ck_assert (beryl_platform_is_away (c->core));
+  ck_assert (beryl_platform_is_unreachable (c->core));
   began_ms = f.now_ms;
   o = ask_within (&f, BERYL_USE_CLAIM, 30, false);
   request = beryl_platform_get (c->core, &o, "log", "z", 0, f.now_ms);
@@ -261,7 +261,7 @@
   ck_assert_int_eq (r->code, BERYL_OK);
   ck_assert_int_ge (r->at_ms - began_ms, 1000);
   ck_assert_uint_eq (beryl_platform_counts (c->core)->refused, 1);
-  ck_assert (!beryl_platform_is_away (c->core));
+  ck_assert (!beryl_platform_is_unreachable (c->core));
   fake_destroy (&f);
 }
 END_TEST
@@ -310,7 +310,7 @@
   ask_get (c, "b", 0, 5);
   ck_assert_int_eq (fake_wait (c, ask_get (c, "c", 0, 5))->code,
                     BERYL_ERROR_LIMIT);
-  beryl_platform_forget (c->core, first);
+  beryl_platform_cancel (c->core, first);
   fake_run (&f, f.now_ms + 1000);
   for (size_t i = 0; i < c->result_count; i++)
     ck_assert_uint_ne (c->results[i].request, first);
