--- a/common/settings.c
+++ b/common/settings.c
@@ -21,7 +21,7 @@
   place.findings = placed;
   snprintf (place.pointer, sizeof place.pointer, "/0");
   if (json_array_size (yaml_file_documents (file)) != 1)
-    beryl_location_finding (&place, NULL, "must be one YAML document");
+    beryl_location_report (&place, NULL, "must be one YAML document");
   else
     beryl_fields_read (&place, json_array_get (yaml_file_documents (file), 0),
                        fields, field_count, target);
--- a/gatewayd/settings.c
+++ b/gatewayd/settings.c
@@ -26,7 +26,7 @@
   if (length == 0 || length >= sizeof address->ip || port == 0
       || port > UINT16_MAX)
     {
-      beryl_location_finding (place, NULL, "must be \"IP-number:port\"");
+      beryl_location_report (place, NULL, "must be \"IP-number:port\"");
       return;
     }
   memcpy (address->ip, text, length);
--- a/include/beryl/config_log.h
+++ b/include/beryl/config_log.h
@@ -55,7 +55,7 @@
  * MOST_BYTES (at least one entry); NULL if they are no longer kept, or there
  * are none.  free() it. */
 char *beryl_config_log_entries_after (const struct beryl_config_log *spread,
-                                      uint64_t after, size_t most_bytes,
+                                      uint64_t after, size_t max_bytes,
                                       size_t *bytes_count);
 
 /** Return the whole state as JSON; free() it. */
--- a/include/beryl/fields.h
+++ b/include/beryl/fields.h
@@ -61,8 +61,8 @@
 };
 
 /** Add a finding at PLACE, below MEMBER unless it is NULL. */
-void beryl_location_finding (const struct beryl_location *location,
-                             const char *member, const char *format, ...)
+void beryl_location_report (const struct beryl_location *location,
+                            const char *member, const char *format, ...)
     __attribute__ ((format (printf, 3, 4)));
 
 /** Set CHILD to the member KEY below PLACE. */
--- a/include/beryl/membership.h
+++ b/include/beryl/membership.h
@@ -218,7 +218,7 @@
  * DATA_CENTRE unless it is "". */
 bool beryl_membership_is_candidate (const struct beryl_membership *m,
                                     const char *role, const char *data_centre,
-                                    uint32_t most);
+                                    uint32_t max_candidates);
 
 /** Return the stable name of STATE. */
 const char *beryl_member_state_name (enum beryl_member_state state);
--- a/libberyl/config/fields.c
+++ b/libberyl/config/fields.c
@@ -13,8 +13,8 @@
 #define ROUNDING_ERROR 1e-6
 
 void
-beryl_location_finding (const struct beryl_location *location,
-                        const char *member, const char *format, ...)
+beryl_location_report (const struct beryl_location *location,
+                       const char *member, const char *format, ...)
 {
   char pointer[384];
   char message[256];
@@ -66,17 +66,17 @@
   const char *text = json_string_value (value);
 
   if (text == NULL)
-    beryl_location_finding (location, field->key, "%s must be text",
-                            field->key);
+    beryl_location_report (location, field->key, "%s must be text",
+                           field->key);
   else if (strlen (text) >= field->bytes)
-    beryl_location_finding (location, field->key, "%s has more than %zu bytes",
-                            field->key, field->bytes - 1);
+    beryl_location_report (location, field->key, "%s has more than %zu bytes",
+                           field->key, field->bytes - 1);
   else if (!text_is_printable (text))
-    beryl_location_finding (location, field->key,
-                            "%s contains control characters", field->key);
+    beryl_location_report (location, field->key,
+                           "%s contains control characters", field->key);
   else if (field->type == BERYL_FIELD_NAME && !beryl_field_name_valid (text))
-    beryl_location_finding (location, field->key,
-                            "%s must match [a-z0-9._-]{1,63}", field->key);
+    beryl_location_report (location, field->key,
+                           "%s must match [a-z0-9._-]{1,63}", field->key);
   else
     memcpy (target, text, strlen (text) + 1);
 }
@@ -91,8 +91,8 @@
   if (text == NULL
       || (inet_pton (AF_INET, text, number) != 1
           && inet_pton (AF_INET6, text, number) != 1))
-    beryl_location_finding (location, field->key, "%s must be an IP number",
-                            field->key);
+    beryl_location_report (location, field->key, "%s must be an IP number",
+                           field->key);
   else
     read_text (location, field, value, target);
 }
@@ -138,16 +138,16 @@
   double n = clamp_number (field, json_number_value (value));
 
   if (whole && field->rounding == BERYL_ROUND_NONE && !json_is_integer (value))
-    beryl_location_finding (location, field->key, "%s must be an integer",
-                            field->key);
+    beryl_location_report (location, field->key, "%s must be an integer",
+                           field->key);
   else if (!json_is_number (value))
-    beryl_location_finding (location, field->key, "%s must be a number",
-                            field->key);
+    beryl_location_report (location, field->key, "%s must be a number",
+                           field->key);
   else if (n < field->min || n > field->max)
-    beryl_location_finding (location, field->key,
-                            whole ? "%s must be from %.0f to %.0f"
-                                  : "%s must be from %g to %g",
-                            field->key, field->min, field->max);
+    beryl_location_report (location, field->key,
+                           whole ? "%s must be from %.0f to %.0f"
+                                 : "%s must be from %g to %g",
+                           field->key, field->min, field->max);
   else
     {
       *number = n;
@@ -189,8 +189,8 @@
         *target = c;
         return;
       }
-  beryl_location_finding (location, field->key,
-                          "%s must be urgent, normal or batch", field->key);
+  beryl_location_report (location, field->key,
+                         "%s must be urgent, normal or batch", field->key);
 }
 
 static void
@@ -206,9 +206,9 @@
         *target = r;
         return;
       }
-  beryl_location_finding (location, field->key,
-                          "%s must be prefill, decode, both or service",
-                          field->key);
+  beryl_location_report (location, field->key,
+                         "%s must be prefill, decode, both or service",
+                         field->key);
 }
 
 static void
@@ -216,8 +216,8 @@
            const struct beryl_field *field, json_t *value, bool *target)
 {
   if (!json_is_boolean (value))
-    beryl_location_finding (location, field->key, "%s must be true or false",
-                            field->key);
+    beryl_location_report (location, field->key, "%s must be true or false",
+                           field->key);
   else
     *target = json_is_true (value);
 }
@@ -283,7 +283,7 @@
 
   if (!json_is_object (json))
     {
-      beryl_location_finding (location, NULL, "must be an object");
+      beryl_location_report (location, NULL, "must be an object");
       return;
     }
   json_object_foreach (json, key, value)
@@ -291,11 +291,11 @@
     const struct beryl_field *field = find_field (fields, field_count, key);
 
     if (field == NULL)
-      beryl_location_finding (location, key, "unknown key \"%.64s\"", key);
+      beryl_location_report (location, key, "unknown key \"%.64s\"", key);
     else if (!json_is_null (value) || !field->null_is_default)
       read_field (location, field, value, target);
   }
   for (size_t i = 0; i < field_count; i++)
     if (fields[i].required && json_object_get (json, fields[i].key) == NULL)
-      beryl_location_finding (location, NULL, "%s is missing", fields[i].key);
+      beryl_location_report (location, NULL, "%s is missing", fields[i].key);
 }
--- a/libberyl/config/kinds.c
+++ b/libberyl/config/kinds.c
@@ -46,8 +46,8 @@
 {
   if (json_is_array (value) && json_array_size (value) <= MAX_ARRAY)
     return true;
-  beryl_location_finding (location, NULL,
-                          "must be an array of at most %d items", MAX_ARRAY);
+  beryl_location_report (location, NULL,
+                         "must be an array of at most %d items", MAX_ARRAY);
   return false;
 }
 
@@ -123,8 +123,8 @@
 
     snprintf (index, sizeof index, "%zu", i);
     if (!digest_valid (text))
-      beryl_location_finding (location, index,
-                              "token_sha256 must be 64 lower-case hex digits");
+      beryl_location_report (location, index,
+                             "token_sha256 must be 64 lower-case hex digits");
     else
       memcpy (organisation->token_sha256[organisation->token_count++], text,
               DIGEST_HEX_BYTES + 1);
@@ -184,8 +184,8 @@
   const struct beryl_pool *pool = target;
 
   if (pool->min_endpoints > pool->max_endpoints)
-    beryl_location_finding (location, "min_endpoints",
-                            "min_endpoints is above max_endpoints");
+    beryl_location_report (location, "min_endpoints",
+                           "min_endpoints is above max_endpoints");
 }
 
 static const struct beryl_field model_fields[] = {
@@ -288,8 +288,8 @@
   for (size_t i = 0; i < COUNT (levels); i++)
     if (strcmp (system->log_level, levels[i]) == 0)
       return;
-  beryl_location_finding (location, "log_level",
-                          "log_level must be error, warning, info or debug");
+  beryl_location_report (location, "log_level",
+                         "log_level must be error, warning, info or debug");
 }
 
 static const struct kind kinds[] = {
--- a/libberyl/config/parse.c
+++ b/libberyl/config/parse.c
@@ -69,26 +69,26 @@
   *name = json_string_value (json_object_get (object, "name"));
   if (!json_is_object (object))
     {
-      beryl_location_finding (location, NULL, "must be an object");
+      beryl_location_report (location, NULL, "must be an object");
       return NULL;
     }
   json_object_foreach (object, key, value)
   {
     if (!is_envelope_key (key))
-      beryl_location_finding (location, key, "unknown key \"%.64s\"", key);
+      beryl_location_report (location, key, "unknown key \"%.64s\"", key);
   }
   if (version == NULL || strcmp (version, API_VERSION) != 0)
-    beryl_location_finding (location, "api_version",
-                            "api_version must be " API_VERSION);
+    beryl_location_report (location, "api_version",
+                           "api_version must be " API_VERSION);
   kind = kind_name != NULL ? kind_find (kind_name) : NULL;
   if (kind == NULL)
-    beryl_location_finding (location, "kind",
-                            "kind must be service, pool, model, organisation, "
-                            "urgency, endpoint or system");
+    beryl_location_report (location, "kind",
+                           "kind must be service, pool, model, organisation, "
+                           "urgency, endpoint or system");
   if (*name == NULL || !beryl_field_name_valid (*name))
     {
-      beryl_location_finding (location, "name",
-                              "name must match [a-z0-9._-]{1,63}");
+      beryl_location_report (location, "name",
+                             "name must match [a-z0-9._-]{1,63}");
       *name = NULL;
     }
   return *name != NULL ? kind : NULL;
@@ -114,7 +114,7 @@
 
   snprintf (key, sizeof key, "%s/%s", beryl_kind_name (kind->kind), name);
   if (json_object_get (parser->seen, key) != NULL)
-    beryl_location_finding (location, "name", "declared more than once");
+    beryl_location_report (location, "name", "declared more than once");
   json_object_set_new (parser->seen, key, json_true ());
 }
 
@@ -133,11 +133,11 @@
             beryl_kind_name (kind->kind), name);
   check_unique (parser, location, kind, name);
   if (kind->kind == BERYL_KIND_SYSTEM && strcmp (name, SYSTEM_NAME) != 0)
-    beryl_location_finding (location, "name", "its name must be " SYSTEM_NAME);
+    beryl_location_report (location, "name", "its name must be " SYSTEM_NAME);
   target = list_append (&parser->lists[kind->kind], kind->bytes);
   if (target == NULL)
     {
-      beryl_location_finding (location, NULL, "out of memory");
+      beryl_location_report (location, NULL, "out of memory");
       return;
     }
   if (kind->kind != BERYL_KIND_SYSTEM)
--- a/libberyl/membership/homes.c
+++ b/libberyl/membership/homes.c
@@ -5,7 +5,7 @@
 
 /* Most of a data centre's organisations that are sent elsewhere: a far node
  * costs each of their calls a longer way, so evenness has its price. */
-#define AWAY_MAX_PERCENT 25
+#define REASSIGNED_MAX_PERCENT 25
 
 int
 homed_organisation_compare (const void *a, const void *b)
@@ -41,9 +41,9 @@
 
 /* How many come before DATA_CENTRE's one of HASH. */
 static size_t
-homed_before (const struct homed_organisation *organisations,
-              size_t organisation_count, const char *data_centre,
-              uint64_t hash)
+organisations_before (const struct homed_organisation *organisations,
+                      size_t organisation_count, const char *data_centre,
+                      uint64_t hash)
 {
   size_t low = 0;
   size_t high = organisation_count;
@@ -65,12 +65,13 @@
 /* Organisations of DATA_CENTRE.  Should a name hash to the greatest number,
  * the count is short by one. */
 static size_t
-homed_count (const struct homed_organisation *organisations,
-             size_t organisation_count, const char *data_centre)
+organisations_in (const struct homed_organisation *organisations,
+                  size_t organisation_count, const char *data_centre)
 {
-  return homed_before (organisations, organisation_count, data_centre,
-                       UINT64_MAX)
-         - homed_before (organisations, organisation_count, data_centre, 0);
+  return organisations_before (organisations, organisation_count, data_centre,
+                               UINT64_MAX)
+         - organisations_before (organisations, organisation_count,
+                                 data_centre, 0);
 }
 
 /* Returns how many have a home among HOMES. */
@@ -83,8 +84,8 @@
 
   for (size_t i = 0; i < home_count; i++)
     {
-      homes[i].organisations = homed_count (organisations, organisation_count,
-                                            homes[i].data_centre);
+      homes[i].organisations = organisations_in (
+          organisations, organisation_count, homes[i].data_centre);
       total += homes[i].organisations;
     }
   return total;
@@ -98,7 +99,7 @@
 
 /* Whole numbers that sum up to TOTAL, in proportion to the nodes. */
 static void
-homes_share (struct home *homes, size_t home_count, size_t total)
+homes_assign (struct home *homes, size_t home_count, size_t total)
 {
   size_t nodes = 0;
   size_t before = 0;
@@ -116,7 +117,7 @@
       h->spare = fair > h->organisations ? fair - h->organisations : 0;
       if (h->organisations > fair)
         h->retained -= least (h->organisations - fair,
-                              h->organisations * AWAY_MAX_PERCENT / 100);
+                              h->organisations * REASSIGNED_MAX_PERCENT / 100);
     }
 }
 
@@ -132,8 +133,8 @@
 /* Hand what FROM still sends to homes with room, in its region or anywhere;
  * SENT is how many it has sent before.  Notes where the one of T goes. */
 static void
-home_send (struct home *homes, size_t home_count, const struct home *from,
-           bool any_region, size_t *sent, struct reassignment *t)
+home_reassign (struct home *homes, size_t home_count, const struct home *from,
+               bool any_region, size_t *sent, struct reassignment *t)
 {
   size_t most = from->organisations - from->retained;
 
@@ -155,7 +156,7 @@
 }
 
 static bool
-homes_send (struct home *homes, size_t home_count, struct reassignment *t)
+homes_reassign (struct home *homes, size_t home_count, struct reassignment *t)
 {
   size_t *sent = calloc (home_count, sizeof *sent);
 
@@ -163,7 +164,8 @@
     return false;
   for (int any_region = 0; any_region <= 1; any_region++)
     for (size_t i = 0; i < home_count; i++)
-      home_send (homes, home_count, &homes[i], any_region != 0, &sent[i], t);
+      home_reassign (homes, home_count, &homes[i], any_region != 0, &sent[i],
+                     t);
   free (sent);
   return true;
 }
@@ -178,10 +180,11 @@
   const struct home *home;
   struct reassignment t = { 0 };
   const char *name = organisation->data_centre;
-  size_t count = homed_count (organisations, organisation_count, name);
-  size_t rank = homed_before (organisations, organisation_count, name,
+  size_t count = organisations_in (organisations, organisation_count, name);
+  size_t rank
+      = organisations_before (organisations, organisation_count, name,
                               organisation->hash)
-                - homed_before (organisations, organisation_count, name, 0);
+        - organisations_before (organisations, organisation_count, name, 0);
 
   if (count == 0)
     return false;
@@ -190,12 +193,12 @@
   home = home_find (homes, home_count, name);
   if (home == NULL)
     return true; /* lost: the region's nodes, by the same rank */
-  homes_share (
+  homes_assign (
       homes, home_count,
       homes_count (homes, home_count, organisations, organisation_count));
   if (rank >= home->retained)
     t = (struct reassignment){ .from = home, .rank = rank - home->retained };
-  if (!homes_send (homes, home_count, &t))
+  if (!homes_reassign (homes, home_count, &t))
     return false;
   if (t.to != NULL)
     {
--- a/libberyl/membership/table.c
+++ b/libberyl/membership/table.c
@@ -280,7 +280,7 @@
 bool
 beryl_membership_is_candidate (const struct beryl_membership *m,
                                const char *role, const char *data_centre,
-                               uint32_t most)
+                               uint32_t max_candidates)
 {
   const struct beryl_member *self = beryl_membership_self (m);
   uint64_t score = role_score (role, self->name);
@@ -296,5 +296,5 @@
           && role_score (role, member->name) > score)
         ahead++;
     }
-  return ahead < most;
+  return ahead < max_candidates;
 }
--- a/libberyl/spread/config_log.c
+++ b/libberyl/spread/config_log.c
@@ -262,7 +262,7 @@
 
 char *
 beryl_config_log_entries_after (const struct beryl_config_log *spread,
-                                uint64_t after, size_t most_bytes,
+                                uint64_t after, size_t max_bytes,
                                 size_t *bytes_count)
 {
   uint64_t version = after + 1;
@@ -280,7 +280,7 @@
     {
       const struct retained *k = &spread->retained[version % RETAINED_ENTRIES];
 
-      if (total > 0 && total + k->bytes > most_bytes)
+      if (total > 0 && total + k->bytes > max_bytes)
         break;
       if (total > 0)
         fputc (',', out);
--- a/tests/control/bench_planner.c
+++ b/tests/control/bench_planner.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 
 #include "sim.h"
-#include "town.h"
+#include "fleet_sim.h"
 
 #define DAY_S 86400
 #define LEARN_DAYS 2
@@ -54,7 +54,7 @@
   enum beryl_sizing sizing;
   int64_t load_ms;
   int data_centres; /* with one there is no spare for the loss of one */
-  struct town_counts counts;
+  struct fleet_sim_counts counts;
 };
 
 /* Days differ from each other by up to a quarter, and so do the quarters of
@@ -62,14 +62,14 @@
 static void
 row_measure (struct row *row, const struct curve *curve)
 {
-  struct town_settings settings = { .sizing = row->sizing,
-                                    .engines = 24,
-                                    .data_centres = row->data_centres,
-                                    .load_ms = row->load_ms,
-                                    .call_ms = 20000,
-                                    .deadline_ms = 30000,
-                                    .seed = 11 };
-  struct town *town = town_create (&settings);
+  struct fleet_sim_settings settings = { .sizing = row->sizing,
+                                         .engines = 24,
+                                         .data_centres = row->data_centres,
+                                         .load_ms = row->load_ms,
+                                         .call_ms = 20000,
+                                         .deadline_ms = 30000,
+                                         .seed = 11 };
+  struct fleet_sim *town = fleet_sim_create (&settings);
   struct sim *chance = sim_create (5);
   double level = 1;
   double wave = 1;
@@ -78,23 +78,24 @@
     {
       level = 0.75 + (double)sim_random (chance, 50) / 100;
       if (day == LEARN_DAYS)
-        town_reset (town);
+        fleet_sim_reset_counts (town);
       for (int second = 0; second < DAY_S; second++)
         {
           if (second % 900 == 0)
             wave = 0.85 + (double)sim_random (chance, 30) / 100;
-          town_second (town, curve->rate (second) * level * wave);
+          fleet_sim_run_second (town, curve->rate (second) * level * wave);
         }
     }
-  row->counts = *town_counts (town);
+  row->counts = *fleet_sim_counts (town);
   sim_destroy (chance);
-  town_destroy (town);
+  fleet_sim_destroy (town);
 }
 
 static double
 goodput (const struct row *row)
 {
-  return 100.0 * (double)row->counts.in_time / (double)row->counts.calls;
+  return 100.0 * (double)row->counts.started_in_time
+         / (double)row->counts.calls;
 }
 
 static double
@@ -127,7 +128,7 @@
           printf ("%-7s %5d  %6ld  %-9s  %16.1f  %10lu  %9.2f  %5u\n",
                   row->curve, row->data_centres, row->load_ms / 1000,
                   beryl_sizing_name (row->sizing), hours_a_day (row),
-                  row->counts.cold, goodput (row), row->counts.loads);
+                  row->counts.arrived_cold, goodput (row), row->counts.loads);
           fflush (stdout);
         }
   printf ("{\"bench\":\"planner\",\"rows\":[");
@@ -138,8 +139,8 @@
             "\"in_time_percent\":%.2f,\"loads\":%u}",
             i > 0 ? "," : "", rows[i].curve, rows[i].data_centres,
             rows[i].load_ms, beryl_sizing_name (rows[i].sizing),
-            hours_a_day (&rows[i]), rows[i].counts.cold, goodput (&rows[i]),
-            rows[i].counts.loads);
+            hours_a_day (&rows[i]), rows[i].counts.arrived_cold,
+            goodput (&rows[i]), rows[i].counts.loads);
   printf ("]}\n");
   return 0;
 }
--- a/tests/control/cluster.c
+++ b/tests/control/cluster.c
@@ -29,20 +29,20 @@
 };
 
 static bool
-is_cut (const struct cluster *c, int a, int b)
+is_partitioned (const struct cluster *c, int a, int b)
 {
-  return c->cut_region >= 0
-         && (c->nodes[a].region == c->cut_region)
-                != (c->nodes[b].region == c->cut_region);
+  return c->partitioned_region >= 0
+         && (c->nodes[a].region == c->partitioned_region)
+                != (c->nodes[b].region == c->partitioned_region);
 }
 
 static void
-packet_arrives (void *user, void *data)
+packet_deliver (void *user, void *data)
 {
   struct node *n = user;
   const struct packet *p = data;
 
-  if (n->down || n->frozen || is_cut (n->cluster, p->from, n->index))
+  if (n->down || n->frozen || is_partitioned (n->cluster, p->from, n->index))
     return;
   beryl_membership_receive (n->m, &p->message, "", 0,
                             cluster_now_ms (n->cluster));
@@ -79,7 +79,7 @@
   p = malloc (sizeof *p);
   p->from = n->index;
   p->message = *message;
-  sim_after (c->sim, 1 + (int64_t)sim_random (c->sim, 3), packet_arrives,
+  sim_after (c->sim, 1 + (int64_t)sim_random (c->sim, 3), packet_deliver,
              &c->nodes[address_index (address)], p);
 }
 
@@ -93,8 +93,8 @@
 }
 
 static void
-node_behind (struct beryl_membership_owner *owner,
-             const struct beryl_member *peer)
+node_pull_config (struct beryl_membership_owner *owner,
+                  const struct beryl_member *peer)
 {
   struct node *n = (struct node *)owner;
 
@@ -123,7 +123,7 @@
   struct node *other = &n->cluster->nodes[address_index (peer->address)];
 
   if (n->down || n->frozen || other->down || other->frozen
-      || is_cut (n->cluster, n->index, other->index))
+      || is_partitioned (n->cluster, n->index, other->index))
     return;
   if (beryl_membership_digest (n->m) == beryl_membership_digest (other->m))
     {
@@ -138,7 +138,7 @@
 static const struct beryl_membership_owner_impl node_impl = {
   .send = node_send,
   .changed = node_changed,
-  .pull_config = node_behind,
+  .pull_config = node_pull_config,
   .sync = node_sync,
 };
 
@@ -163,17 +163,17 @@
   struct beryl_member *self = &settings.self;
   const struct beryl_listed_instance *item = &c->list[n->index];
 
-  n->life++;
+  n->starts++;
   n->down = false;
   memcpy (self->name, item->name, sizeof self->name);
   memcpy (self->address, item->address, sizeof self->address);
   memcpy (self->data_centre, item->data_centre, sizeof self->data_centre);
   memcpy (self->region, item->region, sizeof self->region);
   self->port = item->port;
-  self->incarnation = 1000000 * n->life + (uint64_t)cluster_now_ms (c);
+  self->incarnation = 1000000 * n->starts + (uint64_t)cluster_now_ms (c);
   settings.seed = sim_random (c->sim, UINT64_MAX);
   n->m = beryl_membership_create (&settings, &n->base, cluster_now_ms (c));
-  beryl_membership_set_instances (n->m, c->list, c->listed,
+  beryl_membership_set_instances (n->m, c->list, c->listed_count,
                                   cluster_now_ms (c));
 }
 
@@ -188,12 +188,12 @@
   for (int i = 0; i < c->node_count; i++)
     {
       struct node *n = &c->nodes[i];
-      size_t count = c->listed;
+      size_t count = c->listed_count;
 
       if (n->down || n->frozen)
         continue;
       if (c->list_flaps && sim_chance (c->sim, 60))
-        count = sim_random (c->sim, c->listed);
+        count = sim_random (c->sim, c->listed_count);
       beryl_membership_set_instances (n->m, c->list, count,
                                       cluster_now_ms (c));
     }
@@ -208,8 +208,8 @@
   c->writer = frame_writer_create (GOSSIP_DATAGRAM);
   c->node_count = nodes;
   c->data_centres = data_centres;
-  c->cut_region = -1;
-  c->listed = (size_t)nodes;
+  c->partitioned_region = -1;
+  c->listed_count = (size_t)nodes;
   for (int i = 0; i < nodes; i++)
     {
       struct beryl_listed_instance *item = &c->list[i];
--- a/tests/control/cluster.h
+++ b/tests/control/cluster.h
@@ -22,7 +22,7 @@
   bool down;
   bool frozen; /* takes nothing, sends nothing, but lives */
   int region;
-  uint64_t life;
+  uint64_t starts;
   uint64_t sent_bytes;
   uint32_t deaths; /* members that it saw declared dead */
 };
@@ -35,9 +35,9 @@
   int data_centres;
   int regions;
   uint32_t loss_percent;
-  int cut_region; /* apart from the others; -1: none */
+  int partitioned_region; /* apart from the others; -1: none */
   struct beryl_listed_instance list[NODES_MAX];
-  size_t listed;
+  size_t listed_count;
   bool list_flaps;
   struct frame_writer *writer;
 };
--- a/tests/control/town.c
+++ b/tests/control/fleet_sim.c
@@ -1,4 +1,4 @@
-#include "town.h"
+#include "fleet_sim.h"
 
 #include <math.h>
 #include <stdio.h>
@@ -13,24 +13,24 @@
 #define SECOND_MS 1000
 #define WEIGHT_BYTES 10000000000ULL
 
-struct town
+struct fleet_sim
 {
   struct beryl_planner_owner base;
-  struct town_settings settings;
-  struct sim *chance;
+  struct fleet_sim_settings settings;
+  struct sim *random;
   struct beryl_planner *planner;
   struct beryl_config *config;
   char version[BERYL_NAME_BYTES];
-  struct town_engine engines[TOWN_ENGINES_MAX];
+  struct fleet_sim_engine engines[FLEET_SIM_ENGINES_MAX];
   int64_t now_ms;
   int64_t waiting[WAITING_MAX]; /* when they came, oldest first */
   size_t waiting_count;
   uint32_t running;
-  struct town_counts counts;
+  struct fleet_sim_counts counts;
 };
 
-static struct town_engine *
-find_engine (struct town *t, const char *name)
+static struct fleet_sim_engine *
+find_engine (struct fleet_sim *t, const char *name)
 {
   for (int i = 0; i < t->settings.engines; i++)
     if (strcmp (t->engines[i].name, name) == 0)
@@ -41,8 +41,8 @@
 static void
 take_order (struct beryl_planner_owner *owner, const struct beryl_order *order)
 {
-  struct town *t = (struct town *)owner;
-  struct town_engine *e = find_engine (t, order->endpoint);
+  struct fleet_sim *t = (struct fleet_sim *)owner;
+  struct fleet_sim_engine *e = find_engine (t, order->endpoint);
 
   if (e->dead)
     return;
@@ -72,9 +72,9 @@
     = { .order = take_order };
 
 static void
-config_build (struct town *t)
+config_build (struct fleet_sim *t)
 {
-  static char text[TOWN_ENGINES_MAX * 320 + 2048];
+  static char text[FLEET_SIM_ENGINES_MAX * 320 + 2048];
   int n = snprintf (
       text, sizeof text,
       "[{\"api_version\":\"beryl/v1\",\"kind\":\"model\",\"name\":\"m\","
@@ -104,7 +104,7 @@
 }
 
 static void
-planner_create (struct town *t)
+planner_create (struct fleet_sim *t)
 {
   struct beryl_planner_settings settings
       = { .sizing = t->settings.sizing,
@@ -116,7 +116,7 @@
 }
 
 void
-town_replace_planner (struct town *t)
+fleet_sim_replace_planner (struct fleet_sim *t)
 {
   beryl_planner_destroy (t->planner);
   planner_create (t);
@@ -124,27 +124,27 @@
 }
 
 bool
-town_replace_planner_saved (struct town *t)
+fleet_sim_replace_planner_saved (struct fleet_sim *t)
 {
   size_t bytes = 0;
   char *saved = beryl_planner_save (t->planner, "s", &bytes);
   bool restored;
 
-  town_replace_planner (t);
+  fleet_sim_replace_planner (t);
   restored = beryl_planner_restore (t->planner, "s", saved, bytes);
   free (saved);
   return restored;
 }
 
-struct town *
-town_create (const struct town_settings *settings)
+struct fleet_sim *
+fleet_sim_create (const struct fleet_sim_settings *settings)
 {
-  struct town *t = calloc (1, sizeof *t);
+  struct fleet_sim *t = calloc (1, sizeof *t);
 
   t->base.impl = &owner_impl;
   t->settings = *settings;
   t->now_ms = 1000;
-  t->chance = sim_create (settings->seed);
+  t->random = sim_create (settings->seed);
   planner_create (t);
   snprintf (t->version, sizeof t->version, "v1");
   for (int i = 0; i < settings->engines; i++)
@@ -154,41 +154,41 @@
 }
 
 void
-town_destroy (struct town *t)
+fleet_sim_destroy (struct fleet_sim *t)
 {
   beryl_planner_destroy (t->planner);
   beryl_config_destroy (t->config);
-  sim_destroy (t->chance);
+  sim_destroy (t->random);
   free (t);
 }
 
 int64_t
-town_now_ms (const struct town *t)
+fleet_sim_now_ms (const struct fleet_sim *t)
 {
   return t->now_ms;
 }
 
 void
-town_set_version (struct town *t, const char *version)
+fleet_sim_set_version (struct fleet_sim *t, const char *version)
 {
   snprintf (t->version, sizeof t->version, "%s", version);
   config_build (t);
 }
 
-struct town_engine *
-town_engine (struct town *t, int i)
+struct fleet_sim_engine *
+fleet_sim_engine (struct fleet_sim *t, int i)
 {
   return &t->engines[i];
 }
 
 int
-town_warm (const struct town *t, const char *version)
+fleet_sim_warm (const struct fleet_sim *t, const char *version)
 {
   int warm = 0;
 
   for (int i = 0; i < t->settings.engines; i++)
     {
-      const struct town_engine *e = &t->engines[i];
+      const struct fleet_sim_engine *e = &t->engines[i];
 
       warm += !e->dead && e->version[0] != '\0'
               && (version == NULL || strcmp (e->version, version) == 0);
@@ -197,7 +197,7 @@
 }
 
 int
-town_warm_in (const struct town *t, int dc)
+fleet_sim_warm_in (const struct fleet_sim *t, int dc)
 {
   int warm = 0;
 
@@ -206,27 +206,27 @@
   return warm;
 }
 
-const struct town_counts *
-town_counts (const struct town *t)
+const struct fleet_sim_counts *
+fleet_sim_counts (const struct fleet_sim *t)
 {
   return &t->counts;
 }
 
 void
-town_reset (struct town *t)
+fleet_sim_reset_counts (struct fleet_sim *t)
 {
   memset (&t->counts, 0, sizeof t->counts);
 }
 
 uint32_t
-town_wanted (const struct town *t)
+fleet_sim_wanted (const struct fleet_sim *t)
 {
   return beryl_planner_wanted (t->planner, "s");
 }
 
 /* Poisson by counting exponential gaps; the means here are small. */
 static uint32_t
-poisson (struct town *t, double mean)
+poisson (struct fleet_sim *t, double mean)
 {
   double limit = exp (-mean);
   double product = 1;
@@ -234,7 +234,7 @@
 
   do
     {
-      product *= (double)(sim_random (t->chance, 1000000) + 1) / 1000001;
+      product *= (double)(sim_random (t->random, 1000000) + 1) / 1000001;
       count++;
     }
   while (product > limit);
@@ -242,31 +242,31 @@
 }
 
 static void
-calls_end (struct town *t)
+calls_end (struct fleet_sim *t)
 {
   double chance = (double)SECOND_MS / (double)t->settings.call_ms;
   uint32_t ended = 0;
 
   for (uint32_t i = 0; i < t->running; i++)
-    ended += sim_random (t->chance, 1000000) < chance * 1000000;
+    ended += sim_random (t->random, 1000000) < chance * 1000000;
   t->running -= ended;
 }
 
 static void
-calls_arrive (struct town *t, uint32_t count)
+calls_arrive (struct fleet_sim *t, uint32_t count)
 {
   t->counts.calls += count;
-  if (town_warm (t, NULL) == 0)
-    t->counts.cold += count;
+  if (fleet_sim_warm (t, NULL) == 0)
+    t->counts.arrived_cold += count;
   for (uint32_t i = 0; i < count && t->waiting_count < WAITING_MAX; i++)
     t->waiting[t->waiting_count++] = t->now_ms;
 }
 
 /* Those that have waited beyond the deadline are gone. */
 static void
-calls_start (struct town *t)
+calls_start (struct fleet_sim *t)
 {
-  uint32_t slots = (uint32_t)town_warm (t, NULL) * SLOTS;
+  uint32_t slots = (uint32_t)fleet_sim_warm (t, NULL) * SLOTS;
   size_t taken = 0;
 
   while (taken < t->waiting_count)
@@ -278,7 +278,7 @@
       if (!late)
         {
           t->running++;
-          t->counts.in_time++;
+          t->counts.started_in_time++;
         }
       taken++;
     }
@@ -288,13 +288,13 @@
 }
 
 static void
-engines_run (struct town *t)
+engines_run (struct fleet_sim *t)
 {
   uint32_t loading = 0;
 
   for (int i = 0; i < t->settings.engines; i++)
     {
-      struct town_engine *e = &t->engines[i];
+      struct fleet_sim_engine *e = &t->engines[i];
 
       if (!e->dead && e->loading[0] != '\0' && t->now_ms >= e->ready_ms)
         {
@@ -305,18 +305,18 @@
         t->counts.engine_hours += 1.0 / 3600;
       loading += !e->dead && e->loading[0] != '\0';
     }
-  if (loading > t->counts.most_loading)
-    t->counts.most_loading = loading;
-  if (town_warm (t, NULL) == 0 && t->running > 0)
-    t->counts.versions_dropped++;
+  if (loading > t->counts.loading_max)
+    t->counts.loading_max = loading;
+  if (fleet_sim_warm (t, NULL) == 0 && t->running > 0)
+    t->counts.unserved_s++;
 }
 
 static void
-engines_report (struct town *t)
+engines_report (struct fleet_sim *t)
 {
   for (int i = 0; i < t->settings.engines; i++)
     {
-      const struct town_engine *e = &t->engines[i];
+      const struct fleet_sim_engine *e = &t->engines[i];
       bool loading = e->loading[0] != '\0';
       struct beryl_engine_state state
           = { .endpoint = e->name,
@@ -332,7 +332,7 @@
 }
 
 void
-town_second (struct town *t, double calls_per_s)
+fleet_sim_run_second (struct fleet_sim *t, double calls_per_s)
 {
   uint32_t arrived = poisson (t, calls_per_s);
 
--- a/tests/control/test_discovery.c
+++ b/tests/control/test_discovery.c
@@ -150,7 +150,7 @@
 /* Story: nearly all callers sit in one data centre.  Even loads would send
  * nine of ten organisations on a long way; only a quarter may be, and all of
  * these to its own region, which has room for them. */
-START_TEST (most_stay_near)
+START_TEST (most_organisations_stay_local)
 {
   struct fleet *f = fleet_create (400, 10);
   size_t away = 0;
@@ -174,7 +174,7 @@
 /* Story: a data centre is lost whose organisations are declared.  They must
  * go to live nodes of the region, evenly: 220 over 120 nodes are 183 percent
  * of an organisation each. */
-START_TEST (declared_data_centre_is_lost)
+START_TEST (lost_home_data_centre_falls_back_to_region)
 {
   struct fleet *f = fleet_create (400, 10);
   uint32_t load[400] = { 0 };
@@ -227,7 +227,7 @@
 /* Story: a data centre loses power.  Its nodes turn suspect and later leave
  * the list; its callers must be sent to the region's other data centres and
  * find a live node first in each answer. */
-START_TEST (lost_data_centre_goes_elsewhere)
+START_TEST (lost_data_centre_falls_back_to_region)
 {
   struct fleet *f = fleet_create (12, 6);
   struct beryl_discovery_choice c[BERYL_DISCOVERY_MAX];
@@ -290,10 +290,10 @@
   tcase_set_timeout (t, 30);
   tcase_add_test (t, spread_is_even);
   tcase_add_test (t, spread_is_even_by_data_centre);
-  tcase_add_test (t, most_stay_near);
-  tcase_add_test (t, declared_data_centre_is_lost);
+  tcase_add_test (t, most_organisations_stay_local);
+  tcase_add_test (t, lost_home_data_centre_falls_back_to_region);
   tcase_add_test (t, leaving_nodes_are_not_named);
-  tcase_add_test (t, lost_data_centre_goes_elsewhere);
+  tcase_add_test (t, lost_data_centre_falls_back_to_region);
   tcase_add_test (t, suspects_are_the_last_resort);
   tcase_add_test (t, no_nodes_no_choices);
   suite_add_tcase (s, t);
--- a/tests/control/test_membership.c
+++ b/tests/control/test_membership.c
@@ -6,7 +6,7 @@
 
 /* Story: all instances are started together and know only the instance
  * list; each must find all others before it serves a fair share. */
-START_TEST (members_find_each_other)
+START_TEST (members_discover_each_other)
 {
   struct cluster *c = cluster_create (1, 8, 4, 1);
   int64_t took_ms = cluster_until_alive (c, 30000);
@@ -20,7 +20,7 @@
 /* Story: a node loses power.  Callers are handed its address until the
  * others notice; it must be suspect everywhere within seconds, and nobody
  * else may be. */
-START_TEST (dead_node_is_noticed)
+START_TEST (dead_node_is_suspected)
 {
   for (uint64_t seed = 1; seed <= 5; seed++)
     {
@@ -41,7 +41,7 @@
 
 /* Story: a node gets SIGTERM.  Discovery elsewhere must stop naming it
  * within two seconds, also with packets lost. */
-START_TEST (leaving_node_is_noticed)
+START_TEST (leaving_node_is_announced)
 {
   struct cluster *c = cluster_create (2, 40, 4, 2);
   int behind = 0;
@@ -67,10 +67,10 @@
   int64_t took_ms;
 
   cluster_until_alive (c, 60000);
-  c->cut_region = 1;
+  c->partitioned_region = 1;
   cluster_run (c, 180000);
   ck_assert_int_eq (cluster_seen_as (c, 1, BERYL_MEMBER_SUSPECT), 16);
-  c->cut_region = -1;
+  c->partitioned_region = -1;
   took_ms = cluster_until_alive (c, 120000);
   printf ("24 nodes, region apart for 180 s: whole after %ld ms\n", took_ms);
   ck_assert_int_le (took_ms, 30000);
@@ -82,7 +82,7 @@
 
 /* Story: the instance list flaps: in most readings some live instances are
  * missing.  Whoever believes it cancels the streams of live nodes. */
-START_TEST (flapping_list_kills_nobody)
+START_TEST (flapping_list_causes_no_death)
 {
   for (uint64_t seed = 1; seed <= 10; seed++)
     {
@@ -101,7 +101,7 @@
 
 /* Story: an instance is gone and the platform's list confirms it.  Only then
  * is it dead, and what it held may be cancelled. */
-START_TEST (listed_absence_confirms_a_death)
+START_TEST (absence_from_list_confirms_death)
 {
   struct cluster *c = cluster_create (4, 8, 4, 1);
 
@@ -110,7 +110,7 @@
   cluster_run (c, 30000);
   ck_assert_int_eq (cluster_seen_as (c, 7, BERYL_MEMBER_DEAD), 0);
   ck_assert_int_eq (cluster_seen_as (c, 7, BERYL_MEMBER_SUSPECT), 7);
-  c->listed = 7;
+  c->listed_count = 7;
   cluster_run (c, 10000);
   ck_assert_int_eq (cluster_seen_as (c, 7, BERYL_MEMBER_DEAD), 7);
   cluster_destroy (c);
@@ -120,7 +120,7 @@
 /* Story: a node restarts under its name while the others still suspect its
  * former life; a late message of that life must not take the new one down,
  * and the new one must be seen with its new incarnation. */
-START_TEST (restart_replaces_the_former_life)
+START_TEST (restart_replaces_previous_incarnation)
 {
   struct cluster *c = cluster_create (5, 8, 4, 1);
   struct beryl_member old;
@@ -164,16 +164,16 @@
 /* Story: a node is paused, and the instance list forgets it for one reading.
  * It is silent and absent at the same moment, yet it lives; taking it for
  * dead would cancel the streams that it goes on with when it wakes. */
-START_TEST (one_missing_reading_kills_nobody)
+START_TEST (single_missing_listing_causes_no_death)
 {
   struct cluster *c = cluster_create (9, 12, 3, 1);
 
   cluster_until_alive (c, 30000);
   c->nodes[11].frozen = true;
   cluster_run (c, 9000);
-  c->listed = 11;
+  c->listed_count = 11;
   cluster_run (c, 1500);
-  c->listed = 12;
+  c->listed_count = 12;
   cluster_run (c, 2000);
   c->nodes[11].frozen = false;
   cluster_run (c, 5000);
@@ -185,7 +185,7 @@
 
 /* Story: a configuration change must be known to all nodes in a moment, also
  * with packets lost; a slow spread leaves some nodes on old rules. */
-START_TEST (config_version_spreads)
+START_TEST (config_version_propagates)
 {
   struct cluster *c = cluster_create (7, 40, 4, 2);
   int64_t start_ms;
@@ -213,7 +213,7 @@
  * within seconds, or its callers go on connecting to it; by turns the
  * bridges would need a minute.  Bytes at rest must stay within the budget.
  * bench_membership measures the same for 400 nodes. */
-START_TEST (lost_data_centre_is_noticed)
+START_TEST (lost_data_centre_is_suspected)
 {
   struct cluster *c = cluster_create (8, 120, 6, 3);
   uint64_t before;
@@ -241,17 +241,17 @@
 
   mutant_choose ();
   tcase_set_timeout (t, 55);
-  tcase_add_test (t, members_find_each_other);
-  tcase_add_test (t, dead_node_is_noticed);
-  tcase_add_test (t, leaving_node_is_noticed);
+  tcase_add_test (t, members_discover_each_other);
+  tcase_add_test (t, dead_node_is_suspected);
+  tcase_add_test (t, leaving_node_is_announced);
   tcase_add_test (t, region_partition_heals);
-  tcase_add_test (t, flapping_list_kills_nobody);
-  tcase_add_test (t, listed_absence_confirms_a_death);
-  tcase_add_test (t, restart_replaces_the_former_life);
+  tcase_add_test (t, flapping_list_causes_no_death);
+  tcase_add_test (t, absence_from_list_confirms_death);
+  tcase_add_test (t, restart_replaces_previous_incarnation);
   tcase_add_test (t, paused_node_refutes);
-  tcase_add_test (t, one_missing_reading_kills_nobody);
-  tcase_add_test (t, config_version_spreads);
-  tcase_add_test (t, lost_data_centre_is_noticed);
+  tcase_add_test (t, single_missing_listing_causes_no_death);
+  tcase_add_test (t, config_version_propagates);
+  tcase_add_test (t, lost_data_centre_is_suspected);
   suite_add_tcase (s, t);
   r = srunner_create (s);
   srunner_run_all (r, CK_NORMAL);
--- a/tests/control/test_planner.c
+++ b/tests/control/test_planner.c
@@ -2,39 +2,41 @@
 #include <math.h>
 #include <stdio.h>
 
-#include "town.h"
+#include "fleet_sim.h"
 
-static const struct town_settings usual = { .sizing = BERYL_SIZING_REACTIVE,
-                                            .engines = 12,
-                                            .data_centres = 3,
-                                            .load_ms = 60000,
-                                            .call_ms = 20000,
-                                            .deadline_ms = 120000,
-                                            .seed = 1 };
+static const struct fleet_sim_settings usual
+    = { .sizing = BERYL_SIZING_REACTIVE,
+        .engines = 12,
+        .data_centres = 3,
+        .load_ms = 60000,
+        .call_ms = 20000,
+        .deadline_ms = 120000,
+        .seed = 1 };
 
 static void
-run (struct town *t, int seconds, double calls_per_s)
+run (struct fleet_sim *t, int seconds, double calls_per_s)
 {
   for (int i = 0; i < seconds; i++)
-    town_second (t, calls_per_s);
+    fleet_sim_run_second (t, calls_per_s);
 }
 
 /* Story: nobody calls at night.  Engines that stay warm cost money; and the
  * first caller of the morning must be held and served, not refused. */
 START_TEST (to_nothing_and_back)
 {
-  struct town *t = town_create (&usual);
+  struct fleet_sim *t = fleet_sim_create (&usual);
 
   run (t, 1800, 2);
-  ck_assert_int_gt (town_warm (t, NULL), 1);
+  ck_assert_int_gt (fleet_sim_warm (t, NULL), 1);
   run (t, 3600, 0);
-  ck_assert_int_eq (town_warm (t, NULL), 0);
-  town_reset (t);
+  ck_assert_int_eq (fleet_sim_warm (t, NULL), 0);
+  fleet_sim_reset_counts (t);
   run (t, 1, 3);
   run (t, 100, 0);
-  ck_assert_int_ge (town_warm (t, NULL), 1);
-  ck_assert_uint_eq (town_counts (t)->in_time, town_counts (t)->calls);
-  town_destroy (t);
+  ck_assert_int_ge (fleet_sim_warm (t, NULL), 1);
+  ck_assert_uint_eq (fleet_sim_counts (t)->started_in_time,
+                     fleet_sim_counts (t)->calls);
+  fleet_sim_destroy (t);
 }
 END_TEST
 
@@ -42,14 +44,14 @@
  * store's rate is shared and the first is warm only when the last is. */
 START_TEST (loads_are_paced)
 {
-  struct town *t = town_create (&usual);
+  struct fleet_sim *t = fleet_sim_create (&usual);
 
   run (t, 20, 8);
-  ck_assert_uint_le (town_counts (t)->loads, 2);
+  ck_assert_uint_le (fleet_sim_counts (t)->loads, 2);
   run (t, 600, 8);
-  ck_assert_uint_le (town_counts (t)->most_loading, 7);
-  ck_assert_int_ge (town_warm (t, NULL), 10);
-  town_destroy (t);
+  ck_assert_uint_le (fleet_sim_counts (t)->loading_max, 7);
+  ck_assert_int_ge (fleet_sim_warm (t, NULL), 10);
+  fleet_sim_destroy (t);
 }
 END_TEST
 
@@ -57,18 +59,18 @@
  * carry the load until replacements are warm. */
 START_TEST (spread_over_data_centres)
 {
-  struct town *t = town_create (&usual);
+  struct fleet_sim *t = fleet_sim_create (&usual);
   int most = 0;
   int all;
 
   run (t, 1800, 4);
-  all = town_warm (t, NULL);
+  all = fleet_sim_warm (t, NULL);
   for (int dc = 0; dc < 3; dc++)
-    most = town_warm_in (t, dc) > most ? town_warm_in (t, dc) : most;
+    most = fleet_sim_warm_in (t, dc) > most ? fleet_sim_warm_in (t, dc) : most;
   ck_assert_int_le (most * 3, all + 2);
   /* 4 calls a second of 20 s are 80 streams: 5 engines at 0.8 use. */
   ck_assert_int_ge (all - most, 5);
-  town_destroy (t);
+  fleet_sim_destroy (t);
 }
 END_TEST
 
@@ -77,23 +79,25 @@
  * one is warm. */
 START_TEST (version_rolls_out_under_load)
 {
-  struct town *t = town_create (&usual);
+  struct fleet_sim *t = fleet_sim_create (&usual);
   int least = 99;
 
   run (t, 1800, 4);
-  town_reset (t);
-  town_set_version (t, "v2");
+  fleet_sim_reset_counts (t);
+  fleet_sim_set_version (t, "v2");
   for (int i = 0; i < 3600; i++)
     {
-      town_second (t, 4);
-      least = town_warm (t, NULL) < least ? town_warm (t, NULL) : least;
+      fleet_sim_run_second (t, 4);
+      least = fleet_sim_warm (t, NULL) < least ? fleet_sim_warm (t, NULL)
+                                               : least;
     }
-  ck_assert_int_eq (town_warm (t, "v1"), 0);
-  ck_assert_int_ge (town_warm (t, "v2"), (int)town_wanted (t));
+  ck_assert_int_eq (fleet_sim_warm (t, "v1"), 0);
+  ck_assert_int_ge (fleet_sim_warm (t, "v2"), (int)fleet_sim_wanted (t));
   /* 8 are wanted (5 and a data centre's spare), one of them may change. */
   ck_assert_int_ge (least, 7);
-  ck_assert_uint_eq (town_counts (t)->in_time, town_counts (t)->calls);
-  town_destroy (t);
+  ck_assert_uint_eq (fleet_sim_counts (t)->started_in_time,
+                     fleet_sim_counts (t)->calls);
+  fleet_sim_destroy (t);
 }
 END_TEST
 
@@ -101,24 +105,25 @@
  * must still end, a few engines at a time, never all. */
 START_TEST (version_rolls_out_without_spares)
 {
-  struct town_settings settings = usual;
-  struct town *t;
+  struct fleet_sim_settings settings = usual;
+  struct fleet_sim *t;
   int least = 99;
 
   settings.engines = 4;
   settings.min_endpoints = 4;
-  t = town_create (&settings);
+  t = fleet_sim_create (&settings);
   run (t, 1800, 1);
-  ck_assert_int_eq (town_warm (t, "v1"), 4);
-  town_set_version (t, "v2");
+  ck_assert_int_eq (fleet_sim_warm (t, "v1"), 4);
+  fleet_sim_set_version (t, "v2");
   for (int i = 0; i < 1800; i++)
     {
-      town_second (t, 1);
-      least = town_warm (t, NULL) < least ? town_warm (t, NULL) : least;
+      fleet_sim_run_second (t, 1);
+      least = fleet_sim_warm (t, NULL) < least ? fleet_sim_warm (t, NULL)
+                                               : least;
     }
-  ck_assert_int_eq (town_warm (t, "v2"), 4);
+  ck_assert_int_eq (fleet_sim_warm (t, "v2"), 4);
   ck_assert_int_ge (least, 3);
-  town_destroy (t);
+  fleet_sim_destroy (t);
 }
 END_TEST
 
@@ -126,15 +131,15 @@
  * unloaded and loaded all the time, each time with an empty cache. */
 START_TEST (swinging_load_keeps_engines)
 {
-  struct town *t = town_create (&usual);
+  struct fleet_sim *t = fleet_sim_create (&usual);
 
   run (t, 1800, 4);
-  town_reset (t);
+  fleet_sim_reset_counts (t);
   for (int i = 0; i < 60; i++)
     run (t, 60, i % 2 == 0 ? 4 : 1);
   /* At most one load in ten swings. */
-  ck_assert_uint_le (town_counts (t)->loads, 6);
-  town_destroy (t);
+  ck_assert_uint_le (fleet_sim_counts (t)->loads, 6);
+  fleet_sim_destroy (t);
 }
 END_TEST
 
@@ -142,21 +147,21 @@
  * others without waiting for them. */
 START_TEST (dead_engines_are_replaced)
 {
-  struct town *t = town_create (&usual);
+  struct fleet_sim *t = fleet_sim_create (&usual);
   int before;
   int killed = 0;
 
   run (t, 1800, 3);
-  before = town_warm (t, NULL);
+  before = fleet_sim_warm (t, NULL);
   for (int i = 0; i < 12 && killed < 2; i++)
-    if (town_engine (t, i)->version[0] != '\0')
+    if (fleet_sim_engine (t, i)->version[0] != '\0')
       {
-        town_engine (t, i)->dead = true;
+        fleet_sim_engine (t, i)->dead = true;
         killed++;
       }
   run (t, 300, 3);
-  ck_assert_int_ge (town_warm (t, NULL), before);
-  town_destroy (t);
+  ck_assert_int_ge (fleet_sim_warm (t, NULL), before);
+  fleet_sim_destroy (t);
 }
 END_TEST
 
@@ -164,22 +169,22 @@
  * yet and must neither unload what is warm nor order it anew. */
 START_TEST (new_planner_adopts)
 {
-  struct town *t = town_create (&usual);
+  struct fleet_sim *t = fleet_sim_create (&usual);
   uint32_t orders = 0;
   int before;
 
   run (t, 1800, 4);
-  before = town_warm (t, NULL);
+  before = fleet_sim_warm (t, NULL);
   for (int i = 0; i < 12; i++)
-    orders += town_engine (t, i)->orders;
-  town_reset (t);
-  town_replace_planner (t);
+    orders += fleet_sim_engine (t, i)->orders;
+  fleet_sim_reset_counts (t);
+  fleet_sim_replace_planner (t);
   run (t, 60, 4);
-  ck_assert_int_eq (town_warm (t, NULL), before);
+  ck_assert_int_eq (fleet_sim_warm (t, NULL), before);
   for (int i = 0; i < 12; i++)
-    orders -= town_engine (t, i)->orders;
+    orders -= fleet_sim_engine (t, i)->orders;
   ck_assert_uint_eq (orders, 0);
-  town_destroy (t);
+  fleet_sim_destroy (t);
 }
 END_TEST
 
@@ -217,23 +222,23 @@
  * that load for minutes. */
 START_TEST (profile_outlives_the_planner)
 {
-  struct town_settings settings = usual;
-  struct town *t;
+  struct fleet_sim_settings settings = usual;
+  struct fleet_sim *t;
   int coming = 0;
 
   settings.sizing = BERYL_SIZING_CORRECTED;
-  t = town_create (&settings);
+  t = fleet_sim_create (&settings);
   /* A day of twelve busy hours and a night, up to a minute before its end. */
   run (t, 12 * 3600, 3);
   run (t, 12 * 3600 - 600, 0);
-  ck_assert_int_eq (town_warm (t, NULL), 0);
-  ck_assert (town_replace_planner_saved (t));
+  ck_assert_int_eq (fleet_sim_warm (t, NULL), 0);
+  ck_assert (fleet_sim_replace_planner_saved (t));
   run (t, 540, 0);
   run (t, 60, 0.05);
   for (int i = 0; i < 12; i++)
-    coming += town_engine (t, i)->role != 0;
+    coming += fleet_sim_engine (t, i)->role != 0;
   ck_assert_int_ge (coming, 3);
-  town_destroy (t);
+  fleet_sim_destroy (t);
 }
 END_TEST
 
--- a/tests/control/test_spread.c
+++ b/tests/control/test_spread.c
@@ -11,54 +11,54 @@
     = { "system",  "organisation", "model",   "service",
         "urgency", "pool",         "endpoint" };
 
-struct desk
+struct acceptor_fixture
 {
   struct beryl_acceptor_owner base;
-  struct beryl_config_log *spread;
+  struct beryl_config_log *log;
   struct beryl_acceptor *acceptor;
   uint32_t accepted;
   uint32_t rejected;
 };
 
 static void
-desk_judged (struct beryl_acceptor_owner *owner,
-             const struct beryl_validation_result *judgement)
+fixture_validated (struct beryl_acceptor_owner *owner,
+                   const struct beryl_validation_result *result)
 {
-  struct desk *d = (struct desk *)owner;
+  struct acceptor_fixture *d = (struct acceptor_fixture *)owner;
 
-  d->accepted += judgement->accepted;
-  d->rejected += !judgement->accepted;
+  d->accepted += result->accepted;
+  d->rejected += !result->accepted;
 }
 
-static const struct beryl_acceptor_owner_impl desk_impl
-    = { .validated = desk_judged };
+static const struct beryl_acceptor_owner_impl fixture_impl
+    = { .validated = fixture_validated };
 
 static void
-desk_open (struct desk *d)
+fixture_init (struct acceptor_fixture *d)
 {
   memset (d, 0, sizeof *d);
-  d->base.impl = &desk_impl;
-  d->spread = beryl_config_log_create ();
-  d->acceptor = beryl_acceptor_create (d->spread, &d->base);
+  d->base.impl = &fixture_impl;
+  d->log = beryl_config_log_create ();
+  d->acceptor = beryl_acceptor_create (d->log, &d->base);
 }
 
 static void
-desk_close (struct desk *d)
+fixture_clear (struct acceptor_fixture *d)
 {
   beryl_acceptor_destroy (d->acceptor);
-  beryl_config_log_destroy (d->spread);
+  beryl_config_log_destroy (d->log);
 }
 
 static void
-desk_sync (struct desk *d, uint64_t revision)
+fixture_sync (struct acceptor_fixture *d, uint64_t revision)
 {
   for (int i = 0; i < KINDS; i++)
     beryl_acceptor_synced (d->acceptor, kinds[i], revision);
 }
 
 static void
-desk_observe (struct desk *d, const char *kind, const char *name,
-              uint64_t version, const char *spec)
+fixture_observe (struct acceptor_fixture *d, const char *kind,
+                 const char *name, uint64_t version, const char *spec)
 {
   char value[512];
   int n = snprintf (value, sizeof value,
@@ -70,7 +70,7 @@
 }
 
 static bool
-desk_accept (struct desk *d)
+fixture_accept (struct acceptor_fixture *d)
 {
   size_t bytes = 0;
   char *entry = beryl_acceptor_propose (d->acceptor, &bytes);
@@ -78,7 +78,7 @@
 
   if (entry == NULL)
     return false;
-  applied = beryl_config_log_apply (d->spread, entry, bytes, NULL)
+  applied = beryl_config_log_apply (d->log, entry, bytes, NULL)
             == BERYL_CONFIG_LOG_APPLIED;
   free (entry);
   return applied;
@@ -87,71 +87,71 @@
 /* Story: an operator saves a typing error over a good service.  The good one
  * must stay in force, also for a node that starts later, and the operator
  * must learn why. */
-START_TEST (invalid_edit_keeps_the_last_good)
+START_TEST (invalid_edit_keeps_last_valid_version)
 {
-  struct desk d;
+  struct acceptor_fixture d;
   struct beryl_config_log_object o;
 
-  desk_open (&d);
-  desk_observe (&d, "model", "m", 1, "{\"version\":\"1\"}");
-  desk_observe (&d, "service", "s", 2, "{\"model\":\"m\"}");
-  desk_sync (&d, 2);
-  ck_assert (desk_accept (&d));
-  desk_observe (&d, "service", "s", 3, "{\"modle\":\"m\"}");
-  ck_assert (!desk_accept (&d));
+  fixture_init (&d);
+  fixture_observe (&d, "model", "m", 1, "{\"version\":\"1\"}");
+  fixture_observe (&d, "service", "s", 2, "{\"model\":\"m\"}");
+  fixture_sync (&d, 2);
+  ck_assert (fixture_accept (&d));
+  fixture_observe (&d, "service", "s", 3, "{\"modle\":\"m\"}");
+  ck_assert (!fixture_accept (&d));
   ck_assert_uint_eq (d.rejected, 1);
-  ck_assert (beryl_config_log_find (d.spread, "service", "s", &o));
+  ck_assert (beryl_config_log_find (d.log, "service", "s", &o));
   ck_assert_uint_eq (o.source, 2);
-  ck_assert (!desk_accept (&d));
+  ck_assert (!fixture_accept (&d));
   ck_assert_uint_eq (d.rejected, 1);
-  desk_close (&d);
+  fixture_clear (&d);
 }
 END_TEST
 
 /* Story: a model is deleted while a service still names it.  Taking the
  * deletion would leave the service without a model. */
-START_TEST (deletion_of_a_needed_object_is_rejected)
+START_TEST (deletion_of_referenced_object_is_rejected)
 {
-  struct desk d;
+  struct acceptor_fixture d;
   struct beryl_config_log_object o;
 
-  desk_open (&d);
-  desk_observe (&d, "model", "m", 1, "{\"version\":\"1\"}");
-  desk_observe (&d, "service", "s", 2, "{\"model\":\"m\"}");
-  desk_sync (&d, 2);
-  ck_assert (desk_accept (&d));
+  fixture_init (&d);
+  fixture_observe (&d, "model", "m", 1, "{\"version\":\"1\"}");
+  fixture_observe (&d, "service", "s", 2, "{\"model\":\"m\"}");
+  fixture_sync (&d, 2);
+  ck_assert (fixture_accept (&d));
   beryl_acceptor_observe (d.acceptor, "model", "m", 3, NULL, 0);
-  ck_assert (!desk_accept (&d));
+  ck_assert (!fixture_accept (&d));
   ck_assert_uint_eq (d.rejected, 1);
   beryl_acceptor_observe (d.acceptor, "service", "s", 4, NULL, 0);
-  ck_assert (desk_accept (&d));
-  ck_assert (!beryl_config_log_find (d.spread, "model", "m", &o));
-  desk_close (&d);
+  ck_assert (fixture_accept (&d));
+  ck_assert (!beryl_config_log_find (d.log, "model", "m", &o));
+  fixture_clear (&d);
 }
 END_TEST
 
 /* Story: the platform is out for a while and comes back with a replica that
  * lags behind what was accepted.  A new acceptor that lists from it sees an
  * accepted service as deleted. */
-START_TEST (acceptor_from_the_past_does_not_judge)
+START_TEST (stale_acceptor_proposes_nothing)
 {
-  struct desk d;
+  struct acceptor_fixture d;
   struct beryl_config_log_object o;
 
-  desk_open (&d);
-  desk_observe (&d, "service", "s", 8, "{}");
-  desk_sync (&d, 8);
-  ck_assert (desk_accept (&d));
+  fixture_init (&d);
+  fixture_observe (&d, "service", "s", 8, "{}");
+  fixture_sync (&d, 8);
+  ck_assert (fixture_accept (&d));
   beryl_acceptor_destroy (d.acceptor);
-  d.acceptor = beryl_acceptor_create (d.spread, &d.base);
-  desk_sync (&d, 5);
-  ck_assert (!desk_accept (&d));
-  ck_assert (beryl_config_log_find (d.spread, "service", "s", &o));
-  desk_observe (&d, "service", "s", 8, "{}");
-  desk_sync (&d, 9);
-  ck_assert (!desk_accept (&d));
-  ck_assert_uint_eq (beryl_config_log_version (d.spread), 1);
-  desk_close (&d);
+  d.acceptor = beryl_acceptor_create (d.log, &d.base);
+  fixture_sync (&d, 5);
+  ck_assert (!fixture_accept (&d));
+  ck_assert (beryl_config_log_find (d.log, "service", "s", &o));
+  fixture_observe (&d, "service", "s", 8, "{}");
+  fixture_sync (&d, 9);
+  ck_assert (!fixture_accept (&d));
+  ck_assert_uint_eq (beryl_config_log_version (d.log), 1);
+  fixture_clear (&d);
 }
 END_TEST
 
@@ -159,22 +159,22 @@
  * others must come into force, in entries that fit the platform's limit. */
 START_TEST (one_bad_object_among_many)
 {
-  struct desk d;
+  struct acceptor_fixture d;
   char name[16];
 
-  desk_open (&d);
+  fixture_init (&d);
   for (int i = 0; i < 3000; i++)
     {
       snprintf (name, sizeof name, "s%d", i);
-      desk_observe (&d, "service", name, (uint64_t)i + 1,
-                    i == 1234 ? "{\"model\":\"none\"}" : "{}");
+      fixture_observe (&d, "service", name, (uint64_t)i + 1,
+                       i == 1234 ? "{\"model\":\"none\"}" : "{}");
     }
-  desk_sync (&d, 3000);
-  while (desk_accept (&d))
-    ck_assert_uint_lt (beryl_config_log_version (d.spread), 10);
-  ck_assert_uint_eq (beryl_config_log_count (d.spread), 2999);
+  fixture_sync (&d, 3000);
+  while (fixture_accept (&d))
+    ck_assert_uint_lt (beryl_config_log_version (d.log), 10);
+  ck_assert_uint_eq (beryl_config_log_count (d.log), 2999);
   ck_assert_uint_eq (d.rejected, 1);
-  desk_close (&d);
+  fixture_clear (&d);
 }
 END_TEST
 
@@ -238,9 +238,9 @@
   int failed;
 
   tcase_set_timeout (t, 50);
-  tcase_add_test (t, invalid_edit_keeps_the_last_good);
-  tcase_add_test (t, deletion_of_a_needed_object_is_rejected);
-  tcase_add_test (t, acceptor_from_the_past_does_not_judge);
+  tcase_add_test (t, invalid_edit_keeps_last_valid_version);
+  tcase_add_test (t, deletion_of_referenced_object_is_rejected);
+  tcase_add_test (t, stale_acceptor_proposes_nothing);
   tcase_add_test (t, one_bad_object_among_many);
   tcase_add_test (t, gaps_and_old_snapshots_are_refused);
   tcase_add_test (t, malformed_entries_change_nothing);
--- a/tests/control/test_spread_history.c
+++ b/tests/control/test_spread_history.c
@@ -28,11 +28,11 @@
 {
   struct beryl_acceptor_owner base;
   struct world *world;
-  struct beryl_config_log *spread;
+  struct beryl_config_log *log;
   struct beryl_acceptor *acceptor;
   uint64_t cursors[KINDS];
   bool listed[KINDS];
-  uint64_t life; /* counts restarts */
+  uint64_t starts; /* counts restarts */
   int64_t paused_until_ms;
   uint64_t version; /* highest in this life */
   uint32_t rejected;
@@ -46,15 +46,15 @@
   bool outage;
   int64_t lag_ms;
   uint32_t lost_percent;
-  bool calm;
+  bool faults_stopped;
   char *states[ENTRIES_MAX]; /* objects at each version, as first seen */
   uint64_t highest;
-  uint32_t different;
+  uint32_t divergences;
   uint32_t invalid;
-  uint32_t fell_back;
-  uint32_t refused_races;
+  uint32_t regressions;
+  uint32_t lost_races;
   uint64_t sources[KINDS][NAMES]; /* last accepted */
-  uint32_t reverted;
+  uint32_t reversions;
 };
 
 /* What a node sees when it asks: perhaps the past. */
@@ -72,18 +72,18 @@
 state_check (struct node *n)
 {
   struct world *w = n->world;
-  uint64_t version = beryl_config_log_version (n->spread);
+  uint64_t version = beryl_config_log_version (n->log);
   size_t bytes = 0;
-  char *text = beryl_config_log_objects (n->spread, &bytes);
+  char *text = beryl_config_log_objects (n->log, &bytes);
   struct beryl_findings *findings;
   struct beryl_config *config;
 
   ck_assert_uint_lt (version, ENTRIES_MAX);
-  w->fell_back += version < n->version;
+  w->regressions += version < n->version;
   n->version = version;
   if (w->states[version] != NULL)
     {
-      w->different += strcmp (w->states[version], text) != 0;
+      w->divergences += strcmp (w->states[version], text) != 0;
       free (text);
       return;
     }
@@ -129,12 +129,12 @@
   last = &w->sources[k][name[1] - '0'];
   if (json_object_get (change, "object") != NULL)
     {
-      w->reverted += source <= *last;
+      w->reversions += source <= *last;
       *last = source;
       return;
     }
   store_events (w->store, kind, *last, deletion_visit, &d);
-  w->reverted += !d.seen;
+  w->reversions += !d.seen;
 }
 
 static void
@@ -156,9 +156,9 @@
 {
   struct beryl_error error = { 0 };
 
-  ck_assert_int_ne (beryl_config_log_apply (n->spread, entry, bytes, &error),
+  ck_assert_int_ne (beryl_config_log_apply (n->log, entry, bytes, &error),
                     BERYL_CONFIG_LOG_INVALID);
-  if (beryl_config_log_version (n->spread) > n->world->highest)
+  if (beryl_config_log_version (n->log) > n->world->highest)
     entry_check (n->world, entry, bytes);
   state_check (n);
 }
@@ -173,7 +173,7 @@
 
   for (;;)
     {
-      beryl_config_log_entry_name (beryl_config_log_version (n->spread) + skip,
+      beryl_config_log_entry_name (beryl_config_log_version (n->log) + skip,
                                    name);
       skip = 1;
       if (store_get (n->world->store, BERYL_ACCEPTED_KIND, name,
@@ -184,7 +184,7 @@
     }
 }
 
-struct feed
+struct observation
 {
   struct node *node;
   uint64_t limit;
@@ -192,9 +192,9 @@
 };
 
 static bool
-feed_visit (void *user, const struct store_revision *r)
+observation_visit (void *user, const struct store_revision *r)
 {
-  struct feed *f = user;
+  struct observation *f = user;
 
   if (r->version > f->limit)
     return false;
@@ -211,15 +211,16 @@
 {
   struct world *w = n->world;
   int64_t at_ms = read_time_ms (w);
-  struct feed f = { n, store_revision_at (w->store, at_ms), kind };
+  struct observation f = { n, store_revision_at (w->store, at_ms), kind };
 
   if (!n->listed[kind])
     {
-      store_list (w->store, kinds[kind], "", "", at_ms, feed_visit, &f);
+      store_list (w->store, kinds[kind], "", "", at_ms, observation_visit, &f);
       n->listed[kind] = true;
     }
   else if (f.limit > n->cursors[kind])
-    store_events (w->store, kinds[kind], n->cursors[kind], feed_visit, &f);
+    store_events (w->store, kinds[kind], n->cursors[kind], observation_visit,
+                  &f);
   if (f.limit <= n->cursors[kind])
     f.limit = n->cursors[kind];
   n->cursors[kind] = f.limit;
@@ -228,7 +229,7 @@
 
 struct entry_write
 {
-  uint64_t life;
+  uint64_t starts;
   uint64_t version;
   size_t bytes;
   char text[];
@@ -240,7 +241,7 @@
   struct node *n = user;
   const struct entry_write *e = data;
 
-  if (n->life == e->life && !n->world->outage)
+  if (n->starts == e->starts && !n->world->outage)
     node_read_log (n);
 }
 
@@ -258,14 +259,14 @@
   if (w->outage)
     return;
   beryl_config_log_entry_name (e->version, name);
-  w->refused_races
+  w->lost_races
       += store_put (w->store, BERYL_ACCEPTED_KIND, name, STORE_IF_ABSENT,
                     &version, e->text, e->bytes, sim_now_ms (w->sim))
          == STORE_CONFLICT;
   if (sim_chance (w->sim, w->lost_percent))
     return;
   reply = malloc (sizeof *reply);
-  reply->life = e->life;
+  reply->starts = e->starts;
   sim_after (w->sim, 5, write_done, n, reply);
 }
 
@@ -280,13 +281,13 @@
   if (text == NULL)
     return;
   e = malloc (sizeof *e + bytes);
-  e->life = n->life;
-  e->version = beryl_config_log_version (n->spread) + 1;
+  e->starts = n->starts;
+  e->version = beryl_config_log_version (n->log) + 1;
   e->bytes = bytes;
   memcpy (e->text, text, bytes);
   free (text);
   sim_after (w->sim,
-             !w->calm && sim_chance (w->sim, 10)
+             !w->faults_stopped && sim_chance (w->sim, 10)
                  ? (int64_t)sim_random (w->sim, 15000)
                  : 3,
              write_served, n, e);
@@ -315,9 +316,8 @@
 peer_entries (struct node *to, const struct node *from)
 {
   size_t bytes = 0;
-  uint64_t have = beryl_config_log_version (to->spread);
-  char *text
-      = beryl_config_log_entries_after (from->spread, have, 4096, &bytes);
+  uint64_t have = beryl_config_log_version (to->log);
+  char *text = beryl_config_log_entries_after (from->log, have, 4096, &bytes);
   struct beryl_error error = { 0 };
   json_t *array;
   json_t *entry;
@@ -325,10 +325,9 @@
 
   if (text == NULL)
     {
-      text = beryl_config_log_snapshot (from->spread, &bytes);
-      ck_assert_int_ne (
-          beryl_config_log_load (to->spread, text, bytes, &error),
-          BERYL_CONFIG_LOG_INVALID);
+      text = beryl_config_log_snapshot (from->log, &bytes);
+      ck_assert_int_ne (beryl_config_log_load (to->log, text, bytes, &error),
+                        BERYL_CONFIG_LOG_INVALID);
       free (text);
       state_check (to);
       return;
@@ -362,26 +361,26 @@
 }
 
 static void
-node_judged (struct beryl_acceptor_owner *owner,
-             const struct beryl_validation_result *judgement)
+node_validated (struct beryl_acceptor_owner *owner,
+                const struct beryl_validation_result *result)
 {
   struct node *n = (struct node *)owner;
 
-  n->rejected += !judgement->accepted;
-  ck_assert (judgement->accepted || judgement->findings[0] != '\0');
+  n->rejected += !result->accepted;
+  ck_assert (result->accepted || result->findings[0] != '\0');
 }
 
 static const struct beryl_acceptor_owner_impl node_impl
-    = { .validated = node_judged };
+    = { .validated = node_validated };
 
 static void
 node_start (struct node *n)
 {
   n->base.impl = &node_impl;
-  n->life++;
+  n->starts++;
   n->version = 0;
-  n->spread = beryl_config_log_create ();
-  n->acceptor = beryl_acceptor_create (n->spread, &n->base);
+  n->log = beryl_config_log_create ();
+  n->acceptor = beryl_acceptor_create (n->log, &n->base);
   memset (n->cursors, 0, sizeof n->cursors);
   memset (n->listed, 0, sizeof n->listed);
 }
@@ -390,7 +389,7 @@
 node_stop (struct node *n)
 {
   beryl_acceptor_destroy (n->acceptor);
-  beryl_config_log_destroy (n->spread);
+  beryl_config_log_destroy (n->log);
 }
 
 static int
@@ -418,7 +417,7 @@
 }
 
 static void
-operator_edits (void *user, void *data)
+operator_edit (void *user, void *data)
 {
   static const char *const edited[] = { "model", "service", "pool" };
   struct world *w = user;
@@ -429,9 +428,9 @@
   int bytes;
 
   (void)data;
-  if (w->calm)
+  if (w->faults_stopped)
     return;
-  sim_after (w->sim, (int64_t)sim_random (w->sim, 1500), operator_edits, w,
+  sim_after (w->sim, (int64_t)sim_random (w->sim, 1500), operator_edit, w,
              NULL);
   snprintf (name, sizeof name, "n%lu", sim_random (w->sim, NAMES));
   bytes = operator_value (w, value, sizeof value, kind, name);
@@ -444,13 +443,13 @@
 }
 
 static void
-world_trouble (void *user, void *data)
+inject_fault (void *user, void *data)
 {
   struct world *w = user;
   struct node *n = &w->nodes[sim_random (w->sim, NODES)];
 
   (void)data;
-  if (w->calm)
+  if (w->faults_stopped)
     return;
   switch (sim_random (w->sim, 5))
     {
@@ -472,7 +471,7 @@
       node_start (n);
       break;
     }
-  sim_after (w->sim, (int64_t)sim_random (w->sim, 4000), world_trouble, w,
+  sim_after (w->sim, (int64_t)sim_random (w->sim, 4000), inject_fault, w,
              NULL);
 }
 
@@ -489,11 +488,11 @@
       sim_after (w->sim, (int64_t)sim_random (w->sim, 200), node_step,
                  &w->nodes[i], NULL);
     }
-  sim_after (w->sim, 10, operator_edits, w, NULL);
+  sim_after (w->sim, 10, operator_edit, w, NULL);
   sim_after (w->sim, 20, world_gossip, w, NULL);
-  sim_after (w->sim, 2000, world_trouble, w, NULL);
+  sim_after (w->sim, 2000, inject_fault, w, NULL);
   sim_run (w->sim, RUN_MS);
-  w->calm = true;
+  w->faults_stopped = true;
   w->outage = false;
   w->lag_ms = 0;
   w->lost_percent = 0;
@@ -526,19 +525,19 @@
       struct world w;
 
       world_run (&w, seed);
-      ck_assert_msg (w.different == 0, "seed %lu: states differ", seed);
-      ck_assert_msg (w.reverted == 0, "seed %lu: reverted", seed);
-      ck_assert_msg (w.fell_back == 0, "seed %lu: fell back", seed);
+      ck_assert_msg (w.divergences == 0, "seed %lu: states differ", seed);
+      ck_assert_msg (w.reversions == 0, "seed %lu: reverted", seed);
+      ck_assert_msg (w.regressions == 0, "seed %lu: fell back", seed);
       ck_assert_msg (w.invalid == 0, "seed %lu: invalid in force", seed);
       for (int i = 0; i < NODES; i++)
         {
-          ck_assert_msg (beryl_config_log_version (w.nodes[i].spread)
+          ck_assert_msg (beryl_config_log_version (w.nodes[i].log)
                              == w.highest,
                          "seed %lu: node %d is behind", seed, i);
           rejected += w.nodes[i].rejected;
         }
       entries += w.highest;
-      races += w.refused_races;
+      races += w.lost_races;
       world_end (&w);
     }
   printf ("%d seeds: %lu entries, %u rejections, %u lost races\n", SEEDS,
--- a/tests/platform/fake.c
+++ b/tests/platform/fake.c
@@ -24,7 +24,7 @@
   struct fake_client *client;
   uint64_t call;
   struct operation *op;
-  int64_t give_up_ms; /* of a waiting watch */
+  int64_t wait_until_ms; /* of a waiting watch */
   unsigned int status;
   int64_t retry_after_ms;
   char *body;
@@ -48,12 +48,12 @@
 static void
 message_insert (struct fake *f, struct fake_message *m)
 {
-  struct fake_message **place = &f->messages;
+  struct fake_message **link = &f->messages;
 
-  while (*place && (*place)->at_ms <= m->at_ms)
-    place = &(*place)->next;
-  m->next = *place;
-  *place = m;
+  while (*link && (*link)->at_ms <= m->at_ms)
+    link = &(*link)->next;
+  m->next = *link;
+  *link = m;
 }
 
 static struct fake_message *
@@ -91,11 +91,11 @@
                             call->if_none_match, call->body, call->body_bytes);
   ck_assert_ptr_nonnull (m->op);
   if (operation_type_writes (m->op->type))
-    m->at_ms += f->faults.hold_writes_ms;
-  m->give_up_ms = f->now_ms + m->op->wait_ms;
+    m->at_ms += f->faults.write_delay_ms;
+  m->wait_until_ms = f->now_ms + m->op->wait_ms;
   message_insert (f, message_new (c, MESSAGE_TIMEOUT, call->id,
                                   f->now_ms + call->timeout_ms));
-  if (fake_random (f, 100) < f->faults.lose_request)
+  if (fake_random (f, 100) < f->faults.lose_request_percent)
     message_free (m);
   else
     message_insert (f, m);
@@ -201,7 +201,7 @@
   m->status = status;
   m->retry_after_ms = status == 429 ? 1000 : 0;
   m->body = strdup (body);
-  if (fake_random (f, 100) < f->faults.lose_reply)
+  if (fake_random (f, 100) < f->faults.lose_reply_percent)
     message_free (m);
   else
     message_insert (f, m);
@@ -256,7 +256,7 @@
       reply (f, m, answer.status, answer.body);
       free (answer.body);
     }
-  else if (f->now_ms < m->give_up_ms)
+  else if (f->now_ms < m->wait_until_ms)
     return true;
   else if (m->op->type == OPERATION_INSTANCES)
     reply_unchanged_instances (f, m);
--- a/tests/platform/fake.h
+++ b/tests/platform/fake.h
@@ -14,14 +14,14 @@
 /** Probabilities per call in percent, and states, that tests change. */
 struct fake_faults
 {
-  uint32_t lose_request;
-  uint32_t lose_reply;
+  uint32_t lose_request_percent;
+  uint32_t lose_reply_percent;
   int64_t delay_max_ms;   /**< each way; 1 at least */
   int64_t stale_max_ms;   /**< age of reads */
   bool outage;            /**< answers 503 */
   bool hang;              /**< answers nothing */
   uint32_t limit_next;    /**< answer that many calls with 429 */
-  int64_t hold_writes_ms; /**< a write reaches the store that much later */
+  int64_t write_delay_ms; /**< a write reaches the store that much later */
 };
 
 /** The end of a request, with the value of the first object. */
--- a/tests/platform/ask.c
+++ b/tests/platform/request_helpers.c
@@ -1,12 +1,12 @@
-#include "ask.h"
+#include "request_helpers.h"
 
 #include <check.h>
 #include <stdio.h>
 #include <string.h>
 
 struct beryl_platform_options
-ask_within (const struct fake *f, enum beryl_platform_use use, int64_t seconds,
-            bool wait)
+request_options (const struct fake *f, enum beryl_platform_use use,
+                 int64_t seconds, bool wait)
 {
   return (struct beryl_platform_options){ .use = use,
                                           .deadline_ms
@@ -15,12 +15,12 @@
 }
 
 uint64_t
-ask_put (struct fake_client *c, const char *name,
-         enum beryl_condition condition, uint64_t version, const char *nonce,
-         int64_t seconds)
+request_put (struct fake_client *c, const char *name,
+             enum beryl_condition condition, uint64_t version,
+             const char *nonce, int64_t seconds)
 {
   struct beryl_platform_options o
-      = ask_within (c->fake, BERYL_USE_CLAIM, seconds, true);
+      = request_options (c->fake, BERYL_USE_CLAIM, seconds, true);
   char value[128];
   struct beryl_platform_write w
       = { "log", name, condition, version, value, 0, nonce };
@@ -31,18 +31,18 @@
 }
 
 uint64_t
-ask_get (struct fake_client *c, const char *name, uint64_t min_version,
-         int64_t seconds)
+request_get (struct fake_client *c, const char *name, uint64_t min_version,
+             int64_t seconds)
 {
   struct beryl_platform_options o
-      = ask_within (c->fake, BERYL_USE_CONFIG, seconds, true);
+      = request_options (c->fake, BERYL_USE_CONFIG, seconds, true);
 
   return beryl_platform_get (c->core, &o, "log", name, min_version,
                              c->fake->now_ms);
 }
 
 void
-ask_store_set (struct fake *f, const char *name, const char *value)
+store_write_as_other (struct fake *f, const char *name, const char *value)
 {
   uint64_t version = 0;
 
@@ -59,7 +59,7 @@
 }
 
 uint32_t
-ask_writes_in_store (struct fake *f)
+store_count_writes (struct fake *f)
 {
   uint32_t n = 0;
 
--- a/tests/platform/ask.h
+++ b/tests/platform/request_helpers.h
@@ -1,29 +1,29 @@
 /** @file
  * What the client's tests ask for, in a few words each.
  */
-#ifndef TESTS_PLATFORM_ASK_H
-#define TESTS_PLATFORM_ASK_H
+#ifndef TESTS_PLATFORM_REQUEST_HELPERS_H
+#define TESTS_PLATFORM_REQUEST_HELPERS_H
 
 #include "fake.h"
 
 /** Options of a request that may take SECONDS. */
-struct beryl_platform_options ask_within (const struct fake *f,
+struct beryl_platform_options request_options (const struct fake *f,
                                           enum beryl_platform_use use,
                                           int64_t seconds, bool wait);
 
 /** Write {"nonce":NONCE} to object NAME under a condition. */
-uint64_t ask_put (struct fake_client *c, const char *name,
+uint64_t request_put (struct fake_client *c, const char *name,
                   enum beryl_condition condition, uint64_t version,
                   const char *nonce, int64_t seconds);
 
 /** Read object NAME. */
-uint64_t ask_get (struct fake_client *c, const char *name,
+uint64_t request_get (struct fake_client *c, const char *name,
                   uint64_t min_version, int64_t seconds);
 
 /** Write into the store as another client would. */
-void ask_store_set (struct fake *f, const char *name, const char *value);
+void store_write_as_other (struct fake *f, const char *name, const char *value);
 
 /** Return the writes that took effect. */
-uint32_t ask_writes_in_store (struct fake *f);
+uint32_t store_count_writes (struct fake *f);
 
 #endif
--- a/tests/platform/test_client.c
+++ b/tests/platform/test_client.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "ask.h"
+#include "request_helpers.h"
 
 /* Story: a store gave all six nodes together 120 reads a second, and each kept
  * to a fiftieth of that.  While configurations came every third of a second
@@ -30,21 +30,21 @@
 
   fake_init (&f, 1);
   c = fake_add (&f, NULL);
-  ck_assert_int_eq (fake_wait (c, ask_get (c, "a", 0, 5))->code,
+  ck_assert_int_eq (fake_wait (c, request_get (c, "a", 0, 5))->code,
                     BERYL_ERROR_NOT_FOUND);
-  r = fake_wait (c, ask_put (c, "a", BERYL_IF_ABSENT, 0, "n1", 5));
+  r = fake_wait (c, request_put (c, "a", BERYL_IF_ABSENT, 0, "n1", 5));
   ck_assert_int_eq (r->code, BERYL_OK);
   version = r->version;
-  r = fake_wait (c, ask_put (c, "a", BERYL_IF_ABSENT, 0, "n2", 5));
+  r = fake_wait (c, request_put (c, "a", BERYL_IF_ABSENT, 0, "n2", 5));
   ck_assert_int_eq (r->code, BERYL_ERROR_CONFLICT);
   ck_assert_uint_eq (r->version, version);
   ck_assert (!r->overwritten);
-  r = fake_wait (c, ask_put (c, "a", BERYL_IF_VERSION, version, "n3", 5));
+  r = fake_wait (c, request_put (c, "a", BERYL_IF_VERSION, version, "n3", 5));
   ck_assert_int_eq (r->code, BERYL_OK);
-  r = fake_wait (c, ask_get (c, "a", 0, 5));
+  r = fake_wait (c, request_get (c, "a", 0, 5));
   ck_assert_int_eq (r->code, BERYL_OK);
   ck_assert_str_eq (r->value, "{\"nonce\":\"n3\"}");
-  ck_assert_int_eq (fake_wait (c, ask_get (c, "Not a name", 0, 5))->code,
+  ck_assert_int_eq (fake_wait (c, request_get (c, "Not a name", 0, 5))->code,
                     BERYL_ERROR_INVALID);
   fake_destroy (&f);
 }
@@ -64,9 +64,9 @@
       char name[16];
 
       snprintf (name, sizeof name, "o-%d", i);
-      ask_store_set (&f, name, "{}");
+      store_write_as_other (&f, name, "{}");
     }
-  o = ask_within (&f, BERYL_USE_CONFIG, 5, true);
+  o = request_options (&f, BERYL_USE_CONFIG, 5, true);
   r = fake_wait (c, beryl_platform_list (c->core, &o, "log", "", f.now_ms));
   ck_assert_int_eq (r->code, BERYL_OK);
   ck_assert_uint_eq (r->object_count, 1203);
@@ -90,14 +90,14 @@
 
   fake_init (&f, 1);
   c = fake_add (&f, NULL);
-  f.faults.lose_reply = 100;
-  request = ask_put (c, "a", BERYL_IF_ABSENT, 0, "mine", 30);
+  f.faults.lose_reply_percent = 100;
+  request = request_put (c, "a", BERYL_IF_ABSENT, 0, "mine", 30);
   fake_run (&f, f.now_ms + 100);
-  f.faults.lose_reply = 0;
+  f.faults.lose_reply_percent = 0;
   r = fake_wait (c, request);
   ck_assert_int_eq (r->code, BERYL_OK);
   ck_assert_uint_eq (r->version, 1);
-  ck_assert_uint_eq (ask_writes_in_store (&f), 1);
+  ck_assert_uint_eq (store_count_writes (&f), 1);
   ck_assert_uint_eq (beryl_platform_counts (c->core)->settled, 1);
   fake_destroy (&f);
 }
@@ -105,7 +105,7 @@
 
 /* The create is lost on its way, and another node creates the object before
    the repetition: the nonce is the other's, so it is a conflict. */
-START_TEST (test_lost_request_meets_another)
+START_TEST (test_lost_request_conflicts_with_another)
 {
   struct fake f;
   struct fake_client *c;
@@ -114,11 +114,11 @@
 
   fake_init (&f, 1);
   c = fake_add (&f, NULL);
-  f.faults.lose_request = 100;
-  request = ask_put (c, "a", BERYL_IF_ABSENT, 0, "mine", 30);
+  f.faults.lose_request_percent = 100;
+  request = request_put (c, "a", BERYL_IF_ABSENT, 0, "mine", 30);
   fake_run (&f, f.now_ms + 100);
-  f.faults.lose_request = 0;
-  ask_store_set (&f, "a", "{\"nonce\":\"theirs\"}");
+  f.faults.lose_request_percent = 0;
+  store_write_as_other (&f, "a", "{\"nonce\":\"theirs\"}");
   r = fake_wait (c, request);
   ck_assert_int_eq (r->code, BERYL_ERROR_CONFLICT);
   ck_assert (r->overwritten);
@@ -129,7 +129,7 @@
 /* The create is held up in the network for longer than the call's timeout.
    The repetition takes effect first; the held one then meets its own object
    and changes nothing. */
-START_TEST (test_late_effect)
+START_TEST (test_delayed_write_applies_once)
 {
   struct fake f;
   struct fake_client *c;
@@ -137,13 +137,13 @@
 
   fake_init (&f, 1);
   c = fake_add (&f, NULL);
-  f.faults.hold_writes_ms = 4000;
-  request = ask_put (c, "a", BERYL_IF_ABSENT, 0, "mine", 30);
+  f.faults.write_delay_ms = 4000;
+  request = request_put (c, "a", BERYL_IF_ABSENT, 0, "mine", 30);
   fake_run (&f, f.now_ms + 100);
-  f.faults.hold_writes_ms = 0;
+  f.faults.write_delay_ms = 0;
   ck_assert_int_eq (fake_wait (c, request)->code, BERYL_OK);
   fake_run (&f, f.now_ms + 10000);
-  ck_assert_uint_eq (ask_writes_in_store (&f), 1);
+  ck_assert_uint_eq (store_count_writes (&f), 1);
   fake_destroy (&f);
 }
 END_TEST
@@ -159,10 +159,10 @@
 
   fake_init (&f, 7);
   c = fake_add (&f, NULL);
-  f.faults.lose_reply = 100;
-  request = ask_put (c, "a", BERYL_IF_ABSENT, 0, "mine", 60);
+  f.faults.lose_reply_percent = 100;
+  request = request_put (c, "a", BERYL_IF_ABSENT, 0, "mine", 60);
   fake_run (&f, f.now_ms + 50);
-  f.faults.lose_reply = 0;
+  f.faults.lose_reply_percent = 0;
   f.faults.stale_max_ms = 20000;
   ck_assert_int_eq (fake_wait (c, request)->code, BERYL_OK);
   ck_assert_uint_gt (beryl_platform_counts (c->core)->stale, 0);
@@ -180,12 +180,12 @@
 
   fake_init (&f, 7);
   c = fake_add (&f, NULL);
-  ask_store_set (&f, "a", "{\"nonce\":\"theirs\"}");
+  store_write_as_other (&f, "a", "{\"nonce\":\"theirs\"}");
   fake_run (&f, f.now_ms + 30000);
-  f.faults.lose_reply = 100;
-  request = ask_put (c, "a", BERYL_IF_VERSION, 1, "mine", 60);
+  f.faults.lose_reply_percent = 100;
+  request = request_put (c, "a", BERYL_IF_VERSION, 1, "mine", 60);
   fake_run (&f, f.now_ms + 50);
-  f.faults.lose_reply = 0;
+  f.faults.lose_reply_percent = 0;
   f.faults.stale_max_ms = 20000;
   ck_assert_int_eq (fake_wait (c, request)->code, BERYL_OK);
   ck_assert_uint_gt (beryl_platform_counts (c->core)->stale, 0);
@@ -201,17 +201,17 @@
 
   fake_init (&f, 1);
   c = fake_add (&f, NULL);
-  f.faults.lose_reply = 100;
-  request = ask_put (c, "a", BERYL_IF_ANY, 0, NULL, 30);
+  f.faults.lose_reply_percent = 100;
+  request = request_put (c, "a", BERYL_IF_ANY, 0, NULL, 30);
   ck_assert_int_eq (fake_wait (c, request)->code, BERYL_ERROR_UNKNOWN);
-  ck_assert_uint_eq (ask_writes_in_store (&f), 1);
-  request = ask_put (c, "b", BERYL_IF_ABSENT, 0, NULL, 30);
+  ck_assert_uint_eq (store_count_writes (&f), 1);
+  request = request_put (c, "b", BERYL_IF_ABSENT, 0, NULL, 30);
   ck_assert_int_eq (fake_wait (c, request)->code, BERYL_ERROR_UNKNOWN);
   fake_destroy (&f);
 }
 END_TEST
 
-START_TEST (test_deadline_tells_what_is_known)
+START_TEST (test_deadline_result_codes)
 {
   struct fake f;
   struct fake_client *c;
@@ -220,17 +220,17 @@
   fake_init (&f, 1);
   c = fake_add (&f, NULL);
   f.faults.hang = true;
-  ck_assert_int_eq (fake_wait (c, ask_get (c, "a", 0, 1))->code,
+  ck_assert_int_eq (fake_wait (c, request_get (c, "a", 0, 1))->code,
                     BERYL_ERROR_UNAVAILABLE);
   ck_assert_int_eq (
-      fake_wait (c, ask_put (c, "a", BERYL_IF_ABSENT, 0, "n", 1))->code,
+      fake_wait (c, request_put (c, "a", BERYL_IF_ABSENT, 0, "n", 1))->code,
       BERYL_ERROR_UNKNOWN);
   f.faults.hang = false;
   f.faults.outage = true;
   ck_assert_int_eq (
-      fake_wait (c, ask_put (c, "b", BERYL_IF_ABSENT, 0, "n", 1))->code,
+      fake_wait (c, request_put (c, "b", BERYL_IF_ABSENT, 0, "n", 1))->code,
       BERYL_ERROR_UNAVAILABLE);
-  o = ask_within (&f, BERYL_USE_CONFIG, 5, true);
+  o = request_options (&f, BERYL_USE_CONFIG, 5, true);
   ck_assert_int_eq (fake_wait (c, beryl_platform_delete (c->core, &o, "log",
                                                          "x", 3, f.now_ms))
                         ->code,
@@ -248,14 +248,14 @@
 
   fake_init (&f, 1);
   c = fake_add (&f, NULL);
-  ask_store_set (&f, "a", "{}");
-  o = ask_within (&f, BERYL_USE_CONFIG, 30, true);
-  f.faults.lose_reply = 100;
+  store_write_as_other (&f, "a", "{}");
+  o = request_options (&f, BERYL_USE_CONFIG, 30, true);
+  f.faults.lose_reply_percent = 100;
   request = beryl_platform_delete (c->core, &o, "log", "a", 1, f.now_ms);
   fake_run (&f, f.now_ms + 100);
-  f.faults.lose_reply = 0;
+  f.faults.lose_reply_percent = 0;
   ck_assert_int_eq (fake_wait (c, request)->code, BERYL_OK);
-  ck_assert_uint_eq (ask_writes_in_store (&f), 2);
+  ck_assert_uint_eq (store_count_writes (&f), 2);
   fake_destroy (&f);
 }
 END_TEST
@@ -267,9 +267,9 @@
 
   fake_init (&f, 1);
   c = fake_add (&f, NULL);
-  ask_store_set (&f, "a", "{}");
+  store_write_as_other (&f, "a", "{}");
   for (int i = 0; i < 50; i++)
-    ask_get (c, "a", 0, 5);
+    request_get (c, "a", 0, 5);
   fake_run (&f, f.now_ms + 1000);
   ck_assert_uint_eq (c->result_count, 50);
   ck_assert_uint_eq (c->sent, 1);
@@ -290,17 +290,17 @@
 
   fake_init (&f, 1);
   c = fake_add (&f, NULL);
-  ask_store_set (&f, "a", "{\"old\":1}");
+  store_write_as_other (&f, "a", "{\"old\":1}");
   fake_run (&f, f.now_ms + 1000);
-  first = ask_get (c, "a", 0, 9);
+  first = request_get (c, "a", 0, 9);
   beryl_platform_tick (c->core, f.now_ms);
   f.faults.delay_max_ms = 1500;
   fake_run (&f, f.now_ms + 1);
   f.faults.delay_max_ms = 1;
   ck_assert_int_eq (
-      fake_wait (c, ask_put (c, "a", BERYL_IF_VERSION, 1, "new", 5))->code,
+      fake_wait (c, request_put (c, "a", BERYL_IF_VERSION, 1, "new", 5))->code,
       BERYL_OK);
-  second = ask_get (c, "a", 0, 5);
+  second = request_get (c, "a", 0, 5);
   ck_assert_str_eq (fake_wait (c, second)->value, "{\"nonce\":\"new\"}");
   ck_assert_str_eq (fake_wait (c, first)->value, "{\"old\":1}");
   fake_destroy (&f);
@@ -315,11 +315,11 @@
 
   fake_init (&f, 1);
   c = fake_add (&f, NULL);
-  ask_store_set (&f, "a", "{\"v\":1}");
+  store_write_as_other (&f, "a", "{\"v\":1}");
   fake_run (&f, f.now_ms + 3000);
-  ask_store_set (&f, "a", "{\"v\":2}");
+  store_write_as_other (&f, "a", "{\"v\":2}");
   f.faults.stale_max_ms = 5000;
-  r = fake_wait (c, ask_get (c, "a", 2, 30));
+  r = fake_wait (c, request_get (c, "a", 2, 30));
   ck_assert_int_eq (r->code, BERYL_OK);
   ck_assert_str_eq (r->value, "{\"v\":2}");
   fake_destroy (&f);
@@ -339,12 +339,12 @@
   tcase_add_test (tc, test_read_and_write);
   tcase_add_test (tc, test_list_has_all_pages);
   tcase_add_test (tc, test_lost_reply_is_settled);
-  tcase_add_test (tc, test_lost_request_meets_another);
-  tcase_add_test (tc, test_late_effect);
+  tcase_add_test (tc, test_lost_request_conflicts_with_another);
+  tcase_add_test (tc, test_delayed_write_applies_once);
   tcase_add_test (tc, test_read_back_from_stale_replica);
   tcase_add_test (tc, test_read_back_of_an_update_from_stale_replica);
   tcase_add_test (tc, test_unconditional_lost_reply_is_unknown);
-  tcase_add_test (tc, test_deadline_tells_what_is_known);
+  tcase_add_test (tc, test_deadline_result_codes);
   tcase_add_test (tc, test_lost_delete_is_settled);
   tcase_add_test (tc, test_equal_reads_are_joined);
   tcase_add_test (tc, test_read_after_own_write_is_new);
--- a/tests/platform/test_feed.c
+++ b/tests/platform/test_feed.c
@@ -2,7 +2,7 @@
 #include <string.h>
 
 #include "../suite.h"
-#include "ask.h"
+#include "request_helpers.h"
 
 static struct beryl_platform_event
 put_of (const char *name, uint64_t version)
@@ -34,7 +34,7 @@
 
   fake_init (f, 1);
   *client = fake_add (f, NULL);
-  ask_store_set (f, "a", "{}");
+  store_write_as_other (f, "a", "{}");
   watch = beryl_platform_watch ((*client)->core, BERYL_USE_INSTANCES, "log",
                                 f->now_ms);
   fake_run (f, f->now_ms + 500);
@@ -43,7 +43,7 @@
 }
 
 /* A fleet's list changes: a node that is fed makes no calls. */
-START_TEST (test_fed_watch_makes_no_calls)
+START_TEST (test_paused_watch_makes_no_calls)
 {
   struct fake f;
   struct fake_client *c;
@@ -53,12 +53,12 @@
 
   beryl_platform_watch_pause (c->core, watch, true);
   /* The call that waits is answered by the first change. */
-  ask_store_set (&f, "b", "{}");
+  store_write_as_other (&f, "b", "{}");
   fake_run (&f, f.now_ms + 1000);
   sent = c->sent;
   for (uint64_t version = 3; version < 40; version++)
     {
-      ask_store_set (&f, "c", "{}");
+      store_write_as_other (&f, "c", "{}");
       event = put_of ("c", version);
       ck_assert (beryl_platform_watch_apply (c->core, watch, version - 1,
                                              version, &event, 1));
@@ -89,7 +89,7 @@
 
 /* Guards against an endpoint that is back from the dead, because the second
  * watcher's datagram came after the first one told of its end. */
-START_TEST (test_late_datagram_takes_nothing_back)
+START_TEST (test_late_events_are_ignored)
 {
   struct fake f;
   struct fake_client *c;
@@ -107,7 +107,7 @@
 END_TEST
 
 /* Before the first list it is not known what changes are to. */
-START_TEST (test_not_listed_yet)
+START_TEST (test_events_before_first_list_are_refused)
 {
   struct fake f;
   struct fake_client *c;
@@ -124,23 +124,23 @@
 END_TEST
 
 /* The watchers fell silent: what changed meanwhile is known at once. */
-START_TEST (test_rest_ends_with_a_look)
+START_TEST (test_resumed_watch_refreshes)
 {
   struct fake f;
   struct fake_client *c;
   uint64_t watch = open_watch (&f, &c);
 
   beryl_platform_watch_pause (c->core, watch, true);
-  ask_store_set (&f, "b", "{}");
+  store_write_as_other (&f, "b", "{}");
   fake_run (&f, f.now_ms + 2000);
-  ask_store_set (&f, "c", "{}");
+  store_write_as_other (&f, "c", "{}");
   fake_run (&f, f.now_ms + 2000);
   ck_assert_str_eq (c->events, "+a +b");
   beryl_platform_watch_pause (c->core, watch, false);
   fake_run (&f, f.now_ms + 100);
   ck_assert_str_eq (c->events, "+a +b +c");
   /* And it watches again. */
-  ask_store_set (&f, "d", "{}");
+  store_write_as_other (&f, "d", "{}");
   fake_run (&f, f.now_ms + 2000);
   ck_assert_str_eq (c->events, "+a +b +c +d");
   fake_destroy (&f);
@@ -148,7 +148,7 @@
 END_TEST
 
 /* A poke fills a gap while the watch rests, and the rest goes on. */
-START_TEST (test_poke_while_resting)
+START_TEST (test_refresh_while_paused)
 {
   struct fake f;
   struct fake_client *c;
@@ -156,9 +156,9 @@
   uint64_t sent;
 
   beryl_platform_watch_pause (c->core, watch, true);
-  ask_store_set (&f, "b", "{}");
+  store_write_as_other (&f, "b", "{}");
   fake_run (&f, f.now_ms + 1000);
-  ask_store_set (&f, "c", "{}");
+  store_write_as_other (&f, "c", "{}");
   sent = c->sent;
   beryl_platform_watch_refresh (c->core, watch);
   fake_run (&f, f.now_ms + 5000);
@@ -174,12 +174,12 @@
   Suite *suite = suite_create ("feed");
   TCase *tcase = tcase_create ("feed");
 
-  tcase_add_test (tcase, test_fed_watch_makes_no_calls);
+  tcase_add_test (tcase, test_paused_watch_makes_no_calls);
   tcase_add_test (tcase, test_gap_is_refused);
-  tcase_add_test (tcase, test_late_datagram_takes_nothing_back);
-  tcase_add_test (tcase, test_not_listed_yet);
-  tcase_add_test (tcase, test_rest_ends_with_a_look);
-  tcase_add_test (tcase, test_poke_while_resting);
+  tcase_add_test (tcase, test_late_events_are_ignored);
+  tcase_add_test (tcase, test_events_before_first_list_are_refused);
+  tcase_add_test (tcase, test_resumed_watch_refreshes);
+  tcase_add_test (tcase, test_refresh_while_paused);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/platform/test_histories.c
+++ b/tests/platform/test_histories.c
@@ -108,13 +108,13 @@
 {
   for (int phase = 0; phase < 60; phase++)
     {
-      f->faults.lose_request = (uint32_t)fake_random (f, 4) * 10;
-      f->faults.lose_reply = (uint32_t)fake_random (f, 4) * 10;
+      f->faults.lose_request_percent = (uint32_t)fake_random (f, 4) * 10;
+      f->faults.lose_reply_percent = (uint32_t)fake_random (f, 4) * 10;
       f->faults.delay_max_ms = (int64_t)fake_random (f, 3) * 900;
       f->faults.stale_max_ms = (int64_t)fake_random (f, 3) * 1500;
       f->faults.outage = fake_random (f, 12) == 0;
       f->faults.hang = fake_random (f, 12) == 0;
-      f->faults.hold_writes_ms = fake_random (f, 6) == 0 ? 3000 : 0;
+      f->faults.write_delay_ms = fake_random (f, 6) == 0 ? 3000 : 0;
       fake_run (f, f->now_ms + 2000);
     }
   memset (&f->faults, 0, sizeof f->faults);
--- a/tests/platform/test_outage.c
+++ b/tests/platform/test_outage.c
@@ -2,20 +2,20 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "ask.h"
+#include "request_helpers.h"
 
-START_TEST (test_watch_tells_changes)
+START_TEST (test_watch_reports_changes)
 {
   struct fake f;
   struct fake_client *c;
 
   fake_init (&f, 1);
   c = fake_add (&f, NULL);
-  ask_store_set (&f, "a", "{}");
+  store_write_as_other (&f, "a", "{}");
   beryl_platform_watch (c->core, BERYL_USE_CONFIG, "log", f.now_ms);
   fake_run (&f, f.now_ms + 500);
   ck_assert_str_eq (c->events, "+a");
-  ask_store_set (&f, "b", "{}");
+  store_write_as_other (&f, "b", "{}");
   store_delete (f.store, "log", "a", STORE_IF_ANY, &(uint64_t){ 0 }, f.now_ms);
   fake_run (&f, f.now_ms + 500);
   ck_assert_str_eq (c->events, "+a +b -a");
@@ -37,14 +37,14 @@
 
   fake_init (&f, 1);
   c = fake_add (&f, NULL);
-  ask_store_set (&f, "a", "{}");
-  ask_store_set (&f, "b", "{}");
+  store_write_as_other (&f, "a", "{}");
+  store_write_as_other (&f, "b", "{}");
   beryl_platform_watch (c->core, BERYL_USE_CONFIG, "log", f.now_ms);
   fake_run (&f, f.now_ms + 500);
   f.faults.hang = true;
   fake_run (&f, f.now_ms + 30000);
   store_delete (f.store, "log", "a", STORE_IF_ANY, &(uint64_t){ 0 }, f.now_ms);
-  ask_store_set (&f, "b", "{\"new\":1}");
+  store_write_as_other (&f, "b", "{\"new\":1}");
   store_compact (f.store);
   f.faults.hang = false;
   fake_run (&f, f.now_ms + 30000);
@@ -56,22 +56,22 @@
 
 /* After a gap the list comes from a replica that is behind what this node has
    seen.  Applied, it would take an accepted change back. */
-START_TEST (test_stale_list_takes_nothing_back)
+START_TEST (test_stale_list_reverts_nothing)
 {
   struct fake f;
   struct fake_client *c;
 
   fake_init (&f, 3);
   c = fake_add (&f, NULL);
-  ask_store_set (&f, "a", "{}");
+  store_write_as_other (&f, "a", "{}");
   fake_run (&f, f.now_ms + 1000);
   beryl_platform_watch (c->core, BERYL_USE_CONFIG, "log", f.now_ms);
   fake_run (&f, f.now_ms + 500);
-  ask_store_set (&f, "b", "{}");
+  store_write_as_other (&f, "b", "{}");
   fake_run (&f, f.now_ms + 500);
   ck_assert_str_eq (c->events, "+a +b");
   f.faults.stale_max_ms = 4000;
-  ask_store_set (&f, "c", "{}");
+  store_write_as_other (&f, "c", "{}");
   store_compact (f.store);
   fake_run (&f, f.now_ms + 30000);
   ck_assert_uint_gt (beryl_platform_counts (c->core)->stale, 0);
@@ -143,14 +143,15 @@
   beryl_platform_watch (c->core, BERYL_USE_CONFIG, "log", f.now_ms);
   f.faults.hang = true;
   for (int i = 0; i < 8; i++)
-    ask_get (c, (const char *[]){ "a", "b", "c", "d", "e", "f", "g", "h" }[i],
-             0, 4);
+    request_get (c,
+                 (const char *[]){ "a", "b", "c", "d", "e", "f", "g", "h" }[i],
+                 0, 4);
   fake_run (&f, f.now_ms + 10000);
   ck_assert (beryl_platform_is_unreachable (c->core));
   sent = c->sent;
   fake_run (&f, f.now_ms + 60000);
   ck_assert_uint_lt (c->sent - sent, 30);
-  o = ask_within (&f, BERYL_USE_CLAIM, 30, false);
+  o = request_options (&f, BERYL_USE_CLAIM, 30, false);
   request = beryl_platform_get (c->core, &o, "log", "z", 0, f.now_ms);
   sent = (uint64_t)f.now_ms;
   ck_assert_int_eq (fake_wait (c, request)->code, BERYL_ERROR_UNAVAILABLE);
@@ -166,7 +167,7 @@
 /* An outage ends, but this node goes on believing that the platform is away
    for ever: its only requests are impatient ones, each was refused before it
    could become the probe, and none came that waits. */
-START_TEST (test_impatient_requests_probe)
+START_TEST (test_fail_fast_requests_probe)
 {
   struct fake f;
   struct fake_client *c;
@@ -179,7 +180,7 @@
     {
       if (i == 60)
         f.faults.outage = false;
-      o = ask_within (&f, BERYL_USE_LEASE, 2, false);
+      o = request_options (&f, BERYL_USE_LEASE, 2, false);
       beryl_platform_get (c->core, &o, "log", "lease", 0, f.now_ms);
       fake_run (&f, f.now_ms + 250);
       if (i == 59)
@@ -211,7 +212,7 @@
     {
       if (i == 60)
         f.faults.outage = false;
-      o = ask_within (&f, BERYL_USE_LEASE, 2, false);
+      o = request_options (&f, BERYL_USE_LEASE, 2, false);
       beryl_platform_get (c->core, &o, "log", "lease", 0, f.now_ms);
       fake_run (&f, f.now_ms + 250);
     }
@@ -234,11 +235,11 @@
   c = fake_add (&f, &(struct beryl_platform_settings){
                         .backoff_min_ms = 2000, .breaker_failures = 1 });
   f.faults.outage = true;
-  ask_get (c, "a", 0, 1);
+  request_get (c, "a", 0, 1);
   fake_run (&f, f.now_ms + 100);
   ck_assert (beryl_platform_is_unreachable (c->core));
   began_ms = f.now_ms;
-  o = ask_within (&f, BERYL_USE_CLAIM, 30, false);
+  o = request_options (&f, BERYL_USE_CLAIM, 30, false);
   request = beryl_platform_get (c->core, &o, "log", "z", 0, f.now_ms);
   ck_assert_int_eq (fake_wait (c, request)->code, BERYL_ERROR_UNAVAILABLE);
   ck_assert_int_le (c->results[c->result_count - 1].at_ms - began_ms, 1);
@@ -246,7 +247,7 @@
 }
 END_TEST
 
-START_TEST (test_over_the_rate)
+START_TEST (test_rate_limited_answer)
 {
   struct fake f;
   struct fake_client *c;
@@ -257,7 +258,7 @@
   c = fake_add (&f, NULL);
   f.faults.limit_next = 1;
   began_ms = f.now_ms;
-  r = fake_wait (c, ask_put (c, "a", BERYL_IF_ABSENT, 0, "n", 10));
+  r = fake_wait (c, request_put (c, "a", BERYL_IF_ABSENT, 0, "n", 10));
   ck_assert_int_eq (r->code, BERYL_OK);
   ck_assert_int_ge (r->at_ms - began_ms, 1000);
   ck_assert_uint_eq (beryl_platform_counts (c->core)->refused, 1);
@@ -280,24 +281,24 @@
 
   fake_init (&f, 1);
   c = fake_add (&f, NULL);
-  status = ask_within (&f, BERYL_USE_STATUS, 300, true);
+  status = request_options (&f, BERYL_USE_STATUS, 300, true);
   for (int i = 0; i < 1000; i++)
     beryl_platform_put (c->core, &status, &w, f.now_ms);
   fake_run (&f, f.now_ms + 5000);
   began_ms = f.now_ms;
-  lease = ask_within (&f, BERYL_USE_LEASE, 10, true);
+  lease = request_options (&f, BERYL_USE_LEASE, 10, true);
   w.name = "lease";
   request = beryl_platform_put (c->core, &lease, &w, f.now_ms);
   ck_assert_int_lt (fake_wait (c, request)->at_ms - began_ms, 500);
   fake_run (&f, f.now_ms + 10000);
   /* 10 writes a second and a burst of 10. */
-  ck_assert_uint_le (ask_writes_in_store (&f), 180);
-  ck_assert_uint_ge (ask_writes_in_store (&f), 150);
+  ck_assert_uint_le (store_count_writes (&f), 180);
+  ck_assert_uint_ge (store_count_writes (&f), 150);
   fake_destroy (&f);
 }
 END_TEST
 
-START_TEST (test_queue_limit_and_forget)
+START_TEST (test_queue_limit_and_cancel)
 {
   struct fake f;
   struct fake_client *c;
@@ -306,9 +307,9 @@
 
   fake_init (&f, 1);
   c = fake_add (&f, &s);
-  first = ask_get (c, "a", 0, 5);
-  ask_get (c, "b", 0, 5);
-  ck_assert_int_eq (fake_wait (c, ask_get (c, "c", 0, 5))->code,
+  first = request_get (c, "a", 0, 5);
+  request_get (c, "b", 0, 5);
+  ck_assert_int_eq (fake_wait (c, request_get (c, "c", 0, 5))->code,
                     BERYL_ERROR_LIMIT);
   beryl_platform_cancel (c->core, first);
   fake_run (&f, f.now_ms + 1000);
@@ -327,18 +328,18 @@
   int failed;
 
   tcase_set_timeout (tc, 30);
-  tcase_add_test (tc, test_watch_tells_changes);
+  tcase_add_test (tc, test_watch_reports_changes);
   tcase_add_test (tc, test_watch_repairs_a_gap);
-  tcase_add_test (tc, test_stale_list_takes_nothing_back);
+  tcase_add_test (tc, test_stale_list_reverts_nothing);
   tcase_add_test (tc, test_instances);
   tcase_add_test (tc, test_unchanged_instances_are_confirmed);
   tcase_add_test (tc, test_outage_opens_the_breaker);
-  tcase_add_test (tc, test_impatient_requests_probe);
+  tcase_add_test (tc, test_fail_fast_requests_probe);
   tcase_add_test (tc, test_watch_probes_during_outage);
   tcase_add_test (tc, test_open_breaker_refuses_at_once);
-  tcase_add_test (tc, test_over_the_rate);
+  tcase_add_test (tc, test_rate_limited_answer);
   tcase_add_test (tc, test_budget_is_shared);
-  tcase_add_test (tc, test_queue_limit_and_forget);
+  tcase_add_test (tc, test_queue_limit_and_cancel);
   suite_add_tcase (suite, tc);
   runner = srunner_create (suite);
   srunner_run_all (runner, CK_NORMAL);
--- a/tests/platform/test_shell.c
+++ b/tests/platform/test_shell.c
@@ -8,7 +8,7 @@
 #include "../suite.h"
 
 /* The stand-in and a client in one process, over HTTP on loopback. */
-struct bench
+struct fixture
 {
   struct loop *loop;
   struct http_context *http;
@@ -25,7 +25,7 @@
 };
 
 static void
-bench_open (struct bench *b)
+fixture_init (struct fixture *b)
 {
   struct platform_client_settings settings = { .address = "127.0.0.1" };
 
@@ -42,7 +42,7 @@
 }
 
 static void
-bench_close (struct bench *b)
+fixture_clear (struct fixture *b)
 {
   platform_client_destroy (b->client);
   http_context_destroy (b->http);
@@ -52,9 +52,9 @@
 }
 
 static void
-ended (void *user, const struct beryl_platform_result *result)
+on_result (void *user, const struct beryl_platform_result *result)
 {
-  struct bench *b = user;
+  struct fixture *b = user;
 
   b->code = result->code;
   b->version = result->version;
@@ -65,9 +65,9 @@
 }
 
 static void
-changed (void *user, const struct beryl_platform_event *event)
+on_event (void *user, const struct beryl_platform_event *event)
 {
-  struct bench *b = user;
+  struct fixture *b = user;
   size_t used = strlen (b->events);
 
   snprintf (b->events + used, sizeof b->events - used, "%s%s",
@@ -77,10 +77,10 @@
 }
 
 static void
-listed (void *user, uint64_t revision, const struct beryl_instance *items,
-        size_t count)
+on_instances (void *user, uint64_t revision,
+              const struct beryl_instance *items, size_t count)
 {
-  struct bench *b = user;
+  struct fixture *b = user;
 
   b->instances++;
   loop_quit (b->loop);
@@ -90,7 +90,7 @@
     = { .use = BERYL_USE_CLAIM, .timeout_ms = 8000, .wait = true };
 
 static void
-put (struct bench *b, const char *name, enum beryl_condition condition,
+put (struct fixture *b, const char *name, enum beryl_condition condition,
      uint64_t version, const char *nonce)
 {
   char value[128];
@@ -99,37 +99,37 @@
 
   w.value_bytes
       = (size_t)snprintf (value, sizeof value, "{\"nonce\":\"%s\"}", nonce);
-  platform_client_put (b->client, &options, &w, ended, b);
+  platform_client_put (b->client, &options, &w, on_result, b);
   loop_run (b->loop);
 }
 
-struct order
+struct faults_call
 {
   struct http_call_handler base;
   struct loop *loop;
 };
 
 static void
-order_done (struct http_call_handler *handler, struct http_call *call)
+faults_done (struct http_call_handler *handler, struct http_call *call)
 {
   ck_assert_uint_eq (http_call_status (call), 200);
-  loop_quit (((struct order *)handler)->loop);
+  loop_quit (((struct faults_call *)handler)->loop);
 }
 
 static void
-order_failed (struct http_call_handler *handler, struct http_call *call,
-              bool sent, const char *reason)
+faults_failed (struct http_call_handler *handler, struct http_call *call,
+               bool sent, const char *reason)
 {
-  ck_abort_msg ("order failed: %s", reason);
+  ck_abort_msg ("setting faults failed: %s", reason);
 }
 
-/** Order faults from the stand-in. */
+/** Configures the faults of the stand-in platform. */
 static void
-order (struct bench *b, const char *faults)
+set_faults (struct fixture *b, const char *faults)
 {
   static const struct http_call_handler_impl impl
-      = { .done = order_done, .failed = order_failed };
-  struct order o = { { &impl }, b->loop };
+      = { .done = faults_done, .failed = faults_failed };
+  struct faults_call o = { { &impl }, b->loop };
   struct http_request request = { .method = "PUT",
                                   .address = "127.0.0.1",
                                   .port = platform_port (b->platform),
@@ -143,42 +143,42 @@
 
 START_TEST (test_objects)
 {
-  struct bench b;
+  struct fixture b;
 
-  bench_open (&b);
+  fixture_init (&b);
   put (&b, "a", BERYL_IF_ABSENT, 0, "n1");
   ck_assert_int_eq (b.code, BERYL_OK);
   put (&b, "a", BERYL_IF_ABSENT, 0, "n2");
   ck_assert_int_eq (b.code, BERYL_ERROR_CONFLICT);
   put (&b, "a", BERYL_IF_VERSION, b.version, "n3");
   ck_assert_int_eq (b.code, BERYL_OK);
-  platform_client_get (b.client, &options, "log", "a", 0, ended, &b);
+  platform_client_get (b.client, &options, "log", "a", 0, on_result, &b);
   loop_run (b.loop);
   ck_assert_str_eq (b.value, "{\"nonce\":\"n3\"}");
-  platform_client_list (b.client, &options, "log", "", ended, &b);
+  platform_client_list (b.client, &options, "log", "", on_result, &b);
   loop_run (b.loop);
   ck_assert_uint_eq (b.object_count, 1);
-  platform_client_delete (b.client, &options, "log", "a", b.version, ended,
+  platform_client_delete (b.client, &options, "log", "a", b.version, on_result,
                           &b);
   loop_run (b.loop);
   ck_assert_int_eq (b.code, BERYL_OK);
-  platform_client_get (b.client, &options, "log", "a", 0, ended, &b);
+  platform_client_get (b.client, &options, "log", "a", 0, on_result, &b);
   loop_run (b.loop);
   ck_assert_int_eq (b.code, BERYL_ERROR_NOT_FOUND);
   ck_assert_uint_eq (*counters_cell (b.counters, "beryl_platform_writes_total",
                                      "use=\"claim\""),
                      4);
-  bench_close (&b);
+  fixture_clear (&b);
 }
 END_TEST
 
 START_TEST (test_watch)
 {
   static const struct platform_watch_callbacks callbacks
-      = { .event = changed, .instances = listed };
-  struct bench b;
+      = { .event = on_event, .instances = on_instances };
+  struct fixture b;
 
-  bench_open (&b);
+  fixture_init (&b);
   put (&b, "a", BERYL_IF_ABSENT, 0, "n1");
   b.wanted_events = 2;
   platform_client_watch (b.client, BERYL_USE_CONFIG, "log", &callbacks, &b);
@@ -190,7 +190,7 @@
   platform_client_watch_instances (b.client, &callbacks, &b);
   loop_run (b.loop);
   ck_assert_uint_eq (b.instances, 1);
-  bench_close (&b);
+  fixture_clear (&b);
 }
 END_TEST
 
@@ -198,33 +198,33 @@
    too, the write is reported as granted once and is there once. */
 START_TEST (test_lost_reply)
 {
-  struct bench b;
+  struct fixture b;
 
-  bench_open (&b);
-  order (&b, "{\"lose_replies\":1}");
+  fixture_init (&b);
+  set_faults (&b, "{\"lose_replies\":1}");
   put (&b, "a", BERYL_IF_ABSENT, 0, "n1");
   ck_assert_int_eq (b.code, BERYL_OK);
   ck_assert_uint_eq (b.version, 1);
-  bench_close (&b);
+  fixture_clear (&b);
 }
 END_TEST
 
 START_TEST (test_outage)
 {
-  struct platform_client_options hasty = options;
-  struct bench b;
+  struct platform_client_options short_timeout = options;
+  struct fixture b;
 
-  hasty.timeout_ms = 300;
-  bench_open (&b);
-  order (&b, "{\"outage\":true}");
-  platform_client_get (b.client, &hasty, "log", "a", 0, ended, &b);
+  short_timeout.timeout_ms = 300;
+  fixture_init (&b);
+  set_faults (&b, "{\"outage\":true}");
+  platform_client_get (b.client, &short_timeout, "log", "a", 0, on_result, &b);
   loop_run (b.loop);
   ck_assert_int_eq (b.code, BERYL_ERROR_UNAVAILABLE);
-  order (&b, "{\"outage\":false}");
-  platform_client_get (b.client, &options, "log", "a", 0, ended, &b);
+  set_faults (&b, "{\"outage\":false}");
+  platform_client_get (b.client, &options, "log", "a", 0, on_result, &b);
   loop_run (b.loop);
   ck_assert_int_eq (b.code, BERYL_ERROR_NOT_FOUND);
-  bench_close (&b);
+  fixture_clear (&b);
 }
 END_TEST
 
--- a/tests/platform/test_store.c
+++ b/tests/platform/test_store.c
@@ -14,7 +14,7 @@
 };
 
 static bool
-see (void *user, const struct store_revision *r)
+visit (void *user, const struct store_revision *r)
 {
   struct seen *seen = user;
   size_t used = strlen (seen->text);
@@ -81,7 +81,7 @@
   ck_assert_int_eq (store_get (s, "config", "a", 200, &r), STORE_OK);
   ck_assert_str_eq (r.value, "new");
   ck_assert_uint_eq (store_revision_at (s, 250), 2);
-  store_list (s, "config", "", "", 250, see, &seen);
+  store_list (s, "config", "", "", 250, visit, &seen);
   ck_assert_str_eq (seen.text, "a");
   store_destroy (s);
 }
@@ -97,11 +97,11 @@
   put (s, "a", STORE_IF_ANY, &v, "1", 1);
   put (s, "b-1", STORE_IF_ANY, &v, "1", 1);
   store_put (s, "config-2", "z", STORE_IF_ANY, &v, "1", 1, 1);
-  store_list (s, "config", "", "", 1, see, &all);
+  store_list (s, "config", "", "", 1, visit, &all);
   ck_assert_str_eq (all.text, "a b-1 b-2");
-  store_list (s, "config", "", "a", 1, see, &rest);
+  store_list (s, "config", "", "a", 1, visit, &rest);
   ck_assert_str_eq (rest.text, "b-1 b-2");
-  store_list (s, "config", "b-", "b-1", 1, see, &prefixed);
+  store_list (s, "config", "b-", "b-1", 1, visit, &prefixed);
   ck_assert_str_eq (prefixed.text, "b-2");
   store_destroy (s);
 }
@@ -116,17 +116,17 @@
   put (s, "a", STORE_IF_ANY, &v, "1", 1);
   store_put (s, "other", "x", STORE_IF_ANY, &v, "1", 1, 1);
   store_delete (s, "config", "a", STORE_IF_ANY, &v, 2);
-  ck_assert_int_eq (store_events (s, "config", 0, see, &seen), STORE_OK);
+  ck_assert_int_eq (store_events (s, "config", 0, visit, &seen), STORE_OK);
   ck_assert_str_eq (seen.text, "a -a");
   store_compact (s);
-  ck_assert_int_eq (store_events (s, "config", 2, see, &late),
+  ck_assert_int_eq (store_events (s, "config", 2, visit, &late),
                     STORE_COMPACTED);
-  ck_assert_int_eq (store_events (s, "config", 3, see, &late), STORE_OK);
+  ck_assert_int_eq (store_events (s, "config", 3, visit, &late), STORE_OK);
   for (uint32_t i = 0; i <= STORE_EVENTS_MAX; i++)
     put (s, "b", STORE_IF_ANY, &v, "1", 3);
-  ck_assert_int_eq (store_events (s, "config", 3, see, &late),
+  ck_assert_int_eq (store_events (s, "config", 3, visit, &late),
                     STORE_COMPACTED);
-  ck_assert_int_eq (store_events (s, "config", v - 1, see, &late), STORE_OK);
+  ck_assert_int_eq (store_events (s, "config", v - 1, visit, &late), STORE_OK);
   ck_assert_str_eq (late.text, "b");
   store_destroy (s);
 }
