--- a/include/beryl/config.h
+++ b/include/beryl/config.h
@@ -1,8 +1,8 @@
 /** @file
- * The operators' objects as typed data.
+ * Typed configuration, built from the operators' objects.
  *
- * Source of the data: JSON documents in the platform's object API, which
- * berylctl makes from YAML.  A configuration is immutable once built.
+ * The objects are JSON documents in the platform's object API; berylctl
+ * converts them from YAML.  A configuration is immutable once built.
  */
 #ifndef BERYL_CONFIG_H
 #define BERYL_CONFIG_H
@@ -14,7 +14,7 @@
 #include "beryl/findings.h"
 #include "beryl/ids.h"
 
-/** Kinds of objects, as in the "kind" field. */
+/** Kinds of objects, as in their "kind" member. */
 enum beryl_kind
 {
   BERYL_KIND_SERVICE,
@@ -26,15 +26,15 @@
   BERYL_KIND_SYSTEM,
 };
 
-/** Order in which calls are served. */
+/** Priority class of calls, highest first. */
 enum beryl_class
 {
-  BERYL_CLASS_URGENT, /**< small calls with an immediate deadline */
+  BERYL_CLASS_URGENT, /**< small calls with a short deadline */
   BERYL_CLASS_NORMAL,
-  BERYL_CLASS_BATCH, /**< first to be refused when capacity is short */
+  BERYL_CLASS_BATCH, /**< refused first when capacity is short */
 };
 
-/** What an endpoint does. */
+/** Function of an endpoint; prefill and decode are bits. */
 enum beryl_role
 {
   BERYL_ROLE_PREFILL = 1,
@@ -43,14 +43,14 @@
   BERYL_ROLE_SERVICE = 4,
 };
 
-/** A call pattern of a service; PATH may end in "*". */
+/** A rule for the calls of a service that match METHOD and PATH. */
 struct beryl_call_rule
 {
   char method[16]; /**< "" matches every method */
-  char path[128];
+  char path[128];  /**< exact path, or a prefix that ends in "*" */
   bool non_idempotent;
   enum beryl_class call_class;
-  int64_t deadline_ms; /**< 0: the service's */
+  int64_t deadline_ms; /**< 0: use the deadline of the service */
 };
 
 /** A model service or a plain service. */
@@ -59,13 +59,13 @@
   char name[BERYL_NAME_BYTES];
   char model[BERYL_NAME_BYTES]; /**< "" for a plain service */
   enum beryl_class call_class;
-  int64_t deadline_ms;              /**< of a call that names none */
-  int64_t first_token_target_ms;    /**< model services */
-  int64_t between_tokens_target_ms; /**< model services */
-  /** How many met deadlines one wasted prefill is worth: 0 favours goodput,
-   * 1 weighs both alike, more favours little waste. */
+  int64_t deadline_ms;              /**< default for calls without one */
+  int64_t first_token_target_ms;    /**< model services only */
+  int64_t between_tokens_target_ms; /**< model services only */
+  /** Cost of one wasted prefill in met deadlines: 0 optimises for goodput
+   * only, 1 weighs both equally, more favours less waste. */
   double waste_weight;
-  uint32_t retry_budget_percent; /**< retries per hundred first tries */
+  uint32_t retry_budget_percent; /**< retries per 100 first attempts */
   uint32_t max_concurrent;       /**< per endpoint; 0: no limit */
   bool non_idempotent;           /**< default for calls without a rule */
   struct beryl_call_rule *rules;
@@ -83,7 +83,7 @@
   uint32_t max_endpoints;
 };
 
-/** A model and the version that is to be served. */
+/** A model and the version to serve. */
 struct beryl_model
 {
   char name[BERYL_NAME_BYTES];
@@ -94,35 +94,36 @@
   uint64_t weight_bytes;
 };
 
-/** Whose calls they are. */
+/** A customer organisation. */
 struct beryl_organisation
 {
   char name[BERYL_NAME_BYTES];
-  char (*token_sha256)[65]; /**< hex digests; several during rotation */
+  char (*token_sha256)[65]; /**< hex digests; more than one during token
+                               rotation */
   size_t token_count;
-  char data_centre[BERYL_NAME_BYTES]; /**< of its callers; may be "" */
-  double weight;                      /**< fair share; 1 is usual */
+  char data_centre[BERYL_NAME_BYTES]; /**< of its callers; "": unknown */
+  double weight;                      /**< weight in fair sharing, default 1 */
   uint32_t requests_per_s;            /**< 0: no limit */
   uint32_t max_concurrent;            /**< 0: no limit */
 };
 
-/** One back end. */
+/** A back end: one model engine or one process of a plain service. */
 struct beryl_endpoint
 {
   char name[BERYL_NAME_BYTES];
   char service[BERYL_NAME_BYTES];
-  char address[64]; /**< IP number */
+  char address[64]; /**< IP address */
   uint16_t port;
   char data_centre[BERYL_NAME_BYTES];
   char region[BERYL_NAME_BYTES];
   enum beryl_role role;
-  uint32_t slots;            /**< concurrent decodes; 0: unknown */
-  uint64_t link_bytes_per_s; /**< rate for KV transfers; 0: unknown */
-  bool checks_fence;         /**< refuses orders with an old fencing number */
-  bool leaving;              /**< receives no new work */
+  uint32_t slots; /**< maximum number of concurrent decodes; 0: unknown */
+  uint64_t link_bytes_per_s; /**< bandwidth for KV transfers; 0: unknown */
+  bool checks_fence; /**< rejects orders with an outdated fencing token */
+  bool leaving;      /**< receives no new work */
 };
 
-/** Settings of the whole system that change at run time. */
+/** System-wide settings that can change at run time. */
 struct beryl_system
 {
   char log_level[16];
@@ -131,7 +132,7 @@
   int64_t entry_answer_ttl_ms; /**< lifetime of a discovery answer */
 };
 
-/** A checked configuration. */
+/** A validated configuration. */
 struct beryl_config
 {
   uint64_t version;
@@ -150,22 +151,22 @@
 
 /** Build a configuration from a JSON array of objects, each
  * {"api_version":"beryl/v1","kind":K,"name":N,"spec":{...}}.
- * All problems are added to FINDINGS.  A finding's file is the JSON pointer
- * of its place ("/3/spec/port"), so that a caller which knows the source can
- * name the line.  Rules of urgency objects are added to their services'.
+ * All problems are added to FINDINGS.  A finding's file is a JSON pointer
+ * ("/3/spec/port"), which a caller that knows the source can map to a line.
+ * The rules of urgency objects are appended to those of their services.
  * Returns NULL if there is any finding. */
 struct beryl_config *beryl_config_parse (const char *json, size_t json_bytes,
                                          uint64_t version,
                                          struct beryl_findings *findings);
 
-/** Check one object on its own; true if it is valid. */
+/** Validate one object on its own, without its references. */
 bool beryl_config_check_object (const char *json, size_t json_bytes,
                                 struct beryl_findings *findings);
 
-/** Release CONFIG; NULL is allowed. */
+/** Free CONFIG; NULL is allowed. */
 void beryl_config_destroy (struct beryl_config *config);
 
-/** Find by name; NULL if absent. */
+/** Look up an object by name; NULL if absent. */
 const struct beryl_service *
 beryl_config_service (const struct beryl_config *config, const char *name);
 const struct beryl_service *
@@ -174,18 +175,18 @@
 const struct beryl_model *
 beryl_config_model (const struct beryl_config *config, const char *name);
 
-/** Find the organisation whose token has the hex SHA-256 digest; compared
- * in constant time.  NULL if none. */
+/** Return the organisation that TOKEN belongs to, or NULL.  The SHA-256
+ * digests are compared in constant time. */
 const struct beryl_organisation *
 beryl_config_organisation_of_token (const struct beryl_config *config,
                                     const char *token);
 
-/** Return the rule that matches a call, or NULL. */
+/** Return the first rule of SERVICE that matches a call, or NULL. */
 const struct beryl_call_rule *
 beryl_service_rule (const struct beryl_service *service, const char *method,
                     const char *path);
 
-/** Stable names used in JSON and YAML. */
+/** Return the stable name used in JSON and YAML. */
 const char *beryl_kind_name (enum beryl_kind kind);
 const char *beryl_class_name (enum beryl_class call_class);
 const char *beryl_role_name (enum beryl_role role);
--- a/include/beryl/discovery.h
+++ b/include/beryl/discovery.h
@@ -1,9 +1,9 @@
 /** @file
- * Chooses which nodes a caller is told to connect to.
+ * Selects the nodes that a caller is told to connect to.
  *
- * A pure function of the member list, the organisations' names and the
- * caller's data centre: every node gives the same answer for the same
- * lists, so that callers which keep answers stay evenly spread.
+ * The result is a pure function of the member list, the organisations' names
+ * and the caller's data centre.  All nodes therefore give the same answer for
+ * the same lists, and callers that cache answers stay evenly distributed.
  */
 #ifndef BERYL_DISCOVERY_H
 #define BERYL_DISCOVERY_H
@@ -14,62 +14,63 @@
 
 #include "beryl/ids.h"
 
-/** A node that may be handed out. */
+/** A candidate node. */
 struct beryl_discovery_node
 {
   const char *name;
   const char *data_centre;
   const char *region;
-  bool leaving; /**< never handed out */
-  bool suspect; /**< handed out only if there is no other */
+  bool leaving; /**< never returned */
+  bool suspect; /**< ranked after every live node */
 };
 
-/** An organisation whose callers ask. */
+/** An organisation whose callers use discovery. */
 struct beryl_discovery_organisation
 {
   const char *name;
-  const char *data_centre; /**< where its callers are; "": unknown */
+  const char *data_centre; /**< data centre of its callers; "": unknown */
 };
 
-/** Most addresses in one answer. */
+/** Maximum number of nodes in one answer. */
 #define BERYL_DISCOVERY_MAX 8
 
-/** One entry of an answer, best first. */
+/** One entry of an answer; entries are in order of preference. */
 struct beryl_discovery_choice
 {
-  size_t node;     /**< index into the nodes given */
-  uint32_t weight; /**< share of the calls, in percent; sums to 100 */
+  size_t node;     /**< index into the array of nodes that was set */
+  uint32_t weight; /**< share of the calls in percent; the sum is 100 */
 };
 
 struct beryl_discovery;
 
-/** Create a chooser. */
+/** Create a selector without nodes or organisations. */
 struct beryl_discovery *beryl_discovery_create (void);
 
-/** Release DISCOVERY; NULL is allowed. */
+/** Free DISCOVERY; NULL is allowed. */
 void beryl_discovery_destroy (struct beryl_discovery *discovery);
 
-/** Use these nodes; names are copied.  False without memory: the nodes
- * given before stay in use. */
+/** Set the candidate nodes; names are copied.  Returns false if out of memory,
+ * and the previous nodes stay in use. */
 bool beryl_discovery_set_nodes (struct beryl_discovery *discovery,
                                 const struct beryl_discovery_node *nodes,
                                 size_t node_count);
 
-/** Use these organisations, in any order; names are copied.  One that is
- * not listed gets a place by its hash.  False without memory. */
+/** Set the organisations, in any order; names are copied.  An organisation
+ * that is not listed is placed by its hash.  Returns false if out of memory,
+ * and the previous organisations stay in use. */
 bool beryl_discovery_set_organisations (
     struct beryl_discovery *discovery,
     const struct beryl_discovery_organisation *organisations,
     size_t organisation_count);
 
-/** Choose up to MAX nodes for ORGANISATION's callers near DATA_CENTRE in
- * REGION (either may be "": unknown).  Nodes of that data centre come
- * first and carry all the weight, then those of the region, then others,
- * which carry weight only if the nearer ones have no live node.  If it is
- * the organisation's own data centre and more organisations belong there
- * than its part of all live nodes, up to a quarter of them get another one's
- * nodes first, of the region if one has room.  Returns the number of CHOICES,
- * 0 if there is no node. */
+/** Select up to MAX nodes for callers of ORGANISATION in DATA_CENTRE of REGION
+ * (either may be "": unknown).  Nodes of that data centre come first and get
+ * all the weight; nodes of the region and then of other regions follow as
+ * fallbacks and get weight only if there is no nearer live node.  If
+ * DATA_CENTRE is the organisation's home and more organisations have their
+ * home there than its share of the live nodes allows, up to a quarter of them
+ * are assigned to another data centre, preferably of the same region.
+ * Returns the number of CHOICES; 0 if there are no nodes. */
 size_t beryl_discovery_choose (const struct beryl_discovery *discovery,
                                const char *organisation,
                                const char *data_centre, const char *region,
--- a/include/beryl/fields.h
+++ b/include/beryl/fields.h
@@ -1,5 +1,5 @@
 /** @file
- * Table-driven reading of JSON objects into structs, with findings.
+ * Table-driven decoding of JSON objects into structs, with validation.
  */
 #ifndef BERYL_FIELDS_H
 #define BERYL_FIELDS_H
@@ -10,15 +10,15 @@
 
 #include "beryl/findings.h"
 
-/** Where the reader stands; findings name it as a JSON pointer. */
+/** Location in a JSON document; findings refer to it by its JSON pointer. */
 struct beryl_location
 {
   struct beryl_findings *findings;
-  char object[160];  /**< "service adviesmodel", for messages */
-  char pointer[256]; /**< "/3/spec" */
+  char object[160];  /**< object for messages, as "service adviesmodel" */
+  char pointer[256]; /**< JSON pointer, as "/3/spec" */
 };
 
-/** Types of members. */
+/** Types of fields. */
 enum beryl_field_type
 {
   BERYL_FIELD_NAME, /**< an object's name */
@@ -31,49 +31,50 @@
   BERYL_FIELD_BOOL,
   BERYL_FIELD_CLASS,
   BERYL_FIELD_ROLE,
-  BERYL_FIELD_ADDRESS, /**< an IP number */
-  BERYL_FIELD_CUSTOM,  /**< read by a function of its own */
+  BERYL_FIELD_ADDRESS, /**< an IP address */
+  BERYL_FIELD_CUSTOM,  /**< decoded by the field's custom function */
 };
 
-/** What becomes of a number that a member cannot hold as it is. */
+/** Handling of a number that is not an integer or is out of range. */
 enum beryl_rounding
 {
-  BERYL_ROUND_NONE, /**< a finding */
-  BERYL_ROUND_DOWN, /**< rounded down, and no more than the greatest */
-  BERYL_ROUND_UP,   /**< rounded up, and no less than the least */
+  BERYL_ROUND_NONE, /**< reported as a finding */
+  BERYL_ROUND_DOWN, /**< rounded down and limited to the maximum */
+  BERYL_ROUND_UP,   /**< rounded up and raised to the minimum */
 };
 
-/** One member of a JSON object and where it goes. */
+/** Maps one member of a JSON object to a struct member. */
 struct beryl_field
 {
   const char *key;
   enum beryl_field_type type;
   size_t offset;
-  size_t bytes; /**< of text buffers */
-  double min;   /**< of numbers, in the unit of the text */
-  double max;
+  size_t bytes; /**< size of a text buffer */
+  double min;   /**< lower bound of a number, in the unit of the JSON text */
+  double max;   /**< upper bound, likewise */
   enum beryl_rounding rounding;
-  double unit; /**< the member's units in one of the text's; 0: 1 */
+  double unit; /**< factor from the JSON unit to the member's; 0 means 1 */
   bool required;
-  bool null_is_default; /**< null leaves the member as it was */
+  bool null_is_default; /**< null leaves the member unchanged */
   void (*custom) (const struct beryl_location *location, json_t *value,
                   void *target);
 };
 
-/** Add a finding at PLACE, below MEMBER unless it is NULL. */
+/** Add a finding at LOCATION, or at its member MEMBER unless that is NULL. */
 void beryl_location_report (const struct beryl_location *location,
                             const char *member, const char *format, ...)
     __attribute__ ((format (printf, 3, 4)));
 
-/** Set CHILD to the member KEY below PLACE. */
+/** Set CHILD to the member KEY of LOCATION. */
 void beryl_location_enter (struct beryl_location *child,
                            const struct beryl_location *location,
                            const char *key);
 
-/** Whether TEXT is a valid object name. */
+/** Return whether TEXT is a valid object name. */
 bool beryl_field_name_valid (const char *text);
 
-/** Read JSON into TARGET; members that the table lacks are findings. */
+/** Decode JSON into TARGET.  Unknown members, missing required members and
+ * invalid values are reported as findings. */
 void beryl_fields_read (const struct beryl_location *location, json_t *json,
                         const struct beryl_field *fields, size_t field_count,
                         void *target);
--- a/include/beryl/membership.h
+++ b/include/beryl/membership.h
@@ -1,14 +1,15 @@
 /** @file
- * Which nodes there are and which can be reached.
+ * Gossip-based cluster membership and failure detection.
  *
- * Nodes probe each other, directly and through others, and pass on what
- * changed with every message.  An unreachable node is suspect, not dead:
- * only the platform's instance list, as a witness, lets a suspect node be
- * declared dead, so that a partition heals without mass death.  In a data
- * centre all probe all by turns; few bridges probe other data centres.
+ * Nodes probe each other, directly and through other nodes, and piggyback
+ * changed member records on every message.  An unreachable node is suspect,
+ * not dead: it is declared dead only once it is also missing from the
+ * platform's instance list, so that a partition heals without nodes having
+ * to rejoin.  Within a data centre every node probes every other in turn;
+ * only a few bridge nodes probe other data centres.
  *
- * No I/O.  Messages must be authenticated by whoever carries them.  Not
- * thread-safe.
+ * Does no I/O and is not thread-safe.  The transport must authenticate
+ * messages.
  */
 #ifndef BERYL_MEMBERSHIP_H
 #define BERYL_MEMBERSHIP_H
@@ -19,72 +20,72 @@
 
 #include "beryl/ids.h"
 
-/** Longest text form of an IP address, with its NUL. */
+/** Size of the longest text form of an IP address, including the NUL. */
 #define BERYL_ADDRESS_BYTES 48
 
-/** States; of two records of one incarnation the later one in this order
- * counts. */
+/** State of a member.  Of two records with the same incarnation the one with
+ * the higher state wins. */
 enum beryl_member_state
 {
   BERYL_MEMBER_ALIVE,
   BERYL_MEMBER_SUSPECT,
-  BERYL_MEMBER_DEAD, /**< kept for a while, so that old news of it being
-                        alive do not bring it back */
+  BERYL_MEMBER_DEAD, /**< retained for a while, so that an outdated record
+                        does not revive the member */
 };
 
-/** Roles that the others must be able to find. */
+/** Roles that a node advertises to the other members (bit mask). */
 enum beryl_member_role
 {
-  BERYL_MEMBER_WATCHER = 1, /**< collects reports of its data centre */
-  BERYL_MEMBER_ACCEPTOR = 2,
-  BERYL_MEMBER_PLANNER = 4, /**< collects demand */
+  BERYL_MEMBER_WATCHER = 1,  /**< collects the reports of its data centre */
+  BERYL_MEMBER_ACCEPTOR = 2, /**< validates and publishes configurations */
+  BERYL_MEMBER_PLANNER = 4,  /**< collects demand and sizes the pools */
 };
 
-/** One node. */
+/** Record of one node. */
 struct beryl_member
 {
   char name[BERYL_NAME_BYTES];
   char address[BERYL_ADDRESS_BYTES];
-  uint16_t port; /**< of gossip, UDP and TCP */
+  uint16_t port; /**< gossip port, UDP and TCP */
   char data_centre[BERYL_NAME_BYTES];
   char region[BERYL_NAME_BYTES];
-  uint64_t incarnation; /**< 0: only known from the instance list */
+  uint64_t incarnation; /**< 0: known only from the instance list */
   enum beryl_member_state state;
-  bool leaving;               /**< planned stop; stays set */
+  bool leaving;               /**< planned shutdown; never cleared */
   uint32_t roles;             /**< bits of enum beryl_member_role */
-  uint64_t entry_incarnation; /**< of its beryl-entryd; 0: away */
+  uint64_t entry_incarnation; /**< of its beryl-entryd; 0: not running */
   uint16_t http_port;         /**< of its beryl-entryd */
   uint16_t peer_port;         /**< of its beryl-entryd */
-  uint64_t config_version;    /**< last heard from the node itself */
-  uint64_t config_applied;    /**< in use there, so heard as well */
+  uint64_t config_version; /**< newest version reported by the node itself */
+  uint64_t config_applied; /**< version in use, reported by the node itself */
 };
 
-/** Types of messages. */
+/** Message types. */
 enum beryl_gossip_type
 {
   BERYL_GOSSIP_PING = 1,
   BERYL_GOSSIP_ACK,
-  BERYL_GOSSIP_PING_REQUEST, /**< ping the target for me */
-  BERYL_GOSSIP_UPDATE,       /**< something changed; no answer */
+  BERYL_GOSSIP_PING_REQUEST, /**< ping the target on behalf of the sender */
+  BERYL_GOSSIP_UPDATE,       /**< carries changed records; not answered */
 };
 
-/** Most member records in one message; fits a datagram. */
+/** Maximum number of member records in one message; fits a datagram. */
 #define BERYL_GOSSIP_UPDATES_MAX 5
 
-/** Age of a proof that nobody has. */
+/** Value of config_age_ms if the configuration was never confirmed. */
 #define BERYL_CONFIG_AGE_UNKNOWN UINT32_MAX
 
-/** One message. */
+/** A gossip message. */
 struct beryl_gossip
 {
   enum beryl_gossip_type type;
   uint32_t sequence;
   char from[BERYL_NAME_BYTES];
   uint64_t from_incarnation;
-  char target[BERYL_NAME_BYTES]; /**< PING: whom; PING_REQUEST: whom */
+  char target[BERYL_NAME_BYTES]; /**< PING, PING_REQUEST: node to be pinged */
   uint64_t config_version;
-  uint64_t config_applied; /**< in use at FROM */
-  /** Age of the proof that this was the newest configuration. */
+  uint64_t config_applied; /**< version in use at FROM */
+  /** Time since FROM's configuration was last confirmed to be the newest. */
   uint32_t config_age_ms;
   struct beryl_member updates[BERYL_GOSSIP_UPDATES_MAX];
   size_t update_count;
@@ -93,63 +94,64 @@
 struct beryl_membership;
 struct beryl_membership_owner;
 
-/** Actions.  Pointers are valid during the call. */
+/** Callbacks.  Pointers are valid only during the call. */
 struct beryl_membership_owner_impl
 {
   /** Send a datagram. */
   void (*send) (struct beryl_membership_owner *owner, const char *address,
                 uint16_t port, const struct beryl_gossip *message);
-  /** A member appeared or changed; DEAD ones leave the list. */
+  /** A member was added or changed; a DEAD one is about to be removed. */
   void (*changed) (struct beryl_membership_owner *owner,
                    const struct beryl_member *member);
-  /** PEER has a newer configuration: pull it. */
+  /** PEER has a newer configuration, which is to be pulled. */
   void (*pull_config) (struct beryl_membership_owner *owner,
                        const struct beryl_member *peer);
-  /** Compare member lists with PEER over a connection (anti-entropy). */
+  /** Exchange member lists with PEER over a connection (anti-entropy). */
   void (*sync) (struct beryl_membership_owner *owner,
                 const struct beryl_member *peer);
 };
 
-/** The owner; the first member selects the implementation. */
+/** Base of the owner; embed it as the first member. */
 struct beryl_membership_owner
 {
   const struct beryl_membership_owner_impl *impl;
 };
 
-/** Settings; zero times take the defaults in brackets. */
+/** Settings; a time of zero selects the default in brackets. */
 struct beryl_membership_settings
 {
-  struct beryl_member self; /**< incarnation: above any former one's */
+  /** Record of this node; its incarnation must exceed every previous one. */
+  struct beryl_member self;
   uint64_t seed;
-  int64_t probe_ms; /**< between probes [1000] */
-  int64_t ack_ms;   /**< until others are asked to ping [300] */
-  int64_t sync_ms;  /**< between comparisons of lists [30000] */
-  /** How long a member must be silent and absent from the instance list to
-   * be declared dead [5000]. */
+  int64_t probe_ms; /**< probe interval [1000] */
+  int64_t ack_ms;   /**< time to wait before probing indirectly [300] */
+  int64_t sync_ms;  /**< anti-entropy interval [30000] */
+  /** Time that a member must be both suspect and missing from the instance
+   * list before it is declared dead [5000]. */
   int64_t dead_after_ms;
 };
 
-/** Create; OWNER must outlive it. */
+/** Create a membership; OWNER must outlive it.  NULL if out of memory. */
 struct beryl_membership *
 beryl_membership_create (const struct beryl_membership_settings *settings,
                          struct beryl_membership_owner *owner, int64_t now_ms);
 
-/** Release; NULL is allowed. */
+/** Free M; NULL is allowed. */
 void beryl_membership_destroy (struct beryl_membership *m);
 
-/** Take a message that arrived from ADDRESS. */
+/** Handle a message received from ADDRESS. */
 void beryl_membership_receive (struct beryl_membership *m,
                                const struct beryl_gossip *message,
                                const char *address, uint16_t port,
                                int64_t now_ms);
 
-/** Let time pass. */
+/** Run everything that is due at NOW_MS. */
 void beryl_membership_tick (struct beryl_membership *m, int64_t now_ms);
 
-/** Return when the next tick is due. */
+/** Return the time of the next tick. */
 int64_t beryl_membership_next_ms (const struct beryl_membership *m);
 
-/** One of our instances in the platform's list. */
+/** An entry instance in the platform's instance list. */
 struct beryl_listed_instance
 {
   char name[BERYL_NAME_BYTES];
@@ -160,49 +162,53 @@
   bool leaving;
 };
 
-/** Take the platform's list: seeds for contact, witness of deaths. */
+/** Set the platform's instance list.  Its entries are seeds for the first
+ * contact; a suspect member that stays missing from it is declared dead. */
 void beryl_membership_set_instances (struct beryl_membership *m,
                                      const struct beryl_listed_instance *items,
                                      size_t count, int64_t now_ms);
 
-/** Merge records that a peer gave over a connection. */
+/** Merge records received from a peer during anti-entropy. */
 void beryl_membership_merge (struct beryl_membership *m,
                              const struct beryl_member *members, size_t count,
                              int64_t now_ms);
 
-/** Facts about this node that the others are to know. */
+/** Set the incarnation and ports of this node's beryl-entryd. */
 void beryl_membership_set_entry (struct beryl_membership *m,
                                  uint64_t entry_incarnation,
                                  uint16_t http_port, uint16_t peer_port,
                                  int64_t now_ms);
+/** Advertise or withdraw a role of this node. */
 void beryl_membership_set_role (struct beryl_membership *m,
                                 enum beryl_member_role role, bool held,
                                 int64_t now_ms);
+/** Announce the planned shutdown of this node. */
 void beryl_membership_leave (struct beryl_membership *m, int64_t now_ms);
 
-/** This node has configuration VERSION, and others may pull it. */
+/** Announce that this node has configuration VERSION and serves it to peers.
+ */
 void beryl_membership_set_config (struct beryl_membership *m, uint64_t version,
                                   int64_t now_ms);
 
-/** Configuration VERSION is in use at this node; it may be lower than before.
- * The watchers of its data centre are told at once. */
+/** Report that this node uses configuration VERSION, which may be lower than
+ * the previous one.  The watchers of its data centre are informed at once. */
 void beryl_membership_set_applied (struct beryl_membership *m,
                                    uint64_t version, int64_t now_ms);
 
-/** The platform proved just now that this node's configuration is the
- * newest. */
+/** Record that the platform has confirmed at NOW_MS that this node's
+ * configuration is the newest. */
 void beryl_membership_confirm_config (struct beryl_membership *m,
                                       int64_t now_ms);
 
-/** Return the age of the last such proof, from here or from a peer with the
- * same configuration; -1: none. */
+/** Return the time since the last such confirmation, by this node or by a peer
+ * with the same configuration; -1 if there was none. */
 int64_t beryl_membership_config_age_ms (const struct beryl_membership *m,
                                         int64_t now_ms);
 
-/** Return when another node was heard last; 0: never. */
+/** Return the time of the last message from another node; 0: none. */
 int64_t beryl_membership_last_contact_ms (const struct beryl_membership *m);
 
-/** Return all records, this node's and dead ones included, by name. */
+/** Access the records, sorted by name, including this node's and dead ones. */
 size_t beryl_membership_count (const struct beryl_membership *m);
 const struct beryl_member *
 beryl_membership_get (const struct beryl_membership *m, size_t i);
@@ -211,11 +217,12 @@
 const struct beryl_member *
 beryl_membership_self (const struct beryl_membership *m);
 
-/** Return a hash that is equal for equal lists. */
+/** Return a hash of the member list; equal lists have equal hashes. */
 uint64_t beryl_membership_digest (const struct beryl_membership *m);
 
-/** Whether this node is among the MOST live nodes that stand for ROLE, of
- * DATA_CENTRE unless it is "". */
+/** Return whether this node is one of the MAX_CANDIDATES live nodes that are
+ * candidates for ROLE by rendezvous hashing; only nodes of DATA_CENTRE are
+ * considered unless it is "". */
 bool beryl_membership_is_candidate (const struct beryl_membership *m,
                                     const char *role, const char *data_centre,
                                     uint32_t max_candidates);
