--- a/libberyl/config/fields.c
+++ b/libberyl/config/fields.c
@@ -9,7 +9,7 @@
 
 #include "beryl/config.h"
 
-/* What a product such as 7.3 * 1000 may be beside the whole number. */
+/* Tolerance for the rounding error of products such as 7.3 * 1000. */
 #define ROUNDING_ERROR 1e-6
 
 void
@@ -91,7 +91,7 @@
   if (text == NULL
       || (inet_pton (AF_INET, text, number) != 1
           && inet_pton (AF_INET6, text, number) != 1))
-    beryl_location_report (location, field->key, "%s must be an IP number",
+    beryl_location_report (location, field->key, "%s must be an IP address",
                            field->key);
   else
     read_text (location, field, value, target);
@@ -117,8 +117,8 @@
     }
 }
 
-/* Moves N into the field's range if the field allows it at that end; a
-   negative number is never meant as zero. */
+/* Clamps N to the bound that the field's rounding permits.  A negative number
+   is not raised to the minimum, as it is never meant as zero. */
 static double
 clamp_number (const struct beryl_field *field, double n)
 {
@@ -129,7 +129,7 @@
   return n;
 }
 
-/* Reads a number in the field's range, in the unit of the text. */
+/* Reads a number within the field's range, in the unit of the JSON text. */
 static bool
 read_number (const struct beryl_location *location,
              const struct beryl_field *field, json_t *value, double *number)
--- a/libberyl/config/kinds.h
+++ b/libberyl/config/kinds.h
@@ -1,5 +1,5 @@
 /** @file
- * The tables of the kinds of objects.
+ *  * Field tables, defaults and checks of the object kinds.
  */
 #ifndef CONFIG_KINDS_H
 #define CONFIG_KINDS_H
@@ -7,7 +7,7 @@
 #include "beryl/config.h"
 #include "beryl/fields.h"
 
-/** An urgency object: call rules that are added to its service's. */
+/** An urgency object: call rules that are appended to those of its service. */
 struct urgency
 {
   char name[BERYL_NAME_BYTES];
@@ -16,20 +16,21 @@
   size_t rule_count;
 };
 
-/** A kind of objects. */
+/** Description of an object kind. */
 struct kind
 {
   enum beryl_kind kind;
-  size_t bytes; /**< of its struct; all but the system's begin with the name */
+  size_t bytes; /**< size of its struct, which begins with the name unless it
+                   is the system */
   const struct beryl_field *fields;
   size_t field_count;
-  /** Set the defaults; may be NULL. */
+  /** Sets the defaults; may be NULL. */
   void (*defaults) (void *target);
-  /** Check members against each other; may be NULL. */
+  /** Checks members against each other; may be NULL. */
   void (*check) (const struct beryl_location *location, const void *target);
 };
 
-/** Return the kind of a name, or NULL. */
+/** Return the kind called NAME, or NULL. */
 const struct kind *kind_find (const char *name);
 
 /** Set the defaults of the system object. */
--- a/libberyl/config/lookup.c
+++ b/libberyl/config/lookup.c
@@ -86,7 +86,8 @@
   char hex[SHA256_DIGEST_LENGTH * 2 + 1];
 
   hex_sha256 (token, hex);
-  /* All are compared, so that the time does not tell which one fits. */
+  /* Compare all digests, so that the time does not reveal which one matches.
+   */
   for (size_t i = 0; i < config->organisation_count; i++)
     for (size_t j = 0; j < config->organisations[i].token_count; j++)
       if (CRYPTO_memcmp (config->organisations[i].token_sha256[j], hex,
--- a/libberyl/config/parse.c
+++ b/libberyl/config/parse.c
@@ -9,7 +9,7 @@
 #define API_VERSION "beryl/v1"
 #define SYSTEM_NAME "system"
 
-/* Objects of one kind, of a size known at run time. */
+/* Array of the objects of one kind; the element size depends on the kind. */
 struct list
 {
   char *items;
@@ -20,7 +20,7 @@
 {
   struct beryl_findings *findings;
   struct list lists[BERYL_KIND_SYSTEM + 1];
-  json_t *seen; /* "kind/name" of what was read */
+  json_t *seen; /* set of "kind/name" already read */
 };
 
 static json_t *
@@ -38,8 +38,8 @@
   return root;
 }
 
-/* The last three are berylctl's: the version that an edit was made from, the
- * specification before the last edit, and whose write it was. */
+/* berylctl writes the last three: the version that an edit is based on, the
+ * specification before the last edit, and the nonce of the write. */
 static bool
 is_envelope_key (const char *key)
 {
@@ -53,8 +53,8 @@
   return false;
 }
 
-/* Reads "kind" and "name" and refuses members that are unknown, so that a
- * misspelt one is not taken for an absent one. */
+/* Reads "kind" and "name".  Unknown members are findings, so that a misspelt
+ * member does not count as absent. */
 static const struct kind *
 read_envelope (struct beryl_location *location, json_t *object,
                const char **name)
@@ -248,7 +248,7 @@
                         "%s %s: there is no service %s", kind, name, service);
 }
 
-/* One token for two organisations would let one reach the other's keys. */
+/* Two organisations with the same token could access each other's keys. */
 static void
 check_tokens (struct parser *parser, const struct beryl_config *config)
 {
@@ -316,7 +316,7 @@
   }
 }
 
-/* Releases what a configuration does not own. */
+/* Frees the lists that the configuration does not own. */
 static void
 parser_release_rest (const struct parser *parser)
 {
--- a/libberyl/membership/discovery.c
+++ b/libberyl/membership/discovery.c
@@ -6,42 +6,41 @@
 
 #include "homes.h"
 
-/* Live nodes of the nearest place that share an organisation's calls, and
- * farther ones that a caller turns to when these fail. */
+/* Maximum number of live nodes that share an organisation's calls, and of
+ * fallback nodes from each farther group. */
 #define SHARING_MAX 4
 #define FALLBACK_MAX 2
 
-struct place
+struct node_entry
 {
   char name[BERYL_NAME_BYTES];
   char data_centre[BERYL_NAME_BYTES];
   char region[BERYL_NAME_BYTES];
   uint64_t hash;
-  size_t index; /* in the caller's list */
+  size_t index; /* in the array passed by the caller */
   bool leaving;
   bool suspect;
 };
 
 struct beryl_discovery
 {
-  struct place *nodes; /* by hash */
+  struct node_entry *nodes; /* sorted by hash */
   size_t node_count;
-  struct home *homes; /* data centres of live nodes; names are the nodes' */
+  struct home *homes; /* data centres with live nodes; borrows their names */
   size_t home_count;
-  uint64_t *organisations; /* hashes, ascending */
+  uint64_t *organisations; /* hashes of the names, ascending */
   size_t organisation_count;
-  struct homed_organisation
-      *homed; /* those with a data centre, by it and by hash */
+  struct homed_organisation *homed; /* those with a home data centre, sorted */
   size_t homed_count;
 };
 
-/* How far a node is from the caller. */
-enum ring
+/* Proximity of a node to the caller, nearest first. */
+enum proximity
 {
-  RING_DATA_CENTRE,
-  RING_REGION,
-  RING_ANY,
-  RING_COUNT,
+  PROXIMITY_DATA_CENTRE,
+  PROXIMITY_REGION,
+  PROXIMITY_ANY,
+  PROXIMITY_COUNT,
 };
 
 struct beryl_discovery *
@@ -73,10 +72,10 @@
 }
 
 static int
-compare_places (const void *a, const void *b)
+compare_nodes (const void *a, const void *b)
 {
-  const struct place *x = a;
-  const struct place *y = b;
+  const struct node_entry *x = a;
+  const struct node_entry *y = b;
 
   if (x->hash != y->hash)
     return x->hash < y->hash ? -1 : 1;
@@ -93,23 +92,23 @@
 }
 
 static bool
-place_is_live (const struct place *p)
+node_is_live (const struct node_entry *p)
 {
   return !p->leaving && !p->suspect;
 }
 
 static size_t
-homes_collect (const struct place *places, size_t place_count,
+homes_collect (const struct node_entry *entries, size_t entry_count,
                struct home *homes)
 {
   size_t n = 0;
 
-  for (size_t i = 0; i < place_count; i++)
+  for (size_t i = 0; i < entry_count; i++)
     {
-      const struct place *p = &places[i];
+      const struct node_entry *p = &entries[i];
       size_t h = 0;
 
-      if (!place_is_live (p))
+      if (!node_is_live (p))
         continue;
       while (h < n && strcmp (homes[h].data_centre, p->data_centre) != 0)
         h++;
@@ -128,18 +127,18 @@
                            const struct beryl_discovery_node *nodes,
                            size_t node_count)
 {
-  struct place *places = calloc (node_count + 1, sizeof *places);
+  struct node_entry *entries = calloc (node_count + 1, sizeof *entries);
   struct home *homes = calloc (node_count + 1, sizeof *homes);
 
-  if (places == NULL || homes == NULL)
+  if (entries == NULL || homes == NULL)
     {
-      free (places);
+      free (entries);
       free (homes);
       return false;
     }
   for (size_t i = 0; i < node_count; i++)
     {
-      struct place *p = &places[i];
+      struct node_entry *p = &entries[i];
 
       copy_name (p->name, nodes[i].name);
       copy_name (p->data_centre, nodes[i].data_centre);
@@ -149,13 +148,13 @@
       p->leaving = nodes[i].leaving;
       p->suspect = nodes[i].suspect;
     }
-  qsort (places, node_count, sizeof *places, compare_places);
+  qsort (entries, node_count, sizeof *entries, compare_nodes);
   free (discovery->nodes);
   free (discovery->homes);
-  discovery->nodes = places;
+  discovery->nodes = entries;
   discovery->node_count = node_count;
   discovery->homes = homes;
-  discovery->home_count = homes_collect (places, node_count, homes);
+  discovery->home_count = homes_collect (entries, node_count, homes);
   return true;
 }
 
@@ -197,9 +196,10 @@
   return true;
 }
 
-/* Where the organisation stands among all, in [0, 1).  Equal steps between
- * neighbours give every node the same number of organisations; the bare
- * hash would leave the spread to chance. */
+/* Returns the position of the organisation among all of them, in [0, 1).
+ * Ranking by hash spaces organisations equally, so that every node gets the
+ * same number of them; using the hash itself would distribute them randomly.
+ */
 static double
 organisation_position (const struct beryl_discovery *discovery,
                        const char *organisation)
@@ -223,14 +223,15 @@
   return (double)(hash >> 11) / (double)(1ULL << 53);
 }
 
-/* Ranks over all organisations are even only if all ask everywhere.  Those
- * that ask in one data centre are a random part of them: at 400 nodes in ten
- * data centres some node had 54.5% above the mean.  One that belongs to the
- * asking data centre is ranked among its own. */
+/* Ranks over all organisations distribute them evenly only over all nodes.
+ * The organisations with callers in one data centre are a random subset: with
+ * 400 nodes in ten data centres some node had 54.5% more than the mean.  An
+ * organisation whose home is the caller's data centre is therefore ranked
+ * among those with the same home. */
 static bool
 organisation_home (const struct beryl_discovery *discovery,
                    const char *organisation, const char *data_centre,
-                   struct home_position *place)
+                   struct home_position *position)
 {
   struct homed_organisation key
       = { .hash = XXH3_64bits (organisation, strlen (organisation)) };
@@ -249,44 +250,45 @@
   if (discovery->home_count > 0)
     memcpy (homes, discovery->homes, discovery->home_count * sizeof *homes);
   found = homes_locate (homes, discovery->home_count, discovery->homed,
-                        discovery->homed_count, &key, place);
+                        discovery->homed_count, &key, position);
   free (homes);
   return found;
 }
 
-static enum ring
-place_ring (const struct place *p, const char *data_centre, const char *region)
+static enum proximity
+node_proximity (const struct node_entry *p, const char *data_centre,
+                const char *region)
 {
   if (data_centre[0] != '\0' && strcmp (p->data_centre, data_centre) == 0)
-    return RING_DATA_CENTRE;
+    return PROXIMITY_DATA_CENTRE;
   if (region[0] != '\0' && strcmp (p->region, region) == 0)
-    return RING_REGION;
-  return RING_ANY;
+    return PROXIMITY_REGION;
+  return PROXIMITY_ANY;
 }
 
 static size_t
-ring_collect (const struct beryl_discovery *discovery, enum ring ring,
-              const char *data_centre, const char *region, bool suspect,
-              size_t *members)
+proximity_collect (const struct beryl_discovery *discovery,
+                   enum proximity proximity, const char *data_centre,
+                   const char *region, bool suspect, size_t *members)
 {
   size_t n = 0;
 
   for (size_t i = 0; i < discovery->node_count; i++)
     {
-      const struct place *p = &discovery->nodes[i];
+      const struct node_entry *p = &discovery->nodes[i];
 
       if (p->leaving || p->suspect != suspect)
         continue;
-      if (place_ring (p, data_centre, region) == ring)
+      if (node_proximity (p, data_centre, region) == proximity)
         members[n++] = i;
     }
   return n;
 }
 
 static size_t
-ring_append (const struct beryl_discovery *discovery, const size_t *members,
-             size_t member_count, double position, size_t most,
-             struct beryl_discovery_choice *choices, size_t chosen)
+choices_append (const struct beryl_discovery *discovery, const size_t *members,
+                size_t member_count, double position, size_t most,
+                struct beryl_discovery_choice *choices, size_t chosen)
 {
   size_t first = (size_t)(position * (double)member_count);
 
@@ -324,26 +326,27 @@
                         const char *region,
                         struct beryl_discovery_choice *choices, size_t max)
 {
-  struct home_position place = { data_centre, region, 0 };
+  struct home_position home = { data_centre, region, 0 };
   size_t *members = calloc (discovery->node_count + 1, sizeof *members);
   size_t chosen = 0;
   size_t sharing = 0;
 
   if (members == NULL)
     return 0;
-  if (!organisation_home (discovery, organisation, data_centre, &place))
-    place.position = organisation_position (discovery, organisation);
-  /* Suspects come after every live node of every ring: a wrong suspicion
-   * may not empty the answer, and a right one may not head it. */
+  if (!organisation_home (discovery, organisation, data_centre, &home))
+    home.position = organisation_position (discovery, organisation);
+  /* Suspect nodes follow all live nodes: a false suspicion must not leave the
+   * answer empty, and a true one must not put a dead node first. */
   for (int suspect = 0; suspect <= 1; suspect++)
-    for (int ring = 0; ring < RING_COUNT; ring++)
+    for (int proximity = 0; proximity < PROXIMITY_COUNT; proximity++)
       {
         size_t most = sharing == 0 ? SHARING_MAX : FALLBACK_MAX;
-        size_t n = ring_collect (discovery, (enum ring)ring, place.data_centre,
-                                 place.region, suspect != 0, members);
+        size_t n = proximity_collect (discovery, (enum proximity)proximity,
+                                      home.data_centre, home.region,
+                                      suspect != 0, members);
 
-        chosen = ring_append (discovery, members, n, place.position,
-                              least (most, max - chosen), choices, chosen);
+        chosen = choices_append (discovery, members, n, home.position,
+                                 least (most, max - chosen), choices, chosen);
         if (sharing == 0)
           sharing = chosen;
       }
--- a/libberyl/membership/gossip.c
+++ b/libberyl/membership/gossip.c
@@ -4,9 +4,10 @@
 
 #include "beryl/clock.h"
 
-/* Nodes that one round of news goes to. */
+/* Number of members that each round of updates is sent to. */
 #define UPDATE_FANOUT 3
-/* Between two rounds of news; bounds what a mass event costs. */
+/* Minimum time between two rounds of updates; limits the traffic when many
+ * members change at once. */
 #define UPDATE_SPACING_MS 100
 
 static bool
@@ -27,15 +28,15 @@
   message->updates[message->update_count++] = *member;
 }
 
-/* How often a record is still to be sent. */
+/* Returns how often a record is still to be sent. */
 static uint32_t
 sends_left (const struct slot *slot)
 {
   return slot->transmits_left + slot->immediate_left;
 }
 
-/* Puts SLOT among the COUNT PICKED ones, in falling order of what is left to
- * send, MOST at most; returns their new count. */
+/* Inserts SLOT into the COUNT slots PICKED, which are in descending order of
+ * sends left; keeps at most MOST of them and returns the new count. */
 static size_t
 pick_record (struct slot *picked[], size_t count, size_t most,
              struct slot *slot)
@@ -53,8 +54,7 @@
   return count;
 }
 
-/* Adds the records that are to be passed on, those with the most sendings
- * left first. */
+/* Adds the records that are due, those with the most sends left first. */
 static void
 updates_add_due (struct beryl_membership *m, struct beryl_gossip *message)
 {
@@ -105,8 +105,8 @@
   message->config_version = self->config_version;
   message->config_applied = self->config_applied;
   message->config_age_ms = config_age_ms (m, now_ms);
-  /* A suspect member must learn of it to refute, and one that is only
-   * known from the instance list does not know this node yet. */
+  /* A suspect member can refute the suspicion only if it learns of it, and a
+   * member known only from the instance list does not know this node yet. */
   if (to->member.state != BERYL_MEMBER_ALIVE || to->member.incarnation == 0)
     {
       update_add (message, self);
@@ -131,7 +131,7 @@
          && strcmp (slot->member.name, m->self) != 0;
 }
 
-/* A random live member; of this data centre if LOCAL and there is one. */
+/* Picks a random live member; from this data centre if LOCAL and possible. */
 static struct slot *
 pick_member (struct beryl_membership *m, bool local)
 {
@@ -153,8 +153,9 @@
   return picked;
 }
 
-/* The watcher of the data centre writes where a configuration is in force;
- * by probes it would hear of each node only after many seconds. */
+/* Reports config_applied to the watchers of the data centre, which publish
+ * which nodes use a configuration.  Probes would take many seconds to tell
+ * them about each node. */
 static void
 gossip_report_applied (struct beryl_membership *m, int64_t now_ms)
 {
@@ -189,13 +190,13 @@
     gossip_report_applied (m, now_ms);
   m->next_update_ms = BERYL_NEVER_MS;
   m->last_update_ms = now_ms;
-  /* What is in use here is the watchers' alone. */
+  /* config_applied alone is sent to the watchers only. */
   if (!has_updates (m))
     return;
   m->version_due = false;
   for (int i = 0; i < UPDATE_FANOUT; i++)
     {
-      /* Two stay near, one may cross to another data centre. */
+      /* All but the last stay in this data centre. */
       struct slot *to = pick_member (m, i < UPDATE_FANOUT - 1);
       struct beryl_gossip message;
 
@@ -219,7 +220,7 @@
   if (message->config_version > from->member.config_version)
     from->member.config_version = message->config_version;
   from->member.config_applied = message->config_applied;
-  /* A proof is about the sender's configuration; it is none for another. */
+  /* The sender's confirmation applies only to its own version. */
   if (message->config_version == mine
       && message->config_age_ms != BERYL_CONFIG_AGE_UNKNOWN
       && now_ms - (int64_t)message->config_age_ms > m->config_confirmed_ms)
@@ -248,7 +249,7 @@
     return;
   table_confirm_alive (m, from, message->from_incarnation, now_ms);
   receive_config (m, message, from, now_ms);
-  /* The owner may have changed the table in a callback. */
+  /* The table may have changed in a callback. */
   from = table_find (m, message->from);
   if (from != NULL)
     probe_receive (m, message, from, now_ms);
@@ -266,7 +267,8 @@
   return news_ms < next_ms ? news_ms : next_ms;
 }
 
-/* Any node that the instance list names, for the first contact. */
+/* Picks any other member, also one known only from the instance list, for the
+ * first contact. */
 static struct slot *
 pick_seed (struct beryl_membership *m)
 {
@@ -276,9 +278,9 @@
   return strcmp (slot->member.name, m->self) != 0 ? slot : NULL;
 }
 
-/* Often after the start, so that a fleet that was started together finds
- * itself; then ever more seldom.  Spread over time, so that the nodes do not
- * stay in step. */
+/* Runs anti-entropy with a random peer: frequently after the start, so that
+ * the nodes of a fleet that is started at once discover each other, then at
+ * increasing intervals.  The random part keeps nodes from synchronising. */
 static void
 sync_tick (struct beryl_membership *m, int64_t now_ms)
 {
--- a/libberyl/membership/homes.c
+++ b/libberyl/membership/homes.c
@@ -3,8 +3,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Most of a data centre's organisations that are sent elsewhere: a far node
- * costs each of their calls a longer way, so evenness has its price. */
+/* Maximum percentage of a data centre's organisations that are reassigned.
+ * Calls to a remote node take longer, which limits what an even load is worth.
+ */
 #define REASSIGNED_MAX_PERCENT 25
 
 int
@@ -19,7 +20,7 @@
   return (x->hash > y->hash) - (x->hash < y->hash);
 }
 
-/* Neighbours in a region stand next to each other, on all nodes alike. */
+/* Groups the data centres of a region, in the same order on all nodes. */
 static int
 compare_homes (const void *a, const void *b)
 {
@@ -39,7 +40,7 @@
   return NULL;
 }
 
-/* How many come before DATA_CENTRE's one of HASH. */
+/* Counts the organisations sorted before HASH of DATA_CENTRE. */
 static size_t
 organisations_before (const struct homed_organisation *organisations,
                       size_t organisation_count, const char *data_centre,
@@ -62,8 +63,8 @@
   return low;
 }
 
-/* Organisations of DATA_CENTRE.  Should a name hash to the greatest number,
- * the count is short by one. */
+/* Counts the organisations of DATA_CENTRE; one too few if a name hashes to
+ * UINT64_MAX. */
 static size_t
 organisations_in (const struct homed_organisation *organisations,
                   size_t organisation_count, const char *data_centre)
@@ -74,7 +75,7 @@
                                  data_centre, 0);
 }
 
-/* Returns how many have a home among HOMES. */
+/* Sets the organisation counts of HOMES and returns their sum. */
 static size_t
 homes_count (struct home *homes, size_t home_count,
              const struct homed_organisation *organisations,
@@ -97,7 +98,8 @@
   return a < b ? a : b;
 }
 
-/* Whole numbers that sum up to TOTAL, in proportion to the nodes. */
+/* Divides TOTAL organisations among HOMES in proportion to their nodes, in
+ * whole numbers, and derives what each home retains and can receive. */
 static void
 homes_assign (struct home *homes, size_t home_count, size_t total)
 {
@@ -121,17 +123,18 @@
     }
 }
 
-/* One that is sent from FROM: the home that takes it, and its rank there. */
+/* Reassignment of one organisation from FROM to TO, with its new rank. */
 struct reassignment
 {
   const struct home *from;
-  size_t rank; /* among those that FROM sends */
+  size_t rank; /* among those that FROM gives up */
   const struct home *to;
   size_t target_rank;
 };
 
-/* Hand what FROM still sends to homes with room, in its region or anywhere;
- * SENT is how many it has sent before.  Notes where the one of T goes. */
+/* Reassigns surplus organisations of FROM to homes with spare capacity, in its
+ * region or in any.  SENT counts those already reassigned.  Records the target
+ * of T's organisation if it is among them. */
 static void
 home_reassign (struct home *homes, size_t home_count, const struct home *from,
                bool any_region, size_t *sent, struct reassignment *t)
@@ -192,7 +195,7 @@
   qsort (homes, home_count, sizeof *homes, compare_homes);
   home = home_find (homes, home_count, name);
   if (home == NULL)
-    return true; /* lost: the region's nodes, by the same rank */
+    return true; /* no live node: the rank applies to the region's nodes */
   homes_assign (
       homes, home_count,
       homes_count (homes, home_count, organisations, organisation_count));
--- a/libberyl/membership/homes.h
+++ b/libberyl/membership/homes.h
@@ -1,9 +1,10 @@
 /** @file
- * Which data centre's nodes serve an organisation that has a home.
+ * Assignment of organisations to data centres.
  *
- * The organisations of a data centre are ranked among themselves and given
- * equal steps over its nodes; those above its fair share are handed to data
- * centres with room.
+ * An organisation's home is the data centre of its callers.  The organisations
+ * with the same home are ranked and spaced equally over its nodes; some of
+ * those above its fair share are reassigned to data centres with spare
+ * capacity.
  */
 #ifndef BERYL_HOMES_H
 #define BERYL_HOMES_H
@@ -14,7 +15,7 @@
 
 #include "beryl/ids.h"
 
-/** An organisation that is listed. */
+/** An organisation with a home data centre. */
 struct homed_organisation
 {
   uint64_t hash; /**< of its name */
@@ -26,29 +27,29 @@
 {
   const char *data_centre; /**< borrowed */
   const char *region;      /**< borrowed */
-  size_t nodes;            /**< live ones */
-  size_t organisations;    /**< that have their home here */
-  size_t retained;         /**< of these; the others go elsewhere */
-  size_t spare;            /**< for others' organisations */
-  size_t received;         /**< others' organisations */
+  size_t nodes;            /**< number of live nodes */
+  size_t organisations;    /**< number of organisations with this home */
+  size_t retained;         /**< of these, the ones that are not reassigned */
+  size_t spare;            /**< capacity for organisations of other homes */
+  size_t received;         /**< organisations reassigned to this data centre */
 };
 
-/** Where an organisation's calls go; the names are those of the home that is
- * to serve it, and stay as they are if its own has no live node. */
+/** Data centre that serves an organisation, and its position there.  The names
+ * stay unchanged if the organisation's home has no live node. */
 struct home_position
 {
   const char *data_centre; /**< borrowed from the home */
   const char *region;      /**< borrowed from the home */
-  double position;         /**< over that data centre's nodes, in [0, 1) */
+  double position; /**< position over the data centre's nodes, in [0, 1) */
 };
 
-/** Order by home, then by hash. */
+/** Compare two homed organisations by home, then by hash (for qsort). */
 int homed_organisation_compare (const void *a, const void *b);
 
-/** Find the place of ORGANISATION among ORGANISATIONS (in the order of
- * homed_organisation_compare).  HOMES, in any order, have their names and
- * nodes set; the rest is filled in.  False without memory or if it is not
- * listed. */
+/** Determine which data centre serves ORGANISATION.  ORGANISATIONS must be
+ * sorted by homed_organisation_compare.  HOMES may be in any order with names
+ * and node counts set; they are sorted and completed.  Returns false if out of
+ * memory or if no organisation has this home. */
 bool homes_locate (struct home *homes, size_t home_count,
                    const struct homed_organisation *organisations,
                    size_t organisation_count,
--- a/libberyl/membership/membership.c
+++ b/libberyl/membership/membership.c
@@ -121,8 +121,8 @@
     table_merge (m, &members[i], now_ms);
 }
 
-/* A changed record needs a higher incarnation, as of two records with the
- * same one nobody can tell which is newer. */
+/* A changed record needs a higher incarnation: of two records with the same
+ * incarnation, the receiver cannot tell which is newer. */
 static void
 self_changed (struct beryl_membership *m, struct slot *self, int64_t now_ms)
 {
@@ -226,9 +226,10 @@
   table_merge (m, &seed, now_ms);
 }
 
-/* Absence counts only if it lasts and the member has been silent as long:
- * the list lags and flaps, packets are lost, and a live member must not lose
- * its streams.  Presence never makes a silent member live. */
+/* Declares a member dead that has been both suspect and missing from the
+ * instance list for dead_after_ms.  Neither is enough alone, as the list lags
+ * and flaps, packets are lost, and the streams of a live member must not be
+ * cancelled.  Being listed does not make a silent member alive. */
 static void
 absence_check (struct beryl_membership *m, struct slot *slot, bool listed,
                int64_t now_ms)
--- a/libberyl/membership/private.h
+++ b/libberyl/membership/private.h
@@ -1,36 +1,38 @@
 /** @file
- * The member table, shared by the files of this part.
+ * Member table and internal interfaces of the membership module.
  */
 #ifndef LIBBERYL_MEMBERSHIP_PRIVATE_H
 #define LIBBERYL_MEMBERSHIP_PRIVATE_H
 
 #include "beryl/membership.h"
 
-/** A member with what only this node knows of it. */
+/** A member and this node's local state for it. */
 struct slot
 {
   struct beryl_member member;
-  uint32_t transmits_left; /* how often its record is still passed on */
-  int64_t unlisted_ms;     /* absent from the instance list since; 0: listed */
-  int64_t suspect_ms;      /* suspect since */
-  int64_t dead_ms;         /* when it was declared dead */
-  uint32_t immediate_left; /* sendings before it is news no more */
-  bool probed;             /* in this round */
+  uint32_t transmits_left; /* times its record is still to be piggybacked */
+  int64_t unlisted_ms;     /* time it left the instance list; 0: listed */
+  int64_t suspect_ms;      /* time it became suspect */
+  int64_t dead_ms;         /* time it was declared dead */
+  uint32_t
+      immediate_left; /* update messages that are still to carry its record */
+  bool probed;        /* already probed in this round */
 };
 
+/** A ping of this node that awaits its ack. */
 struct probe
 {
   char target[BERYL_NAME_BYTES];
   uint32_t sequence;
   int64_t sent_ms;
-  bool indirect; /* others were asked */
+  bool indirect; /* other nodes were asked to ping as well */
 };
 
-/** A ping made for another node. */
+/** A ping sent on behalf of another node. */
 struct relay
 {
-  uint32_t sequence;         /* of our ping */
-  uint32_t request_sequence; /* of the request */
+  uint32_t sequence;         /* of this node's ping */
+  uint32_t request_sequence; /* of the requester's PING_REQUEST */
   char requester[BERYL_NAME_BYTES];
   int64_t sent_ms;
 };
@@ -41,7 +43,7 @@
 struct beryl_membership
 {
   struct beryl_membership_owner *owner;
-  struct slot *slots; /* by name */
+  struct slot *slots; /* sorted by name */
   size_t count;
   size_t capacity;
   char self[BERYL_NAME_BYTES];
@@ -53,26 +55,27 @@
   int64_t dead_after_ms;
   int64_t next_probe_ms;
   int64_t next_sync_ms;
-  int64_t sync_spacing_ms; /* short at first, see sync_tick */
-  int64_t next_update_ms;  /* when news are due; BERYL_NEVER_MS: none */
+  int64_t sync_spacing_ms; /* current anti-entropy interval; see sync_tick */
+  int64_t next_update_ms;  /* time of the next updates; BERYL_NEVER_MS: none */
   int64_t last_update_ms;
-  bool applied_due;            /* watchers are to hear what is in use here */
-  bool version_due;            /* anybody is to hear of a new configuration */
-  int64_t last_contact_ms;     /* any other node */
-  int64_t last_ack_ms;         /* an answer to a probe of ours */
-  int64_t config_confirmed_ms; /* time of the newest proof; 0: none */
+  bool applied_due;        /* the watchers must learn of config_applied */
+  bool version_due;        /* a new config_version must be announced */
+  int64_t last_contact_ms; /* time of the last message from any node */
+  int64_t last_ack_ms;     /* time of the last ack of a ping of this node */
+  int64_t config_confirmed_ms; /* time the configuration was last confirmed to
+                                  be the newest; 0: never */
   uint32_t sequence;
   struct probe probes[PROBES_MAX];
   size_t probe_count;
   struct relay relays[RELAYS_MAX];
   size_t relay_next;
-  char
-      suspect_data_centre[BERYL_NAME_BYTES]; /* data centre that may be lost */
+  char suspect_data_centre[BERYL_NAME_BYTES]; /* data centre to probe with
+                                                 priority; "": none */
 };
 
-/** Each node that learns of a change sends it so many times at once, so that
- * all but a few in a thousand have it after some steps; the rest learns it
- * with the probes. */
+/** Number of update messages in which each node that learns of a change
+ * forwards it at once.  This reaches all but a few in a thousand nodes; the
+ * rest learn of it from probes. */
 #define IMMEDIATE_SENDS 6
 
 /** Return the slot of NAME or NULL. */
@@ -81,29 +84,31 @@
 /** Return this node's slot. */
 struct slot *table_self (struct beryl_membership *m);
 
-/** Merge one record; returns whether it was news. */
+/** Merge a received record; returns whether the table changed. */
 bool table_merge (struct beryl_membership *m,
                   const struct beryl_member *record, int64_t now_ms);
 
-/** Have SLOT's record passed on. */
+/** Queue the record of SLOT for dissemination. */
 void table_queue_update (struct beryl_membership *m, struct slot *slot,
                          int64_t now_ms);
 
-/** Suspect a member that did not answer. */
+/** Mark an alive member that did not answer as suspect. */
 void table_suspect (struct beryl_membership *m, struct slot *slot,
                     int64_t now_ms);
 
-/** A message of this incarnation came from the member itself. */
+/** Note a message from the member itself; clears a suspicion of this
+ * incarnation. */
 void table_confirm_alive (struct beryl_membership *m, struct slot *slot,
                           uint64_t incarnation, int64_t now_ms);
 
-/** Forget the dead after a while. */
+/** Remove dead members whose retention time is over. */
 void table_expire (struct beryl_membership *m, int64_t now_ms);
 
-/** Return a seeded random number below LIMIT, which is not 0. */
+/** Return a random number below LIMIT, which must not be 0, from the seeded
+ * generator. */
 uint64_t membership_random (struct beryl_membership *m, uint64_t limit);
 
-/** Fill the common parts of MESSAGE and add records to pass on. */
+/** Initialise MESSAGE for TO and add the member records that are due. */
 void gossip_prepare (struct beryl_membership *m, struct beryl_gossip *message,
                      enum beryl_gossip_type type, const struct slot *to,
                      int64_t now_ms);
@@ -112,15 +117,15 @@
 void gossip_send (struct beryl_membership *m,
                   const struct beryl_gossip *message, const struct slot *to);
 
-/** Send news to a few. */
+/** Send queued updates to a few random members. */
 void gossip_updates (struct beryl_membership *m, int64_t now_ms);
 
-/** Take the probing parts of a message. */
+/** Handle the failure-detection part of a message. */
 void probe_receive (struct beryl_membership *m,
                     const struct beryl_gossip *message, struct slot *from,
                     int64_t now_ms);
 
-/** Send due probes, notice missing answers. */
+/** Send the probes that are due and handle missing acks. */
 void probe_tick (struct beryl_membership *m, int64_t now_ms);
 
 /** Return when probe_tick is due. */
--- a/libberyl/membership/probe.c
+++ b/libberyl/membership/probe.c
@@ -5,11 +5,11 @@
 
 #include "beryl/clock.h"
 
-/* Others that are asked to ping a silent member. */
+/* Number of members asked to ping a silent member. */
 #define INDIRECT_PROBES 3
-/* Nodes of a data centre that probe the others. */
+/* Number of nodes per data centre that probe other data centres. */
 #define BRIDGE_COUNT 2
-/* Probes a second into a data centre that may be lost. */
+/* Additional probes per probe interval into a data centre that may be down. */
 #define SUSPECT_CENTRE_PROBES 4
 
 static bool
@@ -64,8 +64,8 @@
   gossip_send (m, &message, to);
 }
 
-/* A random one of those not probed in this round: each is probed once a
- * round, at an unforeseeable place. */
+/* Picks a random member that was not probed in this round, so that each is
+ * probed once per round in random order. */
 static struct slot *
 next_target (struct beryl_membership *m, bool local)
 {
@@ -126,8 +126,9 @@
   return picked;
 }
 
-/* After one silent member the others of its data centre are probed next:
- * by turns it would take minutes to notice that all of it is lost. */
+/* Once a remote member is silent, the others of its data centre are probed
+ * with priority: in normal order it would take minutes to detect that the
+ * whole data centre is down. */
 static void
 probe_suspect_centre (struct beryl_membership *m, int64_t now_ms)
 {
@@ -143,7 +144,8 @@
     }
 }
 
-/* One lost packet of two must not be enough to need the others. */
+/* Repeats the ping, so that a single lost packet does not leave the result to
+ * the indirect probes. */
 static void
 probe_repeat (struct beryl_membership *m, const struct probe *p,
               int64_t now_ms)
@@ -256,13 +258,13 @@
 {
   struct beryl_gossip reply;
 
-  /* An address may have passed to another node; it must not answer for the
-   * former one. */
+  /* The address may have been reassigned to this node, which must not answer
+   * for its former holder. */
   if (strcmp (message->target, m->self) != 0)
     return;
   gossip_prepare (m, &reply, BERYL_GOSSIP_ACK, from, now_ms);
   reply.sequence = message->sequence;
-  /* Who introduced itself does not know this node either. */
+  /* A sender that introduces itself does not know this node either. */
   if (message->update_count > 0
       && strcmp (message->updates[0].name, message->from) == 0)
     {
--- a/libberyl/membership/table.c
+++ b/libberyl/membership/table.c
@@ -8,11 +8,13 @@
 
 #include "beryl/clock.h"
 
-/* How long a dead member is remembered, against old news. */
+/* Time that a dead member is retained, so that outdated records do not revive
+ * it. */
 #define DEAD_RETENTION_MS 600000
-/* A record is passed on this often, times the logarithm of the members. */
+/* A record is piggybacked this many times the logarithm of the member count.
+ */
 #define TRANSMITS_FACTOR 4
-/* Without an answer for so many probes this node may itself be cut off. */
+/* Probe intervals without any ack after which this node may be isolated. */
 #define ISOLATION_PROBES 3
 
 static size_t
@@ -110,9 +112,9 @@
   m->owner->impl->changed (m->owner, &copy);
 }
 
-/* Somebody says that this node is suspect or dead, or knows a former life
- * of it with a higher incarnation (its clock was set back).  A higher
- * incarnation refutes both. */
+/* Refutes a record by which this node is suspect or dead, or which stems from
+ * a previous run with a higher incarnation (the clock was set back), by
+ * raising this node's incarnation above it. */
 static void
 self_refute (struct beryl_membership *m, const struct beryl_member *record,
              int64_t now_ms)
@@ -193,8 +195,8 @@
   return slot_merge_same (m, slot, record, now_ms);
 }
 
-/* Whether this node itself may be cut off: then its suspicions say nothing
- * about the others, and passing on hundreds of them after the partition
+/* Returns whether this node may be isolated.  Its suspicions then say nothing
+ * about the others, and disseminating hundreds of them after the partition
  * would make every node refute at once. */
 static bool
 self_is_isolated (const struct beryl_membership *m, int64_t now_ms)
@@ -214,7 +216,7 @@
   table_changed (m, slot);
 }
 
-/* The member itself spoke, so it is alive, whoever suspects it. */
+/* A message from the member itself proves that it is alive. */
 void
 table_confirm_alive (struct beryl_membership *m, struct slot *slot,
                      uint64_t incarnation, int64_t now_ms)
--- a/libberyl/spread/acceptor.c
+++ b/libberyl/spread/acceptor.c
@@ -11,21 +11,23 @@
 #include "../base/guard_control.h"
 #include "items.h"
 
-/* Objects of an entry; the platform holds values up to 1 MB. */
+/* Maximum size of the objects in an entry; the platform limits values to 1 MB.
+ */
 #define ENTRY_BYTES (512U * 1024U)
 #define FINDINGS_BYTES 2000
 #define KIND_COUNT 7
-/* Facts of the platform's instance list travel with the configuration, in
- * the same order, but are no part of it. */
+/* Order of instance facts, which are distributed through the same log as the
+ * configuration but are not part of it. */
 #define INSTANCE_ORDER KIND_COUNT
 
-/* Puts go in this order and deletions in the reverse one, so that an entry
- * never names an object that a later entry brings. */
+/* Puts are applied in this order and deletions in the reverse one, so that an
+ * entry never refers to an object that only a later entry creates. */
 static const enum beryl_kind kind_order[KIND_COUNT]
     = { BERYL_KIND_SYSTEM,  BERYL_KIND_ORGANISATION, BERYL_KIND_MODEL,
         BERYL_KIND_SERVICE, BERYL_KIND_URGENCY,      BERYL_KIND_POOL,
         BERYL_KIND_ENDPOINT };
 
+/* A difference between the observed and the accepted objects. */
 struct change
 {
   const char *kind;
@@ -46,10 +48,10 @@
   const struct beryl_config_log *log;
   struct beryl_acceptor_owner *owner;
   struct items observed;
-  struct items rejected;           /* version and base, to tell each once */
-  uint64_t synced[KIND_COUNT + 1]; /* revision; 0: never */
-  uint64_t evaluated_version;      /* of the spread when last judged */
-  bool evaluated;                  /* nothing new since */
+  struct items rejected;           /* versions and findings already reported */
+  uint64_t synced[KIND_COUNT + 1]; /* revisions read; 0: not yet */
+  uint64_t evaluated_version;      /* log version at the last evaluation */
+  bool evaluated;                  /* no new input since the last evaluation */
   struct change *changes;
   size_t change_count;
 };
@@ -87,7 +89,7 @@
   return strcmp (kind, BERYL_INSTANCE_KIND) == 0 ? INSTANCE_ORDER : -1;
 }
 
-/* A writer's nonce, which settles lost replies, is no part of the object. */
+/* Returns the object without its nonce, which only serves the write itself. */
 static char *
 object_text (const char *json, size_t json_bytes)
 {
@@ -136,10 +138,10 @@
   a->synced[i] = revision;
 }
 
-/* An acceptor that started from a lagging replica sees the past: an object
- * accepted meanwhile looks deleted, and the deletion would take a service
- * away from its callers.  The log says how far its last acceptor had read,
- * and no one who has read less may judge. */
+/* Returns whether this acceptor has read at least as far as the one that made
+ * the last entry.  An acceptor that started from a lagging replica sees an
+ * outdated state, in which an object accepted since then looks deleted; making
+ * that deletion would take a service away from its callers. */
 static bool
 acceptor_is_current (const struct beryl_acceptor *a)
 {
@@ -231,7 +233,8 @@
                strlen (c->json));
 }
 
-/* The accepted objects with what was taken so far and [FROM, TO). */
+/* Returns whether the accepted objects with the changes accepted so far and
+ * those of [FROM, TO) form a valid configuration. */
 static bool
 candidate_valid (const struct beryl_acceptor *a, size_t from, size_t to,
                  struct beryl_findings *findings)
@@ -295,8 +298,8 @@
   a->owner->impl->validated (a->owner, &judgement);
 }
 
-/* Tells a rejection once; an unchanged object is judged again after every
- * entry, as another object may have mended it. */
+/* Reports a rejection once.  An unchanged object is validated again after
+ * every entry, as a change of another object may have made it valid. */
 static void
 change_reject (struct beryl_acceptor *a, struct change *c,
                const struct beryl_findings *findings)
@@ -321,8 +324,8 @@
   free (text);
 }
 
-/* Takes what is valid of [FROM, TO): all at once if it can, else in halves,
- * so that one bad object among thousands costs few checks. */
+/* Accepts the valid changes of [FROM, TO): all at once if possible, otherwise
+ * by bisection, so that one bad object among thousands costs few checks. */
 static void
 changes_accept (struct beryl_acceptor *a, size_t from, size_t to)
 {
@@ -346,8 +349,8 @@
   beryl_findings_destroy (findings);
 }
 
-/* Judges objects on their own first: a broken one never reaches the check
- * of the whole. */
+/* Rejects objects that are invalid on their own before the configuration is
+ * checked as a whole. */
 static void
 changes_check_objects (struct beryl_acceptor *a)
 {
@@ -371,7 +374,7 @@
   a->change_count = kept;
 }
 
-/* Limits the changes to what fits an entry. */
+/* Limits the changes to what fits into one entry. */
 static void
 changes_limit (struct beryl_acceptor *a)
 {
@@ -456,7 +459,7 @@
   changes_accept (a, 0, a->change_count);
   if (changes_accepted (a) == 0)
     return NULL;
-  /* The entry may lose its race; whatever wins, judge again. */
+  /* Another entry may win the race for this version; evaluate again. */
   a->evaluated = false;
   return entry_format (a, bytes_count);
 }
--- a/libberyl/spread/config_log.c
+++ b/libberyl/spread/config_log.c
@@ -9,8 +9,8 @@
 #include "../base/guard_control.h"
 #include "items.h"
 
-/* Entries kept for nodes that are a little behind; who is further behind
- * takes a snapshot. */
+/* Entries retained for nodes that are slightly behind; nodes further behind
+ * load a snapshot. */
 #define RETAINED_ENTRIES 512
 #define RETAINED_BYTES (1U << 20)
 
@@ -34,8 +34,9 @@
   struct items items;
   struct revision revisions[REVISIONS_MAX];
   size_t revision_count;
-  struct retained retained[RETAINED_ENTRIES]; /* by version modulo the size */
-  uint64_t first_retained;                    /* first version kept */
+  struct retained
+      retained[RETAINED_ENTRIES]; /* ring buffer, indexed by version */
+  uint64_t first_retained;        /* oldest version retained */
   size_t retained_bytes;
 };
 
@@ -132,7 +133,8 @@
   return text != NULL && text[0] != '\0' && strlen (text) < BERYL_NAME_BYTES;
 }
 
-/* Checked before anything is applied, so that an entry is taken whole. */
+/* Validates all changes before any is applied, so that an entry is applied as
+ * a whole or not at all. */
 static bool
 changes_valid (json_t *changes)
 {
--- a/libberyl/spread/items.h
+++ b/libberyl/spread/items.h
@@ -1,5 +1,5 @@
 /** @file
- * A sorted list of objects as JSON texts, by kind and name.
+ *  * A list of objects as JSON texts, sorted by kind and name.
  */
 #ifndef LIBBERYL_SPREAD_ITEMS_H
 #define LIBBERYL_SPREAD_ITEMS_H
@@ -25,25 +25,26 @@
   size_t capacity;
 };
 
-/** Return the place of KIND and NAME, or where they would be inserted. */
+/** Return the index of KIND and NAME, or where to insert them. */
 size_t items_find (const struct items *items, const char *kind,
                    const char *name, bool *found);
 
-/** Insert or replace; JSON is copied.  False without memory. */
+/** Insert or replace an object; JSON is copied.  Returns false if out of
+ * memory. */
 bool items_put (struct items *items, const char *kind, const char *name,
                 uint64_t version, const char *json, size_t json_bytes);
 
-/** Remove; absent is allowed. */
+/** Remove an object if it is present. */
 void items_remove (struct items *items, const char *kind, const char *name);
 
-/** Copy FROM into the empty TO. */
+/** Copy all objects of FROM to TO, which must be empty. */
 bool items_copy (struct items *to, const struct items *from);
 
-/** Release all. */
+/** Free all objects and leave ITEMS empty. */
 void items_clear (struct items *items);
 
-/** Return the JSON array of all objects that are not of the kind WITHOUT;
- * free() it. */
+/** Return the JSON array of all objects except those of kind WITHOUT, to be
+ * freed with free(). */
 char *items_array (const struct items *items, const char *without,
                    size_t *bytes_count);
 
