--- a/libberyl/config/fields.c
+++ b/libberyl/config/fields.c
@@ -91,7 +91,7 @@
   if (text == NULL
       || (inet_pton (AF_INET, text, number) != 1
           && inet_pton (AF_INET6, text, number) != 1))
-    beryl_location_report (location, field->key, "%s must be an IP address",
+    beryl_location_report (location, field->key, "%s must be an IP number",
                            field->key);
   else
     read_text (location, field, value, target);
