--- a/include/beryl/config_log.h
+++ b/include/beryl/config_log.h
@@ -38,41 +38,41 @@
 struct beryl_config_log *beryl_config_log_create (void);
 
 /** Release SPREAD; NULL is allowed. */
-void beryl_config_log_destroy (struct beryl_config_log *spread);
+void beryl_config_log_destroy (struct beryl_config_log *log);
 
 /** Return the version of the last entry applied. */
-uint64_t beryl_config_log_version (const struct beryl_config_log *spread);
+uint64_t beryl_config_log_version (const struct beryl_config_log *log);
 
 /** Return the platform's revision up to which operators' objects of KIND had
  * been read when the last entry was made. */
-uint64_t beryl_config_log_revision (const struct beryl_config_log *spread,
+uint64_t beryl_config_log_revision (const struct beryl_config_log *log,
                                     const char *kind);
 
 /** Apply an entry; anything but APPLIED leaves the state unchanged, unless
  * memory runs out. */
 enum beryl_config_log_result
-beryl_config_log_apply (struct beryl_config_log *spread, const char *entry,
+beryl_config_log_apply (struct beryl_config_log *log, const char *entry,
                         size_t entry_bytes, struct beryl_error *error);
 
 /** Return the entries after version AFTER as a JSON array of at most about
  * MAX_BYTES, but at least one entry.  Returns NULL if there are none or they
  * are no longer retained.  The caller frees the result with free(). */
-char *beryl_config_log_entries_after (const struct beryl_config_log *spread,
+char *beryl_config_log_entries_after (const struct beryl_config_log *log,
                                       uint64_t after, size_t max_bytes,
                                       size_t *bytes_count);
 
 /** Return the whole state as JSON, to be freed with free(). */
-char *beryl_config_log_snapshot (const struct beryl_config_log *spread,
+char *beryl_config_log_snapshot (const struct beryl_config_log *log,
                                  size_t *bytes_count);
 
 /** Replace the state by a snapshot; OLD if it is not newer than the state. */
 enum beryl_config_log_result
-beryl_config_log_load (struct beryl_config_log *spread, const char *snapshot,
+beryl_config_log_load (struct beryl_config_log *log, const char *snapshot,
                        size_t bytes_count, struct beryl_error *error);
 
 /** Return all objects of the configuration as the JSON array that
  * beryl_config_parse expects, to be freed with free(). */
-char *beryl_config_log_objects (const struct beryl_config_log *spread,
+char *beryl_config_log_objects (const struct beryl_config_log *log,
                                 size_t *bytes_count);
 
 /** An accepted object; its texts are owned by the log. */
@@ -85,12 +85,12 @@
 };
 
 /** Access the objects, sorted by kind and name. */
-size_t beryl_config_log_count (const struct beryl_config_log *spread);
+size_t beryl_config_log_count (const struct beryl_config_log *log);
 struct beryl_config_log_object
-beryl_config_log_get (const struct beryl_config_log *spread, size_t i);
+beryl_config_log_get (const struct beryl_config_log *log, size_t i);
 
 /** Look up an object; returns false if it is absent. */
-bool beryl_config_log_find (const struct beryl_config_log *spread,
+bool beryl_config_log_find (const struct beryl_config_log *log,
                             const char *kind, const char *name,
                             struct beryl_config_log_object *object);
 
--- a/libberyl/platform/breaker.c
+++ b/libberyl/platform/breaker.c
@@ -1,9 +1,10 @@
 #include "private.h"
 
-/* An outage would otherwise cost every request its whole timeout, and the
-   fleet's retries would hold the platform down.  After some failures in a
-   row nothing is sent but one probe at a time, at jittered and growing
-   distances; a probe that is answered closes the breaker. */
+/* Circuit breaker.  Without it every request would take its whole timeout
+   during an outage, and the fleet's retries would keep the platform
+   overloaded.  After a number of failures in a row only one probe at a time is
+   sent, at jittered and increasing intervals; a successful probe closes the
+   breaker. */
 
 bool
 platform_breaker_allows (const struct breaker *b, int64_t now_ms)
@@ -19,7 +20,7 @@
     }
 }
 
-/** How long to wait before the next probe. */
+/** Return the delay before the next probe. */
 static int64_t
 probe_delay_ms (struct beryl_platform *p)
 {
@@ -81,8 +82,8 @@
 void
 platform_breaker_aborted (struct beryl_platform *p, uint64_t call)
 {
-  /* The probe's owner gave up; the next call may probe at once, else the
-     breaker would stay half open for ever. */
+  /* The probe was aborted.  The next call may probe at once, as the breaker
+     would otherwise stay half open for ever. */
   if (p->breaker.state == BREAKER_HALF_OPEN && p->breaker.probe == call)
     p->breaker.state = BREAKER_OPEN;
 }
--- a/libberyl/platform/client.c
+++ b/libberyl/platform/client.c
@@ -6,7 +6,7 @@
 #include "../base/random.h"
 #include "private.h"
 
-/** Defaults of the settings. */
+/* Defaults of the settings. */
 #define READS_PER_S 20.0
 #define WRITES_PER_S 10.0
 #define CALL_TIMEOUT_MS 2000
@@ -86,14 +86,14 @@
   platform_schedule_init (p);
   beryl_platform_set_rates (p, p->settings.reads_per_s,
                             p->settings.writes_per_s);
-  /* A client that starts may call at once. */
+  /* A new client may make its first call at once. */
   for (int c = 0; c < RATE_COUNT; c++)
     p->budgets[c].tokens = 1;
   return p;
 }
 
-/** Forget open calls, so that releasing their owners does not abort them:
- * the handler may be gone. */
+/** Drop open calls, so that freeing their owners does not abort them: the
+ * handler may no longer exist. */
 static void
 calls_forget (struct beryl_platform *p)
 {
@@ -153,7 +153,7 @@
   snprintf (nonce, BERYL_NONCE_BYTES, "%016" PRIx64 "%016" PRIx64, high, low);
 }
 
-/** The platform says that this process, or all together, call too often. */
+/** Handle a 429 answer: this process or the whole fleet exceeds its rate. */
 static void
 answer_limited (struct beryl_platform *p, struct job *job,
                 int64_t retry_after_ms, int64_t now_ms)
@@ -162,9 +162,8 @@
   int64_t pause_ms
       = retry_after_ms > 0 ? retry_after_ms : p->settings.backoff_min_ms;
 
-  /* Never more than the longest back-off on a word of the platform, and
-     spread over half as much again, so that the fleet does not come back
-     all at once. */
+  /* The pause that the platform asks for is limited to the longest backoff.
+     Jitter of up to half of it keeps the fleet from returning all at once. */
   if (pause_ms > p->settings.backoff_max_ms)
     pause_ms = p->settings.backoff_max_ms;
   p->counts.refused++;
@@ -192,8 +191,8 @@
     {
       p->counts.errors++;
       platform_breaker_failed (p, call, true, now_ms);
-      /* 503 is the platform's word that it did not serve the call; other
-         errors may come from a write that took effect. */
+      /* 503 means that the call was not executed; with any other error a
+         write may have taken effect. */
       job->impl->failed (p, job, status == 503, now_ms);
       return;
     }
@@ -206,8 +205,8 @@
                        unsigned int status, int64_t retry_after_ms,
                        const char *body, size_t body_bytes, int64_t now_ms)
 {
-  /* A zero in a text that another writer put there is no reason to lose the
-     rest of the answer. */
+  /* Accept NUL characters in strings, which other writers may have stored;
+     otherwise the whole answer would be lost. */
   json_t *json
       = json_loadb (body ? body : "", body_bytes, JSON_ALLOW_NUL, NULL);
 
@@ -240,9 +239,10 @@
 void
 beryl_platform_tick (struct beryl_platform *p, int64_t now_ms)
 {
-  /* Impatient requests are refused only after one of them had the chance to
-     become the probe.  Refused before, a process whose requests are all
-     impatient would take the platform for away for ever after an outage. */
+  /* Requests that do not wait for recovery fail only after one of them had the
+     chance to become the probe.  Otherwise a process that makes only such
+     requests would consider the platform unreachable for ever after an outage.
+   */
   platform_fetches_expire (p, false, now_ms);
   platform_schedule_run (p, now_ms);
   platform_fetches_expire (p, true, now_ms);
--- a/libberyl/platform/fetch.c
+++ b/libberyl/platform/fetch.c
@@ -50,7 +50,7 @@
     }
 }
 
-/** Move the waiters of F that a read of VERSION satisfies to p->telling. */
+/** Move the waiters of F that are satisfied with VERSION to p->delivering. */
 static void
 waiters_take_satisfied (struct beryl_platform *p, struct fetch *f,
                         uint64_t version)
@@ -70,7 +70,8 @@
     }
 }
 
-/** Reads under way may be older than the write that F was. */
+/** Mark pending reads of the same kind as outdated: their answers may be older
+ * than the effect of WRITE. */
 static void
 reads_mark_outdated (struct beryl_platform *p, const struct fetch *write)
 {
@@ -83,7 +84,7 @@
     }
 }
 
-/** End F: tell all its waiters. */
+/** End F and deliver the result to all its waiters. */
 static void
 fetch_end (struct beryl_platform *p, struct fetch *f,
            enum beryl_error_code code, uint64_t version)
@@ -106,7 +107,7 @@
   platform_listing_clear (&listing);
 }
 
-/** Read again later. */
+/** Repeat a read after a backoff. */
 static void
 fetch_retry (struct beryl_platform *p, struct fetch *f, int64_t now_ms)
 {
@@ -115,7 +116,7 @@
   platform_job_back_off (p, &f->job, now_ms);
 }
 
-/** The settled end of a write whose reply was lost at first. */
+/** Count a write whose outcome is known although a reply was lost. */
 static void
 count_settled (struct beryl_platform *p, const struct fetch *f)
 {
@@ -152,7 +153,7 @@
       fetch_retry (p, f, now_ms);
       return;
     }
-  /* Those left need a newer version than this replica has. */
+  /* The remaining waiters need a newer version than this replica has. */
   if (LIST_EMPTY (&f->waiters))
     platform_fetch_free (p, f);
   else
@@ -179,7 +180,8 @@
     fetch_end (p, f, BERYL_OK, f->listing.revision);
 }
 
-/** The repeated write met a conflict; see whose value is there. */
+/** Handle the read that follows a conflict of a repeated write: the nonce of
+ * the current value shows which client wrote it. */
 static void
 read_back_answered (struct beryl_platform *p, struct fetch *f,
                     unsigned int status, const json_t *json, int64_t now_ms)
@@ -191,8 +193,9 @@
   if (status != 200 || !platform_object_read (json, f->kind, &object)
       || object.version < f->conflict_version)
     {
-      /* Absent or older: a replica that lags.  The write is known to have
-         met F->conflict, so only that version or a later one tells. */
+      /* An absent or older object comes from a lagging replica.  The write
+         conflicted with conflict_version, so only that version or a later
+         one is conclusive. */
       platform_object_clear (&object);
       p->counts.stale++;
       platform_job_back_off (p, &f->job, now_ms);
@@ -205,7 +208,7 @@
   fetch_end (p, f, ours ? BERYL_OK : BERYL_ERROR_CONFLICT, version);
 }
 
-/** The condition of a write did not hold. */
+/** Handle a write whose condition did not hold. */
 static void
 write_conflicted (struct beryl_platform *p, struct fetch *f,
                   const json_t *json)
@@ -213,10 +216,10 @@
   uint64_t current = 0;
 
   platform_number_read (json, "version", &current);
-  /* After a lost reply the conflict may be with this write itself: the
-     first try took effect and its version is what the repetition meets.
-     Reading the nonce back tells; without it a claim that was granted would
-     be reported as taken by another. */
+  /* After a lost reply the conflict may be with this write itself: the first
+     attempt took effect, and the repetition conflicts with its version.
+     Reading back the nonce decides; without it a claim that was granted would
+     be reported as taken by another node. */
   if (f->maybe_applied && f->type == FETCH_PUT && current != 0)
     {
       f->reading_back = true;
@@ -279,9 +282,9 @@
     write_answered (p, f, status, json, now_ms);
 }
 
-/** Whether a write may be repeated after its reply was lost: its condition
- * must keep a second effect out, and a conflict must be tellable from one
- * with itself. */
+/** Return whether a write may be repeated after its reply was lost: its
+ * condition must prevent a second effect, and a conflict with itself must be
+ * distinguishable from one with another write. */
 static bool
 fetch_can_settle (const struct fetch *f)
 {
@@ -298,7 +301,7 @@
 
   if (platform_fetch_is_read (f) || f->reading_back)
     {
-      /* A list goes on with the page that failed. */
+      /* A list continues with the page that failed. */
       platform_job_back_off (p, job, now_ms);
       return;
     }
--- a/libberyl/platform/reply.c
+++ b/libberyl/platform/reply.c
@@ -29,12 +29,13 @@
 platform_object_read (const json_t *json, const char *kind,
                       struct beryl_object *object)
 {
-  const char *said = json_string_value (json_object_get (json, "kind"));
+  const char *object_kind = json_string_value (json_object_get (json, "kind"));
   const char *name = json_string_value (json_object_get (json, "name"));
   const json_t *value = json_object_get (json, "value");
 
   *object = (struct beryl_object){ 0 };
-  if (!beryl_platform_name_valid (name) || !said || strcmp (said, kind) != 0
+  if (!beryl_platform_name_valid (name) || !object_kind
+      || strcmp (object_kind, kind) != 0
       || !platform_number_read (json, "version", &object->version))
     return false;
   object->kind = strdup (kind);
@@ -68,8 +69,8 @@
   l->objects[l->count++] = *object;
 }
 
-/** Add the items of a page, whose names must grow: a platform that repeats
- * a page would otherwise keep the listing going for ever. */
+/** Add the items of a page.  Their names must increase; otherwise a platform
+ * that repeats a page would keep the listing running for ever. */
 static bool
 listing_add_items (struct listing *l, const json_t *items, const char *kind)
 {
@@ -90,7 +91,7 @@
   return true;
 }
 
-/** Go on after the last object of a page, also if it is none of ours. */
+/** Continue after the last object of a page, even if it is not one of ours. */
 static void
 listing_advance (struct listing *l, const json_t *json)
 {
@@ -119,8 +120,8 @@
   l->more = json_is_true (more);
   if (l->more && strcmp (before, l->after) == 0)
     return false;
-  /* Pages may show different revisions; only what happened after the lowest
-     is sure to be told by a watch that starts from it. */
+  /* Pages may have different revisions.  Only a watch that starts from the
+     lowest is sure to report all later changes. */
   if (l->revision == 0 || revision < l->revision)
     l->revision = revision;
   return true;
@@ -135,7 +136,7 @@
   *l = (struct listing){ 0 };
 }
 
-/** Copy a string member; false if it is missing or does not fit. */
+/** Copy a string member; return false if it is missing or does not fit. */
 static bool
 text_read (const json_t *json, const char *key, char *value,
            size_t value_bytes)
--- a/libberyl/platform/request.c
+++ b/libberyl/platform/request.c
@@ -5,7 +5,7 @@
 
 #include "private.h"
 
-/** How a waiter ends that gives up now. */
+/** Return the result code of a waiter of F that expires now. */
 static enum beryl_error_code
 expiry_code (struct beryl_platform *p, const struct fetch *f)
 {
@@ -17,7 +17,7 @@
   return BERYL_ERROR_UNKNOWN;
 }
 
-/** Move the waiters of F that give up to the ended ones. */
+/** Move the expired waiters of F to p->completed. */
 static void
 waiters_expire (struct beryl_platform *p, struct fetch *f, bool fail_fast,
                 int64_t now_ms)
@@ -89,7 +89,7 @@
   return next_ms;
 }
 
-/** Find a read that a new asker can join. */
+/** Find a pending read that a new request can join. */
 static struct fetch *
 fetch_find (struct beryl_platform *p, enum fetch_type type, const char *kind,
             const char *name)
@@ -119,7 +119,7 @@
   return w;
 }
 
-/** A request that ends at the next tick with CODE. */
+/** Create a request that ends with CODE at the next tick. */
 static uint64_t
 completed_new (struct beryl_platform *p,
                const struct beryl_platform_options *options,
@@ -132,7 +132,7 @@
   return w->request;
 }
 
-/** Wait for a read, joining one that is already queued or under way. */
+/** Start a read or join an equal one that is pending. */
 static uint64_t
 read_start (struct beryl_platform *p,
             const struct beryl_platform_options *options, enum fetch_type type,
@@ -179,7 +179,7 @@
   return read_start (p, options, FETCH_LIST, kind, prefix, 0);
 }
 
-/** Start a write and wait for it. */
+/** Start the write F with one waiter. */
 static uint64_t
 write_start (struct beryl_platform *p,
              const struct beryl_platform_options *options, struct fetch *f)
@@ -235,7 +235,7 @@
   return write_start (p, options, f);
 }
 
-/** Remove REQUEST from LIST; false if it is not there. */
+/** Remove REQUEST from LIST; return false if it is not in it. */
 static bool
 waiter_remove (struct beryl_platform *p, struct waiter_list *list,
                uint64_t request)
--- a/libberyl/platform/schedule.c
+++ b/libberyl/platform/schedule.c
@@ -1,6 +1,6 @@
 #include "private.h"
 
-/** Burst of a rate, in seconds of it. */
+/* Size of the token buckets, in seconds of their rate. */
 #define BURST_S 1.0
 
 static struct budget *
@@ -52,7 +52,7 @@
       p, job, now_ms + platform_random_jitter_ms (&p->random, limit_ms));
 }
 
-/** Take JOB out of the queue that its state names. */
+/** Remove JOB from the queue of its state and make it idle. */
 static void
 job_unqueue (struct beryl_platform *p, struct job *job)
 {
@@ -138,9 +138,9 @@
   b->refilled_ms = now_ms;
 }
 
-/** Start-time fair queueing: the use whose next call would finish first in
- * virtual time goes first, so that a use with much to do cannot starve one
- * with little, and an idle use saves nothing up. */
+/** Pick the next job by start-time fair queueing: the use whose next call
+ * would finish first in virtual time goes first.  A busy use thus cannot
+ * starve another one, and an idle use does not accumulate credit. */
 static struct job *
 budget_pick (struct beryl_platform *p, struct budget *b)
 {
@@ -162,7 +162,7 @@
   return best;
 }
 
-/** Count what a call is spent on. */
+/** Count a call under its use and type. */
 static void
 count_call (struct beryl_platform *p, const struct job *job)
 {
@@ -202,7 +202,7 @@
   p->handler->impl->send (p->handler, &call);
 }
 
-/** Note that ready jobs wait for tokens. */
+/** Count the ready jobs that wait for tokens, each once. */
 static void
 count_delayed (struct beryl_platform *p, struct budget *b)
 {
@@ -259,7 +259,7 @@
   return true;
 }
 
-/** Return when B may make its next call. */
+/** Return the time at which B may make its next call. */
 static int64_t
 budget_next_ms (const struct beryl_platform *p, const struct budget *b)
 {
--- a/libberyl/platform/watch.c
+++ b/libberyl/platform/watch.c
@@ -15,7 +15,8 @@
   free (w);
 }
 
-/** Find NAME's place among the known ones; true if it is there. */
+/** Find NAME among the known objects; otherwise set PLACE to where it would be
+ * inserted and return false. */
 static bool
 known_find (const struct watch *w, const char *name, size_t *place)
 {
@@ -66,7 +67,7 @@
   w->known_count--;
 }
 
-/** Tell one change; W may be marked ended by it. */
+/** Emit one event; the callback may remove W. */
 static void
 emit_event (struct beryl_platform *p, struct watch *w, bool deleted,
             const struct beryl_object *object)
@@ -78,7 +79,7 @@
     p->handler->impl->event (p->handler, &event);
 }
 
-/** Take an object's value, unless it is not newer than what is known. */
+/** Apply an object unless a version as new is already known. */
 static void
 apply_put (struct beryl_platform *p, struct watch *w,
            const struct beryl_object *object)
@@ -110,7 +111,7 @@
   emit_event (p, w, true, object);
 }
 
-/** Tell the deletion of all that a whole list did not show. */
+/** Emit a deletion for every known object that is missing from a full list. */
 static void
 apply_missing (struct beryl_platform *p, struct watch *w)
 {
@@ -148,12 +149,12 @@
     p->handler->impl->synced (p->handler, w->id, w->revision);
 }
 
-/** An answer from a replica that is behind what was seen already, which
- * would take changes back; ask again. */
+/** Discard an answer from a lagging replica, which would revert changes that
+ * were already seen, and poll again. */
 static void
 answer_stale (struct beryl_platform *p, struct watch *w, int64_t now_ms)
 {
-  /* What was fed meanwhile is newer than the answer. */
+  /* The changes applied meanwhile are newer than the answer. */
   if (w->paused && !w->listing_now)
     return;
   p->counts.stale++;
@@ -206,7 +207,7 @@
   watch_again (p, w, now_ms);
 }
 
-/** Apply one event; false if it is malformed. */
+/** Apply one event; return false if it is malformed. */
 static bool
 event_apply (struct beryl_platform *p, struct watch *w, const json_t *json)
 {
@@ -256,7 +257,7 @@
   watch_again (p, w, now_ms);
 }
 
-/** Read the well-formed entries; one bad entry must not hide the others. */
+/** Read the well-formed entries, skipping malformed ones. */
 static struct beryl_instance *
 instances_read (struct beryl_platform *p, const json_t *items, size_t *count)
 {
@@ -304,7 +305,7 @@
       p->handler->impl->instances (p->handler, w->id, revision, list, count);
       free (list);
     }
-  /* An unchanged list was confirmed: who judges by it must know its age. */
+  /* An unchanged list is reported as well, as its users must know its age. */
   emit_synced (p, w);
   watch_again (p, w, now_ms);
 }
@@ -317,8 +318,8 @@
 
   if (status == 410 && !w->instances)
     {
-      /* The events since our revision are gone, deletions too: only a whole
-         list shows what is no longer there. */
+      /* The events since the watch's revision are no longer available; only a
+         full list shows which objects were deleted. */
       p->counts.relisted++;
       w->listing_now = true;
       platform_listing_clear (&w->listing);
@@ -351,8 +352,8 @@
             struct beryl_platform_call *call, char path[PATH_BYTES])
 {
   struct watch *w = (struct watch *)job;
-  /* A probe must be answered at once, and so must the first look, and the
-     first after a failure: who watches must know when the platform is back. */
+  /* Breaker probes, the first call and the first call after a failure must be
+     answered at once, to show that the platform is available again. */
   bool at_once = p->breaker.state == BREAKER_HALF_OPEN || w->listing_now
                  || job->failures > 0 || w->refresh_due;
   int64_t set_ms = w->wait_ms != 0 ? w->wait_ms : p->settings.watch_wait_ms;
@@ -438,7 +439,7 @@
 }
 
 static bool
-is_arriving (const struct watch *w)
+is_receiving (const struct watch *w)
 {
   return w->job.state == JOB_CALLING && w->job.answer_started;
 }
@@ -448,12 +449,12 @@
 {
   struct watch *w = watch_find (p, id);
 
-  /* A listing is under way or about to begin; it shows all there is. */
+  /* A listing is pending and will show the current state. */
   if (!w || w->in_callback || w->listing_now)
     return;
-  /* An answer that arrives is no silent connection; given up, a large one on a
-     slow link would never be read whole. */
-  if (is_arriving (w))
+  /* The connection is alive.  If its answer were aborted, a large one on a
+     slow link would never be received completely. */
+  if (is_receiving (w))
     return;
   w->refresh_due = true;
   if (w->job.state == JOB_READY)
@@ -475,7 +476,8 @@
     return false;
   seen = w->revision;
   w->in_callback = true;
-  /* A change that was seen already may have been undone since. */
+  /* Skip changes that were already seen; later ones may have superseded them.
+   */
   for (size_t i = 0; i < count; i++)
     if (events[i].object.version <= seen)
       continue;
@@ -521,7 +523,7 @@
 {
   const struct watch *w = watch_find (p, id);
 
-  return w && is_arriving (w);
+  return w && is_receiving (w);
 }
 
 void
--- a/libberyl/spread/acceptor.c
+++ b/libberyl/spread/acceptor.c
@@ -57,14 +57,14 @@
 };
 
 struct beryl_acceptor *
-beryl_acceptor_create (const struct beryl_config_log *spread,
+beryl_acceptor_create (const struct beryl_config_log *log,
                        struct beryl_acceptor_owner *owner)
 {
   struct beryl_acceptor *a = calloc (1, sizeof *a);
 
   if (a == NULL)
     return NULL;
-  a->log = spread;
+  a->log = log;
   a->owner = owner;
   return a;
 }
@@ -292,10 +292,10 @@
 change_report (struct beryl_acceptor *a, const struct change *c, bool accepted,
                const char *findings)
 {
-  struct beryl_validation_result judgement
+  struct beryl_validation_result result
       = { c->kind, c->name, c->version, accepted, findings };
 
-  a->owner->impl->validated (a->owner, &judgement);
+  a->owner->impl->validated (a->owner, &result);
 }
 
 /* Reports a rejection once.  An unchanged object is validated again after
--- a/libberyl/spread/config_log.c
+++ b/libberyl/spread/config_log.c
@@ -22,6 +22,7 @@
   uint64_t revision;
 };
 
+/* Text of a retained entry. */
 struct retained
 {
   char *text;
@@ -43,70 +44,70 @@
 struct beryl_config_log *
 beryl_config_log_create (void)
 {
-  struct beryl_config_log *spread = calloc (1, sizeof *spread);
+  struct beryl_config_log *log = calloc (1, sizeof *log);
 
-  if (spread != NULL)
-    spread->first_retained = 1;
-  return spread;
+  if (log != NULL)
+    log->first_retained = 1;
+  return log;
 }
 
 static void
-retained_drop (struct beryl_config_log *spread, uint64_t version)
+retained_drop (struct beryl_config_log *log, uint64_t version)
 {
-  struct retained *k = &spread->retained[version % RETAINED_ENTRIES];
+  struct retained *k = &log->retained[version % RETAINED_ENTRIES];
 
-  spread->retained_bytes -= k->bytes;
+  log->retained_bytes -= k->bytes;
   free (k->text);
   memset (k, 0, sizeof *k);
 }
 
 static void
-retained_clear (struct beryl_config_log *spread)
+retained_clear (struct beryl_config_log *log)
 {
-  while (spread->first_retained <= spread->version)
-    retained_drop (spread, spread->first_retained++);
+  while (log->first_retained <= log->version)
+    retained_drop (log, log->first_retained++);
 }
 
 void
-beryl_config_log_destroy (struct beryl_config_log *spread)
+beryl_config_log_destroy (struct beryl_config_log *log)
 {
-  if (spread == NULL)
+  if (log == NULL)
     return;
-  retained_clear (spread);
-  items_clear (&spread->items);
-  free (spread);
+  retained_clear (log);
+  items_clear (&log->items);
+  free (log);
 }
 
 uint64_t
-beryl_config_log_version (const struct beryl_config_log *spread)
+beryl_config_log_version (const struct beryl_config_log *log)
 {
-  return spread->version;
+  return log->version;
 }
 
 uint64_t
-beryl_config_log_revision (const struct beryl_config_log *spread,
+beryl_config_log_revision (const struct beryl_config_log *log,
                            const char *kind)
 {
-  for (size_t i = 0; i < spread->revision_count; i++)
-    if (strcmp (spread->revisions[i].kind, kind) == 0)
-      return spread->revisions[i].revision;
+  for (size_t i = 0; i < log->revision_count; i++)
+    if (strcmp (log->revisions[i].kind, kind) == 0)
+      return log->revisions[i].revision;
   return 0;
 }
 
 static void
-revision_raise (struct beryl_config_log *spread, const char *kind,
+revision_raise (struct beryl_config_log *log, const char *kind,
                 uint64_t revision)
 {
-  struct revision *r = spread->revisions;
+  struct revision *r = log->revisions;
   size_t i = 0;
 
-  while (i < spread->revision_count && strcmp (r[i].kind, kind) != 0)
+  while (i < log->revision_count && strcmp (r[i].kind, kind) != 0)
     i++;
   if (i == REVISIONS_MAX || strlen (kind) >= sizeof r->kind)
     return;
-  if (i == spread->revision_count)
+  if (i == log->revision_count)
     {
-      spread->revision_count++;
+      log->revision_count++;
       strncpy (r[i].kind, kind, sizeof r->kind - 1);
     }
   if (revision > r[i].revision)
@@ -114,14 +115,14 @@
 }
 
 static void
-revisions_raise (struct beryl_config_log *spread, json_t *revisions)
+revisions_raise (struct beryl_config_log *log, json_t *revisions)
 {
   const char *kind;
   json_t *value;
 
   json_object_foreach (revisions, kind, value)
   {
-    revision_raise (spread, kind, (uint64_t)json_integer_value (value));
+    revision_raise (log, kind, (uint64_t)json_integer_value (value));
   }
 }
 
@@ -196,29 +197,29 @@
 }
 
 static void
-retained_add (struct beryl_config_log *spread, const char *entry,
+retained_add (struct beryl_config_log *log, const char *entry,
               size_t entry_bytes)
 {
-  struct retained *k = &spread->retained[spread->version % RETAINED_ENTRIES];
+  struct retained *k = &log->retained[log->version % RETAINED_ENTRIES];
 
-  if (spread->version - spread->first_retained >= RETAINED_ENTRIES)
-    retained_drop (spread, spread->first_retained++);
+  if (log->version - log->first_retained >= RETAINED_ENTRIES)
+    retained_drop (log, log->first_retained++);
   k->text = malloc (entry_bytes);
   if (k->text == NULL)
     {
-      retained_clear (spread);
+      retained_clear (log);
       return;
     }
   memcpy (k->text, entry, entry_bytes);
   k->bytes = entry_bytes;
-  spread->retained_bytes += entry_bytes;
-  while (spread->retained_bytes > RETAINED_BYTES
-         && spread->first_retained < spread->version)
-    retained_drop (spread, spread->first_retained++);
+  log->retained_bytes += entry_bytes;
+  while (log->retained_bytes > RETAINED_BYTES
+         && log->first_retained < log->version)
+    retained_drop (log, log->first_retained++);
 }
 
 static enum beryl_config_log_result
-entry_apply (struct beryl_config_log *spread, json_t *entry, const char *text,
+entry_apply (struct beryl_config_log *log, json_t *entry, const char *text,
              size_t text_bytes, struct beryl_error *error)
 {
   json_t *changes = json_object_get (entry, "changes");
@@ -230,23 +231,23 @@
       beryl_error_set (error, BERYL_ERROR_INVALID, "malformed entry");
       return BERYL_CONFIG_LOG_INVALID;
     }
-  if (version <= spread->version)
+  if (version <= log->version)
     return BERYL_CONFIG_LOG_OLD;
-  if (!BERYL_GUARD (BERYL_GUARD_SPREAD_GAP, version == spread->version + 1))
+  if (!BERYL_GUARD (BERYL_GUARD_SPREAD_GAP, version == log->version + 1))
     return BERYL_CONFIG_LOG_GAP;
-  if (!changes_apply (&spread->items, changes))
+  if (!changes_apply (&log->items, changes))
     {
       beryl_error_set (error, BERYL_ERROR_INTERNAL, "out of memory");
       return BERYL_CONFIG_LOG_INVALID;
     }
-  revisions_raise (spread, json_object_get (entry, "revisions"));
-  spread->version = version;
-  retained_add (spread, text, text_bytes);
+  revisions_raise (log, json_object_get (entry, "revisions"));
+  log->version = version;
+  retained_add (log, text, text_bytes);
   return BERYL_CONFIG_LOG_APPLIED;
 }
 
 enum beryl_config_log_result
-beryl_config_log_apply (struct beryl_config_log *spread, const char *entry,
+beryl_config_log_apply (struct beryl_config_log *log, const char *entry,
                         size_t entry_bytes, struct beryl_error *error)
 {
   json_t *json = json_loadb (entry, entry_bytes, JSON_REJECT_DUPLICATES, NULL);
@@ -257,13 +258,13 @@
       beryl_error_set (error, BERYL_ERROR_INVALID, "entry is not JSON");
       return BERYL_CONFIG_LOG_INVALID;
     }
-  result = entry_apply (spread, json, entry, entry_bytes, error);
+  result = entry_apply (log, json, entry, entry_bytes, error);
   json_decref (json);
   return result;
 }
 
 char *
-beryl_config_log_entries_after (const struct beryl_config_log *spread,
+beryl_config_log_entries_after (const struct beryl_config_log *log,
                                 uint64_t after, size_t max_bytes,
                                 size_t *bytes_count)
 {
@@ -272,15 +273,15 @@
   char *text = NULL;
   FILE *out;
 
-  if (version < spread->first_retained || version > spread->version)
+  if (version < log->first_retained || version > log->version)
     return NULL;
   out = open_memstream (&text, bytes_count);
   if (out == NULL)
     return NULL;
   fputc ('[', out);
-  for (; version <= spread->version; version++)
+  for (; version <= log->version; version++)
     {
-      const struct retained *k = &spread->retained[version % RETAINED_ENTRIES];
+      const struct retained *k = &log->retained[version % RETAINED_ENTRIES];
 
       if (total > 0 && total + k->bytes > max_bytes)
         break;
@@ -295,15 +296,15 @@
 }
 
 static void
-snapshot_revisions (const struct beryl_config_log *spread, FILE *out)
+snapshot_revisions (const struct beryl_config_log *log, FILE *out)
 {
-  for (size_t i = 0; i < spread->revision_count; i++)
+  for (size_t i = 0; i < log->revision_count; i++)
     fprintf (out, "%s\"%s\":%" PRIu64, i > 0 ? "," : "",
-             spread->revisions[i].kind, spread->revisions[i].revision);
+             log->revisions[i].kind, log->revisions[i].revision);
 }
 
 char *
-beryl_config_log_snapshot (const struct beryl_config_log *spread,
+beryl_config_log_snapshot (const struct beryl_config_log *log,
                            size_t *bytes_count)
 {
   char *text = NULL;
@@ -311,12 +312,12 @@
 
   if (out == NULL)
     return NULL;
-  fprintf (out, "{\"version\":%" PRIu64 ",\"revisions\":{", spread->version);
-  snapshot_revisions (spread, out);
+  fprintf (out, "{\"version\":%" PRIu64 ",\"revisions\":{", log->version);
+  snapshot_revisions (log, out);
   fputs ("},\"changes\":[", out);
-  for (size_t i = 0; i < spread->items.count; i++)
+  for (size_t i = 0; i < log->items.count; i++)
     {
-      const struct item *item = &spread->items.list[i];
+      const struct item *item = &log->items.list[i];
 
       fprintf (out,
                "%s{\"kind\":\"%s\",\"name\":\"%s\",\"source\":%" PRIu64
@@ -330,7 +331,7 @@
 }
 
 static enum beryl_config_log_result
-snapshot_load (struct beryl_config_log *spread, json_t *json,
+snapshot_load (struct beryl_config_log *log, json_t *json,
                struct beryl_error *error)
 {
   json_t *changes = json_object_get (json, "changes");
@@ -344,17 +345,17 @@
       beryl_error_set (error, BERYL_ERROR_INVALID, "malformed snapshot");
       return BERYL_CONFIG_LOG_INVALID;
     }
-  retained_clear (spread);
-  items_clear (&spread->items);
-  spread->items = items;
-  spread->version = version;
-  spread->first_retained = version + 1;
-  revisions_raise (spread, json_object_get (json, "revisions"));
+  retained_clear (log);
+  items_clear (&log->items);
+  log->items = items;
+  log->version = version;
+  log->first_retained = version + 1;
+  revisions_raise (log, json_object_get (json, "revisions"));
   return BERYL_CONFIG_LOG_APPLIED;
 }
 
 enum beryl_config_log_result
-beryl_config_log_load (struct beryl_config_log *spread, const char *snapshot,
+beryl_config_log_load (struct beryl_config_log *log, const char *snapshot,
                        size_t bytes_count, struct beryl_error *error)
 {
   json_t *json
@@ -368,46 +369,46 @@
       return BERYL_CONFIG_LOG_INVALID;
     }
   version = (uint64_t)json_integer_value (json_object_get (json, "version"));
-  if (!BERYL_GUARD (BERYL_GUARD_SPREAD_NEWER, version > spread->version))
+  if (!BERYL_GUARD (BERYL_GUARD_SPREAD_NEWER, version > log->version))
     result = BERYL_CONFIG_LOG_OLD;
   else
-    result = snapshot_load (spread, json, error);
+    result = snapshot_load (log, json, error);
   json_decref (json);
   return result;
 }
 
 char *
-beryl_config_log_objects (const struct beryl_config_log *spread,
+beryl_config_log_objects (const struct beryl_config_log *log,
                           size_t *bytes_count)
 {
-  return items_array (&spread->items, BERYL_INSTANCE_KIND, bytes_count);
+  return items_array (&log->items, BERYL_INSTANCE_KIND, bytes_count);
 }
 
 size_t
-beryl_config_log_count (const struct beryl_config_log *spread)
+beryl_config_log_count (const struct beryl_config_log *log)
 {
-  return spread->items.count;
+  return log->items.count;
 }
 
 struct beryl_config_log_object
-beryl_config_log_get (const struct beryl_config_log *spread, size_t i)
+beryl_config_log_get (const struct beryl_config_log *log, size_t i)
 {
-  const struct item *item = &spread->items.list[i];
+  const struct item *item = &log->items.list[i];
 
   return (struct beryl_config_log_object){ item->kind, item->name,
                                            item->version, item->json };
 }
 
 bool
-beryl_config_log_find (const struct beryl_config_log *spread, const char *kind,
+beryl_config_log_find (const struct beryl_config_log *log, const char *kind,
                        const char *name,
                        struct beryl_config_log_object *object)
 {
   bool found;
-  size_t i = items_find (&spread->items, kind, name, &found);
+  size_t i = items_find (&log->items, kind, name, &found);
 
   if (found)
-    *object = beryl_config_log_get (spread, i);
+    *object = beryl_config_log_get (log, i);
   return found;
 }
 
