--- a/libberyl/spread/config_log.c
+++ b/libberyl/spread/config_log.c
@@ -36,7 +36,7 @@
   struct revision revisions[REVISIONS_MAX];
   size_t revision_count;
   struct retained
-      retained[RETAINED_ENTRIES]; /* ring buffer, indexed by version */
+      retained[RETAINED_ENTRIES]; /* ring buffer */
   uint64_t first_retained;        /* oldest version retained */
   size_t retained_bytes;
 };
--- a/tests/config/test_config.c
+++ b/tests/config/test_config.c
@@ -104,8 +104,9 @@
 }
 END_TEST
 
-/* Story: operators say where an organisation's callers are; a name that is
- * dropped or cut would quietly give up the even spread over its nodes. */
+/* Guards against losing or truncating the data centre of an organisation's
+ * callers, which would silently disable their even distribution over its
+ * nodes. */
 START_TEST (test_organisation_data_centre)
 {
   static const char json[] = "[" OBJECT (
@@ -127,9 +128,8 @@
 }
 END_TEST
 
-/* Story: a key is looked for in a shard that no node has.  The check allowed
- * 1,024 shards where the claim log has at most 1,000 and quietly takes these.
- */
+/* Guards against keys being looked up in a shard that no node has: the check
+ * allowed 1,024 shards, while the claim log silently limits them to 1,000. */
 START_TEST (test_claim_shards)
 {
   static const char most[]
@@ -165,8 +165,8 @@
   return false;
 }
 
-/* An operator has made several mistakes in one file.  All of them are
- * reported by one run, each at its place, so that one correction is enough. */
+/* All mistakes in a file must be reported in one run, each with its location.
+ */
 START_TEST (test_all_findings_together)
 {
   static const char json[] = "[" OBJECT ("service", "a", "{\"deadline\":5,\"class\":\"asap\"}") "," OBJECT (
@@ -196,8 +196,8 @@
 }
 END_TEST
 
-/* An endpoint names a service that was deleted.  Accepting it would route
- * nowhere, so that the configuration is refused as a whole. */
+/* A configuration with an endpoint of a deleted service must be rejected as a
+ * whole, as its calls could not be routed. */
 START_TEST (test_references)
 {
   static const char json[] = "[" OBJECT ("service", "a", "{\"model\":\"none\"}") "," OBJECT (
--- a/tests/config/test_fields.c
+++ b/tests/config/test_fields.c
@@ -56,8 +56,8 @@
   return count;
 }
 
-/* Guards against a process that does not start because a bound is a fraction.
- */
+/* Guards against a process that does not start because a limit is not an
+ * integer. */
 START_TEST (test_rounded_to_the_safe_side)
 {
   struct bounds bounds;
@@ -76,7 +76,8 @@
 }
 END_TEST
 
-/* Guards against a bound that wraps around or is refused at its safe end. */
+/* Guards against a limit that overflows, or that is rejected although it can
+ * safely be clamped. */
 START_TEST (test_beyond_the_range)
 {
   struct bounds bounds;
@@ -96,7 +97,7 @@
 }
 END_TEST
 
-/* Guards against a place that the platform left empty being taken for zero. */
+/* Guards against reading a value that the platform left null as zero. */
 START_TEST (test_null_is_the_default)
 {
   struct bounds bounds;
--- a/tests/config/test_yaml.c
+++ b/tests/config/test_yaml.c
@@ -29,9 +29,9 @@
 }
 END_TEST
 
-/* A file of a few hundred bytes names an anchor of aliases of aliases; read
- * in full it would take gigabytes.  The reader refuses the first anchor and
- * never follows an alias, so that the process stays small and says where. */
+/* Guards against alias expansion attacks, where nested aliases in a file of a
+ * few hundred bytes expand to gigabytes.  The reader rejects the first anchor
+ * with its location and never follows an alias. */
 START_TEST (test_alias_bomb)
 {
   static const char text[] = "a: &a [x, x, x, x, x, x, x, x, x]\n"
@@ -96,8 +96,9 @@
     .max = 65535 },
 };
 
-/* A settings file has a misspelt key and a wrong value.  Both are told at
- * once with line and column, and the process does not start with half. */
+/* A misspelt key and an invalid value in a settings file must both be reported
+ * with line and column, and the process must not start with partial settings.
+ */
 START_TEST (test_settings_findings)
 {
   char path[] = "/tmp/beryl-settings-XXXXXX";
--- a/tests/control/cluster.c
+++ b/tests/control/cluster.c
@@ -8,7 +8,8 @@
 #define MAC_BYTES 16
 #define DATAGRAM_BYTES 1300
 
-/* Also used outside of the check library, by the benchmark. */
+/* Replaces the check library's assertions, as the benchmark uses this file
+ * without it. */
 static void
 require (bool condition)
 {
@@ -177,7 +178,7 @@
                                   cluster_now_ms (c));
 }
 
-/* The list is read by every node each second; it may flap. */
+/* Passes the instance list, which may flap, to every node once a second. */
 static void
 list_step (void *user, void *data)
 {
@@ -252,7 +253,6 @@
   sim_run (c->sim, cluster_now_ms (c) + for_ms);
 }
 
-/* Nodes that see member I in STATE, by those that are up. */
 int
 cluster_seen_as (const struct cluster *c, int i, enum beryl_member_state state)
 {
@@ -285,7 +285,6 @@
   return true;
 }
 
-/* Returns the time until all see each other, or LIMIT_MS. */
 int64_t
 cluster_until_alive (struct cluster *c, int64_t limit_ms)
 {
--- a/tests/control/cluster.h
+++ b/tests/control/cluster.h
@@ -1,6 +1,6 @@
 /** @file
- * A cluster of memberships in virtual time: lossy datagrams, partitions,
- * nodes that stop or freeze, and an instance list that flaps.
+ *  * Simulated cluster of memberships with lossy datagrams, partitions, nodes
+ * that stop or freeze, and an instance list that flaps.
  */
 #ifndef TESTS_CONTROL_CLUSTER_H
 #define TESTS_CONTROL_CLUSTER_H
@@ -20,11 +20,11 @@
   struct beryl_membership *m;
   int index;
   bool down;
-  bool frozen; /* takes nothing, sends nothing, but lives */
+  bool frozen; /* alive, but neither receives nor sends */
   int region;
-  uint64_t starts;
+  uint64_t starts; /* number of starts */
   uint64_t sent_bytes;
-  uint32_t deaths; /* members that it saw declared dead */
+  uint32_t deaths; /* number of members it saw declared dead */
 };
 
 struct cluster
@@ -35,14 +35,14 @@
   int data_centres;
   int regions;
   uint32_t loss_percent;
-  int partitioned_region; /* apart from the others; -1: none */
+  int partitioned_region; /* region cut off from the others; -1: none */
   struct beryl_listed_instance list[NODES_MAX];
-  size_t listed_count;
-  bool list_flaps;
+  size_t listed_count; /* nodes in the instance list, a prefix of LIST */
+  bool list_flaps;     /* most readings of the list are incomplete */
   struct frame_writer *writer;
 };
 
-/** Start NODES nodes at once, who know the instance list only. */
+/** Start NODES nodes at once that know only the instance list. */
 struct cluster *cluster_create (uint64_t seed, int nodes, int data_centres,
                                 int regions);
 void cluster_destroy (struct cluster *c);
@@ -50,30 +50,31 @@
 /** Return the virtual time. */
 int64_t cluster_now_ms (const struct cluster *c);
 
-/** Let time pass. */
+/** Run the cluster for FOR_MS. */
 void cluster_run (struct cluster *c, int64_t for_ms);
 
-/** Start a node anew, with a higher incarnation. */
+/** Start or restart a node with a higher incarnation. */
 void node_start (struct node *n);
 
-/** Return how many nodes that are up see member I in STATE. */
+/** Return the number of running nodes that see member I in STATE. */
 int cluster_seen_as (const struct cluster *c, int i,
                      enum beryl_member_state state);
 
-/** Whether all nodes that are up see each other alive. */
+/** Return whether all running nodes see each other alive. */
 bool cluster_all_alive (const struct cluster *c);
 
-/** Run until that is so; return the time it took, at most LIMIT_MS. */
+/** Run until all running nodes see each other alive; return the time it took,
+ * about LIMIT_MS at most. */
 int64_t cluster_until_alive (struct cluster *c, int64_t limit_ms);
 
-/** Run until no node sees member I alive. */
+/** Run until no node sees member I alive; return the time it took. */
 int64_t cluster_until_suspected (struct cluster *c, int i, int64_t limit_ms);
 
 /** Stop all nodes of data centre DC and run until no node sees any of them
  * alive; return the time it took. */
 int64_t cluster_lose_data_centre (struct cluster *c, int dc, int64_t limit_ms);
 
-/** Return the bytes sent by all nodes, with IP and UDP headers. */
+/** Return the bytes sent by all nodes including IP and UDP headers. */
 uint64_t cluster_sent_bytes (const struct cluster *c);
 
 #endif
--- a/tests/control/fleet_sim.c
+++ b/tests/control/fleet_sim.c
@@ -23,7 +23,7 @@
   char version[BERYL_NAME_BYTES];
   struct fleet_sim_engine engines[FLEET_SIM_ENGINES_MAX];
   int64_t now_ms;
-  int64_t waiting[WAITING_MAX]; /* when they came, oldest first */
+  int64_t waiting[WAITING_MAX]; /* arrival times, oldest first */
   size_t waiting_count;
   uint32_t running;
   struct fleet_sim_counts counts;
@@ -224,7 +224,8 @@
   return beryl_planner_wanted (t->planner, "s");
 }
 
-/* Poisson by counting exponential gaps; the means here are small. */
+/* Draws from a Poisson distribution by multiplying uniform numbers (Knuth),
+ * which is efficient for the small means here. */
 static uint32_t
 poisson (struct fleet_sim *t, double mean)
 {
@@ -262,7 +263,7 @@
     t->waiting[t->waiting_count++] = t->now_ms;
 }
 
-/* Those that have waited beyond the deadline are gone. */
+/* Starts waiting calls in free slots and drops those past their deadline. */
 static void
 calls_start (struct fleet_sim *t)
 {
--- a/tests/control/mutant.h
+++ b/tests/control/mutant.h
@@ -1,10 +1,11 @@
 /** @file
- * Takes out the guard that the environment names, in builds that can.
+ *  * Selects the guard to disable, in builds for mutation tests.
  */
 #ifndef TESTS_CONTROL_MUTANT_H
 #define TESTS_CONTROL_MUTANT_H
 
-/** Read BERYL_MUTANT; does nothing in the usual build. */
+/** Disable the guard whose number is in the environment variable BERYL_MUTANT;
+ * no effect in a normal build. */
 void mutant_choose (void);
 
 #endif
--- a/tests/control/test_discovery.c
+++ b/tests/control/test_discovery.c
@@ -17,7 +17,7 @@
   size_t node_count;
   char organisations[ORGANISATIONS][24];
   struct beryl_discovery_organisation listed[ORGANISATIONS];
-  size_t asks[ORGANISATIONS]; /* the data centre of its callers */
+  size_t asks[ORGANISATIONS]; /* index of its callers' data centre */
   struct beryl_discovery *discovery;
 };
 
@@ -60,7 +60,7 @@
   free (f);
 }
 
-/* All organisations say where their callers are. */
+/* Sets the home data centre of all organisations. */
 static void
 fleet_declare (struct fleet *f)
 {
@@ -69,7 +69,7 @@
   beryl_discovery_set_organisations (f->discovery, f->listed, ORGANISATIONS);
 }
 
-/* Greatest distance of a node's share from the mean, in percent. */
+/* Returns the largest deviation of a node's load from the mean, in percent. */
 static double
 fleet_unevenness (const struct fleet *f, bool by_data_centre)
 {
@@ -96,9 +96,9 @@
   return 100 * worst / mean;
 }
 
-/* Story: organisations keep their answer, so an uneven spread stays.  With
- * plain hashing of 2,200 names some of 8 nodes get 20% more than others,
- * and calls there miss deadlines while other nodes idle. */
+/* Guards against a lasting load imbalance, as callers cache their answers.
+ * With plain hashing of 2,200 names some of 8 nodes get 20% more than others,
+ * and calls there miss deadlines while other nodes are idle. */
 START_TEST (spread_is_even)
 {
   struct fleet *today = fleet_create (8, 4);
@@ -116,10 +116,10 @@
 }
 END_TEST
 
-/* Story: 400 nodes in ten data centres; each organisation's callers sit in
- * one of them and keep their answer.  Ranked among all 2,200, the 220 that ask
- * in one data centre fall on its 40 nodes at random, and some node has half
- * more than the others for good. */
+/* Guards against a load imbalance within data centres: 400 nodes in ten data
+ * centres, with each organisation's callers in one of them.  Ranked among all
+ * 2,200 organisations, the 220 of one data centre fall on its 40 nodes at
+ * random, and some node permanently has half as much again as the others. */
 START_TEST (spread_is_even_by_data_centre)
 {
   struct fleet *f = fleet_create (400, 10);
@@ -147,9 +147,9 @@
 }
 END_TEST
 
-/* Story: nearly all callers sit in one data centre.  Even loads would send
- * nine of ten organisations on a long way; only a quarter may be, and all of
- * these to its own region, which has room for them. */
+/* Guards against sending most callers to remote nodes when nearly all are in
+ * one data centre.  An even load would reassign nine of ten organisations;
+ * only a quarter may be, all within the region, which has enough capacity. */
 START_TEST (most_organisations_stay_local)
 {
   struct fleet *f = fleet_create (400, 10);
@@ -171,8 +171,8 @@
 }
 END_TEST
 
-/* Story: a data centre is lost whose organisations are declared.  They must
- * go to live nodes of the region, evenly: 220 over 120 nodes are 183 percent
+/* When the home data centre of organisations fails, they must be distributed
+ * evenly over the live nodes of the region: 220 over 120 nodes are 183 percent
  * of an organisation each. */
 START_TEST (lost_home_data_centre_falls_back_to_region)
 {
@@ -201,8 +201,8 @@
 }
 END_TEST
 
-/* Story: a node got SIGTERM and left; an answer that names it would send a
- * caller to a closed port some seconds later. */
+/* Guards against answers with a node that is shutting down, which would send a
+ * caller to a closed port a few seconds later. */
 START_TEST (leaving_nodes_are_not_named)
 {
   struct fleet *f = fleet_create (8, 4);
@@ -224,9 +224,9 @@
 }
 END_TEST
 
-/* Story: a data centre loses power.  Its nodes turn suspect and later leave
- * the list; its callers must be sent to the region's other data centres and
- * find a live node first in each answer. */
+/* When a data centre loses power, its nodes become suspect.  Its callers must
+ * get nodes of the region's other data centres, with a live node first in
+ * every answer. */
 START_TEST (lost_data_centre_falls_back_to_region)
 {
   struct fleet *f = fleet_create (12, 6);
@@ -246,9 +246,9 @@
 }
 END_TEST
 
-/* Story: every node is suspected at once, as after this node's own network
- * card failed for a while; an empty answer would turn callers away though
- * the nodes live. */
+/* Guards against an empty answer when all nodes are suspect at once, as after
+ * a failure of this node's own network card: callers would be turned away
+ * although the nodes are alive. */
 START_TEST (suspects_are_the_last_resort)
 {
   struct fleet *f = fleet_create (8, 4);
--- a/tests/control/test_membership.c
+++ b/tests/control/test_membership.c
@@ -4,8 +4,8 @@
 #include "cluster.h"
 #include "mutant.h"
 
-/* Story: all instances are started together and know only the instance
- * list; each must find all others before it serves a fair share. */
+/* Guards against slow discovery when all instances start together and know
+ * only the instance list. */
 START_TEST (members_discover_each_other)
 {
   struct cluster *c = cluster_create (1, 8, 4, 1);
@@ -17,9 +17,9 @@
 }
 END_TEST
 
-/* Story: a node loses power.  Callers are handed its address until the
- * others notice; it must be suspect everywhere within seconds, and nobody
- * else may be. */
+/* Guards against slow failure detection: callers are given the address of a
+ * node that lost power until the others suspect it.  No other node may become
+ * suspect. */
 START_TEST (dead_node_is_suspected)
 {
   for (uint64_t seed = 1; seed <= 5; seed++)
@@ -39,8 +39,8 @@
 }
 END_TEST
 
-/* Story: a node gets SIGTERM.  Discovery elsewhere must stop naming it
- * within two seconds, also with packets lost. */
+/* Guards against discovery returning a node for more than two seconds after it
+ * received SIGTERM, even with packet loss. */
 START_TEST (leaving_node_is_announced)
 {
   struct cluster *c = cluster_create (2, 40, 4, 2);
@@ -57,10 +57,9 @@
 }
 END_TEST
 
-/* Story: two regions lose each other for three minutes.  The far nodes are
- * only unreachable; if they were declared dead, their streams would be
- * cancelled and their callers cut off, and afterwards hundreds of nodes
- * would have to join again at once. */
+/* Guards against declaring nodes dead during a partition of three minutes
+ * between regions.  The streams of these nodes would be cancelled, and
+ * hundreds of them would have to rejoin at once afterwards. */
 START_TEST (region_partition_heals)
 {
   struct cluster *c = cluster_create (3, 24, 6, 3);
@@ -80,8 +79,8 @@
 }
 END_TEST
 
-/* Story: the instance list flaps: in most readings some live instances are
- * missing.  Whoever believes it cancels the streams of live nodes. */
+/* Guards against cancelling the streams of live nodes because the instance
+ * list flaps: in most readings some live instances are missing. */
 START_TEST (flapping_list_causes_no_death)
 {
   for (uint64_t seed = 1; seed <= 10; seed++)
@@ -99,8 +98,8 @@
 }
 END_TEST
 
-/* Story: an instance is gone and the platform's list confirms it.  Only then
- * is it dead, and what it held may be cancelled. */
+/* A silent instance is dead, and its work may be cancelled, only once it is
+ * also missing from the platform's instance list. */
 START_TEST (absence_from_list_confirms_death)
 {
   struct cluster *c = cluster_create (4, 8, 4, 1);
@@ -117,9 +116,8 @@
 }
 END_TEST
 
-/* Story: a node restarts under its name while the others still suspect its
- * former life; a late message of that life must not take the new one down,
- * and the new one must be seen with its new incarnation. */
+/* Guards against a late record of a node's previous incarnation affecting the
+ * new one, when the node restarts while the others still suspect it. */
 START_TEST (restart_replaces_previous_incarnation)
 {
   struct cluster *c = cluster_create (5, 8, 4, 1);
@@ -140,9 +138,9 @@
 }
 END_TEST
 
-/* Story: a node is paused for ten seconds (a slow host).  It is suspect
- * meanwhile, must refute on waking, and must not suspect all the others
- * because their answers are missing. */
+/* A node that is paused for ten seconds by a slow host becomes suspect.  When
+ * it resumes, it must refute this and must not suspect all others because
+ * their answers are missing. */
 START_TEST (paused_node_refutes)
 {
   struct cluster *c = cluster_create (6, 12, 3, 1);
@@ -161,9 +159,9 @@
 }
 END_TEST
 
-/* Story: a node is paused, and the instance list forgets it for one reading.
- * It is silent and absent at the same moment, yet it lives; taking it for
- * dead would cancel the streams that it goes on with when it wakes. */
+/* Guards against declaring a paused node dead because a single reading of the
+ * instance list misses it.  Its streams, which it continues when it resumes,
+ * would be cancelled. */
 START_TEST (single_missing_listing_causes_no_death)
 {
   struct cluster *c = cluster_create (9, 12, 3, 1);
@@ -183,8 +181,8 @@
 }
 END_TEST
 
-/* Story: a configuration change must be known to all nodes in a moment, also
- * with packets lost; a slow spread leaves some nodes on old rules. */
+/* Guards against a slow announcement of configuration changes, which leaves
+ * some nodes on old rules, with packet loss. */
 START_TEST (config_version_propagates)
 {
   struct cluster *c = cluster_create (7, 40, 4, 2);
@@ -209,9 +207,9 @@
 }
 END_TEST
 
-/* Story: a whole data centre is lost.  Its nodes must be suspect everywhere
- * within seconds, or its callers go on connecting to it; by turns the
- * bridges would need a minute.  Bytes at rest must stay within the budget.
+/* Guards against callers connecting to a failed data centre: its nodes must be
+ * suspect everywhere within seconds, whereas probing in normal order would
+ * take the bridges a minute.  Also checks the traffic of an idle cluster.
  * bench_membership measures the same for 400 nodes. */
 START_TEST (lost_data_centre_is_suspected)
 {
--- a/tests/control/test_spread.c
+++ b/tests/control/test_spread.c
@@ -84,9 +84,9 @@
   return applied;
 }
 
-/* Story: an operator saves a typing error over a good service.  The good one
- * must stay in force, also for a node that starts later, and the operator
- * must learn why. */
+/* Guards against an invalid edit replacing a valid service: the last valid
+ * version must stay in force, also for a node that starts later, and the
+ * rejection must be reported. */
 START_TEST (invalid_edit_keeps_last_valid_version)
 {
   struct acceptor_fixture d;
@@ -108,8 +108,8 @@
 }
 END_TEST
 
-/* Story: a model is deleted while a service still names it.  Taking the
- * deletion would leave the service without a model. */
+/* Guards against accepting the deletion of a model that a service still refers
+ * to, which would leave the service without a model. */
 START_TEST (deletion_of_referenced_object_is_rejected)
 {
   struct acceptor_fixture d;
@@ -130,9 +130,9 @@
 }
 END_TEST
 
-/* Story: the platform is out for a while and comes back with a replica that
- * lags behind what was accepted.  A new acceptor that lists from it sees an
- * accepted service as deleted. */
+/* Guards against an acceptor that deletes accepted objects after an outage: it
+ * lists from a replica that lags behind the accepted state, where a service
+ * looks deleted. */
 START_TEST (stale_acceptor_proposes_nothing)
 {
   struct acceptor_fixture d;
@@ -155,8 +155,8 @@
 }
 END_TEST
 
-/* Story: thousands of objects are applied at once, one of them broken; all
- * others must come into force, in entries that fit the platform's limit. */
+/* Guards against one invalid object among thousands holding up the others,
+ * which must come into force in entries within the platform's size limit. */
 START_TEST (one_bad_object_among_many)
 {
   struct acceptor_fixture d;
@@ -178,9 +178,9 @@
 }
 END_TEST
 
-/* Story: a node was paused while entries were folded, and hears of a late one
- * or of an old snapshot.  It must take neither: the first would leave out
- * changes for ever, the second would put an old rule back into force. */
+/* Guards against a node that was paused while entries were compacted applying
+ * a later entry, which would skip changes for ever, or an old snapshot, which
+ * would bring an old rule back into force. */
 START_TEST (gaps_and_old_snapshots_are_refused)
 {
   static const char first[] = "{\"version\":1,\"changes\":[]}";
--- a/tests/control/test_spread_history.c
+++ b/tests/control/test_spread_history.c
@@ -32,9 +32,9 @@
   struct beryl_acceptor *acceptor;
   uint64_t cursors[KINDS];
   bool listed[KINDS];
-  uint64_t starts; /* counts restarts */
+  uint64_t starts; /* number of starts */
   int64_t paused_until_ms;
-  uint64_t version; /* highest in this life */
+  uint64_t version; /* highest version since the last start */
   uint32_t rejected;
 };
 
@@ -47,17 +47,18 @@
   int64_t lag_ms;
   uint32_t lost_percent;
   bool faults_stopped;
-  char *states[ENTRIES_MAX]; /* objects at each version, as first seen */
+  char *states[ENTRIES_MAX]; /* objects at each version, as seen first */
   uint64_t highest;
   uint32_t divergences;
   uint32_t invalid;
   uint32_t regressions;
   uint32_t lost_races;
-  uint64_t sources[KINDS][NAMES]; /* last accepted */
+  uint64_t sources[KINDS][NAMES]; /* version of each object last accepted */
   uint32_t reversions;
 };
 
-/* What a node sees when it asks: perhaps the past. */
+/* Returns the time whose state a read returns; in the past for a lagging
+ * replica. */
 static int64_t
 read_time_ms (struct world *w)
 {
@@ -66,8 +67,8 @@
   return sim_now_ms (w->sim) - (int64_t)sim_random (w->sim, w->lag_ms + 1);
 }
 
-/* Invariants: every node has the same objects at a version, and they are
- * valid together. */
+/* Checks the invariants that all nodes have the same objects at a version and
+ * that these form a valid configuration. */
 static void
 state_check (struct node *n)
 {
@@ -111,8 +112,9 @@
   return true;
 }
 
-/* Invariant: an object only moves to a later version of the operator's, and
- * goes only if the operator deleted it after the version in force. */
+/* Checks the invariants that an object only changes to a later version of the
+ * operator's object and disappears only if the operator deleted it after the
+ * version in force. */
 static void
 change_check (struct world *w, json_t *change)
 {
@@ -168,7 +170,7 @@
 {
   struct store_revision r;
   char name[BERYL_NAME_BYTES];
-  /* A watch may tell a later entry first. */
+  /* A watch may report a later entry first. */
   uint64_t skip = sim_chance (n->world->sim, 10) ? 2 : 1;
 
   for (;;)
@@ -204,8 +206,8 @@
   return true;
 }
 
-/* The watch of one kind: a list first, changes after it, perhaps from a
- * replica that lags; never backwards. */
+/* Simulates the watch of one kind: a list first, then changes, possibly from a
+ * lagging replica, but never backwards. */
 static void
 node_watch (struct node *n, int kind)
 {
@@ -245,7 +247,7 @@
     node_read_log (n);
 }
 
-/* The create reaches the platform, perhaps long after it was sent. */
+/* Executes a create at the platform, possibly long after it was sent. */
 static void
 write_served (void *user, void *data)
 {
@@ -293,8 +295,8 @@
              write_served, n, e);
 }
 
-/* Every node acts as the acceptor, which is worse than a lease that fails
- * now and then. */
+/* Every node acts as the acceptor, which is a stricter test than an unreliable
+ * lease. */
 static void
 node_step (void *user, void *data)
 {
@@ -345,7 +347,7 @@
   free (text);
 }
 
-/* Anti-entropy between two nodes, also in an outage. */
+/* Runs anti-entropy between two random nodes, also during an outage. */
 static void
 world_gossip (void *user, void *data)
 {
@@ -510,10 +512,11 @@
   sim_destroy (w->sim);
 }
 
-/* Story: operators edit and delete, some edits are wrong, two nodes believe
- * that they accept, one of them was paused and its create arrives late;
- * replicas lag, replies are lost, nodes restart, the platform goes away.  A
- * user would see a rule come back that an operator had replaced. */
+/* Guards against diverging or reverted configurations, in which a rule comes
+ * back that an operator had replaced.  Operators edit and delete objects, some
+ * edits are invalid, several nodes act as the acceptor, and creates of paused
+ * nodes arrive late; replicas lag, replies are lost, nodes restart and the
+ * platform has outages. */
 START_TEST (one_configuration_in_every_history)
 {
   uint64_t entries = 0;
--- a/tests/platform/fake.c
+++ b/tests/platform/fake.c
@@ -24,7 +24,7 @@
   struct fake_client *client;
   uint64_t call;
   struct operation *op;
-  int64_t wait_until_ms; /* of a waiting watch */
+  int64_t wait_until_ms; /* end of a watch's long poll */
   unsigned int status;
   int64_t retry_after_ms;
   char *body;
@@ -104,7 +104,7 @@
 static void
 client_abort (struct beryl_platform_handler *handler, uint64_t call)
 {
-  /* Like a closed connection: what is under way may still take effect. */
+  /* As with a closed connection, a call in transit may still take effect. */
 }
 
 static void
@@ -190,7 +190,7 @@
   c->core = NULL;
 }
 
-/** Send an answer back, or lose it. */
+/** Send an answer, which may be lost. */
 static void
 reply (struct fake *f, struct fake_message *request, unsigned int status,
        const char *body)
@@ -207,7 +207,7 @@
     message_insert (f, m);
 }
 
-/** Answer a watch that waited in vain. */
+/** Answer a watch whose long poll ended without events. */
 static void
 reply_no_events (struct fake *f, struct fake_message *m)
 {
@@ -218,7 +218,8 @@
   reply (f, m, 200, body);
 }
 
-/** As the interface says, the whole list is told also if nothing changed. */
+/** Answer a long poll of the instance list; by the API the answer has the full
+ * list even if nothing changed. */
 static void
 reply_unchanged_instances (struct fake *f, struct fake_message *m)
 {
@@ -231,7 +232,7 @@
   free (answer.body);
 }
 
-/** Let a request reach the platform; true if it has to be kept waiting. */
+/** Execute a request at the platform; return true if it must keep waiting. */
 static bool
 request_arrives (struct fake *f, struct fake_message *m)
 {
@@ -304,7 +305,7 @@
   return next_ms > f->now_ms ? next_ms : f->now_ms;
 }
 
-/** Handle all that is due; returns how much that was. */
+/** Handle all that is due; return the number of events handled. */
 static uint32_t
 step (struct fake *f)
 {
@@ -339,7 +340,7 @@
     {
       int64_t next_ms = next_event_ms (f, end_ms);
 
-      /* A core that asks for ticks without end at one time is a bug. */
+      /* A client that requests endless ticks at the same time has a bug. */
       spins = next_ms == f->now_ms ? spins + 1 : 0;
       ck_assert_uint_lt (spins, 10000);
       f->now_ms = next_ms;
--- a/tests/platform/test_client.c
+++ b/tests/platform/test_client.c
@@ -5,11 +5,12 @@
 
 #include "request_helpers.h"
 
-/* Story: a store gave all six nodes together 120 reads a second, and each kept
- * to a fiftieth of that.  While configurations came every third of a second
- * their watch used it up, the one of endpoints was asked again 2.2 s late, and
- * requests reached an endpoint that had left.  A node's part goes by the
- * number of nodes, and many nodes do not exceed what all may use. */
+/* Guards against a node budget that is too small for its watches.  A store
+ * served 120 reads a second to six nodes, and each node kept to a fiftieth of
+ * that.  With a new configuration every third of a second their watch used it
+ * up, the watch of endpoints was polled 2.2 s late, and requests reached an
+ * endpoint that had left.  The budget must depend on the number of nodes, and
+ * the sum must stay within the fleet's rate. */
 START_TEST (test_node_rate)
 {
   ck_assert_double_ge (beryl_platform_node_rate (120, 6), 8);
@@ -78,9 +79,10 @@
 }
 END_TEST
 
-/* A claim's create takes effect but its reply is lost.  Reported as taken, the
-   caller's only run would be refused; reported as free, it would run twice.
-   The repeated create conflicts with the first one and its nonce tells so. */
+/* Guards against a wrong outcome when a claim's create takes effect but its
+   reply is lost.  Reported as a conflict, the call would never run; reported
+   as without effect, it could run twice.  The repeated create conflicts with
+   the first one, which its nonce identifies. */
 START_TEST (test_lost_reply_is_settled)
 {
   struct fake f;
@@ -103,8 +105,8 @@
 }
 END_TEST
 
-/* The create is lost on its way, and another node creates the object before
-   the repetition: the nonce is the other's, so it is a conflict. */
+/* The create is lost, and another node creates the object before it is
+   repeated: the nonce is not this write's, so the result is a conflict. */
 START_TEST (test_lost_request_conflicts_with_another)
 {
   struct fake f;
@@ -126,9 +128,9 @@
 }
 END_TEST
 
-/* The create is held up in the network for longer than the call's timeout.
-   The repetition takes effect first; the held one then meets its own object
-   and changes nothing. */
+/* The create is delayed in the network for longer than the call's timeout. The
+   repetition takes effect first; the delayed create then conflicts with it and
+   changes nothing. */
 START_TEST (test_delayed_write_applies_once)
 {
   struct fake f;
@@ -148,9 +150,8 @@
 }
 END_TEST
 
-/* After a conflict the read-back is answered by a replica that lags and does
-   not show the object yet.  Taking that for "not ours" would refuse a claim
-   that was granted. */
+/* Guards against refusing a claim that was granted, because the read after a
+   conflict is answered by a lagging replica without the object. */
 START_TEST (test_read_back_from_stale_replica)
 {
   struct fake f;
@@ -170,8 +171,8 @@
 }
 END_TEST
 
-/* The same for an update: the replica still shows the version before it, with
-   another's nonce.  Taken as the answer, a lease that was won is given up. */
+/* The same for an update: the replica still has the previous version with
+   another nonce.  Accepting it would give up a lease that was won. */
 START_TEST (test_read_back_of_an_update_from_stale_replica)
 {
   struct fake f;
@@ -279,9 +280,9 @@
 }
 END_TEST
 
-/* A read has been answered by the platform but the answer is still under way
-   when this process's own write ends.  Whoever asks after the write must not
-   be given the read's older answer. */
+/* Guards against a read that starts after a write of the same process joining
+   an earlier read, whose answer was sent before the write and is still in
+   transit. */
 START_TEST (test_read_after_own_write_is_new)
 {
   struct fake f;
--- a/tests/platform/test_feed.c
+++ b/tests/platform/test_feed.c
@@ -25,7 +25,7 @@
   };
 }
 
-/* Opens a fake store with object "a" and a client that watches; returns the
+/* Creates a fake with object "a" and a client that watches it; returns the
  * watch. */
 static uint64_t
 open_watch (struct fake *f, struct fake_client **client)
@@ -42,7 +42,7 @@
   return watch;
 }
 
-/* A fleet's list changes: a node that is fed makes no calls. */
+/* A paused watch whose changes are applied from outside makes no calls. */
 START_TEST (test_paused_watch_makes_no_calls)
 {
   struct fake f;
@@ -52,7 +52,7 @@
   struct beryl_platform_event event;
 
   beryl_platform_watch_pause (c->core, watch, true);
-  /* The call that waits is answered by the first change. */
+  /* The pending long poll is answered with the first change. */
   store_write_as_other (&f, "b", "{}");
   fake_run (&f, f.now_ms + 1000);
   sent = c->sent;
@@ -70,7 +70,8 @@
 }
 END_TEST
 
-/* Guards against a lost datagram: what came after it must not hide it. */
+/* Guards against applying changes after a lost datagram, which would hide the
+ * gap. */
 START_TEST (test_gap_is_refused)
 {
   struct fake f;
@@ -87,8 +88,8 @@
 }
 END_TEST
 
-/* Guards against an endpoint that is back from the dead, because the second
- * watcher's datagram came after the first one told of its end. */
+/* Guards against a deleted endpoint reappearing, because the datagram of a
+ * second watcher arrives after the first one has reported the deletion. */
 START_TEST (test_late_events_are_ignored)
 {
   struct fake f;
@@ -106,7 +107,8 @@
 }
 END_TEST
 
-/* Before the first list it is not known what changes are to. */
+/* Changes cannot be applied before the first list, as their base is unknown.
+ */
 START_TEST (test_events_before_first_list_are_refused)
 {
   struct fake f;
@@ -123,7 +125,8 @@
 }
 END_TEST
 
-/* The watchers fell silent: what changed meanwhile is known at once. */
+/* Once resumed, a watch must report at once what changed while it was paused
+ * and no changes were applied from outside. */
 START_TEST (test_resumed_watch_refreshes)
 {
   struct fake f;
@@ -139,7 +142,7 @@
   beryl_platform_watch_pause (c->core, watch, false);
   fake_run (&f, f.now_ms + 100);
   ck_assert_str_eq (c->events, "+a +b +c");
-  /* And it watches again. */
+  /* The watch goes on polling. */
   store_write_as_other (&f, "d", "{}");
   fake_run (&f, f.now_ms + 2000);
   ck_assert_str_eq (c->events, "+a +b +c +d");
@@ -147,7 +150,8 @@
 }
 END_TEST
 
-/* A poke fills a gap while the watch rests, and the rest goes on. */
+/* A refresh of a paused watch fills a gap with one call; the watch stays
+ * paused. */
 START_TEST (test_refresh_while_paused)
 {
   struct fake f;
--- a/tests/platform/test_histories.c
+++ b/tests/platform/test_histories.c
@@ -10,14 +10,14 @@
 #define CLIENTS 4
 #define ROUNDS 25
 
-/** A client that counts up one object by conditional writes. */
+/** A client that increments a counter object by conditional writes. */
 struct adder
 {
   struct fake_client *client;
   uint32_t rounds;
-  uint32_t granted;   /**< writes that certainly took effect */
-  uint32_t uncertain; /**< writes that may have */
-  uint32_t created;   /**< of objects created once */
+  uint32_t granted;   /**< increments that certainly took effect */
+  uint32_t uncertain; /**< increments that may have taken effect */
+  uint32_t created;   /**< objects that this client created */
   char nonce[BERYL_NONCE_BYTES];
   uint64_t read;
   uint64_t write;
@@ -32,7 +32,7 @@
                                           .wait_for_recovery = true };
 }
 
-/** Begin a round: read the counter, and race for the round's object. */
+/** Begin a round: read the counter and try to create the round's object. */
 static void
 round_begin (struct adder *a)
 {
@@ -53,7 +53,7 @@
                                 f->now_ms);
 }
 
-/** Write one more than what was read. */
+/** Write the incremented value. */
 static void
 count_up (struct adder *a, const struct beryl_platform_result *result)
 {
@@ -102,7 +102,7 @@
     }
 }
 
-/** Let faults come and go. */
+/** Run with random faults, then without faults. */
 static void
 run_with_faults (struct fake *f, uint64_t seed)
 {
@@ -140,11 +140,12 @@
   return true;
 }
 
-/* Four nodes count up one object and race to create others, while requests
-   and replies are lost, writes arrive late, replicas lag and the platform is
-   away.  Each write reported as granted must be in force exactly once, none
-   reported as conflict may be, and no object has two creators: otherwise two
-   holders would own one lease, or one claim would be granted twice. */
+/* Guards against two holders of one lease and a claim that is granted twice.
+   Four nodes increment one counter and compete to create objects, while
+   requests and replies are lost, writes arrive late, replicas lag and the
+   platform has outages.  A write reported as granted must have taken effect
+   exactly once, one reported as a conflict not at all, and no object may have
+   two creators. */
 START_TEST (test_histories)
 {
   uint64_t seed = (uint64_t)_i + 1;
--- a/tests/platform/test_outage.c
+++ b/tests/platform/test_outage.c
@@ -22,14 +22,14 @@
   ck_assert_uint_eq (c->revision, 3);
   ck_assert_uint_lt (c->sent, 8);
   fake_run (&f, f.now_ms + 120000);
-  /* At rest a watch costs one call in 20 s. */
+  /* Without changes a watch makes one call in 20 s. */
   ck_assert_uint_lt (c->sent, 16);
   fake_destroy (&f);
 }
 END_TEST
 
-/* A node cannot reach the platform for so long that the events in between
-   are gone.  An object deleted meanwhile must not live on at this node. */
+/* Guards against keeping a deleted object after a node could not reach the
+   platform for so long that the events in between are no longer available. */
 START_TEST (test_watch_repairs_a_gap)
 {
   struct fake f;
@@ -54,8 +54,8 @@
 }
 END_TEST
 
-/* After a gap the list comes from a replica that is behind what this node has
-   seen.  Applied, it would take an accepted change back. */
+/* Guards against reverting an accepted change: after a gap the list comes from
+   a replica that lags behind what this node has seen. */
 START_TEST (test_stale_list_reverts_nothing)
 {
   struct fake f;
@@ -107,10 +107,10 @@
 }
 END_TEST
 
-/* The list does not change for a long time.  Who declares a silent node dead
-   by its absence from the list must know that the list is still current;
-   without a confirmation the witness falls silent after a minute and no dead
-   node's streams are cancelled any more. */
+/* Guards against an unchanged instance list that counts as outdated. Declaring
+   a silent node dead requires a current list; without confirmations no node
+   could be declared dead after a minute, and its streams would not be
+   cancelled. */
 START_TEST (test_unchanged_instances_are_confirmed)
 {
   struct fake f;
@@ -128,8 +128,8 @@
 }
 END_TEST
 
-/* The platform is out for a minute.  Claims must learn at once that they
-   cannot be made, calls must be few, and work goes on soon after the end. */
+/* During an outage of a minute, claims must fail at once and calls must be
+   few; after it, the client must recover quickly. */
 START_TEST (test_outage_opens_the_breaker)
 {
   struct fake f;
@@ -164,9 +164,8 @@
 }
 END_TEST
 
-/* An outage ends, but this node goes on believing that the platform is away
-   for ever: its only requests are impatient ones, each was refused before it
-   could become the probe, and none came that waits. */
+/* Guards against a breaker that stays open for ever after an outage: if all
+   requests fail fast, each would fail before it could become the probe. */
 START_TEST (test_fail_fast_requests_probe)
 {
   struct fake f;
@@ -194,8 +193,8 @@
 }
 END_TEST
 
-/* The same with a watch, as a control daemon has: its probes alone must
-   bring the node back. */
+/* The same with watches, as in a control daemon; their probes alone must close
+   the breaker. */
 START_TEST (test_watch_probes_during_outage)
 {
   struct fake f;
@@ -221,8 +220,8 @@
 }
 END_TEST
 
-/* While the breaker is open and no probe is due, a request that doesn't wait
-   ends without any time passing. */
+/* While the breaker is open and no probe is due, a request that does not wait
+   for recovery ends immediately. */
 START_TEST (test_open_breaker_refuses_at_once)
 {
   struct fake f;
@@ -267,8 +266,8 @@
 }
 END_TEST
 
-/* A thousand status writes are queued when a lease must be renewed.  Behind
-   them the renewal would come too late and the lease would lapse. */
+/* Guards against a lease that expires because its renewal is queued behind a
+   thousand status writes. */
 START_TEST (test_budget_is_shared)
 {
   struct fake f;
--- a/tests/platform/test_shell.c
+++ b/tests/platform/test_shell.c
@@ -7,7 +7,8 @@
 #include "server.h"
 #include "../suite.h"
 
-/* The stand-in and a client in one process, over HTTP on loopback. */
+/* The stand-in platform and a client in one process, connected by HTTP over
+ * loopback. */
 struct fixture
 {
   struct loop *loop;
@@ -194,8 +195,8 @@
 }
 END_TEST
 
-/* The platform commits a create and cuts the connection.  Over real sockets
-   too, the write is reported as granted once and is there once. */
+/* The platform commits a create and closes the connection without a reply.
+   Over real sockets, too, the write must be reported as granted. */
 START_TEST (test_lost_reply)
 {
   struct fixture b;
--- a/tests/platform/test_store.c
+++ b/tests/platform/test_store.c
@@ -5,7 +5,7 @@
 #include "store.h"
 #include "../suite.h"
 
-/** Names that a visit saw. */
+/** Names of the visited objects. */
 struct seen
 {
   char text[256];
