--- a/libberyl/config/kinds.h
+++ b/libberyl/config/kinds.h
@@ -1,5 +1,5 @@
 /** @file
- *  * Field tables, defaults and checks of the object kinds.
+ * Field tables, defaults and checks of the object kinds.
  */
 #ifndef CONFIG_KINDS_H
 #define CONFIG_KINDS_H
--- a/libberyl/membership/discovery.c
+++ b/libberyl/membership/discovery.c
@@ -315,7 +315,7 @@
 }
 
 static size_t
-least (size_t a, size_t b)
+min_size (size_t a, size_t b)
 {
   return a < b ? a : b;
 }
@@ -345,8 +345,9 @@
                                       home.data_centre, home.region,
                                       suspect != 0, members);
 
-        chosen = choices_append (discovery, members, n, home.position,
-                                 least (most, max - chosen), choices, chosen);
+        chosen
+            = choices_append (discovery, members, n, home.position,
+                              min_size (most, max - chosen), choices, chosen);
         if (sharing == 0)
           sharing = chosen;
       }
--- a/libberyl/membership/gossip.c
+++ b/libberyl/membership/gossip.c
@@ -41,16 +41,16 @@
 pick_record (struct slot *picked[], size_t count, size_t most,
              struct slot *slot)
 {
-  size_t place = count;
+  size_t position = count;
 
-  while (place > 0 && sends_left (picked[place - 1]) < sends_left (slot))
-    place--;
-  if (place == most)
+  while (position > 0 && sends_left (picked[position - 1]) < sends_left (slot))
+    position--;
+  if (position == most)
     return count;
   count += count < most;
-  for (size_t i = count - 1; i > place; i--)
+  for (size_t i = count - 1; i > position; i--)
     picked[i] = picked[i - 1];
-  picked[place] = slot;
+  picked[position] = slot;
   return count;
 }
 
@@ -184,7 +184,7 @@
 }
 
 void
-gossip_updates (struct beryl_membership *m, int64_t now_ms)
+gossip_send_updates (struct beryl_membership *m, int64_t now_ms)
 {
   if (m->applied_due)
     gossip_report_applied (m, now_ms);
@@ -306,7 +306,7 @@
   probe_tick (m, now_ms);
   if (m->next_update_ms != BERYL_NEVER_MS
       && now_ms >= m->last_update_ms + UPDATE_SPACING_MS)
-    gossip_updates (m, now_ms);
+    gossip_send_updates (m, now_ms);
   if (now_ms < m->next_sync_ms)
     return;
   table_expire (m, now_ms);
--- a/libberyl/membership/homes.c
+++ b/libberyl/membership/homes.c
@@ -93,7 +93,7 @@
 }
 
 static size_t
-least (size_t a, size_t b)
+min_size (size_t a, size_t b)
 {
   return a < b ? a : b;
 }
@@ -118,8 +118,9 @@
       h->retained = h->organisations;
       h->spare = fair > h->organisations ? fair - h->organisations : 0;
       if (h->organisations > fair)
-        h->retained -= least (h->organisations - fair,
-                              h->organisations * REASSIGNED_MAX_PERCENT / 100);
+        h->retained
+            -= min_size (h->organisations - fair,
+                         h->organisations * REASSIGNED_MAX_PERCENT / 100);
     }
 }
 
@@ -144,7 +145,7 @@
   for (size_t i = 0; i < home_count && *sent < most; i++)
     {
       struct home *to = &homes[i];
-      size_t n = least (most - *sent, to->spare - to->received);
+      size_t n = min_size (most - *sent, to->spare - to->received);
 
       if (!any_region && strcmp (to->region, from->region) != 0)
         continue;
@@ -178,7 +179,7 @@
               const struct homed_organisation *organisations,
               size_t organisation_count,
               const struct homed_organisation *organisation,
-              struct home_position *place)
+              struct home_position *result)
 {
   const struct home *home;
   struct reassignment t = { 0 };
@@ -191,7 +192,7 @@
 
   if (count == 0)
     return false;
-  place->position = (double)rank / (double)count;
+  result->position = (double)rank / (double)count;
   qsort (homes, home_count, sizeof *homes, compare_homes);
   home = home_find (homes, home_count, name);
   if (home == NULL)
@@ -208,8 +209,8 @@
       home = t.to;
       rank = t.target_rank;
     }
-  place->data_centre = home->data_centre;
-  place->region = home->region;
-  place->position = (double)rank / (double)(home->retained + home->received);
+  result->data_centre = home->data_centre;
+  result->region = home->region;
+  result->position = (double)rank / (double)(home->retained + home->received);
   return true;
 }
--- a/libberyl/membership/homes.h
+++ b/libberyl/membership/homes.h
@@ -54,6 +54,6 @@
                    const struct homed_organisation *organisations,
                    size_t organisation_count,
                    const struct homed_organisation *organisation,
-                   struct home_position *place);
+                   struct home_position *result);
 
 #endif
--- a/libberyl/membership/private.h
+++ b/libberyl/membership/private.h
@@ -118,7 +118,7 @@
                   const struct beryl_gossip *message, const struct slot *to);
 
 /** Send queued updates to a few random members. */
-void gossip_updates (struct beryl_membership *m, int64_t now_ms);
+void gossip_send_updates (struct beryl_membership *m, int64_t now_ms);
 
 /** Handle the failure-detection part of a message. */
 void probe_receive (struct beryl_membership *m,
--- a/libberyl/platform/private.h
+++ b/libberyl/platform/private.h
@@ -1,5 +1,5 @@
 /** @file
- *  * Internal interfaces of the platform client.
+ * Internal interfaces of the platform client.
  */
 #ifndef PLATFORM_PRIVATE_H
 #define PLATFORM_PRIVATE_H
--- a/libberyl/platform/watch.c
+++ b/libberyl/platform/watch.c
@@ -15,10 +15,10 @@
   free (w);
 }
 
-/** Find NAME among the known objects; otherwise set PLACE to where it would be
- * inserted and return false. */
+/** Find NAME among the known objects; otherwise set POSITION to where it would
+ * be inserted and return false. */
 static bool
-known_find (const struct watch *w, const char *name, size_t *place)
+known_find (const struct watch *w, const char *name, size_t *position)
 {
   size_t low = 0, high = w->known_count;
 
@@ -29,7 +29,7 @@
 
       if (order == 0)
         {
-          *place = middle;
+          *position = middle;
           return true;
         }
       if (order < 0)
@@ -37,12 +37,12 @@
       else
         high = middle;
     }
-  *place = low;
+  *position = low;
   return false;
 }
 
 static struct known_object *
-known_insert (struct watch *w, size_t place, const char *name)
+known_insert (struct watch *w, size_t position, const char *name)
 {
   struct known_object *k;
 
@@ -51,8 +51,8 @@
       w->known_capacity = w->known_capacity ? 2 * w->known_capacity : 16;
       w->known = realloc (w->known, w->known_capacity * sizeof *w->known);
     }
-  k = &w->known[place];
-  memmove (k + 1, k, (w->known_count - place) * sizeof *k);
+  k = &w->known[position];
+  memmove (k + 1, k, (w->known_count - position) * sizeof *k);
   w->known_count++;
   *k = (struct known_object){ 0 };
   memcpy (k->name, name, strlen (name) + 1);
@@ -60,10 +60,10 @@
 }
 
 static void
-known_remove (struct watch *w, size_t place)
+known_remove (struct watch *w, size_t position)
 {
-  memmove (&w->known[place], &w->known[place + 1],
-           (w->known_count - place - 1) * sizeof *w->known);
+  memmove (&w->known[position], &w->known[position + 1],
+           (w->known_count - position - 1) * sizeof *w->known);
   w->known_count--;
 }
 
@@ -84,13 +84,13 @@
 apply_put (struct beryl_platform *p, struct watch *w,
            const struct beryl_object *object)
 {
-  size_t place;
+  size_t position;
   struct known_object *k;
 
-  if (known_find (w, object->name, &place))
-    k = &w->known[place];
+  if (known_find (w, object->name, &position))
+    k = &w->known[position];
   else
-    k = known_insert (w, place, object->name);
+    k = known_insert (w, position, object->name);
   k->listed = true;
   if (object->version <= k->version)
     return;
@@ -102,12 +102,12 @@
 apply_delete (struct beryl_platform *p, struct watch *w,
               const struct beryl_object *object)
 {
-  size_t place;
+  size_t position;
 
-  if (!known_find (w, object->name, &place)
-      || object->version <= w->known[place].version)
+  if (!known_find (w, object->name, &position)
+      || object->version <= w->known[position].version)
     return;
-  known_remove (w, place);
+  known_remove (w, position);
   emit_event (p, w, true, object);
 }
 
--- a/libberyl/spread/acceptor.c
+++ b/libberyl/spread/acceptor.c
@@ -173,7 +173,7 @@
 change_add (struct beryl_acceptor *a, const struct item *item)
 {
   struct beryl_config_log_object accepted;
-  int place = kind_index (item->kind);
+  int order = kind_index (item->kind);
 
   if (beryl_config_log_find (a->log, item->kind, item->name, &accepted)
       && !BERYL_GUARD (BERYL_GUARD_ACCEPT_SOURCE,
@@ -181,21 +181,21 @@
     return;
   a->changes[a->change_count++]
       = (struct change){ item->kind, item->name, item->version,
-                         item->json, place,      CHANGE_PENDING };
+                         item->json, order,      CHANGE_PENDING };
 }
 
 static void
 deletion_add (struct beryl_acceptor *a,
               const struct beryl_config_log_object *accepted)
 {
-  int place = kind_index (accepted->kind);
+  int order = kind_index (accepted->kind);
   bool found;
 
   items_find (&a->observed, accepted->kind, accepted->name, &found);
-  if (found || place < 0 || a->synced[place] == 0)
+  if (found || order < 0 || a->synced[order] == 0)
     return;
   a->changes[a->change_count++] = (struct change){
-    accepted->kind, accepted->name, 0, NULL, 2 * INSTANCE_ORDER - place + 1,
+    accepted->kind, accepted->name, 0, NULL, 2 * INSTANCE_ORDER - order + 1,
     CHANGE_PENDING
   };
 }
--- a/libberyl/spread/items.h
+++ b/libberyl/spread/items.h
@@ -1,5 +1,5 @@
 /** @file
- *  * A list of objects as JSON texts, sorted by kind and name.
+ * A list of objects as JSON texts, sorted by kind and name.
  */
 #ifndef LIBBERYL_SPREAD_ITEMS_H
 #define LIBBERYL_SPREAD_ITEMS_H
--- a/tests/config/test_fields.c
+++ b/tests/config/test_fields.c
@@ -42,16 +42,16 @@
 static size_t
 read_bounds (const char *text, struct bounds *bounds)
 {
-  struct beryl_location place = { .findings = beryl_findings_create () };
+  struct beryl_location location = { .findings = beryl_findings_create () };
   json_t *json = json_loads (text, 0, NULL);
   size_t count;
 
   ck_assert_ptr_nonnull (json);
   *bounds = (struct bounds){ .slack = 7, .window_ms = 7, .lease_ms = 7 };
-  beryl_fields_read (&place, json, fields, sizeof fields / sizeof *fields,
+  beryl_fields_read (&location, json, fields, sizeof fields / sizeof *fields,
                      bounds);
-  count = beryl_findings_count (place.findings);
-  beryl_findings_destroy (place.findings);
+  count = beryl_findings_count (location.findings);
+  beryl_findings_destroy (location.findings);
   json_decref (json);
   return count;
 }
--- a/tests/control/cluster.h
+++ b/tests/control/cluster.h
@@ -1,5 +1,5 @@
 /** @file
- *  * Simulated cluster of memberships with lossy datagrams, partitions, nodes
+ * Simulated cluster of memberships with lossy datagrams, partitions, nodes
  * that stop or freeze, and an instance list that flaps.
  */
 #ifndef TESTS_CONTROL_CLUSTER_H
--- a/tests/control/fleet_sim.h
+++ b/tests/control/fleet_sim.h
@@ -1,5 +1,5 @@
 /** @file
- *  * Simulated engines and callers of one model service, for the planner's
+ * Simulated engines and callers of one model service, for the planner's
  * tests and benchmark: engines load at the weight store's rate, calls occupy a
  * slot for a random time, and calls without a free slot wait.
  */
--- a/tests/control/mutant.h
+++ b/tests/control/mutant.h
@@ -1,5 +1,5 @@
 /** @file
- *  * Selects the guard to disable, in builds for mutation tests.
+ * Selects the guard to disable, in builds for mutation tests.
  */
 #ifndef TESTS_CONTROL_MUTANT_H
 #define TESTS_CONTROL_MUTANT_H
--- a/tests/control/sim.h
+++ b/tests/control/sim.h
@@ -1,5 +1,5 @@
 /** @file
- *  * Discrete-event simulation: virtual time, an event queue and a seeded
+ * Discrete-event simulation: virtual time, an event queue and a seeded
  * random generator.  A run is a pure function of its seed.
  */
 #ifndef TESTS_CONTROL_SIM_H
--- a/tests/control/test_discovery.c
+++ b/tests/control/test_discovery.c
@@ -17,7 +17,7 @@
   size_t node_count;
   char organisations[ORGANISATIONS][24];
   struct beryl_discovery_organisation listed[ORGANISATIONS];
-  size_t asks[ORGANISATIONS]; /* index of its callers' data centre */
+  size_t caller_centre[ORGANISATIONS]; /* index of its callers' data centre */
   struct beryl_discovery *discovery;
 };
 
@@ -45,7 +45,7 @@
       snprintf (f->organisations[i], sizeof f->organisations[i], "org-%zu", i);
       f->listed[i].name = f->organisations[i];
       f->listed[i].data_centre = "";
-      f->asks[i] = i % data_centre_count;
+      f->caller_centre[i] = i % data_centre_count;
     }
   f->discovery = beryl_discovery_create ();
   beryl_discovery_set_nodes (f->discovery, f->nodes, f->node_count);
@@ -62,16 +62,16 @@
 
 /* Sets the home data centre of all organisations. */
 static void
-fleet_declare (struct fleet *f)
+fleet_set_homes (struct fleet *f)
 {
   for (size_t i = 0; i < ORGANISATIONS; i++)
-    f->listed[i].data_centre = f->data_centres[f->asks[i]];
+    f->listed[i].data_centre = f->data_centres[f->caller_centre[i]];
   beryl_discovery_set_organisations (f->discovery, f->listed, ORGANISATIONS);
 }
 
 /* Returns the largest deviation of a node's load from the mean, in percent. */
 static double
-fleet_unevenness (const struct fleet *f, bool by_data_centre)
+fleet_imbalance_percent (const struct fleet *f, bool by_data_centre)
 {
   double load[400] = { 0 };
   double mean = 100.0 * ORGANISATIONS / (double)f->node_count;
@@ -80,7 +80,8 @@
   for (size_t i = 0; i < ORGANISATIONS; i++)
     {
       struct beryl_discovery_choice c[BERYL_DISCOVERY_MAX];
-      const char *dc = by_data_centre ? f->data_centres[f->asks[i]] : "";
+      const char *dc
+          = by_data_centre ? f->data_centres[f->caller_centre[i]] : "";
       size_t n = beryl_discovery_choose (f->discovery, f->organisations[i], dc,
                                          "", c, BERYL_DISCOVERY_MAX);
 
@@ -99,18 +100,20 @@
 /* Guards against a lasting load imbalance, as callers cache their answers.
  * With plain hashing of 2,200 names some of 8 nodes get 20% more than others,
  * and calls there miss deadlines while other nodes are idle. */
-START_TEST (spread_is_even)
+START_TEST (load_is_even)
 {
   struct fleet *today = fleet_create (8, 4);
   struct fleet *target = fleet_create (400, 10);
 
-  ck_assert_double_le (fleet_unevenness (today, false), 10);
-  ck_assert_double_le (fleet_unevenness (today, true), 10);
-  ck_assert_double_le (fleet_unevenness (target, false), 10);
+  ck_assert_double_le (fleet_imbalance_percent (today, false), 10);
+  ck_assert_double_le (fleet_imbalance_percent (today, true), 10);
+  ck_assert_double_le (fleet_imbalance_percent (target, false), 10);
   printf ("unevenness: 8 nodes %.1f%%, by data centre %.1f%%; 400 nodes "
           "%.1f%%, by data centre %.1f%%\n",
-          fleet_unevenness (today, false), fleet_unevenness (today, true),
-          fleet_unevenness (target, false), fleet_unevenness (target, true));
+          fleet_imbalance_percent (today, false),
+          fleet_imbalance_percent (today, true),
+          fleet_imbalance_percent (target, false),
+          fleet_imbalance_percent (target, true));
   fleet_destroy (today);
   fleet_destroy (target);
 }
@@ -120,25 +123,25 @@
  * centres, with each organisation's callers in one of them.  Ranked among all
  * 2,200 organisations, the 220 of one data centre fall on its 40 nodes at
  * random, and some node permanently has half as much again as the others. */
-START_TEST (spread_is_even_by_data_centre)
+START_TEST (load_is_even_by_data_centre)
 {
   struct fleet *f = fleet_create (400, 10);
   double worst = 0;
 
-  fleet_declare (f);
-  ck_assert_double_le (fleet_unevenness (f, true), 10);
+  fleet_set_homes (f);
+  ck_assert_double_le (fleet_imbalance_percent (f, true), 10);
   printf ("declared data centres: 400 nodes %.1f%%",
-          fleet_unevenness (f, true));
+          fleet_imbalance_percent (f, true));
   for (uint64_t seed = 1; seed <= 20; seed++)
     {
       struct sim *sim = sim_create (seed);
       double off;
 
       for (size_t i = 0; i < ORGANISATIONS; i++)
-        f->asks[i] = (size_t)sim_random (sim, 10);
+        f->caller_centre[i] = (size_t)sim_random (sim, 10);
       sim_destroy (sim);
-      fleet_declare (f);
-      off = fleet_unevenness (f, true);
+      fleet_set_homes (f);
+      off = fleet_imbalance_percent (f, true);
       worst = off > worst ? off : worst;
     }
   printf (", at random, worst of 20 seeds %.1f%%\n", worst);
@@ -155,8 +158,8 @@
   struct fleet *f = fleet_create (400, 10);
   size_t away = 0;
 
-  memset (f->asks, 0, sizeof f->asks);
-  fleet_declare (f);
+  memset (f->caller_centre, 0, sizeof f->caller_centre);
+  fleet_set_homes (f);
   for (size_t i = 0; i < ORGANISATIONS; i++)
     {
       struct beryl_discovery_choice c[BERYL_DISCOVERY_MAX];
@@ -179,7 +182,7 @@
   struct fleet *f = fleet_create (400, 10);
   uint32_t load[400] = { 0 };
 
-  fleet_declare (f);
+  fleet_set_homes (f);
   for (size_t i = 0; i < f->node_count; i++)
     f->nodes[i].suspect = i % 10 == 0;
   beryl_discovery_set_nodes (f->discovery, f->nodes, f->node_count);
@@ -288,8 +291,8 @@
   int failed;
 
   tcase_set_timeout (t, 30);
-  tcase_add_test (t, spread_is_even);
-  tcase_add_test (t, spread_is_even_by_data_centre);
+  tcase_add_test (t, load_is_even);
+  tcase_add_test (t, load_is_even_by_data_centre);
   tcase_add_test (t, most_organisations_stay_local);
   tcase_add_test (t, lost_home_data_centre_falls_back_to_region);
   tcase_add_test (t, leaving_nodes_are_not_named);
--- a/tests/platform/fake.h
+++ b/tests/platform/fake.h
@@ -1,5 +1,5 @@
 /** @file
- *  * Simulated platform: one store and several clients in virtual time,
+ * Simulated platform: one store and several clients in virtual time,
  * connected by a network that delays and loses messages but never duplicates
  * them.
  */
--- a/tests/platform/request_helpers.h
+++ b/tests/platform/request_helpers.h
@@ -1,5 +1,5 @@
 /** @file
- *  * Helpers that make requests for the tests of the platform client.
+ * Helpers that make requests for the tests of the platform client.
  */
 #ifndef TESTS_PLATFORM_REQUEST_HELPERS_H
 #define TESTS_PLATFORM_REQUEST_HELPERS_H
--- a/tests/platform/test_feed.c
+++ b/tests/platform/test_feed.c
@@ -95,12 +95,13 @@
   struct fake f;
   struct fake_client *c;
   uint64_t watch = open_watch (&f, &c);
-  struct beryl_platform_event born = put_of ("b", 2);
-  struct beryl_platform_event both[] = { born, delete_of ("b", 3) };
+  struct beryl_platform_event put_b = put_of ("b", 2);
+  struct beryl_platform_event put_and_delete[] = { put_b, delete_of ("b", 3) };
 
-  ck_assert (beryl_platform_watch_apply (c->core, watch, 1, 3, both, 2));
+  ck_assert (
+      beryl_platform_watch_apply (c->core, watch, 1, 3, put_and_delete, 2));
   ck_assert_str_eq (c->events, "+a +b -b");
-  ck_assert (beryl_platform_watch_apply (c->core, watch, 1, 2, &born, 1));
+  ck_assert (beryl_platform_watch_apply (c->core, watch, 1, 2, &put_b, 1));
   ck_assert_str_eq (c->events, "+a +b -b");
   ck_assert_uint_eq (c->revision, 3);
   fake_destroy (&f);
