--- a/libberyl/config/fields.c
+++ b/libberyl/config/fields.c
@@ -66,7 +66,7 @@
   const char *text = json_string_value (value);
 
   if (text == NULL)
-    beryl_location_report (location, field->key, "%s must be text",
+    beryl_location_report (location, field->key, "%s must be a string",
                            field->key);
   else if (strlen (text) >= field->bytes)
     beryl_location_report (location, field->key, "%s has more than %zu bytes",
--- a/libberyl/config/parse.c
+++ b/libberyl/config/parse.c
@@ -133,7 +133,7 @@
             beryl_kind_name (kind->kind), name);
   check_unique (parser, location, kind, name);
   if (kind->kind == BERYL_KIND_SYSTEM && strcmp (name, SYSTEM_NAME) != 0)
-    beryl_location_report (location, "name", "its name must be " SYSTEM_NAME);
+    beryl_location_report (location, "name", "name must be " SYSTEM_NAME);
   target = list_append (&parser->lists[kind->kind], kind->bytes);
   if (target == NULL)
     {
--- a/libberyl/spread/config_log.c
+++ b/libberyl/spread/config_log.c
@@ -35,9 +35,8 @@
   struct items items;
   struct revision revisions[REVISIONS_MAX];
   size_t revision_count;
-  struct retained
-      retained[RETAINED_ENTRIES]; /* ring buffer */
-  uint64_t first_retained;        /* oldest version retained */
+  struct retained retained[RETAINED_ENTRIES]; /* ring buffer */
+  uint64_t first_retained;                    /* oldest version retained */
   size_t retained_bytes;
 };
 
@@ -228,7 +227,8 @@
 
   if (version == 0 || !changes_valid (changes))
     {
-      beryl_error_set (error, BERYL_ERROR_INVALID, "malformed entry");
+      beryl_error_set (error, BERYL_ERROR_INVALID,
+                       "malformed configuration log entry");
       return BERYL_CONFIG_LOG_INVALID;
     }
   if (version <= log->version)
@@ -255,7 +255,8 @@
 
   if (json == NULL)
     {
-      beryl_error_set (error, BERYL_ERROR_INVALID, "entry is not JSON");
+      beryl_error_set (error, BERYL_ERROR_INVALID,
+                       "configuration log entry is not valid JSON");
       return BERYL_CONFIG_LOG_INVALID;
     }
   result = entry_apply (log, json, entry, entry_bytes, error);
@@ -342,7 +343,8 @@
   if (!changes_valid (changes) || !changes_apply (&items, changes))
     {
       items_clear (&items);
-      beryl_error_set (error, BERYL_ERROR_INVALID, "malformed snapshot");
+      beryl_error_set (error, BERYL_ERROR_INVALID,
+                       "malformed configuration log snapshot");
       return BERYL_CONFIG_LOG_INVALID;
     }
   retained_clear (log);
@@ -365,7 +367,8 @@
 
   if (json == NULL)
     {
-      beryl_error_set (error, BERYL_ERROR_INVALID, "snapshot is not JSON");
+      beryl_error_set (error, BERYL_ERROR_INVALID,
+                       "configuration log snapshot is not valid JSON");
       return BERYL_CONFIG_LOG_INVALID;
     }
   version = (uint64_t)json_integer_value (json_object_get (json, "version"));
--- a/tests/control/test_spread.c
+++ b/tests/control/test_spread.c
@@ -24,40 +24,40 @@
 fixture_validated (struct beryl_acceptor_owner *owner,
                    const struct beryl_validation_result *result)
 {
-  struct acceptor_fixture *d = (struct acceptor_fixture *)owner;
+  struct acceptor_fixture *f = (struct acceptor_fixture *)owner;
 
-  d->accepted += result->accepted;
-  d->rejected += !result->accepted;
+  f->accepted += result->accepted;
+  f->rejected += !result->accepted;
 }
 
 static const struct beryl_acceptor_owner_impl fixture_impl
     = { .validated = fixture_validated };
 
 static void
-fixture_init (struct acceptor_fixture *d)
+fixture_init (struct acceptor_fixture *f)
 {
-  memset (d, 0, sizeof *d);
-  d->base.impl = &fixture_impl;
-  d->log = beryl_config_log_create ();
-  d->acceptor = beryl_acceptor_create (d->log, &d->base);
+  memset (f, 0, sizeof *f);
+  f->base.impl = &fixture_impl;
+  f->log = beryl_config_log_create ();
+  f->acceptor = beryl_acceptor_create (f->log, &f->base);
 }
 
 static void
-fixture_clear (struct acceptor_fixture *d)
+fixture_clear (struct acceptor_fixture *f)
 {
-  beryl_acceptor_destroy (d->acceptor);
-  beryl_config_log_destroy (d->log);
+  beryl_acceptor_destroy (f->acceptor);
+  beryl_config_log_destroy (f->log);
 }
 
 static void
-fixture_sync (struct acceptor_fixture *d, uint64_t revision)
+fixture_sync (struct acceptor_fixture *f, uint64_t revision)
 {
   for (int i = 0; i < KINDS; i++)
-    beryl_acceptor_synced (d->acceptor, kinds[i], revision);
+    beryl_acceptor_synced (f->acceptor, kinds[i], revision);
 }
 
 static void
-fixture_observe (struct acceptor_fixture *d, const char *kind,
+fixture_observe (struct acceptor_fixture *f, const char *kind,
                  const char *name, uint64_t version, const char *spec)
 {
   char value[512];
@@ -66,19 +66,19 @@
                     "\"name\":\"%s\",\"nonce\":\"x\",\"spec\":%s}",
                     kind, name, spec);
 
-  beryl_acceptor_observe (d->acceptor, kind, name, version, value, (size_t)n);
+  beryl_acceptor_observe (f->acceptor, kind, name, version, value, (size_t)n);
 }
 
 static bool
-fixture_accept (struct acceptor_fixture *d)
+fixture_accept (struct acceptor_fixture *f)
 {
   size_t bytes = 0;
-  char *entry = beryl_acceptor_propose (d->acceptor, &bytes);
+  char *entry = beryl_acceptor_propose (f->acceptor, &bytes);
   bool applied;
 
   if (entry == NULL)
     return false;
-  applied = beryl_config_log_apply (d->log, entry, bytes, NULL)
+  applied = beryl_config_log_apply (f->log, entry, bytes, NULL)
             == BERYL_CONFIG_LOG_APPLIED;
   free (entry);
   return applied;
@@ -89,22 +89,22 @@
  * rejection must be reported. */
 START_TEST (invalid_edit_keeps_last_valid_version)
 {
-  struct acceptor_fixture d;
+  struct acceptor_fixture f;
   struct beryl_config_log_object o;
 
-  fixture_init (&d);
-  fixture_observe (&d, "model", "m", 1, "{\"version\":\"1\"}");
-  fixture_observe (&d, "service", "s", 2, "{\"model\":\"m\"}");
-  fixture_sync (&d, 2);
-  ck_assert (fixture_accept (&d));
-  fixture_observe (&d, "service", "s", 3, "{\"modle\":\"m\"}");
-  ck_assert (!fixture_accept (&d));
-  ck_assert_uint_eq (d.rejected, 1);
-  ck_assert (beryl_config_log_find (d.log, "service", "s", &o));
+  fixture_init (&f);
+  fixture_observe (&f, "model", "m", 1, "{\"version\":\"1\"}");
+  fixture_observe (&f, "service", "s", 2, "{\"model\":\"m\"}");
+  fixture_sync (&f, 2);
+  ck_assert (fixture_accept (&f));
+  fixture_observe (&f, "service", "s", 3, "{\"modle\":\"m\"}");
+  ck_assert (!fixture_accept (&f));
+  ck_assert_uint_eq (f.rejected, 1);
+  ck_assert (beryl_config_log_find (f.log, "service", "s", &o));
   ck_assert_uint_eq (o.source, 2);
-  ck_assert (!fixture_accept (&d));
-  ck_assert_uint_eq (d.rejected, 1);
-  fixture_clear (&d);
+  ck_assert (!fixture_accept (&f));
+  ck_assert_uint_eq (f.rejected, 1);
+  fixture_clear (&f);
 }
 END_TEST
 
@@ -112,21 +112,21 @@
  * to, which would leave the service without a model. */
 START_TEST (deletion_of_referenced_object_is_rejected)
 {
-  struct acceptor_fixture d;
+  struct acceptor_fixture f;
   struct beryl_config_log_object o;
 
-  fixture_init (&d);
-  fixture_observe (&d, "model", "m", 1, "{\"version\":\"1\"}");
-  fixture_observe (&d, "service", "s", 2, "{\"model\":\"m\"}");
-  fixture_sync (&d, 2);
-  ck_assert (fixture_accept (&d));
-  beryl_acceptor_observe (d.acceptor, "model", "m", 3, NULL, 0);
-  ck_assert (!fixture_accept (&d));
-  ck_assert_uint_eq (d.rejected, 1);
-  beryl_acceptor_observe (d.acceptor, "service", "s", 4, NULL, 0);
-  ck_assert (fixture_accept (&d));
-  ck_assert (!beryl_config_log_find (d.log, "model", "m", &o));
-  fixture_clear (&d);
+  fixture_init (&f);
+  fixture_observe (&f, "model", "m", 1, "{\"version\":\"1\"}");
+  fixture_observe (&f, "service", "s", 2, "{\"model\":\"m\"}");
+  fixture_sync (&f, 2);
+  ck_assert (fixture_accept (&f));
+  beryl_acceptor_observe (f.acceptor, "model", "m", 3, NULL, 0);
+  ck_assert (!fixture_accept (&f));
+  ck_assert_uint_eq (f.rejected, 1);
+  beryl_acceptor_observe (f.acceptor, "service", "s", 4, NULL, 0);
+  ck_assert (fixture_accept (&f));
+  ck_assert (!beryl_config_log_find (f.log, "model", "m", &o));
+  fixture_clear (&f);
 }
 END_TEST
 
@@ -135,23 +135,23 @@
  * looks deleted. */
 START_TEST (stale_acceptor_proposes_nothing)
 {
-  struct acceptor_fixture d;
+  struct acceptor_fixture f;
   struct beryl_config_log_object o;
 
-  fixture_init (&d);
-  fixture_observe (&d, "service", "s", 8, "{}");
-  fixture_sync (&d, 8);
-  ck_assert (fixture_accept (&d));
-  beryl_acceptor_destroy (d.acceptor);
-  d.acceptor = beryl_acceptor_create (d.log, &d.base);
-  fixture_sync (&d, 5);
-  ck_assert (!fixture_accept (&d));
-  ck_assert (beryl_config_log_find (d.log, "service", "s", &o));
-  fixture_observe (&d, "service", "s", 8, "{}");
-  fixture_sync (&d, 9);
-  ck_assert (!fixture_accept (&d));
-  ck_assert_uint_eq (beryl_config_log_version (d.log), 1);
-  fixture_clear (&d);
+  fixture_init (&f);
+  fixture_observe (&f, "service", "s", 8, "{}");
+  fixture_sync (&f, 8);
+  ck_assert (fixture_accept (&f));
+  beryl_acceptor_destroy (f.acceptor);
+  f.acceptor = beryl_acceptor_create (f.log, &f.base);
+  fixture_sync (&f, 5);
+  ck_assert (!fixture_accept (&f));
+  ck_assert (beryl_config_log_find (f.log, "service", "s", &o));
+  fixture_observe (&f, "service", "s", 8, "{}");
+  fixture_sync (&f, 9);
+  ck_assert (!fixture_accept (&f));
+  ck_assert_uint_eq (beryl_config_log_version (f.log), 1);
+  fixture_clear (&f);
 }
 END_TEST
 
@@ -159,22 +159,22 @@
  * which must come into force in entries within the platform's size limit. */
 START_TEST (one_bad_object_among_many)
 {
-  struct acceptor_fixture d;
+  struct acceptor_fixture f;
   char name[16];
 
-  fixture_init (&d);
+  fixture_init (&f);
   for (int i = 0; i < 3000; i++)
     {
       snprintf (name, sizeof name, "s%d", i);
-      fixture_observe (&d, "service", name, (uint64_t)i + 1,
+      fixture_observe (&f, "service", name, (uint64_t)i + 1,
                        i == 1234 ? "{\"model\":\"none\"}" : "{}");
     }
-  fixture_sync (&d, 3000);
-  while (fixture_accept (&d))
-    ck_assert_uint_lt (beryl_config_log_version (d.log), 10);
-  ck_assert_uint_eq (beryl_config_log_count (d.log), 2999);
-  ck_assert_uint_eq (d.rejected, 1);
-  fixture_clear (&d);
+  fixture_sync (&f, 3000);
+  while (fixture_accept (&f))
+    ck_assert_uint_lt (beryl_config_log_version (f.log), 10);
+  ck_assert_uint_eq (beryl_config_log_count (f.log), 2999);
+  ck_assert_uint_eq (f.rejected, 1);
+  fixture_clear (&f);
 }
 END_TEST
 
--- a/tests/platform/test_shell.c
+++ b/tests/platform/test_shell.c
@@ -26,72 +26,72 @@
 };
 
 static void
-fixture_init (struct fixture *b)
+fixture_init (struct fixture *f)
 {
   struct platform_client_settings settings = { .address = "127.0.0.1" };
 
-  memset (b, 0, sizeof *b);
-  b->loop = loop_create ();
-  b->http = http_context_create (b->loop, NULL);
-  b->platform = platform_create (b->loop, b->http, "127.0.0.1", 0, NULL);
-  ck_assert_ptr_nonnull (b->platform);
-  b->counters = counters_create ();
-  settings.port = platform_port (b->platform);
+  memset (f, 0, sizeof *f);
+  f->loop = loop_create ();
+  f->http = http_context_create (f->loop, NULL);
+  f->platform = platform_create (f->loop, f->http, "127.0.0.1", 0, NULL);
+  ck_assert_ptr_nonnull (f->platform);
+  f->counters = counters_create ();
+  settings.port = platform_port (f->platform);
   settings.core.call_timeout_ms = 500;
-  b->client
-      = platform_client_create (b->loop, b->http, &settings, b->counters);
+  f->client
+      = platform_client_create (f->loop, f->http, &settings, f->counters);
 }
 
 static void
-fixture_clear (struct fixture *b)
+fixture_clear (struct fixture *f)
 {
-  platform_client_destroy (b->client);
-  http_context_destroy (b->http);
-  platform_destroy (b->platform);
-  counters_destroy (b->counters);
-  loop_destroy (b->loop);
+  platform_client_destroy (f->client);
+  http_context_destroy (f->http);
+  platform_destroy (f->platform);
+  counters_destroy (f->counters);
+  loop_destroy (f->loop);
 }
 
 static void
 on_result (void *user, const struct beryl_platform_result *result)
 {
-  struct fixture *b = user;
+  struct fixture *f = user;
 
-  b->code = result->code;
-  b->version = result->version;
-  b->object_count = result->object_count;
+  f->code = result->code;
+  f->version = result->version;
+  f->object_count = result->object_count;
   if (result->object_count)
-    snprintf (b->value, sizeof b->value, "%s", result->objects[0].value);
-  loop_quit (b->loop);
+    snprintf (f->value, sizeof f->value, "%s", result->objects[0].value);
+  loop_quit (f->loop);
 }
 
 static void
 on_event (void *user, const struct beryl_platform_event *event)
 {
-  struct fixture *b = user;
-  size_t used = strlen (b->events);
+  struct fixture *f = user;
+  size_t used = strlen (f->events);
 
-  snprintf (b->events + used, sizeof b->events - used, "%s%s",
+  snprintf (f->events + used, sizeof f->events - used, "%s%s",
             event->deleted ? "-" : "+", event->object.name);
-  if (strlen (b->events) == b->wanted_events)
-    loop_quit (b->loop);
+  if (strlen (f->events) == f->wanted_events)
+    loop_quit (f->loop);
 }
 
 static void
 on_instances (void *user, uint64_t revision,
               const struct beryl_instance *items, size_t count)
 {
-  struct fixture *b = user;
+  struct fixture *f = user;
 
-  b->instances++;
-  loop_quit (b->loop);
+  f->instances++;
+  loop_quit (f->loop);
 }
 
 static const struct platform_client_options options
     = { .use = BERYL_USE_CLAIM, .timeout_ms = 8000, .wait = true };
 
 static void
-put (struct fixture *b, const char *name, enum beryl_condition condition,
+put (struct fixture *f, const char *name, enum beryl_condition condition,
      uint64_t version, const char *nonce)
 {
   char value[128];
@@ -100,8 +100,8 @@
 
   w.value_bytes
       = (size_t)snprintf (value, sizeof value, "{\"nonce\":\"%s\"}", nonce);
-  platform_client_put (b->client, &options, &w, on_result, b);
-  loop_run (b->loop);
+  platform_client_put (f->client, &options, &w, on_result, f);
+  loop_run (f->loop);
 }
 
 struct faults_call
@@ -126,50 +126,50 @@
 
 /** Configures the faults of the stand-in platform. */
 static void
-set_faults (struct fixture *b, const char *faults)
+set_faults (struct fixture *f, const char *faults)
 {
   static const struct http_call_handler_impl impl
       = { .done = faults_done, .failed = faults_failed };
-  struct faults_call o = { { &impl }, b->loop };
+  struct faults_call o = { { &impl }, f->loop };
   struct http_request request = { .method = "PUT",
                                   .address = "127.0.0.1",
-                                  .port = platform_port (b->platform),
+                                  .port = platform_port (f->platform),
                                   .path = "/standin/faults",
                                   .body = faults,
                                   .body_bytes = strlen (faults) };
 
-  http_call_start (b->http, &request, &o.base);
-  loop_run (b->loop);
+  http_call_start (f->http, &request, &o.base);
+  loop_run (f->loop);
 }
 
 START_TEST (test_objects)
 {
-  struct fixture b;
-
-  fixture_init (&b);
-  put (&b, "a", BERYL_IF_ABSENT, 0, "n1");
-  ck_assert_int_eq (b.code, BERYL_OK);
-  put (&b, "a", BERYL_IF_ABSENT, 0, "n2");
-  ck_assert_int_eq (b.code, BERYL_ERROR_CONFLICT);
-  put (&b, "a", BERYL_IF_VERSION, b.version, "n3");
-  ck_assert_int_eq (b.code, BERYL_OK);
-  platform_client_get (b.client, &options, "log", "a", 0, on_result, &b);
-  loop_run (b.loop);
-  ck_assert_str_eq (b.value, "{\"nonce\":\"n3\"}");
-  platform_client_list (b.client, &options, "log", "", on_result, &b);
-  loop_run (b.loop);
-  ck_assert_uint_eq (b.object_count, 1);
-  platform_client_delete (b.client, &options, "log", "a", b.version, on_result,
-                          &b);
-  loop_run (b.loop);
-  ck_assert_int_eq (b.code, BERYL_OK);
-  platform_client_get (b.client, &options, "log", "a", 0, on_result, &b);
-  loop_run (b.loop);
-  ck_assert_int_eq (b.code, BERYL_ERROR_NOT_FOUND);
-  ck_assert_uint_eq (*counters_cell (b.counters, "beryl_platform_writes_total",
+  struct fixture f;
+
+  fixture_init (&f);
+  put (&f, "a", BERYL_IF_ABSENT, 0, "n1");
+  ck_assert_int_eq (f.code, BERYL_OK);
+  put (&f, "a", BERYL_IF_ABSENT, 0, "n2");
+  ck_assert_int_eq (f.code, BERYL_ERROR_CONFLICT);
+  put (&f, "a", BERYL_IF_VERSION, f.version, "n3");
+  ck_assert_int_eq (f.code, BERYL_OK);
+  platform_client_get (f.client, &options, "log", "a", 0, on_result, &f);
+  loop_run (f.loop);
+  ck_assert_str_eq (f.value, "{\"nonce\":\"n3\"}");
+  platform_client_list (f.client, &options, "log", "", on_result, &f);
+  loop_run (f.loop);
+  ck_assert_uint_eq (f.object_count, 1);
+  platform_client_delete (f.client, &options, "log", "a", f.version, on_result,
+                          &f);
+  loop_run (f.loop);
+  ck_assert_int_eq (f.code, BERYL_OK);
+  platform_client_get (f.client, &options, "log", "a", 0, on_result, &f);
+  loop_run (f.loop);
+  ck_assert_int_eq (f.code, BERYL_ERROR_NOT_FOUND);
+  ck_assert_uint_eq (*counters_cell (f.counters, "beryl_platform_writes_total",
                                      "use=\"claim\""),
                      4);
-  fixture_clear (&b);
+  fixture_clear (&f);
 }
 END_TEST
 
@@ -177,21 +177,21 @@
 {
   static const struct platform_watch_callbacks callbacks
       = { .event = on_event, .instances = on_instances };
-  struct fixture b;
-
-  fixture_init (&b);
-  put (&b, "a", BERYL_IF_ABSENT, 0, "n1");
-  b.wanted_events = 2;
-  platform_client_watch (b.client, BERYL_USE_CONFIG, "log", &callbacks, &b);
-  loop_run (b.loop);
-  b.wanted_events = 4;
-  put (&b, "b", BERYL_IF_ABSENT, 0, "n1");
-  loop_run (b.loop);
-  ck_assert_str_eq (b.events, "+a+b");
-  platform_client_watch_instances (b.client, &callbacks, &b);
-  loop_run (b.loop);
-  ck_assert_uint_eq (b.instances, 1);
-  fixture_clear (&b);
+  struct fixture f;
+
+  fixture_init (&f);
+  put (&f, "a", BERYL_IF_ABSENT, 0, "n1");
+  f.wanted_events = 2;
+  platform_client_watch (f.client, BERYL_USE_CONFIG, "log", &callbacks, &f);
+  loop_run (f.loop);
+  f.wanted_events = 4;
+  put (&f, "b", BERYL_IF_ABSENT, 0, "n1");
+  loop_run (f.loop);
+  ck_assert_str_eq (f.events, "+a+b");
+  platform_client_watch_instances (f.client, &callbacks, &f);
+  loop_run (f.loop);
+  ck_assert_uint_eq (f.instances, 1);
+  fixture_clear (&f);
 }
 END_TEST
 
@@ -199,33 +199,33 @@
    Over real sockets, too, the write must be reported as granted. */
 START_TEST (test_lost_reply)
 {
-  struct fixture b;
+  struct fixture f;
 
-  fixture_init (&b);
-  set_faults (&b, "{\"lose_replies\":1}");
-  put (&b, "a", BERYL_IF_ABSENT, 0, "n1");
-  ck_assert_int_eq (b.code, BERYL_OK);
-  ck_assert_uint_eq (b.version, 1);
-  fixture_clear (&b);
+  fixture_init (&f);
+  set_faults (&f, "{\"lose_replies\":1}");
+  put (&f, "a", BERYL_IF_ABSENT, 0, "n1");
+  ck_assert_int_eq (f.code, BERYL_OK);
+  ck_assert_uint_eq (f.version, 1);
+  fixture_clear (&f);
 }
 END_TEST
 
 START_TEST (test_outage)
 {
   struct platform_client_options short_timeout = options;
-  struct fixture b;
+  struct fixture f;
 
   short_timeout.timeout_ms = 300;
-  fixture_init (&b);
-  set_faults (&b, "{\"outage\":true}");
-  platform_client_get (b.client, &short_timeout, "log", "a", 0, on_result, &b);
-  loop_run (b.loop);
-  ck_assert_int_eq (b.code, BERYL_ERROR_UNAVAILABLE);
-  set_faults (&b, "{\"outage\":false}");
-  platform_client_get (b.client, &options, "log", "a", 0, on_result, &b);
-  loop_run (b.loop);
-  ck_assert_int_eq (b.code, BERYL_ERROR_NOT_FOUND);
-  fixture_clear (&b);
+  fixture_init (&f);
+  set_faults (&f, "{\"outage\":true}");
+  platform_client_get (f.client, &short_timeout, "log", "a", 0, on_result, &f);
+  loop_run (f.loop);
+  ck_assert_int_eq (f.code, BERYL_ERROR_UNAVAILABLE);
+  set_faults (&f, "{\"outage\":false}");
+  platform_client_get (f.client, &options, "log", "a", 0, on_result, &f);
+  loop_run (f.loop);
+  ck_assert_int_eq (f.code, BERYL_ERROR_NOT_FOUND);
+  fixture_clear (&f);
 }
 END_TEST
 
