--- a/controld/control.c
+++ b/controld/control.c
@@ -57,7 +57,7 @@
 control_config_changed (struct control *control)
 {
   beryl_membership_set_config (control->members,
-                               beryl_spread_version (control->spread),
+                               beryl_config_log_version (control->spread),
                                control_now_ms (control));
   control_applied_changed (control);
   gossip_task_wake (control->gossip);
@@ -161,15 +161,16 @@
               const struct beryl_instance *items, size_t count)
 {
   struct control *control = user;
-  struct beryl_listed *listed = g_new0 (struct beryl_listed, count + 1);
+  struct beryl_listed_instance *listed
+      = g_new0 (struct beryl_listed_instance, count + 1);
   size_t entries = 0;
 
   (void)revision;
   for (size_t i = 0; i < count; i++)
     {
-      struct beryl_listed *to = &listed[entries];
+      struct beryl_listed_instance *to = &listed[entries];
 
-      if (!items[i].entry)
+      if (!items[i].is_entry)
         continue;
       g_strlcpy (to->name, items[i].name, sizeof to->name);
       g_strlcpy (to->address, items[i].address, sizeof to->address);
@@ -180,8 +181,8 @@
       to->leaving = items[i].leaving;
       entries++;
     }
-  beryl_membership_listed (control->members, listed, entries,
-                           control_now_ms (control));
+  beryl_membership_set_instances (control->members, listed, entries,
+                                  control_now_ms (control));
   g_free (listed);
   gossip_task_wake (control->gossip);
   /* The list was needed for the first contact only; the acceptor watches it
@@ -200,10 +201,11 @@
 is_lonely (const struct control *control)
 {
   int64_t now_ms = control_now_ms (control);
-  int64_t stale_ms = beryl_membership_stale_ms (control->members, now_ms);
+  int64_t stale_ms = beryl_membership_config_age_ms (control->members, now_ms);
 
   return beryl_membership_count (control->members) > 1
-         && now_ms - beryl_membership_heard_ms (control->members) > LONELY_MS
+         && now_ms - beryl_membership_last_contact_ms (control->members)
+                > LONELY_MS
          && (stale_ms < 0 || stale_ms > LONELY_MS);
 }
 
@@ -215,7 +217,7 @@
 {
   if (is_lonely (control))
     return true;
-  return beryl_spread_version (control->spread) == 0
+  return beryl_config_log_version (control->spread) == 0
          && !gossip_task_has_peers (control->gossip);
 }
 
@@ -245,7 +247,7 @@
   control->bootstrap = NULL;
   gossip_task_seek (control->gossip);
   role_task_update (control->roles);
-  if (beryl_spread_version (control->spread) == 0)
+  if (beryl_config_log_version (control->spread) == 0)
     config_task_read_log (control->config);
 }
 
@@ -368,7 +370,7 @@
 {
   metrics_task_destroy (control->metrics);
   beryl_membership_destroy (control->members);
-  beryl_spread_destroy (control->spread);
+  beryl_config_log_destroy (control->spread);
   counters_destroy (control->counters);
   g_free (control);
 }
--- a/controld/facts.c
+++ b/controld/facts.c
@@ -63,7 +63,7 @@
   f->list_count = count;
   f->list_ms = control_now_ms (f->control);
   for (size_t i = 0; i < count; i++)
-    if (!items[i].entry && items[i].leaving)
+    if (!items[i].is_entry && items[i].leaving)
       leaving_observe (f, items[i].name, revision);
   /* 0 stands for "not read"; an empty list may have no revision yet. */
   f->list_revision = revision != 0 ? revision : 1;
@@ -170,16 +170,16 @@
 static void
 members_witness (struct facts *f)
 {
-  struct beryl_listed *listed
-      = g_new0 (struct beryl_listed, f->list_count + 1);
+  struct beryl_listed_instance *listed
+      = g_new0 (struct beryl_listed_instance, f->list_count + 1);
   size_t count = 0;
 
   for (size_t i = 0; i < f->list_count; i++)
     {
       const struct beryl_instance *from = &f->list[i];
-      struct beryl_listed *to = &listed[count];
+      struct beryl_listed_instance *to = &listed[count];
 
-      if (!from->entry)
+      if (!from->is_entry)
         continue;
       g_strlcpy (to->name, from->name, sizeof to->name);
       g_strlcpy (to->address, from->address, sizeof to->address);
@@ -189,8 +189,8 @@
       to->leaving = from->leaving;
       count++;
     }
-  beryl_membership_listed (f->control->members, listed, count,
-                           control_now_ms (f->control));
+  beryl_membership_set_instances (f->control->members, listed, count,
+                                  control_now_ms (f->control));
   g_free (listed);
 }
 
@@ -202,7 +202,8 @@
     return false;
   leaving_expire (f);
   if (control_now_ms (f->control) - f->list_ms < LIST_CURRENT_MS
-      && !beryl_platform_is_away (platform_client_core (f->control->platform)))
+      && !beryl_platform_is_unreachable (
+          platform_client_core (f->control->platform)))
     members_witness (f);
   return true;
 }
--- a/gatewayd/gateway.c
+++ b/gatewayd/gateway.c
@@ -480,7 +480,8 @@
 
 static void
 registry_records_listed (struct registry_owner *owner,
-                         const struct beryl_listed *items, size_t count)
+                         const struct beryl_listed_instance *items,
+                         size_t count)
 {
   members_set_records (gateway_from_registry (owner)->members, items, count);
 }
--- a/gatewayd/members.c
+++ b/gatewayd/members.c
@@ -192,7 +192,7 @@
 static const struct beryl_membership_owner_impl membership_impl = {
   .send = membership_send,
   .changed = membership_changed,
-  .behind = membership_behind,
+  .pull_config = membership_behind,
   .sync = membership_sync,
 };
 
@@ -505,15 +505,15 @@
 }
 
 void
-members_set_records (struct members *m, const struct beryl_listed *items,
-                     size_t count)
+members_set_records (struct members *m,
+                     const struct beryl_listed_instance *items, size_t count)
 {
   if (m->table == NULL)
     return;
   g_hash_table_remove_all (m->recorded);
   for (size_t i = 0; i < count; i++)
     g_hash_table_add (m->recorded, g_strdup (items[i].name));
-  beryl_membership_listed (m->table, items, count, now_ms (m));
+  beryl_membership_set_instances (m->table, items, count, now_ms (m));
   update_counts (m);
   schedule_tick (m);
 }
@@ -594,7 +594,7 @@
 members_is_candidate (const struct members *m, const char *role, uint32_t max)
 {
   return m->table != NULL
-         && beryl_membership_stands_for (m->table, role, "", max);
+         && beryl_membership_is_candidate (m->table, role, "", max);
 }
 
 bool
@@ -602,8 +602,8 @@
                             uint32_t max)
 {
   return m->table != NULL
-         && beryl_membership_stands_for (m->table, role,
-                                         m->settings->data_centre, max);
+         && beryl_membership_is_candidate (m->table, role,
+                                           m->settings->data_centre, max);
 }
 
 uint32_t
--- a/gatewayd/members.h
+++ b/gatewayd/members.h
@@ -79,7 +79,8 @@
 
 /** Update from the platform's records of all nodes. */
 void members_set_records (struct members *members,
-                          const struct beryl_listed *items, size_t count);
+                          const struct beryl_listed_instance *items,
+                          size_t count);
 
 /** Return for how long NODE has not been heard by any node, in milliseconds; 0
  * if it is alive. */
--- a/gatewayd/platform_source.c
+++ b/gatewayd/platform_source.c
@@ -346,7 +346,7 @@
   if (s->peer_ahead_since_ms == 0)
     s->peer_ahead_since_ms = now_ms;
   return now_ms - s->peer_ahead_since_ms >= wait_ms
-         || beryl_platform_is_away (platform_client_core (s->client));
+         || beryl_platform_is_unreachable (platform_client_core (s->client));
 }
 
 /* Polls the store if this node stays behind its peers.  The waiting watches of
@@ -377,7 +377,8 @@
 static void
 check_store (struct platform_source *s)
 {
-  bool unreachable = beryl_platform_is_away (platform_client_core (s->client));
+  bool unreachable
+      = beryl_platform_is_unreachable (platform_client_core (s->client));
 
   if (unreachable == s->store_unreachable)
     return;
--- a/gatewayd/registry.h
+++ b/gatewayd/registry.h
@@ -27,7 +27,8 @@
   void (*registered) (struct registry_owner *owner, uint64_t incarnation);
   /** All node records were listed. */
   void (*records_listed) (struct registry_owner *owner,
-                          const struct beryl_listed *items, size_t count);
+                          const struct beryl_listed_instance *items,
+                          size_t count);
   /** All objects of the kind were listed; called before records_listed. */
   void (*objects_listed) (struct registry_owner *owner,
                           const struct beryl_object *objects, size_t count);
--- a/gatewayd/store.c
+++ b/gatewayd/store.c
@@ -71,6 +71,7 @@
 {
   int64_t wait_ms = isolated ? 0 : (int64_t)nodes * WATCH_PER_NODE_MS;
 
-  beryl_platform_set_watch_wait (platform_client_core (client),
-                                 CLAMP (wait_ms, WATCH_MIN_MS, WATCH_MAX_MS));
+  beryl_platform_set_default_watch_wait (
+      platform_client_core (client),
+      CLAMP (wait_ms, WATCH_MIN_MS, WATCH_MAX_MS));
 }
--- a/libberyl/membership/homes.c
+++ b/libberyl/membership/homes.c
@@ -3,15 +3,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Most of a data centre's organisations that are sent elsewhere: a far node
- * costs each of their calls a longer way, so evenness has its price. */
-#define AWAY_MAX_PERCENT 25
+/* Maximum percentage of a data centre's organisations that are reassigned.
+ * Calls to a remote node take longer, which limits what an even load is worth.
+ */
+#define REASSIGNED_MAX_PERCENT 25
 
 int
-homed_compare (const void *a, const void *b)
+homed_organisation_compare (const void *a, const void *b)
 {
-  const struct homed *x = a;
-  const struct homed *y = b;
+  const struct homed_organisation *x = a;
+  const struct homed_organisation *y = b;
   int order = strcmp (x->data_centre, y->data_centre);
 
   if (order != 0)
@@ -19,7 +20,7 @@
   return (x->hash > y->hash) - (x->hash < y->hash);
 }
 
-/* Neighbours in a region stand next to each other, on all nodes alike. */
+/* Groups the data centres of a region, in the same order on all nodes. */
 static int
 compare_homes (const void *a, const void *b)
 {
@@ -39,10 +40,11 @@
   return NULL;
 }
 
-/* How many come before DATA_CENTRE's one of HASH. */
+/* Counts the organisations sorted before HASH of DATA_CENTRE. */
 static size_t
-homed_before (const struct homed *organisations, size_t organisation_count,
-              const char *data_centre, uint64_t hash)
+organisations_before (const struct homed_organisation *organisations,
+                      size_t organisation_count, const char *data_centre,
+                      uint64_t hash)
 {
   size_t low = 0;
   size_t high = organisation_count;
@@ -50,7 +52,7 @@
   while (low < high)
     {
       size_t middle = low + (high - low) / 2;
-      const struct homed *o = &organisations[middle];
+      const struct homed_organisation *o = &organisations[middle];
       int order = strcmp (o->data_centre, data_centre);
 
       if (order < 0 || (order == 0 && o->hash < hash))
@@ -61,42 +63,45 @@
   return low;
 }
 
-/* Organisations of DATA_CENTRE.  Should a name hash to the greatest number,
- * the count is short by one. */
+/* Counts the organisations of DATA_CENTRE; one too few if a name hashes to
+ * UINT64_MAX. */
 static size_t
-homed_count (const struct homed *organisations, size_t organisation_count,
-             const char *data_centre)
+organisations_in (const struct homed_organisation *organisations,
+                  size_t organisation_count, const char *data_centre)
 {
-  return homed_before (organisations, organisation_count, data_centre,
-                       UINT64_MAX)
-         - homed_before (organisations, organisation_count, data_centre, 0);
+  return organisations_before (organisations, organisation_count, data_centre,
+                               UINT64_MAX)
+         - organisations_before (organisations, organisation_count,
+                                 data_centre, 0);
 }
 
-/* Returns how many have a home among HOMES. */
+/* Sets the organisation counts of HOMES and returns their sum. */
 static size_t
 homes_count (struct home *homes, size_t home_count,
-             const struct homed *organisations, size_t organisation_count)
+             const struct homed_organisation *organisations,
+             size_t organisation_count)
 {
   size_t total = 0;
 
   for (size_t i = 0; i < home_count; i++)
     {
-      homes[i].organisations = homed_count (organisations, organisation_count,
-                                            homes[i].data_centre);
+      homes[i].organisations = organisations_in (
+          organisations, organisation_count, homes[i].data_centre);
       total += homes[i].organisations;
     }
   return total;
 }
 
 static size_t
-least (size_t a, size_t b)
+min_size (size_t a, size_t b)
 {
   return a < b ? a : b;
 }
 
-/* Whole numbers that sum up to TOTAL, in proportion to the nodes. */
+/* Divides TOTAL organisations among HOMES in proportion to their nodes, in
+ * whole numbers, and derives what each home retains and can receive. */
 static void
-homes_share (struct home *homes, size_t home_count, size_t total)
+homes_assign (struct home *homes, size_t home_count, size_t total)
 {
   size_t nodes = 0;
   size_t before = 0;
@@ -110,42 +115,44 @@
           = total * (before + h->nodes) / nodes - total * before / nodes;
 
       before += h->nodes;
-      h->kept = h->organisations;
-      h->room = fair > h->organisations ? fair - h->organisations : 0;
+      h->retained = h->organisations;
+      h->spare = fair > h->organisations ? fair - h->organisations : 0;
       if (h->organisations > fair)
-        h->kept -= least (h->organisations - fair,
-                          h->organisations * AWAY_MAX_PERCENT / 100);
+        h->retained
+            -= min_size (h->organisations - fair,
+                         h->organisations * REASSIGNED_MAX_PERCENT / 100);
     }
 }
 
-/* One that is sent from FROM: the home that takes it, and its rank there. */
-struct transfer
+/* Reassignment of one organisation from FROM to TO, with its new rank. */
+struct reassignment
 {
   const struct home *from;
-  size_t rank; /* among those that FROM sends */
+  size_t rank; /* among those that FROM gives up */
   const struct home *to;
-  size_t rank_there;
+  size_t target_rank;
 };
 
-/* Hand what FROM still sends to homes with room, in its region or anywhere;
- * SENT is how many it has sent before.  Notes where the one of T goes. */
+/* Reassigns surplus organisations of FROM to homes with spare capacity, in its
+ * region or in any.  SENT counts those already reassigned.  Records the target
+ * of T's organisation if it is among them. */
 static void
-home_send (struct home *homes, size_t home_count, const struct home *from,
-           bool any_region, size_t *sent, struct transfer *t)
+home_reassign (struct home *homes, size_t home_count, const struct home *from,
+               bool any_region, size_t *sent, struct reassignment *t)
 {
-  size_t most = from->organisations - from->kept;
+  size_t most = from->organisations - from->retained;
 
   for (size_t i = 0; i < home_count && *sent < most; i++)
     {
       struct home *to = &homes[i];
-      size_t n = least (most - *sent, to->room - to->received);
+      size_t n = min_size (most - *sent, to->spare - to->received);
 
       if (!any_region && strcmp (to->region, from->region) != 0)
         continue;
       if (t->from == from && t->rank >= *sent && t->rank < *sent + n)
         {
           t->to = to;
-          t->rank_there = to->kept + to->received + t->rank - *sent;
+          t->target_rank = to->retained + to->received + t->rank - *sent;
         }
       to->received += n;
       *sent += n;
@@ -153,7 +160,7 @@
 }
 
 static bool
-homes_send (struct home *homes, size_t home_count, struct transfer *t)
+homes_reassign (struct home *homes, size_t home_count, struct reassignment *t)
 {
   size_t *sent = calloc (home_count, sizeof *sent);
 
@@ -161,45 +168,49 @@
     return false;
   for (int any_region = 0; any_region <= 1; any_region++)
     for (size_t i = 0; i < home_count; i++)
-      home_send (homes, home_count, &homes[i], any_region != 0, &sent[i], t);
+      home_reassign (homes, home_count, &homes[i], any_region != 0, &sent[i],
+                     t);
   free (sent);
   return true;
 }
 
 bool
-homes_place (struct home *homes, size_t home_count,
-             const struct homed *organisations, size_t organisation_count,
-             const struct homed *organisation, struct home_place *place)
+homes_locate (struct home *homes, size_t home_count,
+              const struct homed_organisation *organisations,
+              size_t organisation_count,
+              const struct homed_organisation *organisation,
+              struct home_position *result)
 {
   const struct home *home;
-  struct transfer t = { 0 };
+  struct reassignment t = { 0 };
   const char *name = organisation->data_centre;
-  size_t count = homed_count (organisations, organisation_count, name);
-  size_t rank = homed_before (organisations, organisation_count, name,
+  size_t count = organisations_in (organisations, organisation_count, name);
+  size_t rank
+      = organisations_before (organisations, organisation_count, name,
                               organisation->hash)
-                - homed_before (organisations, organisation_count, name, 0);
+        - organisations_before (organisations, organisation_count, name, 0);
 
   if (count == 0)
     return false;
-  place->position = (double)rank / (double)count;
+  result->position = (double)rank / (double)count;
   qsort (homes, home_count, sizeof *homes, compare_homes);
   home = home_find (homes, home_count, name);
   if (home == NULL)
-    return true; /* lost: the region's nodes, by the same rank */
-  homes_share (
+    return true; /* no live node: the rank applies to the region's nodes */
+  homes_assign (
       homes, home_count,
       homes_count (homes, home_count, organisations, organisation_count));
-  if (rank >= home->kept)
-    t = (struct transfer){ .from = home, .rank = rank - home->kept };
-  if (!homes_send (homes, home_count, &t))
+  if (rank >= home->retained)
+    t = (struct reassignment){ .from = home, .rank = rank - home->retained };
+  if (!homes_reassign (homes, home_count, &t))
     return false;
   if (t.to != NULL)
     {
       home = t.to;
-      rank = t.rank_there;
+      rank = t.target_rank;
     }
-  place->data_centre = home->data_centre;
-  place->region = home->region;
-  place->position = (double)rank / (double)(home->kept + home->received);
+  result->data_centre = home->data_centre;
+  result->region = home->region;
+  result->position = (double)rank / (double)(home->retained + home->received);
   return true;
 }
--- a/libberyl/membership/table.c
+++ b/libberyl/membership/table.c
@@ -8,15 +8,17 @@
 
 #include "beryl/clock.h"
 
-/* How long a dead member is remembered, against old news. */
-#define DEAD_KEPT_MS 600000
-/* A record is passed on this often, times the logarithm of the members. */
+/* Time that a dead member is retained, so that outdated records do not revive
+ * it. */
+#define DEAD_RETENTION_MS 600000
+/* A record is piggybacked this many times the logarithm of the member count.
+ */
 #define TRANSMITS_FACTOR 4
-/* Without an answer for so many probes this node may itself be cut off. */
-#define TROUBLE_PROBES 3
+/* Probe intervals without any ack after which this node may be isolated. */
+#define ISOLATION_PROBES 3
 
 static size_t
-table_place (const struct beryl_membership *m, const char *name, bool *found)
+table_index (const struct beryl_membership *m, const char *name, bool *found)
 {
   size_t low = 0;
   size_t high = m->count;
@@ -38,7 +40,7 @@
 table_find (struct beryl_membership *m, const char *name)
 {
   bool found;
-  size_t i = table_place (m, name, &found);
+  size_t i = table_index (m, name, &found);
 
   return found ? &m->slots[i] : NULL;
 }
@@ -53,7 +55,7 @@
 table_insert (struct beryl_membership *m, const struct beryl_member *record)
 {
   bool found;
-  size_t i = table_place (m, record->name, &found);
+  size_t i = table_index (m, record->name, &found);
 
   if (m->slots == NULL || m->count == m->capacity)
     {
@@ -84,19 +86,20 @@
 }
 
 void
-table_pass_on (struct beryl_membership *m, struct slot *slot, int64_t now_ms)
+table_queue_update (struct beryl_membership *m, struct slot *slot,
+                    int64_t now_ms)
 {
-  slot->transmits = transmits_limit (m);
-  slot->news_left = NEWS_SENDINGS;
-  if (m->news_ms == BERYL_NEVER_MS)
-    m->news_ms = now_ms;
+  slot->transmits_left = transmits_limit (m);
+  slot->immediate_left = IMMEDIATE_SENDS;
+  if (m->next_update_ms == BERYL_NEVER_MS)
+    m->next_update_ms = now_ms;
 }
 
 const struct beryl_member *
 beryl_membership_find (const struct beryl_membership *m, const char *name)
 {
   bool found;
-  size_t i = table_place (m, name, &found);
+  size_t i = table_index (m, name, &found);
 
   return found ? &m->slots[i].member : NULL;
 }
@@ -109,9 +112,9 @@
   m->owner->impl->changed (m->owner, &copy);
 }
 
-/* Somebody says that this node is suspect or dead, or knows a former life
- * of it with a higher incarnation (its clock was set back).  A higher
- * incarnation refutes both. */
+/* Refutes a record by which this node is suspect or dead, or which stems from
+ * a previous run with a higher incarnation (the clock was set back), by
+ * raising this node's incarnation above it. */
 static void
 self_refute (struct beryl_membership *m, const struct beryl_member *record,
              int64_t now_ms)
@@ -125,7 +128,7 @@
       && record->state == BERYL_MEMBER_ALIVE)
     return;
   self->member.incarnation = record->incarnation + 1;
-  table_pass_on (m, self, now_ms);
+  table_queue_update (m, self, now_ms);
 }
 
 static bool
@@ -143,7 +146,7 @@
   slot->member.config_applied = config_applied;
   if (record->state == BERYL_MEMBER_DEAD)
     slot->dead_ms = now_ms;
-  table_pass_on (m, slot, now_ms);
+  table_queue_update (m, slot, now_ms);
   table_changed (m, slot);
   return true;
 }
@@ -192,13 +195,13 @@
   return slot_merge_same (m, slot, record, now_ms);
 }
 
-/* Whether this node itself may be cut off: then its suspicions say nothing
- * about the others, and passing on hundreds of them after the partition
+/* Returns whether this node may be isolated.  Its suspicions then say nothing
+ * about the others, and disseminating hundreds of them after the partition
  * would make every node refute at once. */
 static bool
-self_in_trouble (const struct beryl_membership *m, int64_t now_ms)
+self_is_isolated (const struct beryl_membership *m, int64_t now_ms)
 {
-  return now_ms - m->acked_ms > TROUBLE_PROBES * m->probe_ms;
+  return now_ms - m->last_ack_ms > ISOLATION_PROBES * m->probe_ms;
 }
 
 void
@@ -208,19 +211,19 @@
     return;
   slot->member.state = BERYL_MEMBER_SUSPECT;
   slot->suspect_ms = now_ms;
-  if (!self_in_trouble (m, now_ms))
-    table_pass_on (m, slot, now_ms);
+  if (!self_is_isolated (m, now_ms))
+    table_queue_update (m, slot, now_ms);
   table_changed (m, slot);
 }
 
-/* The member itself spoke, so it is alive, whoever suspects it. */
+/* A message from the member itself proves that it is alive. */
 void
-table_heard (struct beryl_membership *m, struct slot *slot,
-             uint64_t incarnation, int64_t now_ms)
+table_confirm_alive (struct beryl_membership *m, struct slot *slot,
+                     uint64_t incarnation, int64_t now_ms)
 {
   struct beryl_member *member = &slot->member;
 
-  m->heard_ms = now_ms;
+  m->last_contact_ms = now_ms;
   if (incarnation < member->incarnation
       || member->state != BERYL_MEMBER_SUSPECT)
     return;
@@ -235,7 +238,7 @@
 
   for (size_t i = 0; i < m->count; i++)
     if (m->slots[i].member.state != BERYL_MEMBER_DEAD
-        || now_ms - m->slots[i].dead_ms < DEAD_KEPT_MS)
+        || now_ms - m->slots[i].dead_ms < DEAD_RETENTION_MS)
       m->slots[kept++] = m->slots[i];
   m->count = kept;
 }
@@ -268,7 +271,7 @@
 }
 
 static bool
-may_stand (const struct beryl_member *member, const char *data_centre)
+is_eligible (const struct beryl_member *member, const char *data_centre)
 {
   if (member->state != BERYL_MEMBER_ALIVE || member->leaving)
     return false;
@@ -277,23 +280,23 @@
 }
 
 bool
-beryl_membership_stands_for (const struct beryl_membership *m,
-                             const char *role, const char *data_centre,
-                             uint32_t most)
+beryl_membership_is_candidate (const struct beryl_membership *m,
+                               const char *role, const char *data_centre,
+                               uint32_t max_candidates)
 {
   const struct beryl_member *self = beryl_membership_self (m);
   uint64_t score = role_score (role, self->name);
   uint32_t ahead = 0;
 
-  if (!may_stand (self, data_centre))
+  if (!is_eligible (self, data_centre))
     return false;
   for (size_t i = 0; i < m->count; i++)
     {
       const struct beryl_member *member = &m->slots[i].member;
 
-      if (may_stand (member, data_centre)
+      if (is_eligible (member, data_centre)
           && role_score (role, member->name) > score)
         ahead++;
     }
-  return ahead < most;
+  return ahead < max_candidates;
 }
--- a/libberyl/platform/fetch.c
+++ b/libberyl/platform/fetch.c
@@ -30,12 +30,12 @@
 }
 
 void
-platform_tell (struct beryl_platform *p,
-               const struct beryl_platform_result *template)
+platform_deliver_results (struct beryl_platform *p,
+                          const struct beryl_platform_result *template)
 {
   struct waiter *w;
 
-  while ((w = LIST_FIRST (&p->telling)))
+  while ((w = LIST_FIRST (&p->delivering)))
     {
       struct beryl_platform_result result = *template;
 
@@ -50,9 +50,10 @@
     }
 }
 
-/** Move the waiters of F that a read of VERSION satisfies to p->telling. */
+/** Move the waiters of F that are satisfied with VERSION to p->delivering. */
 static void
-choose_told (struct beryl_platform *p, struct fetch *f, uint64_t version)
+waiters_take_satisfied (struct beryl_platform *p, struct fetch *f,
+                        uint64_t version)
 {
   struct waiter *w = LIST_FIRST (&f->waiters);
 
@@ -63,26 +64,27 @@
       if (w->min_version <= version)
         {
           LIST_REMOVE (w, entry);
-          LIST_INSERT_HEAD (&p->telling, w, entry);
+          LIST_INSERT_HEAD (&p->delivering, w, entry);
         }
       w = next;
     }
 }
 
-/** Reads under way may be older than the write that F was. */
+/** Mark pending reads of the same kind as outdated: their answers may be older
+ * than the effect of WRITE. */
 static void
-date_reads (struct beryl_platform *p, const struct fetch *write)
+reads_mark_outdated (struct beryl_platform *p, const struct fetch *write)
 {
   struct fetch *f;
 
   for (f = LIST_FIRST (&p->fetches); f; f = LIST_NEXT (f, entry))
     {
       if (platform_fetch_is_read (f) && strcmp (f->kind, write->kind) == 0)
-        f->dated = true;
+        f->outdated = true;
     }
 }
 
-/** End F: tell all its waiters. */
+/** End F and deliver the result to all its waiters. */
 static void
 fetch_end (struct beryl_platform *p, struct fetch *f,
            enum beryl_error_code code, uint64_t version)
@@ -91,34 +93,34 @@
   struct listing listing = f->listing;
 
   f->listing = (struct listing){ 0 };
-  result.overwritten = code == BERYL_ERROR_CONFLICT && f->unsure;
+  result.overwritten = code == BERYL_ERROR_CONFLICT && f->maybe_applied;
   if (!platform_fetch_is_read (f))
-    date_reads (p, f);
+    reads_mark_outdated (p, f);
   if (code == BERYL_OK && platform_fetch_is_read (f))
     {
       result.objects = listing.objects;
       result.object_count = listing.count;
     }
-  choose_told (p, f, UINT64_MAX);
+  waiters_take_satisfied (p, f, UINT64_MAX);
   platform_fetch_free (p, f);
-  platform_tell (p, &result);
+  platform_deliver_results (p, &result);
   platform_listing_clear (&listing);
 }
 
-/** Read again later. */
+/** Repeat a read after a backoff. */
 static void
-fetch_again (struct beryl_platform *p, struct fetch *f, int64_t now_ms)
+fetch_retry (struct beryl_platform *p, struct fetch *f, int64_t now_ms)
 {
   platform_listing_clear (&f->listing);
-  f->dated = false;
+  f->outdated = false;
   platform_job_back_off (p, &f->job, now_ms);
 }
 
-/** The settled end of a write whose reply was lost at first. */
+/** Count a write whose outcome is known although a reply was lost. */
 static void
 count_settled (struct beryl_platform *p, const struct fetch *f)
 {
-  if (f->unsure)
+  if (f->maybe_applied)
     p->counts.settled++;
 }
 
@@ -132,7 +134,7 @@
   if (status == 404)
     {
       result.code = BERYL_ERROR_NOT_FOUND;
-      choose_told (p, f, 0);
+      waiters_take_satisfied (p, f, 0);
       object = (struct beryl_object){ 0 };
     }
   else if (status == 200 && platform_object_read (json, f->kind, &object)
@@ -141,25 +143,25 @@
       result.version = object.version;
       result.objects = &object;
       result.object_count = 1;
-      choose_told (p, f, object.version);
+      waiters_take_satisfied (p, f, object.version);
     }
   else
     {
       if (status == 200)
         platform_object_clear (&object);
       p->counts.malformed++;
-      fetch_again (p, f, now_ms);
+      fetch_retry (p, f, now_ms);
       return;
     }
-  /* Those left need a newer version than this replica has. */
+  /* The remaining waiters need a newer version than this replica has. */
   if (LIST_EMPTY (&f->waiters))
     platform_fetch_free (p, f);
   else
     {
       p->counts.stale++;
-      fetch_again (p, f, now_ms);
+      fetch_retry (p, f, now_ms);
     }
-  platform_tell (p, &result);
+  platform_deliver_results (p, &result);
   platform_object_clear (&object);
 }
 
@@ -170,7 +172,7 @@
   if (status != 200 || !platform_listing_add (&f->listing, json, f->kind))
     {
       p->counts.malformed++;
-      fetch_again (p, f, now_ms);
+      fetch_retry (p, f, now_ms);
     }
   else if (f->listing.more)
     platform_job_ready (p, &f->job);
@@ -178,7 +180,8 @@
     fetch_end (p, f, BERYL_OK, f->listing.revision);
 }
 
-/** The repeated write met a conflict; see whose value is there. */
+/** Handle the read that follows a conflict of a repeated write: the nonce of
+ * the current value shows which client wrote it. */
 static void
 read_back_answered (struct beryl_platform *p, struct fetch *f,
                     unsigned int status, const json_t *json, int64_t now_ms)
@@ -188,10 +191,11 @@
   bool ours;
 
   if (status != 200 || !platform_object_read (json, f->kind, &object)
-      || object.version < f->conflict)
+      || object.version < f->conflict_version)
     {
-      /* Absent or older: a replica that lags.  The write is known to have
-         met F->conflict, so only that version or a later one tells. */
+      /* An absent or older object comes from a lagging replica.  The write
+         conflicted with conflict_version, so only that version or a later
+         one is conclusive. */
       platform_object_clear (&object);
       p->counts.stale++;
       platform_job_back_off (p, &f->job, now_ms);
@@ -204,7 +208,7 @@
   fetch_end (p, f, ours ? BERYL_OK : BERYL_ERROR_CONFLICT, version);
 }
 
-/** The condition of a write did not hold. */
+/** Handle a write whose condition did not hold. */
 static void
 write_conflicted (struct beryl_platform *p, struct fetch *f,
                   const json_t *json)
@@ -212,14 +216,14 @@
   uint64_t current = 0;
 
   platform_number_read (json, "version", &current);
-  /* After a lost reply the conflict may be with this write itself: the
-     first try took effect and its version is what the repetition meets.
-     Reading the nonce back tells; without it a claim that was granted would
-     be reported as taken by another. */
-  if (f->unsure && f->type == FETCH_PUT && current != 0)
+  /* After a lost reply the conflict may be with this write itself: the first
+     attempt took effect, and the repetition conflicts with its version.
+     Reading back the nonce decides; without it a claim that was granted would
+     be reported as taken by another node. */
+  if (f->maybe_applied && f->type == FETCH_PUT && current != 0)
     {
       f->reading_back = true;
-      f->conflict = current;
+      f->conflict_version = current;
       f->job.rate_class = RATE_READS;
       platform_job_ready (p, &f->job);
       return;
@@ -278,9 +282,9 @@
     write_answered (p, f, status, json, now_ms);
 }
 
-/** Whether a write may be repeated after its reply was lost: its condition
- * must keep a second effect out, and a conflict must be tellable from one
- * with itself. */
+/** Return whether a write may be repeated after its reply was lost: its
+ * condition must prevent a second effect, and a conflict with itself must be
+ * distinguishable from one with another write. */
 static bool
 fetch_can_settle (const struct fetch *f)
 {
@@ -297,13 +301,13 @@
 
   if (platform_fetch_is_read (f) || f->reading_back)
     {
-      /* A list goes on with the page that failed. */
+      /* A list continues with the page that failed. */
       platform_job_back_off (p, job, now_ms);
       return;
     }
   if (!safe)
     {
-      f->unsure = true;
+      f->maybe_applied = true;
       if (!fetch_can_settle (f))
         {
           p->counts.unsettled++;
--- a/libberyl/platform/watch.c
+++ b/libberyl/platform/watch.c
@@ -15,9 +15,10 @@
   free (w);
 }
 
-/** Find NAME's place among the known ones; true if it is there. */
+/** Find NAME among the known objects; otherwise set POSITION to where it would
+ * be inserted and return false. */
 static bool
-known_find (const struct watch *w, const char *name, size_t *place)
+known_find (const struct watch *w, const char *name, size_t *position)
 {
   size_t low = 0, high = w->known_count;
 
@@ -28,7 +29,7 @@
 
       if (order == 0)
         {
-          *place = middle;
+          *position = middle;
           return true;
         }
       if (order < 0)
@@ -36,87 +37,87 @@
       else
         high = middle;
     }
-  *place = low;
+  *position = low;
   return false;
 }
 
-static struct known *
-known_insert (struct watch *w, size_t place, const char *name)
+static struct known_object *
+known_insert (struct watch *w, size_t position, const char *name)
 {
-  struct known *k;
+  struct known_object *k;
 
   if (w->known_count == w->known_capacity)
     {
       w->known_capacity = w->known_capacity ? 2 * w->known_capacity : 16;
       w->known = realloc (w->known, w->known_capacity * sizeof *w->known);
     }
-  k = &w->known[place];
-  memmove (k + 1, k, (w->known_count - place) * sizeof *k);
+  k = &w->known[position];
+  memmove (k + 1, k, (w->known_count - position) * sizeof *k);
   w->known_count++;
-  *k = (struct known){ 0 };
+  *k = (struct known_object){ 0 };
   memcpy (k->name, name, strlen (name) + 1);
   return k;
 }
 
 static void
-known_remove (struct watch *w, size_t place)
+known_remove (struct watch *w, size_t position)
 {
-  memmove (&w->known[place], &w->known[place + 1],
-           (w->known_count - place - 1) * sizeof *w->known);
+  memmove (&w->known[position], &w->known[position + 1],
+           (w->known_count - position - 1) * sizeof *w->known);
   w->known_count--;
 }
 
-/** Tell one change; W may be marked ended by it. */
+/** Emit one event; the callback may remove W. */
 static void
-tell_event (struct beryl_platform *p, struct watch *w, bool deleted,
+emit_event (struct beryl_platform *p, struct watch *w, bool deleted,
             const struct beryl_object *object)
 {
   struct beryl_platform_event event
       = { .watch = w->id, .deleted = deleted, .object = *object };
 
-  if (!w->ended)
+  if (!w->removed)
     p->handler->impl->event (p->handler, &event);
 }
 
-/** Take an object's value, unless it is not newer than what is known. */
+/** Apply an object unless a version as new is already known. */
 static void
 apply_put (struct beryl_platform *p, struct watch *w,
            const struct beryl_object *object)
 {
-  size_t place;
-  struct known *k;
+  size_t position;
+  struct known_object *k;
 
-  if (known_find (w, object->name, &place))
-    k = &w->known[place];
+  if (known_find (w, object->name, &position))
+    k = &w->known[position];
   else
-    k = known_insert (w, place, object->name);
+    k = known_insert (w, position, object->name);
   k->listed = true;
   if (object->version <= k->version)
     return;
   k->version = object->version;
-  tell_event (p, w, false, object);
+  emit_event (p, w, false, object);
 }
 
 static void
 apply_delete (struct beryl_platform *p, struct watch *w,
               const struct beryl_object *object)
 {
-  size_t place;
+  size_t position;
 
-  if (!known_find (w, object->name, &place)
-      || object->version <= w->known[place].version)
+  if (!known_find (w, object->name, &position)
+      || object->version <= w->known[position].version)
     return;
-  known_remove (w, place);
-  tell_event (p, w, true, object);
+  known_remove (w, position);
+  emit_event (p, w, true, object);
 }
 
-/** Tell the deletion of all that a whole list did not show. */
+/** Emit a deletion for every known object that is missing from a full list. */
 static void
 apply_missing (struct beryl_platform *p, struct watch *w)
 {
   for (size_t i = 0; i < w->known_count;)
     {
-      struct known k = w->known[i];
+      struct known_object k = w->known[i];
       struct beryl_object object = { .kind = w->kind,
                                      .name = k.name,
                                      .version = w->listing.revision };
@@ -127,7 +128,7 @@
           continue;
         }
       known_remove (w, i);
-      tell_event (p, w, true, &object);
+      emit_event (p, w, true, &object);
     }
 }
 
@@ -142,19 +143,19 @@
 }
 
 static void
-tell_synced (struct beryl_platform *p, struct watch *w)
+emit_synced (struct beryl_platform *p, struct watch *w)
 {
-  if (!w->ended)
+  if (!w->removed)
     p->handler->impl->synced (p->handler, w->id, w->revision);
 }
 
-/** An answer from a replica that is behind what was seen already, which
- * would take changes back; ask again. */
+/** Discard an answer from a lagging replica, which would revert changes that
+ * were already seen, and poll again. */
 static void
 answer_stale (struct beryl_platform *p, struct watch *w, int64_t now_ms)
 {
-  /* What was fed meanwhile is newer than the answer. */
-  if (w->resting && !w->listing_now)
+  /* The changes applied meanwhile are newer than the answer. */
+  if (w->paused && !w->listing_now)
     return;
   p->counts.stale++;
   platform_listing_clear (&w->listing);
@@ -174,7 +175,7 @@
 watch_again (struct beryl_platform *p, struct watch *w, int64_t now_ms)
 {
   w->job.failures = 0;
-  if (w->resting)
+  if (w->paused)
     return;
   platform_job_sleep (p, &w->job, now_ms + p->settings.watch_spacing_ms);
 }
@@ -202,11 +203,11 @@
   w->revision = w->listing.revision;
   w->listing_now = false;
   platform_listing_clear (&w->listing);
-  tell_synced (p, w);
+  emit_synced (p, w);
   watch_again (p, w, now_ms);
 }
 
-/** Apply one event; false if it is malformed. */
+/** Apply one event; return false if it is malformed. */
 static bool
 event_apply (struct beryl_platform *p, struct watch *w, const json_t *json)
 {
@@ -252,11 +253,11 @@
     return;
   }
   w->revision = revision;
-  tell_synced (p, w);
+  emit_synced (p, w);
   watch_again (p, w, now_ms);
 }
 
-/** Read the well-formed entries; one bad entry must not hide the others. */
+/** Read the well-formed entries, skipping malformed ones. */
 static struct beryl_instance *
 instances_read (struct beryl_platform *p, const json_t *items, size_t *count)
 {
@@ -304,8 +305,8 @@
       p->handler->impl->instances (p->handler, w->id, revision, list, count);
       free (list);
     }
-  /* An unchanged list was confirmed: who judges by it must know its age. */
-  tell_synced (p, w);
+  /* An unchanged list is reported as well, as its users must know its age. */
+  emit_synced (p, w);
   watch_again (p, w, now_ms);
 }
 
@@ -317,15 +318,15 @@
 
   if (status == 410 && !w->instances)
     {
-      /* The events since our revision are gone, deletions too: only a whole
-         list shows what is no longer there. */
+      /* The events since the watch's revision are no longer available; only a
+         full list shows which objects were deleted. */
       p->counts.relisted++;
       w->listing_now = true;
       platform_listing_clear (&w->listing);
       platform_job_ready (p, job);
       return;
     }
-  w->busy = true;
+  w->in_callback = true;
   if (status != 200)
     answer_malformed (p, w, now_ms);
   else if (w->instances)
@@ -334,8 +335,8 @@
     list_answered (p, w, json, now_ms);
   else
     events_answered (p, w, json, now_ms);
-  w->busy = false;
-  if (w->ended)
+  w->in_callback = false;
+  if (w->removed)
     platform_watch_free (p, w);
 }
 
@@ -351,14 +352,14 @@
             struct beryl_platform_call *call, char path[PATH_BYTES])
 {
   struct watch *w = (struct watch *)job;
-  /* A probe must be answered at once, and so must the first look, and the
-     first after a failure: who watches must know when the platform is back. */
+  /* Breaker probes, the first call and the first call after a failure must be
+     answered at once, to show that the platform is available again. */
   bool at_once = p->breaker.state == BREAKER_HALF_OPEN || w->listing_now
-                 || job->failures > 0 || w->poked;
+                 || job->failures > 0 || w->refresh_due;
   int64_t set_ms = w->wait_ms != 0 ? w->wait_ms : p->settings.watch_wait_ms;
   int64_t wait_ms = at_once ? 0 : set_ms;
 
-  w->poked = false;
+  w->refresh_due = false;
   call->method = "GET";
   call->path = path;
   call->kind = w->kind;
@@ -438,24 +439,24 @@
 }
 
 static bool
-is_arriving (const struct watch *w)
+is_receiving (const struct watch *w)
 {
-  return w->job.state == JOB_CALLING && w->job.arriving;
+  return w->job.state == JOB_CALLING && w->job.answer_started;
 }
 
 void
-beryl_platform_poke (struct beryl_platform *p, uint64_t id)
+beryl_platform_watch_refresh (struct beryl_platform *p, uint64_t id)
 {
   struct watch *w = watch_find (p, id);
 
-  /* A listing is under way or about to begin; it shows all there is. */
-  if (!w || w->busy || w->listing_now)
+  /* A listing is pending and will show the current state. */
+  if (!w || w->in_callback || w->listing_now)
     return;
-  /* An answer that arrives is no silent connection; given up, a large one on a
-     slow link would never be read whole. */
-  if (is_arriving (w))
+  /* The connection is alive.  If its answer were aborted, a large one on a
+     slow link would never be received completely. */
+  if (is_receiving (w))
     return;
-  w->poked = true;
+  w->refresh_due = true;
   if (w->job.state == JOB_READY)
     return;
   platform_job_stop (p, &w->job);
@@ -463,18 +464,20 @@
 }
 
 bool
-beryl_platform_feed (struct beryl_platform *p, uint64_t id, uint64_t after,
-                     uint64_t revision,
-                     const struct beryl_platform_event *events, size_t count)
+beryl_platform_watch_apply (struct beryl_platform *p, uint64_t id,
+                            uint64_t after, uint64_t revision,
+                            const struct beryl_platform_event *events,
+                            size_t count)
 {
   struct watch *w = watch_find (p, id);
   uint64_t seen;
 
-  if (!w || w->busy || w->listing_now || after > w->revision)
+  if (!w || w->in_callback || w->listing_now || after > w->revision)
     return false;
   seen = w->revision;
-  w->busy = true;
-  /* A change that was seen already may have been undone since. */
+  w->in_callback = true;
+  /* Skip changes that were already seen; later ones may have superseded them.
+   */
   for (size_t i = 0; i < count; i++)
     if (events[i].object.version <= seen)
       continue;
@@ -484,30 +487,30 @@
       apply_put (p, w, &events[i].object);
   if (revision > w->revision)
     w->revision = revision;
-  tell_synced (p, w);
-  w->busy = false;
-  if (w->ended)
+  emit_synced (p, w);
+  w->in_callback = false;
+  if (w->removed)
     platform_watch_free (p, w);
   return true;
 }
 
 void
-beryl_platform_watch_rest (struct beryl_platform *p, uint64_t id, bool resting)
+beryl_platform_watch_pause (struct beryl_platform *p, uint64_t id, bool paused)
 {
   struct watch *w = watch_find (p, id);
 
-  if (!w || w->resting == resting)
+  if (!w || w->paused == paused)
     return;
-  w->resting = resting;
-  if (!resting)
-    beryl_platform_poke (p, id);
+  w->paused = paused;
+  if (!paused)
+    beryl_platform_watch_refresh (p, id);
   else if (w->job.state == JOB_SLEEPING && !w->listing_now)
     platform_job_stop (p, &w->job);
 }
 
 void
-beryl_platform_watch_wait (struct beryl_platform *p, uint64_t id,
-                           int64_t wait_ms)
+beryl_platform_watch_set_wait (struct beryl_platform *p, uint64_t id,
+                               int64_t wait_ms)
 {
   struct watch *w = watch_find (p, id);
 
@@ -516,15 +519,16 @@
 }
 
 bool
-beryl_platform_watch_arriving (struct beryl_platform *p, uint64_t id)
+beryl_platform_watch_is_receiving (struct beryl_platform *p, uint64_t id)
 {
   const struct watch *w = watch_find (p, id);
 
-  return w && is_arriving (w);
+  return w && is_receiving (w);
 }
 
 void
-beryl_platform_set_watch_wait (struct beryl_platform *p, int64_t watch_wait_ms)
+beryl_platform_set_default_watch_wait (struct beryl_platform *p,
+                                       int64_t watch_wait_ms)
 {
   p->settings.watch_wait_ms = watch_wait_ms;
 }
@@ -545,8 +549,8 @@
     {
       if (w->id != watch)
         continue;
-      if (w->busy)
-        w->ended = true;
+      if (w->in_callback)
+        w->removed = true;
       else
         platform_watch_free (p, w);
       return;
--- a/tests/config/test_fields.c
+++ b/tests/config/test_fields.c
@@ -42,22 +42,22 @@
 static size_t
 read_bounds (const char *text, struct bounds *bounds)
 {
-  struct beryl_place place = { .findings = beryl_findings_create () };
+  struct beryl_location location = { .findings = beryl_findings_create () };
   json_t *json = json_loads (text, 0, NULL);
   size_t count;
 
   ck_assert_ptr_nonnull (json);
   *bounds = (struct bounds){ .slack = 7, .window_ms = 7, .lease_ms = 7 };
-  beryl_fields_read (&place, json, fields, sizeof fields / sizeof *fields,
+  beryl_fields_read (&location, json, fields, sizeof fields / sizeof *fields,
                      bounds);
-  count = beryl_findings_count (place.findings);
-  beryl_findings_destroy (place.findings);
+  count = beryl_findings_count (location.findings);
+  beryl_findings_destroy (location.findings);
   json_decref (json);
   return count;
 }
 
-/* Guards against a process that does not start because a bound is a fraction.
- */
+/* Guards against a process that does not start because a limit is not an
+ * integer. */
 START_TEST (test_rounded_to_the_safe_side)
 {
   struct bounds bounds;
@@ -76,7 +76,8 @@
 }
 END_TEST
 
-/* Guards against a bound that wraps around or is refused at its safe end. */
+/* Guards against a limit that overflows, or that is rejected although it can
+ * safely be clamped. */
 START_TEST (test_beyond_the_range)
 {
   struct bounds bounds;
@@ -96,7 +97,7 @@
 }
 END_TEST
 
-/* Guards against a place that the platform left empty being taken for zero. */
+/* Guards against reading a value that the platform left null as zero. */
 START_TEST (test_null_is_the_default)
 {
   struct bounds bounds;
--- a/tests/control/test_discovery.c
+++ b/tests/control/test_discovery.c
@@ -17,7 +17,7 @@
   size_t node_count;
   char organisations[ORGANISATIONS][24];
   struct beryl_discovery_organisation listed[ORGANISATIONS];
-  size_t asks[ORGANISATIONS]; /* the data centre of its callers */
+  size_t caller_centre[ORGANISATIONS]; /* index of its callers' data centre */
   struct beryl_discovery *discovery;
 };
 
@@ -45,7 +45,7 @@
       snprintf (f->organisations[i], sizeof f->organisations[i], "org-%zu", i);
       f->listed[i].name = f->organisations[i];
       f->listed[i].data_centre = "";
-      f->asks[i] = i % data_centre_count;
+      f->caller_centre[i] = i % data_centre_count;
     }
   f->discovery = beryl_discovery_create ();
   beryl_discovery_set_nodes (f->discovery, f->nodes, f->node_count);
@@ -60,18 +60,18 @@
   free (f);
 }
 
-/* All organisations say where their callers are. */
+/* Sets the home data centre of all organisations. */
 static void
-fleet_declare (struct fleet *f)
+fleet_set_homes (struct fleet *f)
 {
   for (size_t i = 0; i < ORGANISATIONS; i++)
-    f->listed[i].data_centre = f->data_centres[f->asks[i]];
+    f->listed[i].data_centre = f->data_centres[f->caller_centre[i]];
   beryl_discovery_set_organisations (f->discovery, f->listed, ORGANISATIONS);
 }
 
-/* Greatest distance of a node's share from the mean, in percent. */
+/* Returns the largest deviation of a node's load from the mean, in percent. */
 static double
-fleet_unevenness (const struct fleet *f, bool by_data_centre)
+fleet_imbalance_percent (const struct fleet *f, bool by_data_centre)
 {
   double load[400] = { 0 };
   double mean = 100.0 * ORGANISATIONS / (double)f->node_count;
@@ -80,7 +80,8 @@
   for (size_t i = 0; i < ORGANISATIONS; i++)
     {
       struct beryl_discovery_choice c[BERYL_DISCOVERY_MAX];
-      const char *dc = by_data_centre ? f->data_centres[f->asks[i]] : "";
+      const char *dc
+          = by_data_centre ? f->data_centres[f->caller_centre[i]] : "";
       size_t n = beryl_discovery_choose (f->discovery, f->organisations[i], dc,
                                          "", c, BERYL_DISCOVERY_MAX);
 
@@ -96,49 +97,51 @@
   return 100 * worst / mean;
 }
 
-/* Story: organisations keep their answer, so an uneven spread stays.  With
- * plain hashing of 2,200 names some of 8 nodes get 20% more than others,
- * and calls there miss deadlines while other nodes idle. */
-START_TEST (spread_is_even)
+/* Guards against a lasting load imbalance, as callers cache their answers.
+ * With plain hashing of 2,200 names some of 8 nodes get 20% more than others,
+ * and calls there miss deadlines while other nodes are idle. */
+START_TEST (load_is_even)
 {
   struct fleet *today = fleet_create (8, 4);
   struct fleet *target = fleet_create (400, 10);
 
-  ck_assert_double_le (fleet_unevenness (today, false), 10);
-  ck_assert_double_le (fleet_unevenness (today, true), 10);
-  ck_assert_double_le (fleet_unevenness (target, false), 10);
+  ck_assert_double_le (fleet_imbalance_percent (today, false), 10);
+  ck_assert_double_le (fleet_imbalance_percent (today, true), 10);
+  ck_assert_double_le (fleet_imbalance_percent (target, false), 10);
   printf ("unevenness: 8 nodes %.1f%%, by data centre %.1f%%; 400 nodes "
           "%.1f%%, by data centre %.1f%%\n",
-          fleet_unevenness (today, false), fleet_unevenness (today, true),
-          fleet_unevenness (target, false), fleet_unevenness (target, true));
+          fleet_imbalance_percent (today, false),
+          fleet_imbalance_percent (today, true),
+          fleet_imbalance_percent (target, false),
+          fleet_imbalance_percent (target, true));
   fleet_destroy (today);
   fleet_destroy (target);
 }
 END_TEST
 
-/* Story: 400 nodes in ten data centres; each organisation's callers sit in
- * one of them and keep their answer.  Ranked among all 2,200, the 220 that ask
- * in one data centre fall on its 40 nodes at random, and some node has half
- * more than the others for good. */
-START_TEST (spread_is_even_by_data_centre)
+/* Guards against a load imbalance within data centres: 400 nodes in ten data
+ * centres, with each organisation's callers in one of them.  Ranked among all
+ * 2,200 organisations, the 220 of one data centre fall on its 40 nodes at
+ * random, and some node permanently has half as much again as the others. */
+START_TEST (load_is_even_by_data_centre)
 {
   struct fleet *f = fleet_create (400, 10);
   double worst = 0;
 
-  fleet_declare (f);
-  ck_assert_double_le (fleet_unevenness (f, true), 10);
+  fleet_set_homes (f);
+  ck_assert_double_le (fleet_imbalance_percent (f, true), 10);
   printf ("declared data centres: 400 nodes %.1f%%",
-          fleet_unevenness (f, true));
+          fleet_imbalance_percent (f, true));
   for (uint64_t seed = 1; seed <= 20; seed++)
     {
       struct sim *sim = sim_create (seed);
       double off;
 
       for (size_t i = 0; i < ORGANISATIONS; i++)
-        f->asks[i] = (size_t)sim_random (sim, 10);
+        f->caller_centre[i] = (size_t)sim_random (sim, 10);
       sim_destroy (sim);
-      fleet_declare (f);
-      off = fleet_unevenness (f, true);
+      fleet_set_homes (f);
+      off = fleet_imbalance_percent (f, true);
       worst = off > worst ? off : worst;
     }
   printf (", at random, worst of 20 seeds %.1f%%\n", worst);
@@ -147,16 +150,16 @@
 }
 END_TEST
 
-/* Story: nearly all callers sit in one data centre.  Even loads would send
- * nine of ten organisations on a long way; only a quarter may be, and all of
- * these to its own region, which has room for them. */
-START_TEST (most_stay_near)
+/* Guards against sending most callers to remote nodes when nearly all are in
+ * one data centre.  An even load would reassign nine of ten organisations;
+ * only a quarter may be, all within the region, which has enough capacity. */
+START_TEST (most_organisations_stay_local)
 {
   struct fleet *f = fleet_create (400, 10);
   size_t away = 0;
 
-  memset (f->asks, 0, sizeof f->asks);
-  fleet_declare (f);
+  memset (f->caller_centre, 0, sizeof f->caller_centre);
+  fleet_set_homes (f);
   for (size_t i = 0; i < ORGANISATIONS; i++)
     {
       struct beryl_discovery_choice c[BERYL_DISCOVERY_MAX];
@@ -171,15 +174,15 @@
 }
 END_TEST
 
-/* Story: a data centre is lost whose organisations are declared.  They must
- * go to live nodes of the region, evenly: 220 over 120 nodes are 183 percent
+/* When the home data centre of organisations fails, they must be distributed
+ * evenly over the live nodes of the region: 220 over 120 nodes are 183 percent
  * of an organisation each. */
-START_TEST (declared_data_centre_is_lost)
+START_TEST (lost_home_data_centre_falls_back_to_region)
 {
   struct fleet *f = fleet_create (400, 10);
   uint32_t load[400] = { 0 };
 
-  fleet_declare (f);
+  fleet_set_homes (f);
   for (size_t i = 0; i < f->node_count; i++)
     f->nodes[i].suspect = i % 10 == 0;
   beryl_discovery_set_nodes (f->discovery, f->nodes, f->node_count);
@@ -201,8 +204,8 @@
 }
 END_TEST
 
-/* Story: a node got SIGTERM and left; an answer that names it would send a
- * caller to a closed port some seconds later. */
+/* Guards against answers with a node that is shutting down, which would send a
+ * caller to a closed port a few seconds later. */
 START_TEST (leaving_nodes_are_not_named)
 {
   struct fleet *f = fleet_create (8, 4);
@@ -224,10 +227,10 @@
 }
 END_TEST
 
-/* Story: a data centre loses power.  Its nodes turn suspect and later leave
- * the list; its callers must be sent to the region's other data centres and
- * find a live node first in each answer. */
-START_TEST (lost_data_centre_goes_elsewhere)
+/* When a data centre loses power, its nodes become suspect.  Its callers must
+ * get nodes of the region's other data centres, with a live node first in
+ * every answer. */
+START_TEST (lost_data_centre_falls_back_to_region)
 {
   struct fleet *f = fleet_create (12, 6);
   struct beryl_discovery_choice c[BERYL_DISCOVERY_MAX];
@@ -246,9 +249,9 @@
 }
 END_TEST
 
-/* Story: every node is suspected at once, as after this node's own network
- * card failed for a while; an empty answer would turn callers away though
- * the nodes live. */
+/* Guards against an empty answer when all nodes are suspect at once, as after
+ * a failure of this node's own network card: callers would be turned away
+ * although the nodes are alive. */
 START_TEST (suspects_are_the_last_resort)
 {
   struct fleet *f = fleet_create (8, 4);
@@ -288,12 +291,12 @@
   int failed;
 
   tcase_set_timeout (t, 30);
-  tcase_add_test (t, spread_is_even);
-  tcase_add_test (t, spread_is_even_by_data_centre);
-  tcase_add_test (t, most_stay_near);
-  tcase_add_test (t, declared_data_centre_is_lost);
+  tcase_add_test (t, load_is_even);
+  tcase_add_test (t, load_is_even_by_data_centre);
+  tcase_add_test (t, most_organisations_stay_local);
+  tcase_add_test (t, lost_home_data_centre_falls_back_to_region);
   tcase_add_test (t, leaving_nodes_are_not_named);
-  tcase_add_test (t, lost_data_centre_goes_elsewhere);
+  tcase_add_test (t, lost_data_centre_falls_back_to_region);
   tcase_add_test (t, suspects_are_the_last_resort);
   tcase_add_test (t, no_nodes_no_choices);
   suite_add_tcase (s, t);
--- a/tests/control/test_membership.c
+++ b/tests/control/test_membership.c
@@ -4,9 +4,9 @@
 #include "cluster.h"
 #include "mutant.h"
 
-/* Story: all instances are started together and know only the instance
- * list; each must find all others before it serves a fair share. */
-START_TEST (members_find_each_other)
+/* Guards against slow discovery when all instances start together and know
+ * only the instance list. */
+START_TEST (members_discover_each_other)
 {
   struct cluster *c = cluster_create (1, 8, 4, 1);
   int64_t took_ms = cluster_until_alive (c, 30000);
@@ -17,10 +17,10 @@
 }
 END_TEST
 
-/* Story: a node loses power.  Callers are handed its address until the
- * others notice; it must be suspect everywhere within seconds, and nobody
- * else may be. */
-START_TEST (dead_node_is_noticed)
+/* Guards against slow failure detection: callers are given the address of a
+ * node that lost power until the others suspect it.  No other node may become
+ * suspect. */
+START_TEST (dead_node_is_suspected)
 {
   for (uint64_t seed = 1; seed <= 5; seed++)
     {
@@ -39,9 +39,9 @@
 }
 END_TEST
 
-/* Story: a node gets SIGTERM.  Discovery elsewhere must stop naming it
- * within two seconds, also with packets lost. */
-START_TEST (leaving_node_is_noticed)
+/* Guards against discovery returning a node for more than two seconds after it
+ * received SIGTERM, even with packet loss. */
+START_TEST (leaving_node_is_announced)
 {
   struct cluster *c = cluster_create (2, 40, 4, 2);
   int behind = 0;
@@ -57,20 +57,19 @@
 }
 END_TEST
 
-/* Story: two regions lose each other for three minutes.  The far nodes are
- * only unreachable; if they were declared dead, their streams would be
- * cancelled and their callers cut off, and afterwards hundreds of nodes
- * would have to join again at once. */
+/* Guards against declaring nodes dead during a partition of three minutes
+ * between regions.  The streams of these nodes would be cancelled, and
+ * hundreds of them would have to rejoin at once afterwards. */
 START_TEST (region_partition_heals)
 {
   struct cluster *c = cluster_create (3, 24, 6, 3);
   int64_t took_ms;
 
   cluster_until_alive (c, 60000);
-  c->cut_region = 1;
+  c->partitioned_region = 1;
   cluster_run (c, 180000);
   ck_assert_int_eq (cluster_seen_as (c, 1, BERYL_MEMBER_SUSPECT), 16);
-  c->cut_region = -1;
+  c->partitioned_region = -1;
   took_ms = cluster_until_alive (c, 120000);
   printf ("24 nodes, region apart for 180 s: whole after %ld ms\n", took_ms);
   ck_assert_int_le (took_ms, 30000);
@@ -80,9 +79,9 @@
 }
 END_TEST
 
-/* Story: the instance list flaps: in most readings some live instances are
- * missing.  Whoever believes it cancels the streams of live nodes. */
-START_TEST (flapping_list_kills_nobody)
+/* Guards against cancelling the streams of live nodes because the instance
+ * list flaps: in most readings some live instances are missing. */
+START_TEST (flapping_list_causes_no_death)
 {
   for (uint64_t seed = 1; seed <= 10; seed++)
     {
@@ -99,9 +98,9 @@
 }
 END_TEST
 
-/* Story: an instance is gone and the platform's list confirms it.  Only then
- * is it dead, and what it held may be cancelled. */
-START_TEST (listed_absence_confirms_a_death)
+/* A silent instance is dead, and its work may be cancelled, only once it is
+ * also missing from the platform's instance list. */
+START_TEST (absence_from_list_confirms_death)
 {
   struct cluster *c = cluster_create (4, 8, 4, 1);
 
@@ -110,17 +109,16 @@
   cluster_run (c, 30000);
   ck_assert_int_eq (cluster_seen_as (c, 7, BERYL_MEMBER_DEAD), 0);
   ck_assert_int_eq (cluster_seen_as (c, 7, BERYL_MEMBER_SUSPECT), 7);
-  c->listed = 7;
+  c->listed_count = 7;
   cluster_run (c, 10000);
   ck_assert_int_eq (cluster_seen_as (c, 7, BERYL_MEMBER_DEAD), 7);
   cluster_destroy (c);
 }
 END_TEST
 
-/* Story: a node restarts under its name while the others still suspect its
- * former life; a late message of that life must not take the new one down,
- * and the new one must be seen with its new incarnation. */
-START_TEST (restart_replaces_the_former_life)
+/* Guards against a late record of a node's previous incarnation affecting the
+ * new one, when the node restarts while the others still suspect it. */
+START_TEST (restart_replaces_previous_incarnation)
 {
   struct cluster *c = cluster_create (5, 8, 4, 1);
   struct beryl_member old;
@@ -140,9 +138,9 @@
 }
 END_TEST
 
-/* Story: a node is paused for ten seconds (a slow host).  It is suspect
- * meanwhile, must refute on waking, and must not suspect all the others
- * because their answers are missing. */
+/* A node that is paused for ten seconds by a slow host becomes suspect.  When
+ * it resumes, it must refute this and must not suspect all others because
+ * their answers are missing. */
 START_TEST (paused_node_refutes)
 {
   struct cluster *c = cluster_create (6, 12, 3, 1);
@@ -161,19 +159,19 @@
 }
 END_TEST
 
-/* Story: a node is paused, and the instance list forgets it for one reading.
- * It is silent and absent at the same moment, yet it lives; taking it for
- * dead would cancel the streams that it goes on with when it wakes. */
-START_TEST (one_missing_reading_kills_nobody)
+/* Guards against declaring a paused node dead because a single reading of the
+ * instance list misses it.  Its streams, which it continues when it resumes,
+ * would be cancelled. */
+START_TEST (single_missing_listing_causes_no_death)
 {
   struct cluster *c = cluster_create (9, 12, 3, 1);
 
   cluster_until_alive (c, 30000);
   c->nodes[11].frozen = true;
   cluster_run (c, 9000);
-  c->listed = 11;
+  c->listed_count = 11;
   cluster_run (c, 1500);
-  c->listed = 12;
+  c->listed_count = 12;
   cluster_run (c, 2000);
   c->nodes[11].frozen = false;
   cluster_run (c, 5000);
@@ -183,9 +181,9 @@
 }
 END_TEST
 
-/* Story: a configuration change must be known to all nodes in a moment, also
- * with packets lost; a slow spread leaves some nodes on old rules. */
-START_TEST (config_version_spreads)
+/* Guards against a slow announcement of configuration changes, which leaves
+ * some nodes on old rules, with packet loss. */
+START_TEST (config_version_propagates)
 {
   struct cluster *c = cluster_create (7, 40, 4, 2);
   int64_t start_ms;
@@ -209,11 +207,11 @@
 }
 END_TEST
 
-/* Story: a whole data centre is lost.  Its nodes must be suspect everywhere
- * within seconds, or its callers go on connecting to it; by turns the
- * bridges would need a minute.  Bytes at rest must stay within the budget.
+/* Guards against callers connecting to a failed data centre: its nodes must be
+ * suspect everywhere within seconds, whereas probing in normal order would
+ * take the bridges a minute.  Also checks the traffic of an idle cluster.
  * bench_membership measures the same for 400 nodes. */
-START_TEST (lost_data_centre_is_noticed)
+START_TEST (lost_data_centre_is_suspected)
 {
   struct cluster *c = cluster_create (8, 120, 6, 3);
   uint64_t before;
@@ -241,17 +239,17 @@
 
   mutant_choose ();
   tcase_set_timeout (t, 55);
-  tcase_add_test (t, members_find_each_other);
-  tcase_add_test (t, dead_node_is_noticed);
-  tcase_add_test (t, leaving_node_is_noticed);
+  tcase_add_test (t, members_discover_each_other);
+  tcase_add_test (t, dead_node_is_suspected);
+  tcase_add_test (t, leaving_node_is_announced);
   tcase_add_test (t, region_partition_heals);
-  tcase_add_test (t, flapping_list_kills_nobody);
-  tcase_add_test (t, listed_absence_confirms_a_death);
-  tcase_add_test (t, restart_replaces_the_former_life);
+  tcase_add_test (t, flapping_list_causes_no_death);
+  tcase_add_test (t, absence_from_list_confirms_death);
+  tcase_add_test (t, restart_replaces_previous_incarnation);
   tcase_add_test (t, paused_node_refutes);
-  tcase_add_test (t, one_missing_reading_kills_nobody);
-  tcase_add_test (t, config_version_spreads);
-  tcase_add_test (t, lost_data_centre_is_noticed);
+  tcase_add_test (t, single_missing_listing_causes_no_death);
+  tcase_add_test (t, config_version_propagates);
+  tcase_add_test (t, lost_data_centre_is_suspected);
   suite_add_tcase (s, t);
   r = srunner_create (s);
   srunner_run_all (r, CK_NORMAL);
--- a/tests/control/test_spread.c
+++ b/tests/control/test_spread.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "beryl/spread.h"
+#include "beryl/config_log.h"
 
 #define KINDS 7
 
@@ -11,54 +11,54 @@
     = { "system",  "organisation", "model",   "service",
         "urgency", "pool",         "endpoint" };
 
-struct desk
+struct acceptor_fixture
 {
   struct beryl_acceptor_owner base;
-  struct beryl_spread *spread;
+  struct beryl_config_log *log;
   struct beryl_acceptor *acceptor;
   uint32_t accepted;
   uint32_t rejected;
 };
 
 static void
-desk_judged (struct beryl_acceptor_owner *owner,
-             const struct beryl_judgement *judgement)
+fixture_validated (struct beryl_acceptor_owner *owner,
+                   const struct beryl_validation_result *result)
 {
-  struct desk *d = (struct desk *)owner;
+  struct acceptor_fixture *f = (struct acceptor_fixture *)owner;
 
-  d->accepted += judgement->accepted;
-  d->rejected += !judgement->accepted;
+  f->accepted += result->accepted;
+  f->rejected += !result->accepted;
 }
 
-static const struct beryl_acceptor_owner_impl desk_impl
-    = { .judged = desk_judged };
+static const struct beryl_acceptor_owner_impl fixture_impl
+    = { .validated = fixture_validated };
 
 static void
-desk_open (struct desk *d)
+fixture_init (struct acceptor_fixture *f)
 {
-  memset (d, 0, sizeof *d);
-  d->base.impl = &desk_impl;
-  d->spread = beryl_spread_create ();
-  d->acceptor = beryl_acceptor_create (d->spread, &d->base);
+  memset (f, 0, sizeof *f);
+  f->base.impl = &fixture_impl;
+  f->log = beryl_config_log_create ();
+  f->acceptor = beryl_acceptor_create (f->log, &f->base);
 }
 
 static void
-desk_close (struct desk *d)
+fixture_clear (struct acceptor_fixture *f)
 {
-  beryl_acceptor_destroy (d->acceptor);
-  beryl_spread_destroy (d->spread);
+  beryl_acceptor_destroy (f->acceptor);
+  beryl_config_log_destroy (f->log);
 }
 
 static void
-desk_sync (struct desk *d, uint64_t revision)
+fixture_sync (struct acceptor_fixture *f, uint64_t revision)
 {
   for (int i = 0; i < KINDS; i++)
-    beryl_acceptor_synced (d->acceptor, kinds[i], revision);
+    beryl_acceptor_synced (f->acceptor, kinds[i], revision);
 }
 
 static void
-desk_observe (struct desk *d, const char *kind, const char *name,
-              uint64_t version, const char *spec)
+fixture_observe (struct acceptor_fixture *f, const char *kind,
+                 const char *name, uint64_t version, const char *spec)
 {
   char value[512];
   int n = snprintf (value, sizeof value,
@@ -66,140 +66,141 @@
                     "\"name\":\"%s\",\"nonce\":\"x\",\"spec\":%s}",
                     kind, name, spec);
 
-  beryl_acceptor_observe (d->acceptor, kind, name, version, value, (size_t)n);
+  beryl_acceptor_observe (f->acceptor, kind, name, version, value, (size_t)n);
 }
 
 static bool
-desk_accept (struct desk *d)
+fixture_accept (struct acceptor_fixture *f)
 {
   size_t bytes = 0;
-  char *entry = beryl_acceptor_propose (d->acceptor, &bytes);
+  char *entry = beryl_acceptor_propose (f->acceptor, &bytes);
   bool applied;
 
   if (entry == NULL)
     return false;
-  applied = beryl_spread_apply (d->spread, entry, bytes, NULL)
-            == BERYL_SPREAD_APPLIED;
+  applied = beryl_config_log_apply (f->log, entry, bytes, NULL)
+            == BERYL_CONFIG_LOG_APPLIED;
   free (entry);
   return applied;
 }
 
-/* Story: an operator saves a typing error over a good service.  The good one
- * must stay in force, also for a node that starts later, and the operator
- * must learn why. */
-START_TEST (invalid_edit_keeps_the_last_good)
+/* Guards against an invalid edit replacing a valid service: the last valid
+ * version must stay in force, also for a node that starts later, and the
+ * rejection must be reported. */
+START_TEST (invalid_edit_keeps_last_valid_version)
 {
-  struct desk d;
-  struct beryl_spread_object o;
-
-  desk_open (&d);
-  desk_observe (&d, "model", "m", 1, "{\"version\":\"1\"}");
-  desk_observe (&d, "service", "s", 2, "{\"model\":\"m\"}");
-  desk_sync (&d, 2);
-  ck_assert (desk_accept (&d));
-  desk_observe (&d, "service", "s", 3, "{\"modle\":\"m\"}");
-  ck_assert (!desk_accept (&d));
-  ck_assert_uint_eq (d.rejected, 1);
-  ck_assert (beryl_spread_find (d.spread, "service", "s", &o));
+  struct acceptor_fixture f;
+  struct beryl_config_log_object o;
+
+  fixture_init (&f);
+  fixture_observe (&f, "model", "m", 1, "{\"version\":\"1\"}");
+  fixture_observe (&f, "service", "s", 2, "{\"model\":\"m\"}");
+  fixture_sync (&f, 2);
+  ck_assert (fixture_accept (&f));
+  fixture_observe (&f, "service", "s", 3, "{\"modle\":\"m\"}");
+  ck_assert (!fixture_accept (&f));
+  ck_assert_uint_eq (f.rejected, 1);
+  ck_assert (beryl_config_log_find (f.log, "service", "s", &o));
   ck_assert_uint_eq (o.source, 2);
-  ck_assert (!desk_accept (&d));
-  ck_assert_uint_eq (d.rejected, 1);
-  desk_close (&d);
+  ck_assert (!fixture_accept (&f));
+  ck_assert_uint_eq (f.rejected, 1);
+  fixture_clear (&f);
 }
 END_TEST
 
-/* Story: a model is deleted while a service still names it.  Taking the
- * deletion would leave the service without a model. */
-START_TEST (deletion_of_a_needed_object_is_rejected)
+/* Guards against accepting the deletion of a model that a service still refers
+ * to, which would leave the service without a model. */
+START_TEST (deletion_of_referenced_object_is_rejected)
 {
-  struct desk d;
-  struct beryl_spread_object o;
-
-  desk_open (&d);
-  desk_observe (&d, "model", "m", 1, "{\"version\":\"1\"}");
-  desk_observe (&d, "service", "s", 2, "{\"model\":\"m\"}");
-  desk_sync (&d, 2);
-  ck_assert (desk_accept (&d));
-  beryl_acceptor_observe (d.acceptor, "model", "m", 3, NULL, 0);
-  ck_assert (!desk_accept (&d));
-  ck_assert_uint_eq (d.rejected, 1);
-  beryl_acceptor_observe (d.acceptor, "service", "s", 4, NULL, 0);
-  ck_assert (desk_accept (&d));
-  ck_assert (!beryl_spread_find (d.spread, "model", "m", &o));
-  desk_close (&d);
+  struct acceptor_fixture f;
+  struct beryl_config_log_object o;
+
+  fixture_init (&f);
+  fixture_observe (&f, "model", "m", 1, "{\"version\":\"1\"}");
+  fixture_observe (&f, "service", "s", 2, "{\"model\":\"m\"}");
+  fixture_sync (&f, 2);
+  ck_assert (fixture_accept (&f));
+  beryl_acceptor_observe (f.acceptor, "model", "m", 3, NULL, 0);
+  ck_assert (!fixture_accept (&f));
+  ck_assert_uint_eq (f.rejected, 1);
+  beryl_acceptor_observe (f.acceptor, "service", "s", 4, NULL, 0);
+  ck_assert (fixture_accept (&f));
+  ck_assert (!beryl_config_log_find (f.log, "model", "m", &o));
+  fixture_clear (&f);
 }
 END_TEST
 
-/* Story: the platform is out for a while and comes back with a replica that
- * lags behind what was accepted.  A new acceptor that lists from it sees an
- * accepted service as deleted. */
-START_TEST (acceptor_from_the_past_does_not_judge)
+/* Guards against an acceptor that deletes accepted objects after an outage: it
+ * lists from a replica that lags behind the accepted state, where a service
+ * looks deleted. */
+START_TEST (stale_acceptor_proposes_nothing)
 {
-  struct desk d;
-  struct beryl_spread_object o;
-
-  desk_open (&d);
-  desk_observe (&d, "service", "s", 8, "{}");
-  desk_sync (&d, 8);
-  ck_assert (desk_accept (&d));
-  beryl_acceptor_destroy (d.acceptor);
-  d.acceptor = beryl_acceptor_create (d.spread, &d.base);
-  desk_sync (&d, 5);
-  ck_assert (!desk_accept (&d));
-  ck_assert (beryl_spread_find (d.spread, "service", "s", &o));
-  desk_observe (&d, "service", "s", 8, "{}");
-  desk_sync (&d, 9);
-  ck_assert (!desk_accept (&d));
-  ck_assert_uint_eq (beryl_spread_version (d.spread), 1);
-  desk_close (&d);
+  struct acceptor_fixture f;
+  struct beryl_config_log_object o;
+
+  fixture_init (&f);
+  fixture_observe (&f, "service", "s", 8, "{}");
+  fixture_sync (&f, 8);
+  ck_assert (fixture_accept (&f));
+  beryl_acceptor_destroy (f.acceptor);
+  f.acceptor = beryl_acceptor_create (f.log, &f.base);
+  fixture_sync (&f, 5);
+  ck_assert (!fixture_accept (&f));
+  ck_assert (beryl_config_log_find (f.log, "service", "s", &o));
+  fixture_observe (&f, "service", "s", 8, "{}");
+  fixture_sync (&f, 9);
+  ck_assert (!fixture_accept (&f));
+  ck_assert_uint_eq (beryl_config_log_version (f.log), 1);
+  fixture_clear (&f);
 }
 END_TEST
 
-/* Story: thousands of objects are applied at once, one of them broken; all
- * others must come into force, in entries that fit the platform's limit. */
+/* Guards against one invalid object among thousands holding up the others,
+ * which must come into force in entries within the platform's size limit. */
 START_TEST (one_bad_object_among_many)
 {
-  struct desk d;
+  struct acceptor_fixture f;
   char name[16];
 
-  desk_open (&d);
+  fixture_init (&f);
   for (int i = 0; i < 3000; i++)
     {
       snprintf (name, sizeof name, "s%d", i);
-      desk_observe (&d, "service", name, (uint64_t)i + 1,
-                    i == 1234 ? "{\"model\":\"none\"}" : "{}");
+      fixture_observe (&f, "service", name, (uint64_t)i + 1,
+                       i == 1234 ? "{\"model\":\"none\"}" : "{}");
     }
-  desk_sync (&d, 3000);
-  while (desk_accept (&d))
-    ck_assert_uint_lt (beryl_spread_version (d.spread), 10);
-  ck_assert_uint_eq (beryl_spread_count (d.spread), 2999);
-  ck_assert_uint_eq (d.rejected, 1);
-  desk_close (&d);
+  fixture_sync (&f, 3000);
+  while (fixture_accept (&f))
+    ck_assert_uint_lt (beryl_config_log_version (f.log), 10);
+  ck_assert_uint_eq (beryl_config_log_count (f.log), 2999);
+  ck_assert_uint_eq (f.rejected, 1);
+  fixture_clear (&f);
 }
 END_TEST
 
-/* Story: a node was paused while entries were folded, and hears of a late one
- * or of an old snapshot.  It must take neither: the first would leave out
- * changes for ever, the second would put an old rule back into force. */
+/* Guards against a node that was paused while entries were compacted applying
+ * a later entry, which would skip changes for ever, or an old snapshot, which
+ * would bring an old rule back into force. */
 START_TEST (gaps_and_old_snapshots_are_refused)
 {
   static const char first[] = "{\"version\":1,\"changes\":[]}";
   static const char second[] = "{\"version\":2,\"changes\":[]}";
-  struct beryl_spread *s = beryl_spread_create ();
+  struct beryl_config_log *s = beryl_config_log_create ();
   size_t bytes = 0;
   char *old;
 
-  ck_assert_int_eq (beryl_spread_apply (s, second, strlen (second), NULL),
-                    BERYL_SPREAD_GAP);
-  ck_assert_int_eq (beryl_spread_apply (s, first, strlen (first), NULL),
-                    BERYL_SPREAD_APPLIED);
-  old = beryl_spread_snapshot (s, &bytes);
-  ck_assert_int_eq (beryl_spread_apply (s, second, strlen (second), NULL),
-                    BERYL_SPREAD_APPLIED);
-  ck_assert_int_eq (beryl_spread_load (s, old, bytes, NULL), BERYL_SPREAD_OLD);
-  ck_assert_uint_eq (beryl_spread_version (s), 2);
+  ck_assert_int_eq (beryl_config_log_apply (s, second, strlen (second), NULL),
+                    BERYL_CONFIG_LOG_GAP);
+  ck_assert_int_eq (beryl_config_log_apply (s, first, strlen (first), NULL),
+                    BERYL_CONFIG_LOG_APPLIED);
+  old = beryl_config_log_snapshot (s, &bytes);
+  ck_assert_int_eq (beryl_config_log_apply (s, second, strlen (second), NULL),
+                    BERYL_CONFIG_LOG_APPLIED);
+  ck_assert_int_eq (beryl_config_log_load (s, old, bytes, NULL),
+                    BERYL_CONFIG_LOG_OLD);
+  ck_assert_uint_eq (beryl_config_log_version (s), 2);
   free (old);
-  beryl_spread_destroy (s);
+  beryl_config_log_destroy (s);
 }
 END_TEST
 
@@ -215,15 +216,16 @@
           "{\"version\":1}",
           "{\"version\":1,\"changes\":[{\"kind\":\"a\"}]}",
           bad_object };
-  struct beryl_spread *s = beryl_spread_create ();
+  struct beryl_config_log *s = beryl_config_log_create ();
   struct beryl_error error = { 0 };
 
   for (size_t i = 0; i < sizeof bad / sizeof bad[0]; i++)
-    ck_assert_int_eq (beryl_spread_apply (s, bad[i], strlen (bad[i]), &error),
-                      BERYL_SPREAD_INVALID);
-  ck_assert_uint_eq (beryl_spread_version (s), 0);
-  ck_assert_uint_eq (beryl_spread_count (s), 0);
-  beryl_spread_destroy (s);
+    ck_assert_int_eq (
+        beryl_config_log_apply (s, bad[i], strlen (bad[i]), &error),
+        BERYL_CONFIG_LOG_INVALID);
+  ck_assert_uint_eq (beryl_config_log_version (s), 0);
+  ck_assert_uint_eq (beryl_config_log_count (s), 0);
+  beryl_config_log_destroy (s);
 }
 END_TEST
 
@@ -236,9 +238,9 @@
   int failed;
 
   tcase_set_timeout (t, 50);
-  tcase_add_test (t, invalid_edit_keeps_the_last_good);
-  tcase_add_test (t, deletion_of_a_needed_object_is_rejected);
-  tcase_add_test (t, acceptor_from_the_past_does_not_judge);
+  tcase_add_test (t, invalid_edit_keeps_last_valid_version);
+  tcase_add_test (t, deletion_of_referenced_object_is_rejected);
+  tcase_add_test (t, stale_acceptor_proposes_nothing);
   tcase_add_test (t, one_bad_object_among_many);
   tcase_add_test (t, gaps_and_old_snapshots_are_refused);
   tcase_add_test (t, malformed_entries_change_nothing);
--- a/tests/platform/fake.c
+++ b/tests/platform/fake.c
@@ -24,7 +24,7 @@
   struct fake_client *client;
   uint64_t call;
   struct operation *op;
-  int64_t give_up_ms; /* of a waiting watch */
+  int64_t wait_until_ms; /* end of a watch's long poll */
   unsigned int status;
   int64_t retry_after_ms;
   char *body;
@@ -48,12 +48,12 @@
 static void
 message_insert (struct fake *f, struct fake_message *m)
 {
-  struct fake_message **place = &f->messages;
+  struct fake_message **link = &f->messages;
 
-  while (*place && (*place)->at_ms <= m->at_ms)
-    place = &(*place)->next;
-  m->next = *place;
-  *place = m;
+  while (*link && (*link)->at_ms <= m->at_ms)
+    link = &(*link)->next;
+  m->next = *link;
+  *link = m;
 }
 
 static struct fake_message *
@@ -91,11 +91,11 @@
                             call->if_none_match, call->body, call->body_bytes);
   ck_assert_ptr_nonnull (m->op);
   if (operation_type_writes (m->op->type))
-    m->at_ms += f->faults.hold_writes_ms;
-  m->give_up_ms = f->now_ms + m->op->wait_ms;
+    m->at_ms += f->faults.write_delay_ms;
+  m->wait_until_ms = f->now_ms + m->op->wait_ms;
   message_insert (f, message_new (c, MESSAGE_TIMEOUT, call->id,
                                   f->now_ms + call->timeout_ms));
-  if (fake_random (f, 100) < f->faults.lose_request)
+  if (fake_random (f, 100) < f->faults.lose_request_percent)
     message_free (m);
   else
     message_insert (f, m);
@@ -104,7 +104,7 @@
 static void
 client_abort (struct beryl_platform_handler *handler, uint64_t call)
 {
-  /* Like a closed connection: what is under way may still take effect. */
+  /* As with a closed connection, a call in transit may still take effect. */
 }
 
 static void
@@ -190,7 +190,7 @@
   c->core = NULL;
 }
 
-/** Send an answer back, or lose it. */
+/** Send an answer, which may be lost. */
 static void
 reply (struct fake *f, struct fake_message *request, unsigned int status,
        const char *body)
@@ -201,13 +201,13 @@
   m->status = status;
   m->retry_after_ms = status == 429 ? 1000 : 0;
   m->body = strdup (body);
-  if (fake_random (f, 100) < f->faults.lose_reply)
+  if (fake_random (f, 100) < f->faults.lose_reply_percent)
     message_free (m);
   else
     message_insert (f, m);
 }
 
-/** Answer a watch that waited in vain. */
+/** Answer a watch whose long poll ended without events. */
 static void
 reply_no_events (struct fake *f, struct fake_message *m)
 {
@@ -218,7 +218,8 @@
   reply (f, m, 200, body);
 }
 
-/** As the interface says, the whole list is told also if nothing changed. */
+/** Answer a long poll of the instance list; by the API the answer has the full
+ * list even if nothing changed. */
 static void
 reply_unchanged_instances (struct fake *f, struct fake_message *m)
 {
@@ -231,7 +232,7 @@
   free (answer.body);
 }
 
-/** Let a request reach the platform; true if it has to be kept waiting. */
+/** Execute a request at the platform; return true if it must keep waiting. */
 static bool
 request_arrives (struct fake *f, struct fake_message *m)
 {
@@ -256,7 +257,7 @@
       reply (f, m, answer.status, answer.body);
       free (answer.body);
     }
-  else if (f->now_ms < m->give_up_ms)
+  else if (f->now_ms < m->wait_until_ms)
     return true;
   else if (m->op->type == OPERATION_INSTANCES)
     reply_unchanged_instances (f, m);
@@ -304,7 +305,7 @@
   return next_ms > f->now_ms ? next_ms : f->now_ms;
 }
 
-/** Handle all that is due; returns how much that was. */
+/** Handle all that is due; return the number of events handled. */
 static uint32_t
 step (struct fake *f)
 {
@@ -339,7 +340,7 @@
     {
       int64_t next_ms = next_event_ms (f, end_ms);
 
-      /* A core that asks for ticks without end at one time is a bug. */
+      /* A client that requests endless ticks at the same time has a bug. */
       spins = next_ms == f->now_ms ? spins + 1 : 0;
       ck_assert_uint_lt (spins, 10000);
       f->now_ms = next_ms;
