--- a/gatewayd/front.c
+++ b/gatewayd/front.c
@@ -57,7 +57,7 @@
   front->wire->impl->read_request (front->wire, h1_exchange_head (ex), now_ms,
                                    &request);
   g_strlcpy (caller->id, request.id, sizeof caller->id);
-  request.request = caller->request;
+  request.handle = caller->request;
   request.arrived_ms = now_ms;
   beryl_forward_submit (front->forward, &request, now_ms);
 }
--- a/gatewayd/gateway.c
+++ b/gatewayd/gateway.c
@@ -220,7 +220,7 @@
 
 static void
 forward_decided (struct beryl_forward_owner *owner,
-                 const struct beryl_decision *d)
+                 const struct beryl_request_step *d)
 {
   char fingerprint[20];
 
@@ -259,7 +259,7 @@
   .refuse = forward_refuse,
   .fingerprint = forward_fingerprint,
   .quarantine_changed = forward_quarantined,
-  .log_decision = forward_decided,
+  .log_step = forward_decided,
   .log_endpoint_state = forward_learned,
 };
 
@@ -535,7 +535,7 @@
   planner_changing (g->planner, &changing);
   if (changing.count > 0 && g->tell == NULL)
     g->tell = loop_timer_start (g->loop, TELL_DELAY_MS, 0, tell, g);
-  beryl_forward_set_isolated (g->forward, isolated);
+  beryl_forward_set_reports_incomplete (g->forward, isolated);
   store_set_watch_wait (g->store, members_count (g->members), isolated);
   planner_stand (g->planner, g->stop_began_ms == 0
                                  && members_stands_for (
@@ -562,7 +562,7 @@
   int64_t now_ms;
 
   if (g->tell == NULL && g->members != NULL
-      && beryl_forward_runs_changed (g->forward))
+      && beryl_forward_report_due (g->forward))
     g->tell = loop_timer_start (g->loop, TELL_DELAY_MS, 0, tell, g);
   /* A node that hears no other may not have heard what is on record. */
   if (g->notices != NULL && notices_look (g->notices) && g->registry != NULL
--- a/gatewayd/metrics.c
+++ b/gatewayd/metrics.c
@@ -60,7 +60,7 @@
 }
 
 static void
-count_end (struct metrics *metrics, const struct beryl_decision *d)
+count_end (struct metrics *metrics, const struct beryl_request_step *d)
 {
   char labels[LABEL_BYTES];
 
@@ -75,7 +75,7 @@
 }
 
 void
-metrics_decided (struct metrics *metrics, const struct beryl_decision *d)
+metrics_decided (struct metrics *metrics, const struct beryl_request_step *d)
 {
   char labels[LABEL_BYTES];
 
--- a/gatewayd/metrics.h
+++ b/gatewayd/metrics.h
@@ -18,7 +18,7 @@
 
 /** Count one decision. */
 void metrics_decided (struct metrics *metrics,
-                      const struct beryl_decision *decision);
+                      const struct beryl_request_step *decision);
 
 /** A request came into quarantine, or out of it, for CAUSE. */
 void metrics_quarantined (struct metrics *metrics, const char *cause);
--- a/gatewayd/planner.c
+++ b/gatewayd/planner.c
@@ -219,7 +219,7 @@
 {
   GArray *engines = engines_of (p, service);
   struct beryl_generation_mix mix
-      = beryl_forward_generation_mix (p->forward, service);
+      = beryl_forward_merged_profile (p->forward, service);
   struct beryl_stage_order wanted;
 
   if (beryl_stages_plan (
--- a/include/beryl/forward.h
+++ b/include/beryl/forward.h
@@ -40,7 +40,7 @@
 /** A caller's request. */
 struct beryl_forward_request
 {
-  uint64_t request;                /**< owner's handle of the request */
+  uint64_t handle;                 /**< owner's handle of the request */
   char id[BERYL_REQUEST_ID_BYTES]; /**< used in the log and in moves */
   bool id_exact; /**< endpoints know the request by exactly this ID */
   const char *host;
@@ -118,7 +118,7 @@
 };
 
 /** One step in the processing of a request, for the log. */
-struct beryl_decision
+struct beryl_request_step
 {
   const char *step; /**< stable name, for example "reserve" */
   bool final;       /**< last step of the request */
@@ -172,8 +172,8 @@
                               uint64_t fingerprint, int64_t left_ms,
                               enum beryl_quarantine_cause cause);
   /** Log a step. May be NULL. */
-  void (*log_decision) (struct beryl_forward_owner *owner,
-                        const struct beryl_decision *decision);
+  void (*log_step) (struct beryl_forward_owner *owner,
+                    const struct beryl_request_step *decision);
   /** Log a change of ENDPOINT's state that the endpoint list does not show
    * yet. WHAT is the new state; FROM is the peer that reported it, or "own
    * call". May be NULL. */
@@ -229,7 +229,8 @@
                                         int64_t interval_ms);
 
 /** Set whether there are live nodes whose reports do not reach this node. */
-void beryl_forward_set_isolated (struct beryl_forward *forward, bool isolated);
+void beryl_forward_set_reports_incomplete (struct beryl_forward *forward,
+                                           bool isolated);
 
 /** A caller's request has arrived completely. REQUEST is copied, except HOST
  * and PATH, which are only used during the call. */
@@ -378,7 +379,7 @@
 
 /** Return whether this node's runs have changed since beryl_forward_runs was
  * last called. beryl_forward_runs writes up to MOST of them, newest first. */
-bool beryl_forward_runs_changed (const struct beryl_forward *forward);
+bool beryl_forward_report_due (const struct beryl_forward *forward);
 size_t beryl_forward_runs (struct beryl_forward *forward,
                            struct beryl_engine_run *runs, size_t most,
                            int64_t now_ms);
@@ -389,7 +390,7 @@
 
 /** Return the fleet-wide profile of SERVICE's generations. */
 struct beryl_generation_mix
-beryl_forward_generation_mix (struct beryl_forward *forward,
+beryl_forward_merged_profile (struct beryl_forward *forward,
                               const char *service);
 
 /** Return the tokens of KV memory that the runs of all nodes use at ENGINE of
--- a/libberyl/forward/answer.c
+++ b/libberyl/forward/answer.c
@@ -9,7 +9,7 @@
 
 /* The endpoint states that it did not run the request. */
 static void
-attempt_not_run (struct beryl_forward *f, struct exchange *x, int64_t now_ms)
+send_rejected (struct beryl_forward *f, struct exchange *x, int64_t now_ms)
 {
   struct request *r = x->request;
   bool wrong_stage = x->head.wrong_stage;
@@ -23,7 +23,7 @@
   if (forward_request_is_generation (r))
     generation_run_rejected (f, r, wrong_stage, now_ms);
   else
-    plain_attempt_failed (f, r, now_ms);
+    plain_send_failed (f, r, now_ms);
 }
 
 /* Returns whether another endpoint may be tried after one has failed. */
@@ -31,7 +31,7 @@
 may_try_another (const struct request *r)
 {
   return !r->answer_begun && forward_request_is_repeatable (r)
-         && r->endpoints_run < r->route->endpoints_max;
+         && r->endpoints_run_count < r->route->endpoints_max;
 }
 
 static bool
@@ -66,11 +66,11 @@
   rates_learn (f, x, &x->head.limit, is_success (x->head.status), now_ms);
   if (x->head.not_run)
     {
-      attempt_not_run (f, x, now_ms);
+      send_rejected (f, x, now_ms);
       return;
     }
   relocate_end (f, r);
-  forward_request_count_run (r);
+  forward_request_record_run (r);
   kv_clear (f, &r->kv);
   beryl_live_record_outcome (x->endpoint,
                              error ? BERYL_LIVE_FAILED : BERYL_LIVE_ANSWERED,
@@ -96,7 +96,7 @@
   if (error && may_try_another (r) && !forward_request_is_generation (r))
     {
       forward_exchange_abort (f, x);
-      plain_attempt_failed (f, r, now_ms);
+      plain_send_failed (f, r, now_ms);
       return;
     }
   abort_other_send (f, r, x);
@@ -112,7 +112,7 @@
   if (r->answer_begun)
     return;
   r->answer_begun = true;
-  f->owner->impl->answer_begin (f->owner, r->params.request, x->id);
+  f->owner->impl->answer_begin (f->owner, r->params.handle, x->id);
 }
 
 static void
@@ -120,7 +120,7 @@
 {
   if (r->buffered.count == 0)
     return;
-  f->owner->impl->answer_data (f->owner, r->params.request, r->buffered.bytes,
+  f->owner->impl->answer_data (f->owner, r->params.handle, r->buffered.bytes,
                                r->buffered.count);
   r->buffered.count = 0;
 }
@@ -151,7 +151,7 @@
   /* A stall is detected sooner between events than before the first. */
   if (r->run_events == 1 && forward_request_is_generation (r))
     r->timer_ms = stream_timer_ms (r);
-  f->owner->impl->answer_data (f->owner, r->params.request, event->bytes,
+  f->owner->impl->answer_data (f->owner, r->params.handle, event->bytes,
                                event->count);
 }
 
@@ -230,7 +230,7 @@
       stream_learn_length (f, r);
       generation_run_ended (f, r);
     }
-  handle = r->params.request;
+  handle = r->params.handle;
   forward_request_end (f, r, now_ms);
   f->owner->impl->answer_end (f->owner, handle);
 }
@@ -249,23 +249,23 @@
                     enum beryl_exchange_failure how, bool sent, int64_t now_ms)
 {
   struct request *r = x->request;
-  bool headed = x->has_head;
+  bool has_head = x->has_head;
 
   if (sent && (how == BERYL_FAILURE_RESET || how == BERYL_FAILURE_CLOSED))
     crashes_run_interrupted (f, r, x->endpoint, now_ms);
   forward_request_log (f, r, "send", x->endpoint, failure_name (how), sent,
                        now_ms);
   forward_exchange_free (f, x);
-  if (sent && !headed)
-    forward_request_count_run (r);
+  if (sent && !has_head)
+    forward_request_record_run (r);
   r->buffered.count = 0;
   event_splitter_reset (&r->events);
-  if (headed && move_stream_ended (f, r, now_ms))
+  if (has_head && move_stream_ended (f, r, now_ms))
     return;
   if (forward_request_is_generation (r))
     generation_exchange_failed (f, r, BERYL_EXCHANGE_RUN, sent, now_ms);
   else if (r->answer_begun)
     forward_request_fail (f, r, BERYL_REFUSAL_ENDPOINT_FAILED, now_ms);
   else
-    plain_attempt_failed (f, r, now_ms);
+    plain_send_failed (f, r, now_ms);
 }
--- a/libberyl/forward/backlog.c
+++ b/libberyl/forward/backlog.c
@@ -23,10 +23,11 @@
 /* Places freed per second at all engines of R's service: a run lasts as long
    as its output takes to produce. */
 static double
-places_per_s (struct beryl_forward *f, const struct request *r, int64_t now_ms)
+run_ends_per_s (struct beryl_forward *f, const struct request *r,
+                int64_t now_ms)
 {
   const struct length_model *lengths = &r->service->lengths;
-  double run_ms = r->service->output_tokens * lengths->ms_per_token;
+  double run_ms = r->service->output_tokens_mean * lengths->ms_per_token;
   uint32_t runs = engine_run_count (f, r, now_ms);
 
   return run_ms > 0 ? 1000 * runs / run_ms : 0;
@@ -49,14 +50,14 @@
 {
   return backlog_waiting (f, r, now_ms) * (double)PROPAGATION_MS
              / ASK_INTERVAL_MS
-         + places_per_s (f, r, now_ms) * PROPAGATION_MS / 1000;
+         + run_ends_per_s (f, r, now_ms) * PROPAGATION_MS / 1000;
 }
 
 int64_t
 backlog_wait_ms (struct beryl_forward *f, const struct request *r,
                  int64_t now_ms)
 {
-  double rate = places_per_s (f, r, now_ms);
+  double rate = run_ends_per_s (f, r, now_ms);
 
   if (rate <= 0)
     return 0;
@@ -79,11 +80,11 @@
                         int64_t now_ms)
 {
   struct service *s = r->service;
-  double rate = RETRY_SHARE * places_per_s (f, r, now_ms) / f->nodes;
+  double rate = RETRY_SHARE * run_ends_per_s (f, r, now_ms) / f->nodes;
   int64_t prefill_ms = engine_prefill_wait_ms (f, r, now_ms);
   int64_t after_ms = backlog_wait_ms (f, r, now_ms);
   int64_t latest_ms = r->deadline_ms;
-  int64_t slot_ms;
+  int64_t retry_ms;
 
   if (latest_ms != BERYL_NEVER_MS)
     latest_ms = now_ms + (latest_ms - now_ms) / RETRY_MAX_DIVISOR;
@@ -95,11 +96,11 @@
     after_ms = RETRY_MIN_MS;
   if (latest_ms != BERYL_NEVER_MS)
     after_ms = MAX (after_ms, random_retry_ms (f, latest_ms - now_ms));
-  slot_ms = now_ms + after_ms;
-  if (s->next_retry_ms > slot_ms)
-    slot_ms = s->next_retry_ms;
-  if (slot_ms > latest_ms)
-    slot_ms = latest_ms;
-  s->next_retry_ms = slot_ms + (int64_t)(1000 / rate);
-  return slot_ms - now_ms;
+  retry_ms = now_ms + after_ms;
+  if (s->next_retry_ms > retry_ms)
+    retry_ms = s->next_retry_ms;
+  if (retry_ms > latest_ms)
+    retry_ms = latest_ms;
+  s->next_retry_ms = retry_ms + (int64_t)(1000 / rate);
+  return retry_ms - now_ms;
 }
--- a/libberyl/forward/balance.c
+++ b/libberyl/forward/balance.c
@@ -22,7 +22,7 @@
 /* A leaving engine may stop before its runs end; each would need another
    prefill elsewhere, or be lost if it may run only once. */
 static bool
-engine_is_leaving (const struct request *r)
+must_leave_engine (const struct request *r)
 {
   return !beryl_live_accepts_work (r->reservation.endpoint);
 }
@@ -46,7 +46,7 @@
 {
   struct beryl_live *target;
 
-  if (!engine_is_leaving (r) && !will_be_preempted (f, r, now_ms))
+  if (!must_leave_engine (r) && !will_be_preempted (f, r, now_ms))
     return;
   target = engine_choose_target (f, r, now_ms);
   if (target != NULL)
--- a/libberyl/forward/crashes.c
+++ b/libberyl/forward/crashes.c
@@ -165,11 +165,11 @@
     return false;
   TAILQ_FOREACH (other, &f->requests, entry)
   {
-    bool is_there
+    bool uses_endpoint
         = other->reservation.endpoint == endpoint
           || (other->primary != NULL && other->primary->endpoint == endpoint);
 
-    if (other != r && is_there && crashes_is_suspect (other, now_ms))
+    if (other != r && uses_endpoint && crashes_is_suspect (other, now_ms))
       return true;
   }
   return run_table_has_suspect (&f->run_table, beryl_live_hash (endpoint),
@@ -177,7 +177,7 @@
 }
 
 static bool
-is_at_endpoint (const struct request *r)
+has_open_run (const struct request *r)
 {
   return r->phase == PHASE_RUNNING && r->primary != NULL;
 }
@@ -194,7 +194,7 @@
   for (r = TAILQ_FIRST (&f->requests); r != NULL; r = next)
     {
       next = TAILQ_NEXT (r, entry);
-      if (!is_at_endpoint (r))
+      if (!has_open_run (r))
         crashes_refuse (f, r, now_ms);
     }
 }
--- a/libberyl/forward/endpoint_reports.c
+++ b/libberyl/forward/endpoint_reports.c
@@ -17,7 +17,7 @@
 #define CHANGING_AVOID_MS 2000
 /* A peer that cannot reach more than one in this many of all endpoints is cut
    off itself, and its reports of unreachable endpoints are ignored. */
-#define UNREACHABLE_SHARE 3
+#define UNREACHABLE_MAX_DIVISOR 3
 
 void
 beryl_endpoint_set_add (struct beryl_endpoint_set *set, uint32_t number)
@@ -42,7 +42,7 @@
     return;
   beryl_live_mark_replaced (endpoint, now_ms);
   crashes_endpoint_ended (f, endpoint, now_ms);
-  f->runs_changed = true;
+  f->report_due = true;
   log_state (f, endpoint, "replaced", "own call");
 }
 
@@ -51,7 +51,7 @@
                              struct beryl_live *endpoint, int64_t now_ms)
 {
   beryl_live_mark_unreachable (endpoint, now_ms);
-  f->runs_changed = true;
+  f->report_due = true;
 }
 
 void
@@ -115,7 +115,7 @@
   uint32_t peer_number = beryl_name_hash (peer);
   struct beryl_endpoint_updates accepted = *reports;
 
-  if (reports->unreachable.count * UNREACHABLE_SHARE > count)
+  if (reports->unreachable.count * UNREACHABLE_MAX_DIVISOR > count)
     accepted.unreachable.count = 0;
   if (accepted.changing.count + accepted.replaced.count
           + accepted.unreachable.count
--- a/libberyl/forward/engines.c
+++ b/libberyl/forward/engines.c
@@ -19,7 +19,7 @@
 #define REMOTE_WAIT_MS 50
 /* Time constant by which the estimate of memory used by unknown runs
    decays. */
-#define HIDDEN_DECAY_MS 2000.0
+#define UNREPORTED_DECAY_MS 2000.0
 
 static bool
 serves (const struct beryl_live *endpoint, const struct request *r,
@@ -31,18 +31,18 @@
 }
 
 static uint32_t
-made_tokens (const struct request *r, int64_t now_ms)
+produced_tokens (const struct request *r, int64_t now_ms)
 {
-  uint64_t made = r->event_count * r->config->engine.event_tokens;
+  uint64_t produced = r->event_count * r->config->engine.event_tokens;
 
   if (r->phase != PHASE_RUNNING)
     return 0;
   if (r->last_event_ms > 0 && now_ms > r->last_event_ms)
-    made += (uint64_t)fmin ((double)(now_ms - r->last_event_ms)
-                                / r->service->lengths.ms_per_token,
-                            r->config->engine.event_tokens);
-  return made < r->params.output_tokens_max ? (uint32_t)made
-                                            : r->params.output_tokens_max;
+    produced += (uint64_t)fmin ((double)(now_ms - r->last_event_ms)
+                                    / r->service->lengths.ms_per_token,
+                                r->config->engine.event_tokens);
+  return produced < r->params.output_tokens_max ? (uint32_t)produced
+                                                : r->params.output_tokens_max;
 }
 
 void
@@ -55,7 +55,7 @@
     .engine = endpoint != NULL ? beryl_live_hash (endpoint) : 0,
     .prompt_tokens = r->params.prompt_tokens,
     .expected_tokens = r->expected_tokens,
-    .generated_tokens = made_tokens (r, now_ms),
+    .generated_tokens = produced_tokens (r, now_ms),
     .started = r->phase == PHASE_RUNNING,
     .suspect = crashes_is_suspect (r, now_ms),
   };
@@ -71,26 +71,29 @@
 /* Returns the memory that unknown runs are expected to use AHEAD_MS from now;
    it decays as they end. */
 static double
-hidden_at (const struct beryl_live *endpoint, int64_t now_ms, int64_t ahead_ms)
+unreported_tokens_at (const struct beryl_live *endpoint, int64_t now_ms,
+                      int64_t ahead_ms)
 {
   double age_ms
       = (double)(now_ms - endpoint->unreported_updated_ms + ahead_ms);
 
   return endpoint->unreported_tokens > 0
-             ? endpoint->unreported_tokens * exp (-age_ms / HIDDEN_DECAY_MS)
+             ? endpoint->unreported_tokens
+                   * exp (-age_ms / UNREPORTED_DECAY_MS)
              : 0;
 }
 
 static void
-hidden_add (const struct beryl_live *endpoint, int64_t now_ms,
-            struct memory_forecast *forecast)
+add_unreported (const struct beryl_live *endpoint, int64_t now_ms,
+                struct memory_forecast *forecast)
 {
   for (int i = 0; i < FORECAST_STEPS; i++)
     {
-      double hidden = hidden_at (endpoint, now_ms, i * FORECAST_STEP_MS);
+      double unreported
+          = unreported_tokens_at (endpoint, now_ms, i * FORECAST_STEP_MS);
 
-      forecast->tokens[i] += hidden;
-      forecast->upper_bound[i] += hidden;
+      forecast->tokens[i] += unreported;
+      forecast->upper_bound[i] += unreported;
     }
 }
 
@@ -113,21 +116,21 @@
   }
   run_table_forecast (&f->run_table, forecast, &s->lengths,
                       beryl_live_hash (endpoint), now_ms);
-  hidden_add (endpoint, now_ms, forecast);
+  add_unreported (endpoint, now_ms, forecast);
 }
 
 /* Runs of unreachable nodes use engine memory too. It is estimated from what
    an engine grants or refuses: the use that the known runs do not explain. */
 void
-engine_learn_capacity (struct beryl_forward *f, const struct request *r,
-                       struct beryl_live *endpoint, uint32_t tokens,
-                       bool granted, int64_t now_ms)
+engine_learn_unreported_use (struct beryl_forward *f, const struct request *r,
+                             struct beryl_live *endpoint, uint32_t tokens,
+                             bool granted, int64_t now_ms)
 {
   struct memory_forecast forecast;
   double usable_tokens = (double)r->config->engine.kv_tokens - tokens;
   double known;
 
-  endpoint->unreported_tokens = hidden_at (endpoint, now_ms, 0);
+  endpoint->unreported_tokens = unreported_tokens_at (endpoint, now_ms, 0);
   endpoint->unreported_updated_ms = now_ms;
   engine_forecast (f, r->service, endpoint, now_ms, &forecast);
   known = forecast.tokens[0] - endpoint->unreported_tokens;
@@ -215,11 +218,11 @@
         least = cost;
       /* An engine of unknown memory size counts as one place. */
       if (cost <= usable_tokens || usable_tokens <= 0)
-        capacity->free_places
+        capacity->fitting_runs
             += 1 + fmax (usable_tokens - cost, 0) / fmax (need, 1);
     }
   if (sample->offered > SAMPLE_MAX)
-    capacity->free_places *= (double)sample->offered / SAMPLE_MAX;
+    capacity->fitting_runs *= (double)sample->offered / SAMPLE_MAX;
   capacity->min_fill
       = usable_tokens > 0 ? FILL_PART * least / usable_tokens : 0;
 }
@@ -316,15 +319,15 @@
                       int64_t now_ms)
 {
   const struct request *other;
-  uint32_t made = made_tokens (r, now_ms);
+  uint32_t produced = produced_tokens (r, now_ms);
 
   TAILQ_FOREACH (other, &f->requests, entry)
   if (other != r && other->reservation.endpoint == r->reservation.endpoint
-      && made_tokens (other, now_ms) < made)
+      && produced_tokens (other, now_ms) < produced)
     return false;
   return !run_table_has_newer (&f->run_table, &r->service->lengths,
-                               beryl_live_hash (r->reservation.endpoint), made,
-                               now_ms);
+                               beryl_live_hash (r->reservation.endpoint),
+                               produced, now_ms);
 }
 
 static bool
@@ -474,7 +477,7 @@
 {
   size_t count = describe_runs (f, true, runs, 0, most, now_ms);
 
-  f->runs_changed = false;
+  f->report_due = false;
   return describe_runs (f, false, runs, count, most, now_ms);
 }
 
@@ -490,7 +493,7 @@
 }
 
 bool
-beryl_forward_runs_changed (const struct beryl_forward *f)
+beryl_forward_report_due (const struct beryl_forward *f)
 {
-  return f->runs_changed;
+  return f->report_due;
 }
--- a/libberyl/forward/forward.c
+++ b/libberyl/forward/forward.c
@@ -13,8 +13,8 @@
 #define STOPPING_RETRY_AFTER_MS 50
 /* Time that a plain request may need, and that a generation needs in addition
    to the production of its tokens. */
-#define PLAIN_MS 1000
-#define GENERATION_MS 800
+#define PLAIN_NEEDED_MS 1000
+#define GENERATION_EXTRA_MS 800
 
 const char *
 beryl_refusal_name (enum beryl_refusal_reason reason)
@@ -98,8 +98,8 @@
   s = calloc (1, sizeof *s);
   memcpy (s->name, name, strlen (name) + 1);
   length_model_init (&s->lengths);
-  s->prompt_tokens = PRIOR_PROMPT_TOKENS;
-  s->output_tokens = s->lengths.tokens_mean;
+  s->prompt_tokens_mean = PRIOR_PROMPT_TOKENS;
+  s->output_tokens_mean = s->lengths.tokens_mean;
   pace_init (&s->prefill_pace);
   s->prefill_ms_per_token = s->prefill_pace.ms_per_token;
   f->services
@@ -159,9 +159,9 @@
 }
 
 void
-beryl_forward_set_isolated (struct beryl_forward *f, bool isolated)
+beryl_forward_set_reports_incomplete (struct beryl_forward *f, bool isolated)
 {
-  f->isolated = isolated;
+  f->reports_incomplete = isolated;
 }
 
 struct exchange *
@@ -186,7 +186,7 @@
       endpoint->open_prefill_tokens += x->tokens;
     }
   start->exchange = x->id;
-  start->request = r != NULL ? r->params.request : 0;
+  start->request = r != NULL ? r->params.handle : 0;
   start->endpoint = endpoint;
   start->connect_timeout_ms = CONNECT_TIMEOUT_MS;
   if (r != NULL)
@@ -250,7 +250,7 @@
     .not_run = true,
     .retry_after_ms = status == 503 ? RETRY_AFTER_MS : 0,
   };
-  struct beryl_decision decision = {
+  struct beryl_request_step step = {
     .step = "refuse",
     .final = true,
     .id = params->id,
@@ -260,9 +260,9 @@
     .config_version = f->routes != NULL ? f->routes->version : 0,
   };
 
-  if (f->owner->impl->log_decision != NULL)
-    f->owner->impl->log_decision (f->owner, &decision);
-  f->owner->impl->refuse (f->owner, params->request, &refusal);
+  if (f->owner->impl->log_step != NULL)
+    f->owner->impl->log_step (f->owner, &step);
+  f->owner->impl->refuse (f->owner, params->handle, &refusal);
 }
 
 /* Returns whether R can be answered before the process stops. */
@@ -270,12 +270,12 @@
 can_end_in_time (const struct beryl_forward *f, const struct request *r,
                  int64_t now_ms)
 {
-  int64_t needed_ms = PLAIN_MS;
+  int64_t needed_ms = PLAIN_NEEDED_MS;
 
   if (f->stop_ms == BERYL_NEVER_MS)
     return true;
   if (forward_request_is_generation (r))
-    needed_ms = GENERATION_MS
+    needed_ms = GENERATION_EXTRA_MS
                 + (int64_t)(r->params.output_tokens_max
                             * r->service->lengths.ms_per_token);
   return now_ms + needed_ms <= f->stop_ms;
--- a/libberyl/forward/generation.c
+++ b/libberyl/forward/generation.c
@@ -29,9 +29,9 @@
 
   s->arrived++;
   weight = fmax (MEAN_WEIGHT_MIN, 1.0 / s->arrived);
-  s->prompt_tokens
-      += weight * ((double)r->params.prompt_tokens - s->prompt_tokens);
-  s->output_tokens += weight * (output - s->output_tokens);
+  s->prompt_tokens_mean
+      += weight * ((double)r->params.prompt_tokens - s->prompt_tokens_mean);
+  s->output_tokens_mean += weight * (output - s->output_tokens_mean);
 }
 
 void
@@ -97,10 +97,10 @@
 static bool
 run_allowed (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
-  bool paid = r->run_repeat_taken;
+  bool repeat_already_taken = r->run_repeat_taken;
 
   r->run_repeat_taken = false;
-  return r->runs == 0 || r->continues_run || paid
+  return r->engine_sends == 0 || r->continues_run || repeat_already_taken
          || forward_request_take_repeat (f, r, now_ms);
 }
 
@@ -121,7 +121,8 @@
 
 /* Handles that the engine with R's reservation does not run it. */
 static void
-reservation_lost (struct beryl_forward *f, struct request *r, int64_t now_ms)
+reservation_unusable (struct beryl_forward *f, struct request *r,
+                      int64_t now_ms)
 {
   relocate_end (f, r);
   if (r->continues_run && move_back (f, r, now_ms))
@@ -140,7 +141,7 @@
   if (engine_has_left (f, r, now_ms))
     {
       forward_request_log (f, r, "decode", endpoint, "left", 0, now_ms);
-      reservation_lost (f, r, now_ms);
+      reservation_unusable (f, r, now_ms);
       return;
     }
   if (!run_allowed (f, r, now_ms))
@@ -158,12 +159,12 @@
       r->kv.uses++;
     }
   r->phase = PHASE_RUNNING;
-  r->runs++;
+  r->engine_sends++;
   r->last_event_ms = now_ms;
   r->run_ms = now_ms;
   r->run_events = 0;
   r->stalled = false;
-  f->runs_changed = true;
+  f->report_due = true;
   r->timer_ms = stream_timer_ms (r);
   generation_start_exchange (f, r, &start, endpoint, now_ms);
   forward_request_log (f, r, "decode", endpoint,
@@ -180,7 +181,7 @@
 generation_reserved (struct beryl_forward *f, struct request *r,
                      int64_t now_ms)
 {
-  if (kv_usable (r, now_ms) || prefill_is_cached (f, r, now_ms))
+  if (kv_usable (r, now_ms) || prefill_use_cached (f, r, now_ms))
     generation_run (f, r, now_ms);
   else
     prefill_start (f, r, now_ms);
@@ -193,7 +194,8 @@
 {
   if (!r->may_have_run)
     return true;
-  return r->route->resumable && r->endpoints_run < r->route->endpoints_max;
+  return r->route->resumable
+         && r->endpoints_run_count < r->route->endpoints_max;
 }
 
 /* Plans R again after a failure; its KV cache is used again if it is still
@@ -214,7 +216,7 @@
 /* The endpoint list shows a change of stage late, and not at all to a node
    that is cut off from it; the engine itself knows its stage. */
 void
-generation_switch_stage (struct beryl_live *endpoint)
+generation_record_other_stage (struct beryl_live *endpoint)
 {
   endpoint->info.stage = endpoint->info.stage == BERYL_STAGE_PREFILL
                              ? BERYL_STAGE_DECODE
@@ -278,7 +280,7 @@
       move_failed (f, r, sent, now_ms);
       return;
     case BERYL_EXCHANGE_RESERVE:
-      placement_no_answer (f, r, now_ms);
+      placement_ask_failed (f, r, now_ms);
       return;
     case BERYL_EXCHANGE_RUN:
       run_failed (f, r, now_ms);
@@ -310,9 +312,9 @@
                          bool wrong_stage, int64_t now_ms)
 {
   if (wrong_stage && r->reservation.endpoint != NULL)
-    generation_switch_stage (r->reservation.endpoint);
+    generation_record_other_stage (r->reservation.endpoint);
   back_off_cause (r, now_ms);
-  reservation_lost (f, r, now_ms);
+  reservation_unusable (f, r, now_ms);
 }
 
 void
--- a/libberyl/forward/live.c
+++ b/libberyl/forward/live.c
@@ -13,7 +13,7 @@
    failure rate on. One in five is more than overload or a caller's own bad
    requests cause, and a broken endpoint reaches it within half a dozen
    calls. */
-#define AVOID_FAULTS 2
+#define AVOID_FAILURES 2
 #define AVOID_FAIL_RATE 0.2
 /* How long it is avoided; doubled at most three times, to eight times as long,
    while trials fail. */
@@ -22,11 +22,11 @@
 /* Interval of trials while an endpoint is avoided or its last call failed.
    Without trials an endpoint that failed once would get no requests while the
    others are not busy, and its recovery would go unnoticed. */
-#define TRIAL_INTERVAL_MS 500
+#define PROBE_INTERVAL_MS 500
 
 /* How long a peer's report that it cannot reach an endpoint counts, and how
    long an answer to this node overrides such reports. */
-#define UNREACHABLE_REPORT_MS 1000
+#define UNREACHABLE_VALID_MS 1000
 
 /* The list is confirmed about every two seconds; after a longer silence the
    list, or this node, was disconnected. */
@@ -36,7 +36,7 @@
 #define RELIST_MS 2500
 /* Part of the time in which a leaving endpoint may get work that is used here;
    the rest allows for late updates of the list. */
-#define KEEP_SHARE 0.7
+#define LEAVE_USED_SHARE 0.7
 
 struct beryl_live_set
 {
@@ -45,16 +45,16 @@
   size_t capacity;
   struct map by_id;
   int64_t leave_ms;
-  int64_t synced_ms;   /* 0: never */
-  int64_t returned_ms; /* the list's last return after an absence; 0: none */
+  int64_t synced_ms;  /* 0: never */
+  int64_t resumed_ms; /* the list's last return after an absence; 0: none */
 };
 
 /* Returns how long after an endpoint was known to leave it may get work from
    this node. */
 static int64_t
-keep_ms (const struct beryl_live_set *lives)
+leaving_work_ms (const struct beryl_live_set *lives)
 {
-  return (int64_t)(KEEP_SHARE * (double)lives->leave_ms);
+  return (int64_t)(LEAVE_USED_SHARE * (double)lives->leave_ms);
 }
 
 static struct map_key
@@ -142,10 +142,10 @@
 }
 
 static bool
-is_former_incarnation (const struct beryl_live *endpoint, uint64_t born_ms)
+is_former_incarnation (const struct beryl_live *endpoint, uint64_t start_ms)
 {
   for (size_t i = 0; i < BERYL_LIVE_PREVIOUS_MAX; i++)
-    if (born_ms != 0 && endpoint->previous_starts_ms[i] == born_ms)
+    if (start_ms != 0 && endpoint->previous_starts_ms[i] == start_ms)
       return true;
   return false;
 }
@@ -184,7 +184,7 @@
                     const struct beryl_live_info *info, int64_t now_ms)
 {
   struct beryl_live *endpoint = beryl_live_set_find (lives, info->id);
-  uint64_t born_ms = info->process_start_ms;
+  uint64_t start_ms = info->process_start_ms;
 
   if (endpoint == NULL)
     endpoint = lives_add (lives, info->id);
@@ -193,10 +193,10 @@
     return endpoint;
   else if (has_restarted (endpoint, info))
     endpoint = replace_incarnation (lives, endpoint, now_ms);
-  else if (born_ms == 0)
-    born_ms = endpoint->info.process_start_ms;
+  else if (start_ms == 0)
+    start_ms = endpoint->info.process_start_ms;
   endpoint->info = *info;
-  endpoint->info.process_start_ms = born_ms;
+  endpoint->info.process_start_ms = start_ms;
   endpoint->gone = false;
   endpoint->lapsed_until_ms = 0;
   if (!info->leaving)
@@ -209,10 +209,10 @@
 /* Updates arrive before the list is confirmed, so the first update after an
    outage must detect the return itself. */
 static void
-note_return (struct beryl_live_set *lives, int64_t now_ms)
+detect_list_resumed (struct beryl_live_set *lives, int64_t now_ms)
 {
   if (lives->synced_ms != 0 && now_ms - lives->synced_ms >= LIST_OUTAGE_MS)
-    lives->returned_ms = now_ms;
+    lives->resumed_ms = now_ms;
 }
 
 void
@@ -223,12 +223,12 @@
 
   if (endpoint == NULL || endpoint->gone)
     return;
-  note_return (lives, now_ms);
+  detect_list_resumed (lives, now_ms);
   if (endpoint->leaving_since_ms == 0)
     endpoint->leaving_since_ms = now_ms;
-  if (lives->returned_ms != 0 && now_ms < lives->returned_ms + RELIST_MS
+  if (lives->resumed_ms != 0 && now_ms < lives->resumed_ms + RELIST_MS
       && !endpoint->info.leaving)
-    endpoint->lapsed_until_ms = now_ms + keep_ms (lives);
+    endpoint->lapsed_until_ms = now_ms + leaving_work_ms (lives);
   else
     mark_gone (lives, endpoint);
 }
@@ -249,7 +249,7 @@
 void
 beryl_live_set_synced (struct beryl_live_set *lives, int64_t now_ms)
 {
-  note_return (lives, now_ms);
+  detect_list_resumed (lives, now_ms);
   lives->synced_ms = now_ms;
 }
 
@@ -302,7 +302,7 @@
 {
   return beryl_live_accepts_work (endpoint)
          || (endpoint->leaving_since_ms != 0 && endpoint->replaced_ms == 0
-             && now_ms < endpoint->leaving_since_ms + keep_ms (lives));
+             && now_ms < endpoint->leaving_since_ms + leaving_work_ms (lives));
 }
 
 bool
@@ -328,8 +328,8 @@
 static int64_t
 avoid_ms (const struct beryl_live *endpoint)
 {
-  uint32_t doublings = endpoint->consecutive_failures > AVOID_FAULTS
-                           ? endpoint->consecutive_failures - AVOID_FAULTS
+  uint32_t doublings = endpoint->consecutive_failures > AVOID_FAILURES
+                           ? endpoint->consecutive_failures - AVOID_FAILURES
                            : 0;
 
   if (doublings > AVOID_DOUBLINGS_MAX)
@@ -363,7 +363,7 @@
   endpoint->consecutive_failures++;
   endpoint->last_failure_ms = now_ms;
   if (outcome == BERYL_LIVE_TIMED_OUT
-      || endpoint->consecutive_failures >= AVOID_FAULTS
+      || endpoint->consecutive_failures >= AVOID_FAILURES
       || endpoint->failure_rate >= AVOID_FAIL_RATE)
     endpoint->avoid_until_ms = now_ms + avoid_ms (endpoint);
 }
@@ -388,16 +388,16 @@
 bool
 beryl_live_suspect (struct beryl_live *endpoint, uint32_t by, int64_t now_ms)
 {
-  bool again = endpoint->suspected_ms != 0 && endpoint->suspected_by != by
-               && now_ms - endpoint->suspected_ms < UNREACHABLE_REPORT_MS;
+  bool confirmed = endpoint->suspected_ms != 0 && endpoint->suspected_by != by
+                   && now_ms - endpoint->suspected_ms < UNREACHABLE_VALID_MS;
   bool was_avoided = beryl_live_avoided (endpoint, now_ms);
 
   if (endpoint->answered_ms != 0
-      && now_ms - endpoint->answered_ms < UNREACHABLE_REPORT_MS)
+      && now_ms - endpoint->answered_ms < UNREACHABLE_VALID_MS)
     return false;
   endpoint->suspected_by = by;
   endpoint->suspected_ms = now_ms;
-  if (!again)
+  if (!confirmed)
     return false;
   if (endpoint->avoid_until_ms < now_ms + AVOID_MS)
     endpoint->avoid_until_ms = now_ms + AVOID_MS;
@@ -427,8 +427,8 @@
   return !lapsed_and_failed (endpoint)
          && (beryl_live_avoided (endpoint, now_ms)
              || endpoint->last_failure_ms != 0)
-         && now_ms - endpoint->last_probe_ms >= TRIAL_INTERVAL_MS
-         && now_ms - endpoint->last_failure_ms >= TRIAL_INTERVAL_MS;
+         && now_ms - endpoint->last_probe_ms >= PROBE_INTERVAL_MS
+         && now_ms - endpoint->last_failure_ms >= PROBE_INTERVAL_MS;
 }
 
 const char *
--- a/libberyl/forward/loans.c
+++ b/libberyl/forward/loans.c
@@ -15,14 +15,14 @@
 #define LOAN_REQUEST_TIMEOUT_MS 150
 
 void
-loans_request_if_low (struct beryl_forward *f, struct service *s,
-                      int64_t now_ms)
+loans_schedule_if_low (struct beryl_forward *f, struct service *s,
+                       int64_t now_ms)
 {
   struct repeat_limits limits = forward_repeat_limits (f);
 
   if (repeat_budget_left (&s->budget, &limits, now_ms) < LOW_WATERMARK
       && now_ms - s->loan_requested_ms >= LOAN_REQUEST_TIMEOUT_MS)
-    f->runs_changed = true;
+    f->report_due = true;
 }
 
 /* Returns a random live peer; NULL if there is none. */
@@ -106,7 +106,7 @@
                                                 .service = request->service,
                                                 .count = count,
                                                 .serial = request->serial });
-  f->runs_changed = true;
+  f->report_due = true;
 }
 
 /* Only the answer to the last request counts, and only once. */
--- a/libberyl/forward/move.c
+++ b/libberyl/forward/move.c
@@ -46,7 +46,7 @@
   r->reservation.expires_ms = r->kv.expires_ms;
   beryl_live_open (target);
   move_clear (f, r);
-  f->runs_changed = true;
+  f->report_due = true;
   r->continues_run = true;
   generation_run (f, r, now_ms);
 }
--- a/libberyl/forward/placement.c
+++ b/libberyl/forward/placement.c
@@ -12,7 +12,7 @@
 #define FULL_BACKOFF_MS 60
 /* Minimum time from a reservation to the first event; a request with less time
    left to its objective is already late. */
-#define SERVICE_MIN_MS 300
+#define FIRST_EVENT_MIN_MS 300
 /* How long a request that can no longer meet its objective waits for
    memory. */
 #define LATE_WAIT_MS 600
@@ -43,14 +43,14 @@
   r->waiting = false;
   f->waiting_count--;
   r->service->waiting--;
-  f->runs_changed = true;
+  f->report_due = true;
 }
 
 /* Returns when R needs a reservation to meet its objective. */
 static int64_t
 latest_start_ms (const struct request *r)
 {
-  return r->params.arrived_ms + r->route->objective_ms - SERVICE_MIN_MS;
+  return r->params.arrived_ms + r->route->objective_ms - FIRST_EVENT_MIN_MS;
 }
 
 /* Returns when R is refused unless it has a reservation. */
@@ -75,7 +75,7 @@
   r->waiting = true;
   f->waiting_count++;
   r->service->waiting++;
-  f->runs_changed = true;
+  f->report_due = true;
 }
 
 void
@@ -88,7 +88,7 @@
     }
   wait_begin (f, r);
   r->phase = PHASE_WAITING;
-  r->refusals = 0;
+  r->failed_asks = 0;
   r->tried_count = 0;
   placement_ask (f, r, now_ms);
 }
@@ -136,7 +136,7 @@
       return;
     }
   r->phase = PHASE_WAITING;
-  r->refusals = 0;
+  r->failed_asks = 0;
   r->tried_count = 0;
   r->timer_ms = now_ms + ASK_INTERVAL_MS;
   if (end_ms < r->timer_ms)
@@ -148,7 +148,7 @@
 static uint32_t
 tokens_to_reserve (const struct beryl_forward *f, const struct request *r)
 {
-  if (f->isolated)
+  if (f->reports_incomplete)
     return r->params.prompt_tokens + r->expected_tokens;
   return reservation_tokens (r->params.prompt_tokens, r->expected_tokens);
 }
@@ -159,14 +159,14 @@
    On average only as many ask as there are places. */
 static bool
 leaves_to_others (struct beryl_forward *f, const struct request *r,
-                  double free_places, int64_t now_ms)
+                  double fitting_runs, int64_t now_ms)
 {
   double concurrent_asks = (double)backlog_waiting (f, r, now_ms)
                            * PROPAGATION_MS / ASK_INTERVAL_MS;
   double chance = random_unit (&f->random);
 
-  return concurrent_asks > free_places
-         && chance * concurrent_asks > free_places;
+  return concurrent_asks > fitting_runs
+         && chance * concurrent_asks > fitting_runs;
 }
 
 struct exchange *
@@ -189,16 +189,16 @@
 
   if (prefill_would_be_late (f, r, now_ms))
     {
-      placement_defer (f, r, now_ms);
+      placement_refuse_or_defer (f, r, now_ms);
       return;
     }
-  if (r->refusals < ASKS_PER_ROUND)
+  if (r->failed_asks < ASKS_PER_ROUND)
     endpoint = engine_choose_decode (f, r, &capacity, now_ms);
   if (endpoint == NULL
-      || leaves_to_others (f, r, capacity.free_places, now_ms))
+      || leaves_to_others (f, r, capacity.fitting_runs, now_ms))
     {
       log_wait (f, r,
-                r->refusals > 0         ? "engines_refuse"
+                r->failed_asks > 0      ? "engines_refuse"
                 : capacity.min_fill > 0 ? "engines_full"
                                         : "no_engine",
                 (int64_t)(100 * capacity.min_fill), now_ms);
@@ -214,7 +214,8 @@
    once: a request that could still be in time is told at once that it will not
    be. One that is late anyway waits for a gap. */
 void
-placement_defer (struct beryl_forward *f, struct request *r, int64_t now_ms)
+placement_refuse_or_defer (struct beryl_forward *f, struct request *r,
+                           int64_t now_ms)
 {
   wait_begin (f, r);
   log_wait (f, r, "prefill_behind", engine_prefill_wait_ms (f, r, now_ms),
@@ -253,14 +254,14 @@
   struct request *r = x->request;
   struct reservation *reservation = &r->reservation;
 
-  engine_learn_capacity (f, r, x->endpoint, x->tokens, true, now_ms);
+  engine_learn_unreported_use (f, r, x->endpoint, x->tokens, true, now_ms);
   rates_count_sent (f, r->service, x->endpoint, now_ms);
   reservation->endpoint = x->endpoint;
   reservation->tokens = x->tokens;
   reservation->expires_ms = x->started_ms + lease_ms (r);
   memcpy (reservation->handle, result->handle, sizeof reservation->handle);
   beryl_live_open (reservation->endpoint);
-  f->runs_changed = true;
+  f->report_due = true;
   forward_request_log (f, r, "reserve", x->endpoint, "granted", x->tokens,
                        now_ms);
   forward_exchange_free (f, x);
@@ -283,15 +284,15 @@
 }
 
 void
-placement_no_answer (struct beryl_forward *f, struct request *r,
-                     int64_t now_ms)
+placement_ask_failed (struct beryl_forward *f, struct request *r,
+                      int64_t now_ms)
 {
   if (r->relocating)
     {
       relocate_refused (f, r, now_ms);
       return;
     }
-  r->refusals++;
+  r->failed_asks++;
   placement_ask (f, r, now_ms);
 }
 
@@ -303,9 +304,9 @@
   forward_request_log (f, r, "reserve", x->endpoint, "full", x->tokens,
                        now_ms);
   x->endpoint->full_until_ms = now_ms + FULL_BACKOFF_MS;
-  engine_learn_capacity (f, r, x->endpoint, x->tokens, false, now_ms);
+  engine_learn_unreported_use (f, r, x->endpoint, x->tokens, false, now_ms);
   forward_exchange_free (f, x);
-  placement_no_answer (f, r, now_ms);
+  placement_ask_failed (f, r, now_ms);
 }
 
 void
@@ -313,7 +314,7 @@
 {
   if (reservation->endpoint == NULL)
     return;
-  f->runs_changed = true;
+  f->report_due = true;
   beryl_live_close (f->endpoints, reservation->endpoint);
   *reservation = (struct reservation){ 0 };
 }
--- a/libberyl/forward/plain.c
+++ b/libberyl/forward/plain.c
@@ -109,7 +109,7 @@
         continue;
       cost = endpoint_cost (f, r, endpoint, now_ms);
       /* Only an idempotent request is used for a trial. */
-      if (forward_request_is_repeatable (r) && r->sends == 0
+      if (forward_request_is_repeatable (r) && r->plain_sends == 0
           && beryl_live_probe_due (endpoint, now_ms))
         cost = -1;
       if (best == NULL || cost < best_cost)
@@ -132,7 +132,7 @@
 
   forward_request_mark_tried (r, endpoint);
   rates_count_sent (f, r->service, endpoint, now_ms);
-  r->sends++;
+  r->plain_sends++;
   r->phase = PHASE_RUNNING;
   r->run_ms = now_ms;
   x = forward_exchange_start (f, r, &start, endpoint, now_ms);
@@ -140,13 +140,13 @@
     r->primary = x;
   else
     r->secondary = x;
-  forward_request_log (f, r, "send", endpoint, "sent", r->sends, now_ms);
+  forward_request_log (f, r, "send", endpoint, "sent", r->plain_sends, now_ms);
   r->timer_ms = r->deadline_ms;
   /* Hedging: if the answer to an idempotent request is unusually late, a
      second endpoint is tried, and the first complete answer is used. A dead
      endpoint then costs some tens of milliseconds. */
   if (forward_request_is_repeatable (r) && r->secondary == NULL
-      && r->sends < r->route->endpoints_max)
+      && r->plain_sends < r->route->endpoints_max)
     {
       int64_t late_ms = now_ms + service_hedge_delay_ms (r->service);
 
@@ -175,8 +175,7 @@
 }
 
 void
-plain_attempt_failed (struct beryl_forward *f, struct request *r,
-                      int64_t now_ms)
+plain_send_failed (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
   struct beryl_live *endpoint;
 
@@ -186,7 +185,7 @@
     return;
   if (r->may_have_run
       && (!forward_request_is_repeatable (r)
-          || r->endpoints_run >= r->route->endpoints_max))
+          || r->endpoints_run_count >= r->route->endpoints_max))
     {
       forward_request_fail (f, r, BERYL_REFUSAL_ENDPOINT_FAILED, now_ms);
       return;
--- a/libberyl/forward/prefill.c
+++ b/libberyl/forward/prefill.c
@@ -6,26 +6,26 @@
 /* Prefills prompts, at a prefill engine or at the decode engine itself. */
 
 /* How long a prefill's KV cache is kept if the service does not state it. */
-#define KV_HANDLE_MS 500
+#define DEFAULT_KV_HANDLE_MS 500
 /* How much longer a prefill takes at a decode engine, and the minimum time
    between two of them at one engine. */
 #define LOCAL_FACTOR 2.0
 #define LOCAL_SPACING_MS 1000
 /* Time from the end of the prefill to the first event: the KV cache is
    transferred, and one event is produced. */
-#define FIRST_EVENT_MS 100
+#define TRANSFER_AND_EVENT_MS 100
 
 /* Takes the repeats that a prefill and the run after it need. A prompt is not
    prefilled unless its run may be sent too. */
 static bool
 prefill_allowed (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
-  uint32_t needed = (r->prefilled ? 1 : 0) + (r->runs > 0 ? 1 : 0);
+  uint32_t needed = (r->prefilled ? 1 : 0) + (r->engine_sends > 0 ? 1 : 0);
 
   if (forward_request_repeats_left (f, r, now_ms) < needed)
     return false;
   forward_request_take_repeats (f, r, needed, now_ms);
-  r->run_repeat_taken = r->runs > 0;
+  r->run_repeat_taken = r->engine_sends > 0;
   return true;
 }
 
@@ -70,8 +70,8 @@
    long as a prefill engine, and its other runs nearly stop meanwhile. That is
    worth it only if the prefill engines' queue would make the request late. */
 static bool
-should_prefill_locally (struct beryl_forward *f, const struct request *r,
-                        int64_t wait_ms, int64_t now_ms)
+try_local_prefill (struct beryl_forward *f, const struct request *r,
+                   int64_t wait_ms, int64_t now_ms)
 {
   int64_t left_ms = r->params.arrived_ms + r->route->objective_ms - now_ms;
   int64_t remote_ms = wait_ms + (int64_t)prefill_ms (r);
@@ -89,7 +89,7 @@
 /* An engine that has the prompt cached still has to prefill the part of the
    answer that the caller already has. */
 bool
-prefill_is_cached (struct beryl_forward *f, struct request *r, int64_t now_ms)
+prefill_use_cached (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
   struct beryl_live *endpoint = r->reservation.endpoint;
   double resumed_tokens
@@ -116,7 +116,7 @@
 makes_late (const struct request *r, int64_t wait_ms, int64_t now_ms)
 {
   double spare_ms = (double)(r->params.arrived_ms + r->route->objective_ms
-                             - now_ms - FIRST_EVENT_MS)
+                             - now_ms - TRANSFER_AND_EVENT_MS)
                     - prefill_ms (r);
 
   return !r->answer_begun && !r->may_have_run && wait_ms > 0
@@ -147,7 +147,7 @@
                      int64_t now_ms)
 {
   reservation_release (f, &r->reservation, now_ms);
-  placement_defer (f, r, now_ms);
+  placement_refuse_or_defer (f, r, now_ms);
 }
 
 /* The first accepted prefill does not count as a repeat, later ones do. */
@@ -167,7 +167,7 @@
   r->timer_ms = r->reservation.expires_ms;
   start.tokens = r->params.prompt_tokens;
   generation_start_exchange (f, r, &start, endpoint, now_ms);
-  f->runs_changed = true;
+  f->report_due = true;
   forward_request_log (f, r, "prefill", endpoint, "sent", start.tokens,
                        now_ms);
 }
@@ -185,10 +185,10 @@
       return;
     }
   r->local_prefill
-      = endpoint == NULL || should_prefill_locally (f, r, wait_ms, now_ms);
+      = endpoint == NULL || try_local_prefill (f, r, wait_ms, now_ms);
   if (r->local_prefill)
     {
-      f->runs_changed = true;
+      f->report_due = true;
       generation_run (f, r, now_ms);
     }
   else if (makes_late (r, wait_ms, now_ms))
@@ -216,7 +216,8 @@
   int64_t stated_ms = r->config->engine.kv_handle_ms;
 
   r->kv.endpoint = x->endpoint;
-  r->kv.expires_ms = now_ms + (stated_ms > 0 ? stated_ms : KV_HANDLE_MS);
+  r->kv.expires_ms
+      = now_ms + (stated_ms > 0 ? stated_ms : DEFAULT_KV_HANDLE_MS);
   memcpy (r->kv.handle, result->handle, sizeof r->kv.handle);
   beryl_live_open (x->endpoint);
   forward_request_log (f, r, "prefill", x->endpoint, "done", took_ms, now_ms);
@@ -241,7 +242,7 @@
                        result->status, now_ms);
   generation_back_off (x->endpoint, now_ms);
   if (result->wrong_stage)
-    generation_switch_stage (x->endpoint);
+    generation_record_other_stage (x->endpoint);
   forward_exchange_free (f, x);
   if (allowed)
     generation_restart (f, r, now_ms);
--- a/libberyl/forward/private.h
+++ b/libberyl/forward/private.h
@@ -44,8 +44,8 @@
                                  unknown */
   double answer_deviation_ms; /**< mean deviation of it */
   struct length_model lengths; /**< output lengths of its generations */
-  double prompt_tokens;        /**< mean prompt length of its generations */
-  double output_tokens;        /**< mean expected output of its generations */
+  double prompt_tokens_mean;   /**< mean prompt length of its generations */
+  double output_tokens_mean;   /**< mean expected output of its generations */
   uint32_t arrived;            /**< number of generations that arrived */
   struct pace prefill_pace; /**< speed of its prefill engines, from this node's
                                own prefills */
@@ -119,8 +119,8 @@
   struct exchange *primary;   /**< open exchange, or NULL */
   struct exchange *secondary; /**< concurrent exchange: a hedged send, a move
                                  or a reservation */
-  uint32_t sends;             /**< times a plain request was sent */
-  uint32_t endpoints_run;     /**< endpoints that may have run it */
+  uint32_t plain_sends;       /**< times a plain request was sent */
+  uint32_t endpoints_run_count; /**< endpoints that may have run it */
   bool may_have_run;
   uint64_t fingerprint;      /**< of its content; 0 if not computed yet */
   uint64_t tried[TRIED_MAX]; /**< hashes of endpoint ids */
@@ -142,8 +142,9 @@
   int64_t first_event_ms;
   int64_t longest_gap_ms;
   struct beryl_live *move_target; /**< target while moving; kept open */
-  bool move_stopped; /**< the engine has stopped the run for the move */
-  uint32_t runs; /**< number of times the request itself was sent to engines */
+  bool move_stopped;     /**< the engine has stopped the run for the move */
+  uint32_t engine_sends; /**< number of times the request itself was sent to
+                            engines */
   bool prefilled;        /**< a prefill engine has accepted its prompt */
   bool run_repeat_taken; /**< the next run's repeat was already taken from the
                             budget */
@@ -153,10 +154,10 @@
   bool continues_run;   /**< the next run continues a moved one */
   bool stalled;         /**< its stream has produced no event for too long */
   bool relocating; /**< looks for another engine while its run is still open */
-  bool stream_ended; /**< the stream of a move's source engine has ended */
-  uint32_t refusals; /**< refusals by engines in the current round */
-  bool suspect;      /**< an endpoint may have crashed while running it */
-  int64_t run_ms;    /**< when its current run was sent */
+  bool stream_ended;    /**< the stream of a move's source engine has ended */
+  uint32_t failed_asks; /**< refusals by engines in the current round */
+  bool suspect;         /**< an endpoint may have crashed while running it */
+  int64_t run_ms;       /**< when its current run was sent */
   int64_t waiting_since_ms;
   const char *wait_reason; /**< last logged reason to wait; NULL if none */
 };
@@ -170,7 +171,7 @@
   struct beryl_forward_owner *owner;
   struct beryl_routes *routes; /**< NULL before the first configuration */
   uint32_t nodes;
-  bool isolated; /**< reports of other live nodes do not arrive */
+  bool reports_incomplete; /**< reports of other live nodes do not arrive */
   struct map requests_by_handle;
   struct map exchanges_by_id;
   struct request_list requests;
@@ -187,7 +188,7 @@
   struct prompt_locations prompt_locations; /**< where prompts ran recently */
   struct beryl_repeat_transfers pending_loans; /**< granted, not sent yet */
   uint32_t last_loan_serial;
-  bool runs_changed; /**< this node's runs have changed since they were
+  bool report_due; /**< this node's runs have changed since they were
                         reported */
   struct beryl_limits *limits;
   uint32_t reachable_nodes;     /**< reachable, including this one */
@@ -295,8 +296,8 @@
 /* loans.c */
 /** Called when a repeat of S was sent or denied; requests a loan from a peer
  * if few repeats are left. */
-void loans_request_if_low (struct beryl_forward *f, struct service *s,
-                           int64_t now_ms);
+void loans_schedule_if_low (struct beryl_forward *f, struct service *s,
+                            int64_t now_ms);
 
 /* request.c */
 /** Create a request from PARAMS, which are copied, and choose one of ROUTE's
@@ -339,7 +340,7 @@
  * run. */
 bool forward_request_is_repeatable (const struct request *r);
 /** Count that the endpoint R was sent to runs it, or may run it. */
-void forward_request_count_run (struct request *r);
+void forward_request_record_run (struct request *r);
 /** Take one repeat from the budget of R's service; false if none is left. */
 bool forward_request_take_repeat (struct beryl_forward *f, struct request *r,
                                   int64_t now_ms);
@@ -358,8 +359,8 @@
 /* plain.c */
 void plain_start (struct beryl_forward *f, struct request *r, int64_t now_ms);
 /** An exchange of R ended without an answer that can be forwarded. */
-void plain_attempt_failed (struct beryl_forward *f, struct request *r,
-                           int64_t now_ms);
+void plain_send_failed (struct beryl_forward *f, struct request *r,
+                        int64_t now_ms);
 void plain_timer (struct beryl_forward *f, struct request *r, int64_t now_ms);
 /** Learn from the time to the head of an answer. */
 void service_learn_answer_time (struct service *s, int64_t took_ms);
@@ -373,8 +374,8 @@
                       int64_t now_ms);
 /** R gave up its reservation, or did not ask for one, since its prompt cannot
  * be prefilled in time: refuse it or let it wait on. */
-void placement_defer (struct beryl_forward *f, struct request *r,
-                      int64_t now_ms);
+void placement_refuse_or_defer (struct beryl_forward *f, struct request *r,
+                                int64_t now_ms);
 /** End R's wait for memory. */
 void placement_wait_end (struct beryl_forward *f, struct request *r);
 /** Ask the next engine for memory. */
@@ -390,8 +391,8 @@
 void placement_refused (struct beryl_forward *f, struct exchange *x,
                         int64_t now_ms);
 /** An engine that R asked for a reservation did not answer. */
-void placement_no_answer (struct beryl_forward *f, struct request *r,
-                          int64_t now_ms);
+void placement_ask_failed (struct beryl_forward *f, struct request *r,
+                           int64_t now_ms);
 /** Engines were added or removed: waiting requests ask again at the next
  * tick. */
 void placement_wake_all (struct beryl_forward *f, int64_t now_ms);
@@ -455,7 +456,7 @@
 void generation_restart (struct beryl_forward *f, struct request *r,
                          int64_t now_ms);
 /** ENDPOINT has reported that it now has the other stage. */
-void generation_switch_stage (struct beryl_live *endpoint);
+void generation_record_other_stage (struct beryl_live *endpoint);
 /** ENDPOINT rejected work that it had memory for: back off from it for a
  * while. */
 void generation_back_off (struct beryl_live *endpoint, int64_t now_ms);
@@ -467,8 +468,8 @@
                             int64_t now_ms);
 /** Return whether R needs no prefill because its decode engine has the prompt
  * cached. */
-bool prefill_is_cached (struct beryl_forward *f, struct request *r,
-                        int64_t now_ms);
+bool prefill_use_cached (struct beryl_forward *f, struct request *r,
+                         int64_t now_ms);
 /** Have the prompt of R, which has a reservation, prefilled. */
 void prefill_start (struct beryl_forward *f, struct request *r,
                     int64_t now_ms);
@@ -579,9 +580,10 @@
                          int64_t now_ms);
 /** ENDPOINT granted or refused a reservation of TOKENS: estimate from that
  * what runs of unknown nodes use there. */
-void engine_learn_capacity (struct beryl_forward *f, const struct request *r,
-                            struct beryl_live *endpoint, uint32_t tokens,
-                            bool granted, int64_t now_ms);
+void engine_learn_unreported_use (struct beryl_forward *f,
+                                  const struct request *r,
+                                  struct beryl_live *endpoint, uint32_t tokens,
+                                  bool granted, int64_t now_ms);
 /** Choose an engine to move R's run to; NULL if none has enough memory. */
 struct beryl_live *engine_choose_target (struct beryl_forward *f,
                                          const struct request *r,
@@ -598,7 +600,7 @@
   /** Part of its memory that the emptiest engine would fill with one more
    * request; 0 if there is no engine to ask. */
   double min_fill;
-  double free_places; /**< requests of that size that would fit */
+  double fitting_runs; /**< requests of that size that would fit */
 };
 
 /** Choose a decode engine to ask for a reservation; NULL if there is none.
--- a/libberyl/forward/profile.c
+++ b/libberyl/forward/profile.c
@@ -19,7 +19,7 @@
 #define NS_PER_MS 1e6
 /* The fleet's paces are merged again once one in this many of the peers has
    sent a profile. */
-#define MERGE_SHARE 8
+#define MERGE_DIVISOR 8
 
 struct peer_profile
 {
@@ -49,8 +49,8 @@
   return (struct beryl_generation_profile){
     .service = beryl_name_hash (s->name),
     .arrived = at_most (s->arrived, ARRIVED_WEIGHT_MAX),
-    .prompt_tokens = (uint32_t)s->prompt_tokens,
-    .output_tokens = (uint32_t)s->output_tokens,
+    .prompt_tokens = (uint32_t)s->prompt_tokens_mean,
+    .output_tokens = (uint32_t)s->output_tokens_mean,
     .prefills = at_most (s->prefill_pace.samples, PREFILLS_WEIGHT_MAX),
     .prefill_ns_per_token
     = (uint32_t)(s->prefill_pace.ms_per_token * NS_PER_MS),
@@ -150,7 +150,7 @@
 }
 
 /* Merged profiles of all nodes. */
-struct fleet
+struct profile_merge
 {
   struct sums sums;
   struct node_paces prefills;
@@ -158,24 +158,25 @@
 };
 
 static void
-fleet_add (struct fleet *fleet, const struct beryl_generation_profile *profile)
+profile_merge_add (struct profile_merge *merge,
+                   const struct beryl_generation_profile *profile)
 {
-  sums_add (&fleet->sums, profile);
-  paces_add (&fleet->prefills, profile->prefill_ns_per_token,
+  sums_add (&merge->sums, profile);
+  paces_add (&merge->prefills, profile->prefill_ns_per_token,
              profile->prefills);
-  paces_add (&fleet->streams, profile->decode_ns_per_token, profile->streams);
+  paces_add (&merge->streams, profile->decode_ns_per_token, profile->streams);
 }
 
 static void
-set_prefill_range (struct beryl_generation_mix *mix,
+set_prefill_range (struct beryl_generation_mix *merged,
                    const struct node_paces *prefills)
 {
   if (prefills->count == 0)
     return;
-  mix->prefill_samples.nodes = (uint32_t)prefills->count;
-  mix->prefill_samples.prefills = (uint32_t)prefills->observations;
-  mix->prefill_samples.min_ms_per_token = prefills->items[0].ms_per_token;
-  mix->prefill_samples.max_ms_per_token
+  merged->prefill_samples.nodes = (uint32_t)prefills->count;
+  merged->prefill_samples.prefills = (uint32_t)prefills->observations;
+  merged->prefill_samples.min_ms_per_token = prefills->items[0].ms_per_token;
+  merged->prefill_samples.max_ms_per_token
       = prefills->items[prefills->count - 1].ms_per_token;
 }
 
@@ -183,34 +184,36 @@
 merge_profiles (const struct service *s)
 {
   struct beryl_generation_profile own = own_profile (s);
-  struct beryl_generation_mix mix;
-  struct fleet fleet = { 0 };
-  const struct sums *sums = &fleet.sums;
+  struct beryl_generation_mix merged;
+  struct profile_merge merge = { 0 };
+  const struct sums *sums = &merge.sums;
 
-  paces_init (&fleet.prefills, s->peer_profiles.count + 1);
-  paces_init (&fleet.streams, s->peer_profiles.count + 1);
-  fleet_add (&fleet, &own);
+  paces_init (&merge.prefills, s->peer_profiles.count + 1);
+  paces_init (&merge.streams, s->peer_profiles.count + 1);
+  profile_merge_add (&merge, &own);
   for (size_t i = 0; i < s->peer_profiles.count; i++)
-    fleet_add (&fleet, &s->peer_profiles.items[i].profile);
-  mix = (struct beryl_generation_mix){
-    .prompt_tokens = mean_of (sums->prompt, sums->arrived, s->prompt_tokens),
-    .output_tokens = mean_of (sums->output, sums->arrived, s->output_tokens),
+    profile_merge_add (&merge, &s->peer_profiles.items[i].profile);
+  merged = (struct beryl_generation_mix){
+    .prompt_tokens
+    = mean_of (sums->prompt, sums->arrived, s->prompt_tokens_mean),
+    .output_tokens
+    = mean_of (sums->output, sums->arrived, s->output_tokens_mean),
     .prefill_ms_per_token
-    = paces_median (&fleet.prefills, s->prefill_pace.ms_per_token),
+    = paces_median (&merge.prefills, s->prefill_pace.ms_per_token),
     .decode_ms_per_token
-    = paces_median (&fleet.streams, s->lengths.own_ms_per_token),
+    = paces_median (&merge.streams, s->lengths.own_ms_per_token),
     .kv_tokens = s->kv_tokens,
-    .measured = fleet.prefills.observations >= MEASURED_PREFILLS_MIN
-                && fleet.streams.observations >= MEASURED_STREAMS_MIN,
+    .measured = merge.prefills.observations >= MEASURED_PREFILLS_MIN
+                && merge.streams.observations >= MEASURED_STREAMS_MIN,
   };
-  set_prefill_range (&mix, &fleet.prefills);
-  free (fleet.prefills.items);
-  free (fleet.streams.items);
-  return mix;
+  set_prefill_range (&merged, &merge.prefills);
+  free (merge.prefills.items);
+  free (merge.streams.items);
+  return merged;
 }
 
 struct beryl_generation_mix
-beryl_forward_generation_mix (struct beryl_forward *f, const char *name)
+beryl_forward_merged_profile (struct beryl_forward *f, const char *name)
 {
   return merge_profiles (forward_service (f, name));
 }
@@ -239,17 +242,17 @@
 {
   bool prefills_known = s->prefill_pace.samples >= PREFILLS_WEIGHT_MAX;
   bool streams_known = s->lengths.pace_samples >= STREAMS_WEIGHT_MAX;
-  struct beryl_generation_mix mix;
+  struct beryl_generation_mix merged;
 
   s->peer_profiles.unmerged = 0;
   s->prefill_ms_per_token = s->prefill_pace.ms_per_token;
   if (prefills_known && streams_known)
     return;
-  mix = merge_profiles (s);
+  merged = merge_profiles (s);
   if (!prefills_known)
-    s->prefill_ms_per_token = mix.prefill_ms_per_token;
+    s->prefill_ms_per_token = merged.prefill_ms_per_token;
   if (!streams_known)
-    s->lengths.ms_per_token = mix.decode_ms_per_token;
+    s->lengths.ms_per_token = merged.decode_ms_per_token;
 }
 
 void
@@ -279,7 +282,7 @@
         continue;
       store_profile (&s->peer_profiles, beryl_name_hash (peer),
                      &profiles->items[i]);
-      if (++s->peer_profiles.unmerged > s->peer_profiles.count / MERGE_SHARE)
+      if (++s->peer_profiles.unmerged > s->peer_profiles.count / MERGE_DIVISOR)
         update_paces (s);
     }
 }
--- a/libberyl/forward/rates.c
+++ b/libberyl/forward/rates.c
@@ -165,14 +165,14 @@
              const struct beryl_limit_item *item,
              const struct beryl_limit_cluster *terms, int64_t now_ms)
 {
-  struct beryl_limits_update news
+  struct beryl_limits_update update
       = { .node = node, .items = { *item }, .count = 1 };
   struct beryl_rate_limit before
       = beryl_limits_get (f->limits, item->endpoint);
   struct beryl_rate_limit after;
   const struct beryl_live *endpoint;
 
-  beryl_limits_apply_update (f->limits, &news, terms, now_ms);
+  beryl_limits_apply_update (f->limits, &update, terms, now_ms);
   after = beryl_limits_get (f->limits, item->endpoint);
   if (before.advertised == after.advertised)
     return;
@@ -183,12 +183,12 @@
 
 void
 beryl_forward_peer_limits (struct beryl_forward *f,
-                           const struct beryl_limits_update *news,
+                           const struct beryl_limits_update *update,
                            int64_t now_ms)
 {
   struct beryl_limit_cluster terms
       = { .reachable_fraction = reachable_share (f, now_ms) };
 
-  for (size_t i = 0; i < news->count; i++)
-    apply_limit (f, news->node, &news->items[i], &terms, now_ms);
+  for (size_t i = 0; i < update->count; i++)
+    apply_limit (f, update->node, &update->items[i], &terms, now_ms);
 }
--- a/libberyl/forward/relocate.c
+++ b/libberyl/forward/relocate.c
@@ -30,7 +30,7 @@
   if (!r->relocating)
     return;
   r->relocating = false;
-  r->refusals = 0;
+  r->failed_asks = 0;
   r->tried_count = 0;
   if (x != NULL)
     forward_exchange_detach (f, r, x);
@@ -39,7 +39,7 @@
 static void
 next_round (struct request *r, int64_t now_ms)
 {
-  r->refusals = 0;
+  r->failed_asks = 0;
   r->tried_count = 0;
   r->timer_ms = now_ms + ASK_INTERVAL_MS;
 }
@@ -52,7 +52,7 @@
 
   if (r->tried_count == 0)
     forward_request_mark_tried (r, r->reservation.endpoint);
-  if (r->refusals < ASKS_PER_ROUND && stream_may_relocate (f, r, now_ms))
+  if (r->failed_asks < ASKS_PER_ROUND && stream_may_relocate (f, r, now_ms))
     endpoint = engine_choose_decode (f, r, &capacity, now_ms);
   if (endpoint == NULL)
     {
@@ -72,7 +72,7 @@
   forward_request_log (f, r, "stall", r->primary->endpoint, why,
                        now_ms - r->last_event_ms, now_ms);
   r->relocating = true;
-  r->refusals = 0;
+  r->failed_asks = 0;
   r->tried_count = 0;
   ask (f, r, now_ms);
 }
@@ -95,7 +95,7 @@
 void
 relocate_refused (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
-  r->refusals++;
+  r->failed_asks++;
   ask (f, r, now_ms);
 }
 
@@ -131,7 +131,7 @@
     }
   r->relocating = false;
   if (!old->has_head)
-    forward_request_count_run (r);
+    forward_request_record_run (r);
   forward_exchange_abort (f, old);
   event_splitter_reset (&r->events);
   r->continues_run = false;
--- a/libberyl/forward/repeat_budget.c
+++ b/libberyl/forward/repeat_budget.c
@@ -10,8 +10,8 @@
 advance (struct repeat_budget *b, const struct repeat_limits *limits,
          int64_t now_ms)
 {
-  int64_t piece_ms = limits->window_ms / (REPEAT_BUCKETS - 1);
-  int64_t bucket = now_ms / (piece_ms > 0 ? piece_ms : 1);
+  int64_t bucket_ms = limits->window_ms / (REPEAT_BUCKETS - 1);
+  int64_t bucket = now_ms / (bucket_ms > 0 ? bucket_ms : 1);
 
   if (bucket - b->bucket >= REPEAT_BUCKETS)
     {
--- a/libberyl/forward/request.c
+++ b/libberyl/forward/request.c
@@ -10,7 +10,7 @@
 forward_request_free (struct beryl_forward *f, struct request *r)
 {
   TAILQ_REMOVE (&f->requests, r, entry);
-  map_remove (&f->requests_by_handle, map_key_from_number (r->params.request));
+  map_remove (&f->requests_by_handle, map_key_from_number (r->params.handle));
   beryl_routes_unref (r->routes);
   buffer_clear (&r->buffered);
   event_splitter_clear (&r->events);
@@ -33,7 +33,7 @@
 forward_request_fingerprint (struct beryl_forward *f, struct request *r)
 {
   if (r->fingerprint == 0 && f->owner->impl->fingerprint != NULL)
-    r->fingerprint = f->owner->impl->fingerprint (f->owner, r->params.request);
+    r->fingerprint = f->owner->impl->fingerprint (f->owner, r->params.handle);
   return r->fingerprint;
 }
 
@@ -42,7 +42,7 @@
                      const char *step, const struct beryl_live *endpoint,
                      const char *outcome, int64_t number, int64_t now_ms)
 {
-  struct beryl_decision decision = {
+  struct beryl_request_step entry = {
     .step = step,
     .final = is_final (step),
     .id = r->params.id,
@@ -60,8 +60,8 @@
     .endpoint_revision = endpoint != NULL ? endpoint->info.revision : 0,
   };
 
-  if (f->owner->impl->log_decision != NULL)
-    f->owner->impl->log_decision (f->owner, &decision);
+  if (f->owner->impl->log_step != NULL)
+    f->owner->impl->log_step (f->owner, &entry);
 }
 
 void
@@ -100,7 +100,7 @@
 request_abort (struct beryl_forward *f, struct request *r,
                enum beryl_refusal_reason reason, int64_t now_ms)
 {
-  uint64_t handle = r->params.request;
+  uint64_t handle = r->params.handle;
 
   forward_request_log (f, r, "cut", NULL, beryl_refusal_name (reason),
                        (int64_t)r->event_count, now_ms);
@@ -119,7 +119,7 @@
   struct beryl_refusal refusal = { .status = status,
                                    .reason = reason,
                                    .retry_after_ms = retry_after_ms };
-  uint64_t handle = r->params.request;
+  uint64_t handle = r->params.handle;
 
   if (r->answer_begun)
     {
@@ -169,12 +169,12 @@
 }
 
 void
-forward_request_count_run (struct request *r)
+forward_request_record_run (struct request *r)
 {
   r->may_have_run = true;
   /* A moved run continues; it is no new run. */
   if (!r->continues_run)
-    r->endpoints_run++;
+    r->endpoints_run_count++;
   r->continues_run = false;
 }
 
@@ -207,7 +207,7 @@
   for (uint32_t i = 0; i < count; i++)
     repeat_budget_spend (&r->service->budget, &limits, now_ms);
   if (count > 0)
-    loans_request_if_low (f, r->service, now_ms);
+    loans_schedule_if_low (f, r->service, now_ms);
 }
 
 bool
@@ -216,7 +216,7 @@
 {
   if (forward_request_repeats_left (f, r, now_ms) == 0)
     {
-      loans_request_if_low (f, r->service, now_ms);
+      loans_schedule_if_low (f, r->service, now_ms);
       return false;
     }
   forward_request_take_repeats (f, r, 1, now_ms);
@@ -281,7 +281,7 @@
   r->timer_ms = r->deadline_ms;
   r->last_event_id = params->last_event_id;
   TAILQ_INSERT_TAIL (&f->requests, r, entry);
-  map_put (&f->requests_by_handle, map_key_from_number (params->request), r);
+  map_put (&f->requests_by_handle, map_key_from_number (params->handle), r);
   f->open_count++;
   return r;
 }
--- a/libberyl/forward/run_table.c
+++ b/libberyl/forward/run_table.c
@@ -53,7 +53,7 @@
 {
   *model = (struct length_model){
     .log_variance = PRIOR_LOG_VARIANCE,
-    .weight = PRIOR_WEIGHT,
+    .effective_runs = PRIOR_WEIGHT,
     .tokens_mean = PRIOR_TOKENS,
     .ms_per_token = PRIOR_MS_PER_TOKEN,
     .own_ms_per_token = PRIOR_MS_PER_TOKEN,
@@ -80,19 +80,19 @@
 void
 length_model_learn (struct length_model *model, uint32_t hint, uint32_t tokens)
 {
-  double share, off;
+  double sample_weight, off;
 
   if (tokens == 0)
     return;
-  if (model->weight < WEIGHT_MAX)
-    model->weight++;
-  share = 1 / model->weight;
-  model->tokens_mean += share * ((double)tokens - model->tokens_mean);
+  if (model->effective_runs < WEIGHT_MAX)
+    model->effective_runs++;
+  sample_weight = 1 / model->effective_runs;
+  model->tokens_mean += sample_weight * ((double)tokens - model->tokens_mean);
   if (hint == 0)
     return;
   off = log ((double)tokens / (double)hint) - model->log_mean;
-  model->log_mean += share * off;
-  model->log_variance += share * (off * off - model->log_variance);
+  model->log_mean += sample_weight * off;
+  model->log_variance += sample_weight * (off * off - model->log_variance);
 }
 
 uint32_t
@@ -149,9 +149,10 @@
 
   for (int i = 0; i < FORECAST_STEPS; i++)
     {
-      double made = now + (double)(i * FORECAST_STEP_MS) / model->ms_per_token;
-      double chance = fmin (survival (model, median, made) / alive, 1);
-      double tokens = fmax (run->prompt_tokens + made, reserved);
+      double produced
+          = now + (double)(i * FORECAST_STEP_MS) / model->ms_per_token;
+      double chance = fmin (survival (model, median, produced) / alive, 1);
+      double tokens = fmax (run->prompt_tokens + produced, reserved);
 
       forecast->tokens[i] += chance * tokens;
       forecast->variance[i] += chance * (1 - chance) * tokens * tokens;
@@ -375,7 +376,7 @@
 struct newest
 {
   double ms_per_token;
-  double made; /* fewest tokens that a run has produced */
+  double produced; /* fewest tokens that a run has produced */
 };
 
 static void
@@ -383,22 +384,22 @@
 {
   struct newest *newest = user;
 
-  newest->made
-      = fmin (newest->made,
+  newest->produced
+      = fmin (newest->produced,
               run->generated_tokens + (double)age_ms / newest->ms_per_token);
 }
 
 bool
 run_table_has_newer (const struct run_table *table,
                      const struct length_model *model, uint32_t engine,
-                     uint32_t made, int64_t now_ms)
+                     uint32_t produced, int64_t now_ms)
 {
   struct newest newest
-      = { .ms_per_token = model->ms_per_token, .made = INFINITY };
+      = { .ms_per_token = model->ms_per_token, .produced = INFINITY };
 
   visit (run_index_find (&table->by_engine, engine), REPORT_MAX_AGE_MS, now_ms,
          update_newest, &newest);
-  return newest.made < made;
+  return newest.produced < produced;
 }
 
 static void
--- a/libberyl/forward/run_table.h
+++ b/libberyl/forward/run_table.h
@@ -37,7 +37,7 @@
 {
   double log_mean; /**< mean of log (output / estimate) */
   double log_variance;
-  double weight;           /**< number of runs the means are weighted by */
+  double effective_runs;   /**< number of runs the means are weighted by */
   double tokens_mean;      /**< mean output, for runs without an estimate */
   double ms_per_token;     /**< used in forecasts; may be the fleet's */
   double own_ms_per_token; /**< mean pace of the node's own streams */
@@ -132,7 +132,7 @@
  * tokens. */
 bool run_table_has_newer (const struct run_table *table,
                           const struct length_model *model, uint32_t engine,
-                          uint32_t made, int64_t now_ms);
+                          uint32_t produced, int64_t now_ms);
 
 /** Return the prompt tokens that peers have queued at prefill engine
  * ENGINE. */
--- a/libberyl/forward/sample.c
+++ b/libberyl/forward/sample.c
@@ -10,7 +10,7 @@
 #define DRAWN_MIN 2
 /* Another node chooses the same engine with a probability of one in this
    many. */
-#define COLLISION_PART 4
+#define COLLISION_DIVISOR 4
 
 void
 sample_init (struct sample *sample)
@@ -86,7 +86,7 @@
                double concurrent_choices, uint64_t *random)
 {
   double drawn
-      = fmax ((double)count / fmax (COLLISION_PART * concurrent_choices, 1),
+      = fmax ((double)count / fmax (COLLISION_DIVISOR * concurrent_choices, 1),
               DRAWN_MIN);
   size_t best = 0;
 
--- a/libberyl/forward/stream.c
+++ b/libberyl/forward/stream.c
@@ -9,7 +9,7 @@
 #define STALL_MIN_MS 120
 /* Time before the first event, which includes a KV cache transfer and a
    queue. */
-#define FIRST_EVENT_MS 400
+#define FIRST_EVENT_STALL_MS 400
 /* A stalled stream continues at another engine after this time. An engine that
    preempted the run needs a few hundred milliseconds to prefill its prompt
    again; after that it is taken for dead. Before the first event engines are
@@ -17,7 +17,7 @@
 #define DEAD_AFTER_MS 1000
 #define FIRST_DEAD_AFTER_MS 2500
 /* An engine that is this full may have preempted a run for lack of memory. */
-#define FULL_PART 0.85
+#define MAY_PREEMPT_PART 0.85
 /* Events of a run after which its pace is learned: enough that a single pause
    for the prefill of another prompt does not dominate. */
 #define PACE_EVENTS 8
@@ -31,7 +31,7 @@
       = r->config->engine.event_tokens * r->service->lengths.ms_per_token;
 
   if (r->run_events == 0)
-    return FIRST_EVENT_MS;
+    return FIRST_EVENT_STALL_MS;
   return (int64_t)fmax (STALL_EVENTS * event_ms, STALL_MIN_MS);
 }
 
@@ -56,9 +56,9 @@
 /* Returns the endpoints that may have run R, including one that has not
    answered yet. */
 static uint32_t
-endpoints_run (const struct request *r)
+endpoints_run_with_open (const struct request *r)
 {
-  return r->endpoints_run
+  return r->endpoints_run_count
          + (r->primary != NULL && !r->primary->has_head ? 1 : 0);
 }
 
@@ -66,7 +66,8 @@
 stream_may_relocate (struct beryl_forward *f, struct request *r,
                      int64_t now_ms)
 {
-  return r->route->resumable && endpoints_run (r) < r->route->endpoints_max
+  return r->route->resumable
+         && endpoints_run_with_open (r) < r->route->endpoints_max
          && forward_request_repeats_left (f, r, now_ms) >= REPEATS_NEEDED
          && !crashes_is_quarantined (f, r, now_ms);
 }
@@ -78,7 +79,8 @@
   struct memory_forecast forecast;
 
   engine_forecast (f, r->service, r->primary->endpoint, now_ms, &forecast);
-  return forecast.tokens[0] >= FULL_PART * (double)r->config->engine.kv_tokens;
+  return forecast.tokens[0]
+         >= MAY_PREEMPT_PART * (double)r->config->engine.kv_tokens;
 }
 
 /* If the engine is short of memory, asking it to move the run shows the run's
--- a/libberyl/requests/attempt.c
+++ b/libberyl/requests/attempt.c
@@ -207,7 +207,7 @@
    * twice. */
   if (!BERYL_GUARD (BERYL_GUARD_RETRY_SAFE, safe))
     return "the endpoint failed while the call may have been running";
-  if (refused && ++request->refusals > REFUSALS_MAX)
+  if (refused && ++request->failed_asks > REFUSALS_MAX)
     return "every endpoint tried is full";
   if (!refused
       && !retry_budget_spend (&requests->budgets, request->call.service))
--- a/libberyl/requests/private.h
+++ b/libberyl/requests/private.h
@@ -119,7 +119,7 @@
   struct beryl_stream_id stream;
   uint32_t attempt;
   uint32_t resumes;
-  uint32_t refusals;
+  uint32_t failed_asks;
   uint32_t decode_refusals; /**< of this plan's KV cache */
   bool first_token_seen;
   bool unsettled; /**< a call to an engine was cut: it may still arrive */
--- a/load/bench/place.c
+++ b/load/bench/place.c
@@ -196,7 +196,7 @@
         int64_t *took_ns)
 {
   struct beryl_forward_request facts
-      = { .request = request,
+      = { .handle = request,
           .host = HOST,
           .path = "/x",
           .arrived_ms = now_ms,
--- a/tests/forward/fixture.c
+++ b/tests/forward/fixture.c
@@ -143,7 +143,7 @@
 
 static void
 owner_decided (struct beryl_forward_owner *owner,
-               const struct beryl_decision *decision)
+               const struct beryl_request_step *decision)
 {
   g_string_append_printf (fx_of (owner)->log, "%s:%s ", decision->step,
                           decision->outcome);
@@ -167,7 +167,7 @@
   .answer_abort = owner_cut,
   .refuse = owner_refuse,
   .fingerprint = owner_fingerprint,
-  .log_decision = owner_decided,
+  .log_step = owner_decided,
 };
 
 struct fx_terms
@@ -306,7 +306,7 @@
 fx_request_params (const struct fx *fx, uint64_t number)
 {
   struct beryl_forward_request facts = {
-    .request = number,
+    .handle = number,
     .id_exact = true,
     .host = FX_HOST,
     .path = "/x",
--- a/tests/forward/test_choice.c
+++ b/tests/forward/test_choice.c
@@ -162,7 +162,7 @@
   fx_open_seeded (fx, &terms, 1);
   fx_endpoint (fx, "p0", BERYL_STAGE_PREFILL);
   fx_arrive (fx, 1);
-  ck_assert (beryl_forward_runs_changed (fx->forward));
+  ck_assert (beryl_forward_report_due (fx->forward));
   ck_assert_uint_eq (
       beryl_forward_runs (fx->forward, runs, G_N_ELEMENTS (runs), fx->now_ms),
       1);
--- a/tests/forward/test_generation.c
+++ b/tests/forward/test_generation.c
@@ -172,7 +172,7 @@
    reserves all that a run may need. */
 START_TEST (test_isolated)
 {
-  beryl_forward_set_isolated (fx.forward, true);
+  beryl_forward_set_reports_incomplete (fx.forward, true);
   fx_arrive (&fx, 1);
   ck_assert_uint_ge (open_of (1, BERYL_EXCHANGE_RESERVE)->tokens, 1450);
 }
@@ -220,18 +220,18 @@
   struct beryl_engine_run runs[4];
   struct fx_exchange *run;
 
-  ck_assert (!beryl_forward_runs_changed (fx.forward));
+  ck_assert (!beryl_forward_report_due (fx.forward));
   fx_arrive (&fx, 1);
   run = fx_to_stream (&fx, 1, 2);
-  ck_assert (beryl_forward_runs_changed (fx.forward));
+  ck_assert (beryl_forward_report_due (fx.forward));
   ck_assert_uint_eq (beryl_forward_runs (fx.forward, runs, 4, fx.now_ms), 1);
-  ck_assert (!beryl_forward_runs_changed (fx.forward));
+  ck_assert (!beryl_forward_report_due (fx.forward));
   ck_assert_uint_eq (runs[0].engine, beryl_name_hash (run->endpoint));
   ck_assert_uint_eq (runs[0].prompt_tokens, 1000);
   ck_assert_uint_eq (runs[0].generated_tokens, 100);
   ck_assert (runs[0].started);
   fx_done (&fx, run);
-  ck_assert (beryl_forward_runs_changed (fx.forward));
+  ck_assert (beryl_forward_report_due (fx.forward));
   ck_assert_uint_eq (beryl_forward_runs (fx.forward, runs, 4, fx.now_ms), 0);
 }
 END_TEST
--- a/tests/forward/test_loans.c
+++ b/tests/forward/test_loans.c
@@ -240,7 +240,7 @@
   while (is_repeated ())
     repeated++;
   ck_assert_int_eq (repeated, 4);
-  ck_assert (beryl_forward_runs_changed (nodes[0]->forward));
+  ck_assert (beryl_forward_report_due (nodes[0]->forward));
   tell (0, 1);
   tell (1, 0);
   ck_assert (is_repeated ());
