--- a/include/beryl/forward.h
+++ b/include/beryl/forward.h
@@ -3,15 +3,15 @@
  * arrival at this node to its single final answer.
  *
  * Plain requests go to one endpoint of their service. Generations (model
- * calls) are planned backwards: memory is reserved at a decode engine first,
- * then a prefill engine processes the prompt, then the decode engine fetches
- * the KV cache and streams the output. A prompt is never prefilled before
- * memory for its KV cache is reserved.
+ * calls) are planned in reverse order: memory is reserved at a decode engine
+ * first, then a prefill engine processes the prompt, then the decode engine
+ * fetches the KV cache and streams the output. A prompt is never prefilled
+ * before memory for its KV cache is reserved.
  *
  * The module does no I/O: events and the current time are passed in, actions
  * go out through a vtable. The owner's functions must not call back into the
- * instance, except for the beryl_forward_* queries that return answers. Not
- * thread-safe. Times are milliseconds of one monotonic clock.
+ * instance, except for the beryl_forward_* functions that only return a value.
+ * Not thread-safe. Times are milliseconds of one monotonic clock.
  */
 #ifndef BERYL_FORWARD_H
 #define BERYL_FORWARD_H
@@ -42,7 +42,8 @@
 {
   uint64_t handle;                 /**< owner's handle of the request */
   char id[BERYL_REQUEST_ID_BYTES]; /**< used in the log and in moves */
-  bool id_exact; /**< endpoints know the request by exactly this ID */
+  bool id_exact; /**< ID is the caller's id, unchanged, by which endpoints know
+                    the request too; needed to move its run */
   const char *host;
   const char *path;
   int64_t arrived_ms;
@@ -60,7 +61,8 @@
 {
   BERYL_EXCHANGE_RUN,     /**< the request itself; its answer is forwarded */
   BERYL_EXCHANGE_PREFILL, /**< process the prompt and keep its KV cache */
-  BERYL_EXCHANGE_RESERVE, /**< lease decode memory and a slot */
+  BERYL_EXCHANGE_RESERVE, /**< reserve memory and a slot (one concurrent run)
+                             at a decode engine for a limited time */
   BERYL_EXCHANGE_UNRESERVE,
   BERYL_EXCHANGE_DROP_KV, /**< free a KV cache that will not be fetched */
   /** Stop a run and copy its memory to another engine, where it continues. */
@@ -98,9 +100,10 @@
 {
   BERYL_REFUSAL_NO_CONFIGURATION,
   BERYL_REFUSAL_NO_ROUTE,
-  BERYL_REFUSAL_NO_ENDPOINT,
-  BERYL_REFUSAL_NO_ROOM, /**< no engine had free memory in time */
-  BERYL_REFUSAL_ENDPOINTS_FULL,
+  BERYL_REFUSAL_NO_ENDPOINT,    /**< no endpoint of the service may be used */
+  BERYL_REFUSAL_NO_ROOM,        /**< no engine had free memory in time */
+  BERYL_REFUSAL_ENDPOINTS_FULL, /**< not run so far, and no untried endpoint or
+                                   no repeat is left */
   BERYL_REFUSAL_DEADLINE,
   BERYL_REFUSAL_ENDPOINT_FAILED,
   BERYL_REFUSAL_STOPPING,
@@ -130,7 +133,7 @@
   int64_t age_ms;                    /**< since the request's arrival */
   int64_t first_event_ms; /**< first event, since the arrival; 0 if none yet */
   int64_t longest_gap_ms; /**< longest time between two events */
-  int64_t value; /**< tokens, bytes or milliseconds, depending on STEP */
+  int64_t value;          /**< meaning depends on STEP and OUTCOME */
   uint64_t fingerprint; /**< of the request's content; 0 if not computed yet */
   uint64_t config_version;
   uint64_t endpoint_revision;
@@ -175,8 +178,9 @@
   void (*log_step) (struct beryl_forward_owner *owner,
                     const struct beryl_request_step *decision);
   /** Log a change of ENDPOINT's state that the endpoint list does not show
-   * yet. WHAT is the new state; FROM is the peer that reported it, or "own
-   * call". May be NULL. */
+   * yet. WHAT is the new state, for example "replaced" or "limited
+   * milli_per_s=5"; FROM is the name of the peer that reported it, "peer" for
+   * a rate limit, or "own call". May be NULL. */
   void (*log_endpoint_state) (struct beryl_forward_owner *owner,
                               const struct beryl_live *endpoint,
                               const char *what, const char *from);
@@ -228,7 +232,7 @@
 void beryl_forward_set_report_interval (struct beryl_forward *forward,
                                         int64_t interval_ms);
 
-/** Set whether there are live nodes whose reports do not reach this node. */
+/** Set whether the reports of any live node fail to reach this node. */
 void beryl_forward_set_reports_incomplete (struct beryl_forward *forward,
                                            bool isolated);
 
@@ -312,8 +316,9 @@
                                     enum beryl_exchange_failure how, bool sent,
                                     int64_t now_ms);
 
-/** The process will stop at END_MS. Requests that cannot be answered by then
- * are refused as not run, so that their callers retry at another node. */
+/** The process will stop at END_MS. Waiting and new requests that cannot be
+ * answered by then are refused as not run, so that their callers retry at
+ * another node; those that run are left to end. */
 void beryl_forward_stop (struct beryl_forward *forward, int64_t end_ms,
                          int64_t now_ms);
 
@@ -336,24 +341,29 @@
 void beryl_forward_endpoints_changed (struct beryl_forward *forward,
                                       int64_t now_ms);
 
-/** Replace the runs of PEER at engines by the COUNT items of RUNS. */
+/** Replace the runs of PEER, its waiting requests included, by the COUNT items
+ * of RUNS. */
 void beryl_forward_peer_runs (struct beryl_forward *forward, const char *peer,
                               const struct beryl_engine_run *runs,
                               size_t count, int64_t now_ms);
 
 /** Add to REPORTS the endpoint states that this node has detected by its own
- * calls; apply those that PEER (or another component of this node) reports. */
+ * calls. */
 void beryl_forward_endpoint_reports (const struct beryl_forward *forward,
                                      struct beryl_endpoint_updates *reports,
                                      int64_t now_ms);
+
+/** Apply the endpoint states that PEER, or another component of this node,
+ * reports. */
 void beryl_forward_peer_endpoint_reports (
     struct beryl_forward *forward, const char *peer,
     const struct beryl_endpoint_updates *reports, int64_t now_ms);
 
-/** Write this node's profiles of its services' generations; apply those of
- * PEER. */
+/** Write this node's profiles of its services' generations. */
 void beryl_forward_profiles (const struct beryl_forward *forward,
                              struct beryl_generation_profiles *profiles);
+
+/** Apply PEER's profiles. */
 void
 beryl_forward_peer_profiles (struct beryl_forward *forward, const char *peer,
                              const struct beryl_generation_profiles *profiles);
@@ -377,9 +387,14 @@
 void beryl_forward_remove_peer (struct beryl_forward *forward,
                                 const char *peer);
 
-/** Return whether this node's runs have changed since beryl_forward_runs was
- * last called. beryl_forward_runs writes up to MOST of them, newest first. */
+/** Return whether a report to the peers is due: since the last call of
+ * beryl_forward_runs this node's runs have changed, an endpoint was found to
+ * be replaced or unreachable, or a loan of repeats is wanted or granted. */
 bool beryl_forward_report_due (const struct beryl_forward *forward);
+
+/** Write up to MOST of this node's runs and return their number: first those
+ * with a reservation, then the requests that wait for one, each newest first.
+ * No report is due after that. */
 size_t beryl_forward_runs (struct beryl_forward *forward,
                            struct beryl_engine_run *runs, size_t most,
                            int64_t now_ms);
@@ -388,7 +403,9 @@
 void beryl_forward_prompt_cached (struct beryl_forward *forward, uint32_t key,
                                   uint32_t engine, int64_t now_ms);
 
-/** Return the fleet-wide profile of SERVICE's generations. */
+/** Return the profile of SERVICE's generations, merged from those of all
+ * nodes.
+ */
 struct beryl_generation_mix
 beryl_forward_merged_profile (struct beryl_forward *forward,
                               const char *service);
@@ -406,9 +423,10 @@
 /** Return when the next tick is due, or BERYL_NEVER_MS. */
 int64_t beryl_forward_next_tick_ms (const struct beryl_forward *forward);
 
-/** Return the number of open requests, and of those that wait for engine
- * memory. */
+/** Return the number of open requests. */
 uint32_t beryl_forward_open_count (const struct beryl_forward *forward);
+
+/** Return the number of requests that wait for engine memory. */
 uint32_t beryl_forward_waiting_count (const struct beryl_forward *forward);
 
 /** Return the stable name of a refusal reason or an exchange kind. */
--- a/libberyl/forward/answer.c
+++ b/libberyl/forward/answer.c
@@ -4,7 +4,7 @@
 
 /* Answers up to this size are buffered until they are complete, so that one
    that breaks off can be requested again without the caller seeing it. Plain
-   answers have about a kilobyte. */
+   answers have about a kilobyte, so nearly all are buffered. */
 #define BUFFER_MAX_BYTES 65536
 
 /* The endpoint states that it did not run the request. */
@@ -46,7 +46,8 @@
   return status / 100 == 2;
 }
 
-/* Of two concurrent sends the first answer is used; the other is aborted. */
+/* Of two concurrent sends the first whose answer is not an error is used; the
+   other is aborted. */
 static void
 abort_other_send (struct beryl_forward *f, struct request *r,
                   const struct exchange *x)
@@ -102,6 +103,7 @@
   abort_other_send (f, r, x);
   r->timer_ms = r->deadline_ms;
   r->last_event_ms = now_ms;
+  /* Starts the check for stalls. */
   if (forward_request_is_generation (r))
     generation_timer (f, r, now_ms);
 }
@@ -125,12 +127,12 @@
   r->buffered.count = 0;
 }
 
-/* Drops events that were forwarded before: an endpoint that resumes may start
-   before the event that it was asked to resume after. */
 static void
 forward_event (struct beryl_forward *f, struct request *r, struct exchange *x,
                const struct event *event, int64_t now_ms)
 {
+  /* An endpoint that resumes may start before the event that it was asked to
+     resume after; those events were forwarded already. */
   if (event->has_id && (r->event_count > 0 || r->params.resumes)
       && event->id <= r->last_event_id)
     return;
@@ -193,7 +195,8 @@
     }
 }
 
-/* A complete body that ends within an event is not a complete stream. */
+/* If the body ends within an event, the stream was cut off, although the
+   answer itself is complete. */
 static bool
 ends_in_event (const struct request *r, const struct exchange *x)
 {
--- a/libberyl/forward/backlog.c
+++ b/libberyl/forward/backlog.c
@@ -8,20 +8,23 @@
 
 /* Used when no run, and so no rate of completion, is known. */
 #define NO_RUNS_RETRY_MS 2000
-/* Memory that is expected sooner is not worth a new connection. */
+/* Minimum Retry-After; a shorter wait is not worth a new connection. */
 #define RETRY_MIN_MS 300
-/* A retrying caller keeps two thirds of its time for the second attempt. */
+/* Retry-After is at most the time left to the deadline divided by this, which
+   leaves a retrying caller two thirds of that time for its second attempt. */
 #define RETRY_MAX_DIVISOR 3
-/* Callers retry at a random time in this last part of the permitted time:
-   their answers are late in any case, a peak that had no memory for them lasts
-   for seconds, and a caller that is refused again has no further attempt. */
+/* Callers with a deadline retry at a random time in this last part of the time
+   until the largest permitted Retry-After. A peak lasts for seconds, the
+   answer is late in any case, and there is no time for a third attempt, so a
+   late retry has the best chance. */
 #define RETRY_RANDOM_PART 0.5
-/* Share of the freed places for callers that retry; the rest is for new
-   requests. */
+/* Share of the ending runs whose memory goes to callers that retry; the rest
+   is for new requests. */
 #define RETRY_SHARE 0.5
 
-/* Places freed per second at all engines of R's service: a run lasts as long
-   as its output takes to produce. */
+/* Returns how many runs end per second at all engines of R's service, each
+   leaving room for another one. A run lasts as long as its output takes to
+   produce. */
 static double
 run_ends_per_s (struct beryl_forward *f, const struct request *r,
                 int64_t now_ms)
@@ -42,8 +45,8 @@
                               beryl_name_hash (r->service->name), now_ms);
 }
 
-/* Waiting requests ask once per round, and as many new ones arrive as runs
-   end. */
+/* Waiting requests ask once per ASK_INTERVAL_MS. New requests are assumed to
+   arrive at the rate at which runs end. */
 double
 backlog_concurrent_choices (struct beryl_forward *f, const struct request *r,
                             int64_t now_ms)
@@ -72,9 +75,10 @@
   return (int64_t)(part * (double)max_ms);
 }
 
-/* Spreads the retries of refused callers at the rate at which places are freed
-   for them. With one common time they would all retry together, meet the same
-   peak again and be refused for good. */
+/* Spreads the retries of refused callers: each gets a random time, and
+   consecutive ones are at least as far apart as runs end that make room for
+   them. With one common time they would all retry together, meet the same peak
+   again and be refused for good. */
 int64_t
 backlog_retry_after_ms (struct beryl_forward *f, const struct request *r,
                         int64_t now_ms)
--- a/libberyl/forward/balance.c
+++ b/libberyl/forward/balance.c
@@ -1,7 +1,7 @@
 #include "private.h"
 
-/* Interval of the checks. During two checks and a move an engine's runs grow
-   by a few hundredths of its memory. */
+/* Interval of the checks, short enough that the runs of an engine grow by only
+   a few hundredths of its memory during two checks and a move. */
 #define BALANCE_MS 100
 /* How far ahead an engine must have free memory. */
 #define LOOKAHEAD_MS FORECAST_STEP_MS
@@ -19,8 +19,9 @@
          && forward_request_is_movable (r);
 }
 
-/* A leaving engine may stop before its runs end; each would need another
-   prefill elsewhere, or be lost if it may run only once. */
+/* Returns whether R's engine is leaving, gone or replaced. It may stop before
+   the run ends; the run would then need another prefill elsewhere, or be lost
+   if it may run only once. */
 static bool
 must_leave_engine (const struct request *r)
 {
@@ -57,11 +58,11 @@
 }
 
 /* An engine that runs out of memory preempts its newest run in the middle of
-   its stream and prefills it again later: that costs hundreds of milliseconds
-   of engine time and a pause that makes the answer late. Moving that run to an
-   engine with free memory takes about ten, since links carry gigabytes in
-   milliseconds. Each node checks only its own runs and moves one if it is the
-   newest at its engine, so that nodes need no agreement. */
+   its stream and prefills it again later, which takes hundreds of milliseconds
+   of engine time and makes the answer late. Moving that run to an engine with
+   free memory takes about ten milliseconds over a fast link. Each node checks
+   only its own runs and moves one if it is the newest at its engine, so that
+   the nodes need no coordination. */
 void
 generation_balance (struct beryl_forward *f, int64_t now_ms)
 {
--- a/libberyl/forward/call_times.h
+++ b/libberyl/forward/call_times.h
@@ -1,7 +1,8 @@
 /** @file
- * Durations of calls to engines that cause no work there: the network, the
- * engine's HTTP server and this process itself. The time of a prefill beyond
- * that was spent in the engine's queue and on the prompt.
+ * Durations of reservation calls, which cause no work at the engine. They
+ * consist of the time in the network, in the engine's HTTP server and in this
+ * process; what a prefill takes longer was spent in the engine's queue and on
+ * the prompt.
  */
 #ifndef FORWARD_CALL_TIMES_H
 #define FORWARD_CALL_TIMES_H
--- a/libberyl/forward/crashes.c
+++ b/libberyl/forward/crashes.c
@@ -1,9 +1,9 @@
 #include "private.h"
 
 /* Detects requests that crash the endpoints they run at. Requests that were
-   interrupted together by a crash are sent on to different endpoints: at one
-   endpoint they would all look like the cause again, and each crash would
-   interrupt the others as well. */
+   interrupted by the same crash are sent to different endpoints: if they ran
+   at one endpoint again, the next crash would again interrupt all of them, and
+   not show which one is the cause. */
 
 /* A suspect that has run for this long no longer counts as a risk to the other
    runs at its engine. */
@@ -79,9 +79,10 @@
                     < run_table_peer_timeout_ms (&f->run_table));
 }
 
-/* A broken connection does not prove that the endpoint has crashed. Only a
-   process that has ended refuses connections, so the endpoint is dialled; its
-   entry stays listed for seconds. */
+/* A broken connection does not prove that the endpoint has crashed, so the
+   endpoint is dialled: one that accepts no connection, also for lack of time,
+   is taken to have ended. The endpoint list would show that seconds later
+   only. */
 void
 crashes_run_interrupted (struct beryl_forward *f, struct request *r,
                          struct beryl_live *endpoint, int64_t now_ms)
--- a/libberyl/forward/endpoint_reports.c
+++ b/libberyl/forward/endpoint_reports.c
@@ -4,19 +4,21 @@
 
 /* Reports between nodes of endpoint states that the endpoint list does not
    show yet. Entries of dead endpoints stay listed for seconds, and with many
-   nodes each calls an endpoint rarely: without reports every node would lose a
-   connection timeout, or one of its few repeats, to each dead endpoint. */
+   nodes each of them calls an endpoint rarely: without reports every node
+   would wait for a connection timeout, or use one of its few repeats, at each
+   dead endpoint. */
 
-/* How long a replaced endpoint is reported: until one of the datagrams, some
-   of which may be lost, has arrived and its entry has lapsed. */
+/* How long a replaced endpoint is reported: until a report has arrived
+   although datagrams may be lost, and the endpoint's list entry has lapsed. */
 #define REPLACED_REPORT_MS 3000
 /* How long an unreachable endpoint is reported; it may be back after that. */
 #define UNREACHABLE_REPORT_MS 1000
 /* How long an engine that was reported to change its stage is avoided; the
    report is repeated while the change lasts. */
 #define CHANGING_AVOID_MS 2000
-/* A peer that cannot reach more than one in this many of all endpoints is cut
-   off itself, and its reports of unreachable endpoints are ignored. */
+/* A peer that reports more than the number of endpoints divided by this as
+   unreachable is cut off itself, and its reports of unreachable endpoints are
+   ignored. */
 #define UNREACHABLE_MAX_DIVISOR 3
 
 void
--- a/libberyl/forward/engines.c
+++ b/libberyl/forward/engines.c
@@ -17,7 +17,7 @@
    data centres is charged. */
 #define REMOTE_COST_PART 0.15
 #define REMOTE_WAIT_MS 50
-/* Time constant by which the estimate of memory used by unknown runs
+/* Time constant by which the estimate of memory used by unreported runs
    decays. */
 #define UNREPORTED_DECAY_MS 2000.0
 
@@ -68,8 +68,8 @@
     run->prefill_engine = beryl_live_hash (r->primary->endpoint);
 }
 
-/* Returns the memory that unknown runs are expected to use AHEAD_MS from now;
-   it decays as they end. */
+/* Returns the memory that unreported runs are expected to use AHEAD_MS from
+   now; it decays as they end. */
 static double
 unreported_tokens_at (const struct beryl_live *endpoint, int64_t now_ms,
                       int64_t ahead_ms)
@@ -119,15 +119,17 @@
   add_unreported (endpoint, now_ms, forecast);
 }
 
-/* Runs of unreachable nodes use engine memory too. It is estimated from what
-   an engine grants or refuses: the use that the known runs do not explain. */
+/* Runs that no node reports, such as those of unreachable nodes, use engine
+   memory too. It is estimated from what an engine grants or refuses: THRESHOLD
+   is the most memory that can be in use if TOKENS were granted, and the least
+   if they were refused. */
 void
 engine_learn_unreported_use (struct beryl_forward *f, const struct request *r,
                              struct beryl_live *endpoint, uint32_t tokens,
                              bool granted, int64_t now_ms)
 {
   struct memory_forecast forecast;
-  double usable_tokens = (double)r->config->engine.kv_tokens - tokens;
+  double threshold = (double)r->config->engine.kv_tokens - tokens;
   double known;
 
   endpoint->unreported_tokens = unreported_tokens_at (endpoint, now_ms, 0);
@@ -136,10 +138,10 @@
   known = forecast.tokens[0] - endpoint->unreported_tokens;
   if (granted)
     endpoint->unreported_tokens
-        = fmin (endpoint->unreported_tokens, fmax (usable_tokens - known, 0));
+        = fmin (endpoint->unreported_tokens, fmax (threshold - known, 0));
   else
     endpoint->unreported_tokens
-        = fmax (endpoint->unreported_tokens, fmax (usable_tokens - known, 0));
+        = fmax (endpoint->unreported_tokens, fmax (threshold - known, 0));
 }
 
 double
@@ -157,8 +159,9 @@
                                deviations);
 }
 
-/* An engine that failed recently is avoided except for occasional trials; a
-   reservation call risks only the time of one connection. */
+/* An engine that failed recently is avoided except for occasional probes. A
+   reservation call may serve as one: if it fails, only the time of a
+   connection attempt is lost. */
 static bool
 worth_asking (const struct beryl_live *endpoint, int64_t now_ms)
 {
@@ -216,18 +219,20 @@
 
       if (least == 0 || cost < least)
         least = cost;
-      /* An engine of unknown memory size counts as one place. */
+      /* An engine of unknown memory size counts as room for one. */
       if (cost <= usable_tokens || usable_tokens <= 0)
         capacity->fitting_runs
             += 1 + fmax (usable_tokens - cost, 0) / fmax (need, 1);
     }
   if (sample->offered > SAMPLE_MAX)
     capacity->fitting_runs *= (double)sample->offered / SAMPLE_MAX;
+  /* USABLE_TOKENS is FILL_PART of the engine's memory. */
   capacity->min_fill
       = usable_tokens > 0 ? FILL_PART * least / usable_tokens : 0;
 }
 
-/* Chooses among the engines that run no suspect (APART), or among all. */
+/* Chooses among the engines that run no suspect (APART), or among all. The
+   forecast is an estimate; the engine itself counts exactly and decides. */
 static struct beryl_live *
 choose_decode (struct beryl_forward *f, const struct request *r, bool apart,
                struct engine_capacity *capacity, int64_t now_ms)
@@ -267,7 +272,8 @@
   return best;
 }
 
-/* This is an estimate; the engine itself counts exactly and decides. */
+/* Prefers engines that run no suspect. The choice of an avoided engine counts
+   as a probe of it. */
 struct beryl_live *
 engine_choose_decode (struct beryl_forward *f, const struct request *r,
                       struct engine_capacity *capacity, int64_t now_ms)
@@ -314,6 +320,7 @@
                  REMOTE_COST_PART * usable_tokens, now_ms, &cost);
 }
 
+/* The number of produced tokens stands for the age of a run. */
 bool
 engine_is_newest_run (struct beryl_forward *f, const struct request *r,
                       int64_t now_ms)
@@ -470,7 +477,7 @@
 
 /* Runs with a reservation come before waiting ones: otherwise a peak of
    waiting requests would push them out of the report, and other nodes would
-   take their memory for free. */
+   assume that their memory is free. */
 size_t
 beryl_forward_runs (struct beryl_forward *f, struct beryl_engine_run *runs,
                     size_t most, int64_t now_ms)
--- a/libberyl/forward/events.c
+++ b/libberyl/forward/events.c
@@ -29,7 +29,8 @@
       if (before > 0 && bytes[before - 1] == '\n')
         return i + 1;
     }
-  /* An event's end may start in the last two bytes searched. */
+  /* The last two bytes, which may belong to the end of an event, are searched
+     again. */
   s->scanned = count > 2 ? count - 2 : 0;
   return 0;
 }
--- a/libberyl/forward/events.h
+++ b/libberyl/forward/events.h
@@ -13,13 +13,14 @@
 
 #include "../base/buffer.h"
 
-/** Longest event; a longer one is malformed. */
+/** Most bytes that are buffered. An event that does not fit is malformed. */
 #define EVENT_MAX_BYTES (1U << 20)
 
 /** State of a stream; zero-initialise. */
 struct event_splitter
 {
-  struct buffer pending; /**< bytes of events not returned yet */
+  struct buffer
+      pending;     /**< bytes of the event returned last and of later ones */
   size_t scanned;  /**< bytes searched without finding the end of an event */
   size_t consumed; /**< bytes of the event returned last */
 };
@@ -33,7 +34,8 @@
   uint64_t id; /**< valid if has_id: the id is a decimal number */
 };
 
-/** Append bytes; false if an event exceeds EVENT_MAX_BYTES. */
+/** Append bytes; false if more than EVENT_MAX_BYTES would be buffered, the
+ * event returned last included. */
 bool event_splitter_add (struct event_splitter *s, const char *bytes,
                          size_t count);
 
--- a/libberyl/forward/forward.c
+++ b/libberyl/forward/forward.c
@@ -11,9 +11,10 @@
 #define PRIOR_PROMPT_TOKENS 4000.0
 /* Retry-After of a stopping node; the caller can use another node at once. */
 #define STOPPING_RETRY_AFTER_MS 50
-/* Time that a plain request may need, and that a generation needs in addition
-   to the production of its tokens. */
+/* Time that a plain request may need; one that could not end before a planned
+   stop is refused. */
 #define PLAIN_NEEDED_MS 1000
+/* Likewise for a generation, in addition to the production of its tokens. */
 #define GENERATION_EXTRA_MS 800
 
 const char *
--- a/libberyl/forward/generation.c
+++ b/libberyl/forward/generation.c
@@ -12,14 +12,15 @@
    first engine has rejected the run, since the cache may have been the
    reason. */
 #define KV_USES_MAX 2
-/* Weight of the newest request in the means, once enough were seen that this
-   exceeds its weight in a plain mean. */
+/* Minimum weight of the newest request in the means, which are plain means
+   until it is reached and moving ones after that. */
 #define MEAN_WEIGHT_MIN 0.05
 
-/* Updates the means from a request's arrival, when its size is known. Learning
-   from the runs that have ended would be biased to short ones in the first
-   seconds and after a shift to longer ones, which would leave too few engines
-   for decode; with an assumed length there would be too few for prefill. */
+/* Updates the means, by which the planner divides the engines between the
+   stages, when a request arrives. Means over ended runs would be biased to
+   short ones in the first seconds and after a shift to longer ones, and too
+   few engines would be assigned to decode; with an assumed length, too few to
+   prefill. */
 static void
 update_means (struct service *s, const struct request *r)
 {
@@ -42,8 +43,9 @@
   update_means (s, r);
   r->warm_engine = prompt_locations_find (&f->prompt_locations,
                                           r->params.prompt_key, now_ms);
-  /* The caller retries, so the run that another node reported for this prompt
-     has ended. */
+  /* The prompt ran recently, so this request is taken for its caller's retry,
+     and a run of the prompt that a peer has reported is taken to have ended.
+     */
   if (r->warm_engine != 0)
     run_table_drop_prompt (&f->run_table, r->params.prompt_key);
   r->expected_tokens = length_model_median (
@@ -92,8 +94,8 @@
   r->primary = forward_exchange_start (f, r, start, endpoint, now_ms);
 }
 
-/* The first run of a request is its one arrival at the service, and a moved
-   run is the same run. All others are repeats. */
+/* The first run of a request does not count as a repeat, nor does a moved run
+   that continues. All others do. */
 static bool
 run_allowed (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
@@ -104,10 +106,10 @@
          || forward_request_take_repeat (f, r, now_ms);
 }
 
-/* A prefill or a move may take longer than a leaving engine may still get
-   work, so that the run would reach an engine that may stop at any moment.
-   Only a run that was stopped at this engine may return to it in time, since
-   no other engine has its memory. */
+/* Returns whether R must not be sent to the engine of its reservation any
+   more, because it is leaving or gone. It may have become so during a prefill
+   or a move, and may stop at any moment. A moved run, whose memory no other
+   engine has, may still be sent to a leaving engine for a limited time. */
 static bool
 engine_has_left (const struct beryl_forward *f, const struct request *r,
                  int64_t now_ms)
@@ -119,7 +121,8 @@
   return !beryl_live_accepts_work (endpoint);
 }
 
-/* Handles that the engine with R's reservation does not run it. */
+/* Handles that R cannot run at the engine of its reservation, because the
+   engine has rejected the run or is leaving. */
 static void
 reservation_unusable (struct beryl_forward *f, struct request *r,
                       int64_t now_ms)
@@ -198,8 +201,6 @@
          && r->endpoints_run_count < r->route->endpoints_max;
 }
 
-/* Plans R again after a failure; its KV cache is used again if it is still
-   valid. */
 void
 generation_restart (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
--- a/libberyl/forward/live.c
+++ b/libberyl/forward/live.c
@@ -16,11 +16,11 @@
 #define AVOID_FAILURES 2
 #define AVOID_FAIL_RATE 0.2
 /* How long it is avoided; doubled at most three times, to eight times as long,
-   while trials fail. */
+   while probes fail. */
 #define AVOID_MS 500
 #define AVOID_DOUBLINGS_MAX 3
-/* Interval of trials while an endpoint is avoided or its last call failed.
-   Without trials an endpoint that failed once would get no requests while the
+/* Interval of probes while an endpoint is avoided or its last call failed.
+   Without probes an endpoint that failed once would get no requests while the
    others are not busy, and its recovery would go unnoticed. */
 #define PROBE_INTERVAL_MS 500
 
@@ -28,13 +28,15 @@
    long an answer to this node overrides such reports. */
 #define UNREACHABLE_VALID_MS 1000
 
-/* The list is confirmed about every two seconds; after a longer silence the
-   list, or this node, was disconnected. */
+/* The endpoint list is read completely or confirmed about every two seconds;
+   after a longer time without that, this node has lost the connection to the
+   list, or the list is not available. */
 #define LIST_OUTAGE_MS 3000
-/* Lapsed entries of healthy endpoints are back within this time after the
-   list's return. */
+/* After an outage of the list the lapsed entries of healthy endpoints return
+   within this time; endpoints that are removed from the list meanwhile are
+   kept for a while (lapsed_until_ms). */
 #define RELIST_MS 2500
-/* Part of the time in which a leaving endpoint may get work that is used here;
+/* Part of LEAVE_MS in which this node still sends work to a leaving endpoint;
    the rest allows for late updates of the list. */
 #define LEAVE_USED_SHARE 0.7
 
@@ -44,9 +46,9 @@
   size_t count;
   size_t capacity;
   struct map by_id;
-  int64_t leave_ms;
+  int64_t leave_ms;   /* how long a leaving endpoint may get work */
   int64_t synced_ms;  /* 0: never */
-  int64_t resumed_ms; /* the list's last return after an absence; 0: none */
+  int64_t resumed_ms; /* when updates resumed after the last outage; 0: none */
 };
 
 /* Returns how long after an endpoint was known to leave it may get work from
@@ -207,7 +209,7 @@
 }
 
 /* Updates arrive before the list is confirmed, so the first update after an
-   outage must detect the return itself. */
+   outage must detect its end itself. */
 static void
 detect_list_resumed (struct beryl_live_set *lives, int64_t now_ms)
 {
@@ -384,7 +386,8 @@
 /* With many nodes each calls an endpoint rarely, and would notice that it is
    dead long after the first nodes did. A single node may be cut off from an
    endpoint that others reach, so reports of two peers are needed, and this
-   node's own recent answers override them. */
+   node's own recent answers override them. Returns whether the endpoint is
+   avoided only now. */
 bool
 beryl_live_suspect (struct beryl_live *endpoint, uint32_t by, int64_t now_ms)
 {
@@ -406,9 +409,9 @@
 }
 
 /* Lapsed entries are kept because an outage of the list makes those of healthy
-   endpoints lapse too. An endpoint that has also failed is taken for dead: at
-   a peak, two such engines that were asked again and again took half of the
-   time that requests had to get memory while the other engines were full. */
+   endpoints lapse too. An endpoint that has also failed is taken for dead:
+   with all other engines full, requests would spend much of their time to get
+   memory on asking it again (with two dead engines, half of it). */
 static bool
 lapsed_and_failed (const struct beryl_live *endpoint)
 {
--- a/libberyl/forward/loans.c
+++ b/libberyl/forward/loans.c
@@ -4,14 +4,14 @@
    two repeats per window. A failing engine makes the requests of a few nodes
    fail within a second, while the shares of all other nodes are not needed. */
 
-/* With fewer repeats left a loan is requested, before the next request needs
-   it: a stream that continues at another engine takes two. */
+/* A loan is requested in advance once fewer repeats than this are left: a
+   stream that continues at another engine takes two. */
 #define LOW_WATERMARK 2
-/* Most repeats of one loan. */
+/* Maximum number of repeats in a loan. */
 #define LOAN_MAX 4
 /* A request for a loan that is not answered is sent to another node after this
-   time; an answer takes twice the 30 ms after which reports are sent, plus the
-   network. */
+   time. Request and answer each wait up to 30 ms for the next report and then
+   cross the network. */
 #define LOAN_REQUEST_TIMEOUT_MS 150
 
 void
@@ -109,7 +109,7 @@
   f->report_due = true;
 }
 
-/* Only the answer to the last request counts, and only once. */
+/* Only the answer to the last request for a loan counts, and only once. */
 static void
 borrow (struct beryl_forward *f, const struct beryl_repeat_transfer *lent,
         int64_t now_ms)
--- a/libberyl/forward/move.c
+++ b/libberyl/forward/move.c
@@ -65,9 +65,10 @@
   beryl_live_open (endpoint);
 }
 
-/* Handles a move that did not stop the run. Its stream may have ended by
-   itself, or may belong to a run that no longer exists: then WHY says what is
-   known of its engine. */
+/* Handles a move that did not stop the run. If its stream has ended meanwhile,
+   the run has failed. If WHY is given, the engine no longer runs it or is
+   dead; a stalled stream is then continued at another engine. WHY is NULL if
+   nothing is known. */
 static void
 move_abandon (struct beryl_forward *f, struct request *r, const char *why,
               int64_t now_ms)
@@ -100,7 +101,9 @@
     keep_kv_cache (f, r, source, result->handle, now_ms);
   if (stopped && !result->ok)
     {
-      /* The target engine had no memory: the run continues at the source. */
+      /* The target engine had no memory: the run continues at the source, and
+         the target is not asked for as long as a stopped run's memory is kept
+         by default. */
       r->move_target->full_until_ms = now_ms + DEFAULT_KV_HANDLE_MS;
       beryl_live_close (f->endpoints, r->move_target);
       r->move_target = source;
--- a/libberyl/forward/pace.c
+++ b/libberyl/forward/pace.c
@@ -3,14 +3,14 @@
 #include <math.h>
 #include <stddef.h>
 
-/* Current engines prefill some fifty tokens per millisecond. */
+/* Assumed before any prefill: fifty tokens per millisecond. */
 #define PRIOR_MS_PER_TOKEN 0.02
 /* The quantile that is tracked. */
 #define QUANTILE 0.05
 /* Step by which a sample moves the estimate, relative to it. The first samples
-   move it further: with this step alone, the speed of an engine that reads at
-   half the assumed speed was known only after 160 prefills, and meanwhile too
-   few engines were assigned to prefill. */
+   move it further: with this step alone, it takes 160 prefills to learn that
+   engines are half as fast as assumed, and meanwhile too few are assigned to
+   prefill. */
 #define STEP 0.1
 
 void
@@ -39,9 +39,10 @@
 }
 
 /* Tracks the quantile by steps that are larger downwards than upwards, so that
-   it settles where the given share of samples is below it. By steps alone the
-   estimate from a bad few seconds would outlast them, since few prefills are
-   sent while it is wrong. */
+   it settles where the given share of samples is below it. The recent samples
+   also limit it from above: after a few seconds of slow prefills, steps alone
+   would lower it too late, since few prefills are sent while it is too high.
+   */
 void
 pace_learn (struct pace *pace, uint32_t tokens, int64_t took_ms)
 {
--- a/libberyl/forward/pace.h
+++ b/libberyl/forward/pace.h
@@ -1,7 +1,7 @@
 /** @file
- * Speed of prefill engines, learned from the durations of prefills. Most of
- * these include time in a queue, at peaks nearly all, so a low quantile is
- * tracked.
+ * Time per token that prefill engines take, learned from the durations of
+ * prefills. Most of these include time in a queue, at peaks nearly all, so a
+ * low quantile is tracked.
  */
 #ifndef FORWARD_PACE_H
 #define FORWARD_PACE_H
@@ -10,6 +10,7 @@
 
 #define PACE_RECENT 8
 
+/** Estimate of the time per token; initialise with pace_init. */
 struct pace
 {
   double ms_per_token;
--- a/libberyl/forward/placement.c
+++ b/libberyl/forward/placement.c
@@ -11,15 +11,13 @@
    this long; a run ends there every few hundred milliseconds. */
 #define FULL_BACKOFF_MS 60
 /* Minimum time from a reservation to the first event; a request with less time
-   left to its objective is already late. */
+   left until it should have had its first event is already late. */
 #define FIRST_EVENT_MIN_MS 300
-/* How long a request that can no longer meet its objective waits for
-   memory. */
+/* How long a request that is late already waits for memory. */
 #define LATE_WAIT_MS 600
-/* How long an interrupted stream, whose caller has part of it already, waits
-   for memory if its route does not state when such callers leave. Given up
-   sooner, the stream would be cut off although memory may still become
-   free. */
+/* How long an interrupted stream waits for memory if its route states no idle
+   timeout of callers (caller_idle_timeout_ms). The stream is cut off after
+   that, so the wait is longer than that of a new request. */
 #define RESUME_WAIT_MS 2000
 /* A request with a smaller chance of getting memory in time is refused at
    once. */
@@ -46,7 +44,7 @@
   f->report_due = true;
 }
 
-/* Returns when R needs a reservation to meet its objective. */
+/* Returns when R needs a reservation to have its first event in time. */
 static int64_t
 latest_start_ms (const struct request *r)
 {
@@ -100,10 +98,10 @@
                           backlog_retry_after_ms (f, r, now_ms), now_ms);
 }
 
-/* Returns whether R will most likely not get memory before it is given up: its
-   caller is then told at once, and when to retry. Waiting requests are not
-   served in order, so the chance is the time left divided by the time that the
-   backlog takes. */
+/* Returns whether R, which has just begun to wait, will most likely not get
+   memory before it is given up: its caller is then told at once, and when to
+   retry. Waiting requests are not served in order, so the chance is the time
+   left divided by the time that the backlog takes. */
 static bool
 is_unlikely_in_time (struct beryl_forward *f, const struct request *r,
                      int64_t now_ms)
@@ -143,8 +141,8 @@
     r->timer_ms = end_ms;
 }
 
-/* An isolated node cannot forecast the memory that other nodes will use, and
-   reserves all that the run may need at once. */
+/* A node that misses reports cannot forecast the memory that other nodes will
+   use, and reserves the whole expected output in advance. */
 static uint32_t
 tokens_to_reserve (const struct beryl_forward *f, const struct request *r)
 {
@@ -156,7 +154,7 @@
 /* Requests that wait at many nodes see free memory at the same moment. If all
    asked for it, an engine would grant it several times before any node knew of
    the others' choices, and would preempt running requests for lack of memory.
-   On average only as many ask as there are places. */
+   On average only as many ask as would fit. */
 static bool
 leaves_to_others (struct beryl_forward *f, const struct request *r,
                   double fitting_runs, int64_t now_ms)
@@ -210,9 +208,9 @@
   r->primary = placement_reserve (f, r, endpoint, now_ms);
 }
 
-/* The prefill engines' queue will be no shorter after it has been worked off
-   once: a request that could still be in time is told at once that it will not
-   be. One that is late anyway waits for a gap. */
+/* The prefill engines' queue is expected to be no shorter when R asks again,
+   so a request that could have been in time is refused at once, with a
+   Retry-After. One that is late anyway waits until the queue is shorter. */
 void
 placement_refuse_or_defer (struct beryl_forward *f, struct request *r,
                            int64_t now_ms)
--- a/libberyl/forward/plain.c
+++ b/libberyl/forward/plain.c
@@ -3,8 +3,8 @@
 #include <math.h>
 #include <string.h>
 
-/* Cost of an endpoint in another data centre, in open requests; the hop adds
-   about a millisecond to some tens. */
+/* Cost of an endpoint in another data centre, in open requests; the network
+   adds about a millisecond to an answer time of some tens. */
 #define REMOTE_COST 0.5
 /* Weights of the newest time to an answer; the same as in TCP's retransmission
    timer, which estimates the same quantity. */
@@ -17,7 +17,7 @@
 /* Cost of an endpoint that runs a suspect of another request, in open
    requests. */
 #define SUSPECT_COST 10
-/* Retry-After if a service is full. */
+/* Retry-After if no untried endpoint or no repeat is left. */
 #define FULL_RETRY_AFTER_MS 500
 
 void
@@ -65,9 +65,10 @@
   return count;
 }
 
-/* Returns the cost of sending R to ENDPOINT. A stalled request or a history of
-   failures outweighs any number of open requests, but never excludes an
-   endpoint. */
+/* Returns the cost of sending R to ENDPOINT, in open requests weighted by the
+   endpoint's response time, where 100 ms double the weight. Stalled requests
+   and a history of failures add the cost of many open requests, but never
+   exclude an endpoint. */
 static double
 endpoint_cost (struct beryl_forward *f, const struct request *r,
                struct beryl_live *endpoint, int64_t now_ms)
@@ -108,7 +109,7 @@
           || !rates_allows (f, r->service, endpoint, now_ms))
         continue;
       cost = endpoint_cost (f, r, endpoint, now_ms);
-      /* Only an idempotent request is used for a trial. */
+      /* Only an idempotent request is used as a probe. */
       if (forward_request_is_repeatable (r) && r->plain_sends == 0
           && beryl_live_probe_due (endpoint, now_ms))
         cost = -1;
@@ -143,8 +144,8 @@
   forward_request_log (f, r, "send", endpoint, "sent", r->plain_sends, now_ms);
   r->timer_ms = r->deadline_ms;
   /* Hedging: if the answer to an idempotent request is unusually late, a
-     second endpoint is tried, and the first complete answer is used. A dead
-     endpoint then costs some tens of milliseconds. */
+     second endpoint is tried, and the first answer that is not an error is
+     used. A dead endpoint then costs some tens of milliseconds. */
   if (forward_request_is_repeatable (r) && r->secondary == NULL
       && r->plain_sends < r->route->endpoints_max)
     {
--- a/libberyl/forward/prefill.c
+++ b/libberyl/forward/prefill.c
@@ -11,8 +11,8 @@
    between two of them at one engine. */
 #define LOCAL_FACTOR 2.0
 #define LOCAL_SPACING_MS 1000
-/* Time from the end of the prefill to the first event: the KV cache is
-   transferred, and one event is produced. */
+/* Time from the end of the prefill to the first event, in which the KV cache
+   is transferred and one event is produced. */
 #define TRANSFER_AND_EVENT_MS 100
 
 /* Takes the repeats that a prefill and the run after it need. A prompt is not
@@ -29,8 +29,9 @@
   return true;
 }
 
-/* Returns how long other streams pause while an engine prefills for BUSY_MS:
-   until their next event, of which half was produced on average. */
+/* Returns the longest time between two events of other streams while their
+   engine prefills for BUSY_MS: that time and the production of two events, one
+   before and one after the prefill. */
 static int64_t
 stream_pause_ms (const struct request *r, int64_t busy_ms)
 {
@@ -66,9 +67,11 @@
   return (int64_t)(LOCAL_FACTOR * tokens * r->service->prefill_ms_per_token);
 }
 
-/* Decides whether the decode engine prefills R's prompt. It takes twice as
-   long as a prefill engine, and its other runs nearly stop meanwhile. That is
-   worth it only if the prefill engines' queue would make the request late. */
+/* Lets the decode engine prefill R's prompt if that is better; returns whether
+   it is, and then records the time of the prefill. It takes twice as long as
+   at a prefill engine, and the engine's other runs nearly stop meanwhile. That
+   is worth it only if the prefill engines' queue would make the request late.
+   */
 static bool
 try_local_prefill (struct beryl_forward *f, const struct request *r,
                    int64_t wait_ms, int64_t now_ms)
@@ -87,7 +90,8 @@
 }
 
 /* An engine that has the prompt cached still has to prefill the part of the
-   answer that the caller already has. */
+   answer that the caller already has. The caller's last event id is taken for
+   the number of its events. */
 bool
 prefill_use_cached (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
@@ -109,9 +113,10 @@
 }
 
 /* Returns whether a prefill queue of WAIT_MS makes R late although it could
-   still be in time. A request that is late anyway may use the capacity that a
-   short queue leaves. Without this limit the queue of an overloaded pool would
-   grow until every answer is late, while memory stays reserved. */
+   still be in time. A queue that is no longer than R's own prefill is always
+   accepted, so that requests that are late anyway still use the engines.
+   Without this limit the queue of an overloaded pool would grow until every
+   answer is late, while memory stays reserved. */
 static bool
 makes_late (const struct request *r, int64_t wait_ms, int64_t now_ms)
 {
@@ -140,8 +145,8 @@
   return makes_late (r, wait_ms, now_ms);
 }
 
-/* Releases R's reservation, since its prompt would be prefilled too late. It
-   keeps the start time of its wait. */
+/* Releases R's reservation, since its prompt would be prefilled too late. R
+   keeps the time since which it waits (waiting_since_ms). */
 static void
 give_up_reservation (struct beryl_forward *f, struct request *r,
                      int64_t now_ms)
@@ -179,6 +184,7 @@
   struct beryl_live *endpoint = engine_choose_prefill (f, r, &wait_ms, now_ms);
 
   kv_clear (f, &r->kv);
+  /* All prefill engines are at their rate limits. */
   if (endpoint == NULL && engine_has_prefill (f, r, now_ms))
     {
       give_up_reservation (f, r, now_ms);
--- a/libberyl/forward/private.h
+++ b/libberyl/forward/private.h
@@ -47,9 +47,9 @@
   double prompt_tokens_mean;   /**< mean prompt length of its generations */
   double output_tokens_mean;   /**< mean expected output of its generations */
   uint32_t arrived;            /**< number of generations that arrived */
-  struct pace prefill_pace; /**< speed of its prefill engines, from this node's
-                               own prefills */
-  double prefill_ms_per_token; /**< prefill speed used in estimates; may be the
+  struct pace prefill_pace;    /**< time per token of its prefill engines, from
+                                  this node's own prefills */
+  double prefill_ms_per_token; /**< prefill time used in estimates; may be the
                                   fleet's median */
   struct call_times reservation_times; /**< durations of reservation calls */
   struct peer_profiles peer_profiles;
@@ -79,7 +79,7 @@
 
 enum phase
 {
-  PHASE_WAITING,   /**< waits for memory at an engine */
+  PHASE_WAITING,   /**< waits until it asks an engine for memory again */
   PHASE_RESERVING, /**< a decode engine was asked for a reservation */
   PHASE_PREFILLING,
   PHASE_RUNNING, /**< the request was sent to an endpoint */
@@ -88,7 +88,7 @@
 /** A generation's memory at a decode engine. */
 struct reservation
 {
-  struct beryl_live *endpoint; /**< NULL if none; kept open */
+  struct beryl_live *endpoint; /**< NULL if none; a reference is held */
   char handle[BERYL_ENGINE_HANDLE_BYTES];
   uint32_t tokens;
   int64_t expires_ms;
@@ -97,7 +97,7 @@
 /** The KV cache of a prompt that was prefilled. */
 struct kv_cache
 {
-  struct beryl_live *endpoint; /**< NULL if none; kept open */
+  struct beryl_live *endpoint; /**< NULL if none; a reference is held */
   char handle[BERYL_ENGINE_HANDLE_BYTES];
   int64_t expires_ms;
   uint32_t uses; /**< runs it was handed to */
@@ -113,7 +113,7 @@
   const struct beryl_route_service *config;
   struct service *service;
   enum phase phase;
-  bool waiting;               /**< it waits for memory at an engine */
+  bool waiting; /**< counted as waiting for memory, in PHASE_RESERVING too */
   int64_t deadline_ms;        /**< absolute; the final answer is due by then */
   int64_t timer_ms;           /**< when its timer fires */
   struct exchange *primary;   /**< open exchange, or NULL */
@@ -141,7 +141,8 @@
   uint32_t expected_tokens; /**< estimated output: the median */
   int64_t first_event_ms;
   int64_t longest_gap_ms;
-  struct beryl_live *move_target; /**< target while moving; kept open */
+  struct beryl_live
+      *move_target; /**< target while moving, else NULL; a reference is held */
   bool move_stopped;     /**< the engine has stopped the run for the move */
   uint32_t engine_sends; /**< number of times the request itself was sent to
                             engines */
@@ -155,7 +156,8 @@
   bool stalled;         /**< its stream has produced no event for too long */
   bool relocating; /**< looks for another engine while its run is still open */
   bool stream_ended;    /**< the stream of a move's source engine has ended */
-  uint32_t failed_asks; /**< refusals by engines in the current round */
+  uint32_t failed_asks; /**< engines that refused or did not answer in the
+                           current round */
   bool suspect;         /**< an endpoint may have crashed while running it */
   int64_t run_ms;       /**< when its current run was sent */
   int64_t waiting_since_ms;
@@ -171,7 +173,8 @@
   struct beryl_forward_owner *owner;
   struct beryl_routes *routes; /**< NULL before the first configuration */
   uint32_t nodes;
-  bool reports_incomplete; /**< reports of other live nodes do not arrive */
+  bool reports_incomplete; /**< reports of at least one live node do not arrive
+                            */
   struct map requests_by_handle;
   struct map exchanges_by_id;
   struct request_list requests;
@@ -188,15 +191,14 @@
   struct prompt_locations prompt_locations; /**< where prompts ran recently */
   struct beryl_repeat_transfers pending_loans; /**< granted, not sent yet */
   uint32_t last_loan_serial;
-  bool report_due; /**< this node's runs have changed since they were
-                        reported */
+  bool report_due; /**< a report to the peers is due, see
+                      beryl_forward_report_due */
   struct beryl_limits *limits;
   uint32_t reachable_nodes;     /**< reachable, including this one */
   int64_t reachable_counted_ms; /**< when they were last counted */
   struct beryl_quarantine_owner quarantine_owner;
   struct beryl_quarantine *quarantine;
-  int64_t suspects_until_ms;   /**< until when a request of this node may be a
-                                  suspect */
+  int64_t suspects_until_ms;   /**< latest deadline of this node's suspects */
   int64_t quarantine_check_ms; /**< when to check open requests for newly
                                   quarantined ones; BERYL_NEVER_MS if none */
 };
@@ -294,8 +296,8 @@
 void profile_remove_peer (struct beryl_forward *f, const char *peer);
 
 /* loans.c */
-/** Called when a repeat of S was sent or denied; requests a loan from a peer
- * if few repeats are left. */
+/** Called when a repeat of S was sent or denied; if few repeats are left,
+ * makes a report due, which will request a loan from a peer. */
 void loans_schedule_if_low (struct beryl_forward *f, struct service *s,
                             int64_t now_ms);
 
@@ -316,8 +318,7 @@
 /** Return the fingerprint of R's content; 0 if the owner does not know it. */
 uint64_t forward_request_fingerprint (struct beryl_forward *f,
                                       struct request *r);
-/** Log one step of R. NUMBER is tokens, bytes or milliseconds, depending on
- * STEP. */
+/** Log one step of R. The meaning of NUMBER depends on STEP and OUTCOME. */
 void forward_request_log (struct beryl_forward *f, const struct request *r,
                           const char *step, const struct beryl_live *endpoint,
                           const char *outcome, int64_t number, int64_t now_ms);
@@ -339,16 +340,18 @@
 /** Return whether R is idempotent: it may be sent again although it may have
  * run. */
 bool forward_request_is_repeatable (const struct request *r);
-/** Count that the endpoint R was sent to runs it, or may run it. */
+/** Record that R's current run has started, or may have started, at its
+ * endpoint. A run that continues a moved one is counted no second time; clears
+ * R's continues_run. */
 void forward_request_record_run (struct request *r);
 /** Take one repeat from the budget of R's service; false if none is left. */
 bool forward_request_take_repeat (struct beryl_forward *f, struct request *r,
                                   int64_t now_ms);
-/** Return how many repeats the budget of R's service has left, and take
- * COUNT. */
+/** Return how many repeats the budget of R's service has left. */
 uint32_t forward_request_repeats_left (struct beryl_forward *f,
                                        const struct request *r,
                                        int64_t now_ms);
+/** Take COUNT repeats from the budget of R's service. */
 void forward_request_take_repeats (struct beryl_forward *f, struct request *r,
                                    uint32_t count, int64_t now_ms);
 void forward_request_mark_tried (struct request *r,
@@ -373,7 +376,7 @@
 void placement_start (struct beryl_forward *f, struct request *r,
                       int64_t now_ms);
 /** R gave up its reservation, or did not ask for one, since its prompt cannot
- * be prefilled in time: refuse it or let it wait on. */
+ * be prefilled in time: refuse it, or let it wait on if it is late anyway. */
 void placement_refuse_or_defer (struct beryl_forward *f, struct request *r,
                                 int64_t now_ms);
 /** End R's wait for memory. */
@@ -390,7 +393,8 @@
                         int64_t now_ms);
 void placement_refused (struct beryl_forward *f, struct exchange *x,
                         int64_t now_ms);
-/** An engine that R asked for a reservation did not answer. */
+/** An engine that R asked for a reservation refused or did not answer: ask
+ * another. */
 void placement_ask_failed (struct beryl_forward *f, struct request *r,
                            int64_t now_ms);
 /** Engines were added or removed: waiting requests ask again at the next
@@ -418,7 +422,8 @@
 /* generation.c */
 void generation_start (struct beryl_forward *f, struct request *r,
                        int64_t now_ms);
-/** Start an exchange of R with ENDPOINT. */
+/** Start an exchange with ENDPOINT as R's primary one. It resumes after the
+ * last event that was forwarded. */
 void generation_start_exchange (struct beryl_forward *f, struct request *r,
                                 struct beryl_exchange_start *start,
                                 struct beryl_live *endpoint, int64_t now_ms);
@@ -455,10 +460,10 @@
  * valid. */
 void generation_restart (struct beryl_forward *f, struct request *r,
                          int64_t now_ms);
-/** ENDPOINT has reported that it now has the other stage. */
+/** Record that ENDPOINT has the other stage now, as it has reported itself. */
 void generation_record_other_stage (struct beryl_live *endpoint);
-/** ENDPOINT rejected work that it had memory for: back off from it for a
- * while. */
+/** ENDPOINT rejected a prefill, rejected a run despite its reservation, or has
+ * lost a KV cache: do not ask it for a while, like a full engine. */
 void generation_back_off (struct beryl_live *endpoint, int64_t now_ms);
 
 /* prefill.c */
@@ -466,8 +471,9 @@
  * prefilled in time. */
 bool prefill_would_be_late (struct beryl_forward *f, const struct request *r,
                             int64_t now_ms);
-/** Return whether R needs no prefill because its decode engine has the prompt
- * cached. */
+/** Return whether R can run at once because its decode engine has the prompt
+ * cached. If the engine still has to prefill the part of the answer that the
+ * caller already has, this records that it does. */
 bool prefill_use_cached (struct beryl_forward *f, struct request *r,
                          int64_t now_ms);
 /** Have the prompt of R, which has a reservation, prefilled. */
@@ -505,7 +511,7 @@
 /** Handle R's timer while it looks for another engine. */
 void relocate_timer (struct beryl_forward *f, struct request *r,
                      int64_t now_ms);
-/** An engine has no memory for R, or did not answer. */
+/** An engine refused R a reservation or did not answer. */
 void relocate_refused (struct beryl_forward *f, struct request *r,
                        int64_t now_ms);
 /** The engine of X has granted a reservation: R continues there. */
@@ -548,11 +554,12 @@
 void move_clear (struct beryl_forward *f, struct request *r);
 
 /* backlog.c */
-/** Interval at which a waiting request asks for memory again. If much shorter,
- * engines answer little else; if much longer, freed memory stays unused. */
+/** Interval at which a waiting request asks for memory again. A much shorter
+ * one would keep engines busy with refusals, a much longer one would leave
+ * freed memory unused. */
 #define ASK_INTERVAL_MS 120
-/** Time until other nodes have received a choice; it is sent to them after 30
- * ms. */
+/** Time until other nodes know of a choice: reports are sent after 30 ms and
+ * then cross the network. */
 #define PROPAGATION_MS 50
 /** Return how many requests of R's service choose engines within
  * PROPAGATION_MS, so that they cannot know of each other's choices. */
@@ -578,8 +585,8 @@
 double engine_peak_with (struct beryl_forward *f, const struct request *r,
                          const struct beryl_live *endpoint, double deviations,
                          int64_t now_ms);
-/** ENDPOINT granted or refused a reservation of TOKENS: estimate from that
- * what runs of unknown nodes use there. */
+/** ENDPOINT granted or refused a reservation of TOKENS: estimate from that how
+ * much memory is used there by runs that no node has reported. */
 void engine_learn_unreported_use (struct beryl_forward *f,
                                   const struct request *r,
                                   struct beryl_live *endpoint, uint32_t tokens,
@@ -588,7 +595,8 @@
 struct beryl_live *engine_choose_target (struct beryl_forward *f,
                                          const struct request *r,
                                          int64_t now_ms);
-/** Return whether R's run is the newest at its engine. */
+/** Return whether R's run is the newest at its engine, that is the one that
+ * has produced the fewest tokens. */
 bool engine_is_newest_run (struct beryl_forward *f, const struct request *r,
                            int64_t now_ms);
 /** Return whether ENDPOINT has R's prompt cached. */
@@ -597,10 +605,11 @@
 /** Estimated free capacity of a service's decode engines. */
 struct engine_capacity
 {
-  /** Part of its memory that the emptiest engine would fill with one more
-   * request; 0 if there is no engine to ask. */
+  /** Fraction of the emptiest engine's memory in use if R ran there too; 0 if
+   * there is no engine to ask. */
   double min_fill;
-  double fitting_runs; /**< requests of that size that would fit */
+  double fitting_runs; /**< how many requests of R's prompt and expected output
+                          fit into the free memory */
 };
 
 /** Choose a decode engine to ask for a reservation; NULL if there is none.
--- a/libberyl/forward/profile.c
+++ b/libberyl/forward/profile.c
@@ -4,21 +4,22 @@
 #include <stdlib.h>
 
 /* Merges what the nodes learn of generations. In a large fleet a node sees a
-   generation only now and then, and the holder of the planner's lease needs
-   several to know the engines' speed. */
+   generation only now and then, but the node that assigns engines to stages
+   (it holds the planner's lease) needs several to know the engines' speed. */
 
-/* Number of its own observations up to which a node's means are weighted; more
-   have no more weight, so that a shift is followed. */
+/* Maximum weight of a node's profile in the merged one; below it, the weight
+   is the number of the node's observations. The limit lets a change show soon.
+   */
 #define ARRIVED_WEIGHT_MAX 20
 #define PREFILLS_WEIGHT_MAX 8
 #define STREAMS_WEIGHT_MAX 8
-/* Observations of all nodes from which on a profile is used to assign
-   engines. */
+/* Minimum number of observations of all nodes for a merged profile to be used
+   to assign engines. */
 #define MEASURED_PREFILLS_MIN 8
 #define MEASURED_STREAMS_MIN 4
 #define NS_PER_MS 1e6
-/* The fleet's paces are merged again once one in this many of the peers has
-   sent a profile. */
+/* The paces of all nodes are merged again once more profiles have arrived than
+   the number of peers divided by this. */
 #define MERGE_DIVISOR 8
 
 struct peer_profile
@@ -132,8 +133,8 @@
 }
 
 /* Sorts PACES and returns the median of the observations; FALLBACK if there
-   are none. In a mean one node that was paused during its first prefill would
-   outweigh many others. */
+   are none. Unlike a mean, it is not distorted by a single node that was
+   paused during its first prefill. */
 static double
 paces_median (struct node_paces *paces, double fallback)
 {
@@ -149,7 +150,7 @@
   return fallback;
 }
 
-/* Merged profiles of all nodes. */
+/* Sums and lists from which the profiles of all nodes are merged. */
 struct profile_merge
 {
   struct sums sums;
--- a/libberyl/forward/rates.c
+++ b/libberyl/forward/rates.c
@@ -69,7 +69,8 @@
   f->owner->impl->log_endpoint_state (f->owner, endpoint, what, from);
 }
 
-/* Only an answer to a served request shows that there is no limit any more. */
+/* Only an answer to a served request shows that there is no limit any more.
+   The kind of answer that beryl_limits_observe expects must not be 0. */
 void
 rates_learn (struct beryl_forward *f, const struct exchange *x,
              const struct beryl_rate_limit *limit, bool served, int64_t now_ms)
--- a/libberyl/forward/relocate.c
+++ b/libberyl/forward/relocate.c
@@ -3,15 +3,17 @@
 /* Finds another engine for a stream whose engine has preempted it or has
    stopped responding, while the run is still open there. An engine that
    preempted a run for lack of memory prefills it again and continues once
-   memory is free. If the run were given up before another engine had granted a
-   reservation, the stream would have neither and, with all engines full, end
-   incomplete although its caller waits. */
+   memory is free. If the run were given up before another engine has granted a
+   reservation, and all others were full, the stream would have no engine left
+   and would end incomplete. */
 
 /* A reservation call without an answer after this time is abandoned. */
 #define RESERVE_TIMEOUT_MS 500
 /* Engines that are asked in one round. */
 #define ASKS_PER_ROUND 4
 
+/* Returns R's open reservation call, or NULL. It is the primary exchange if
+   the run's exchange has just ended. */
 static struct exchange *
 pending_reservation (const struct request *r)
 {
@@ -99,9 +101,10 @@
   ask (f, r, now_ms);
 }
 
-/* Other streams may have used up the repeats since R asked. If R gave up its
-   run now, it could continue neither at the other engine nor at its own, so it
-   stays. */
+/* R may not be sent again any more: most often other streams have used up the
+   repeats since R asked, which is what the log says, but R may also have been
+   quarantined. If R gave up its run now, it could continue neither at the
+   other engine nor at its own, so it stays. */
 static void
 decline (struct beryl_forward *f, struct exchange *x,
          const struct beryl_engine_result *result, int64_t now_ms)
--- a/libberyl/forward/repeat_budget.c
+++ b/libberyl/forward/repeat_budget.c
@@ -2,8 +2,9 @@
 
 #include <string.h>
 
-/* Part of the allowance that is used: an endpoint may receive a send later
-   than it was made, so sends of two windows can fall into one. */
+/* Part of the allowance that is used. Sends take different times to arrive, so
+   that an endpoint may receive more within a window than were sent within one.
+   */
 #define USED_SHARE 0.8
 
 static void
--- a/libberyl/forward/repeat_budget.h
+++ b/libberyl/forward/repeat_budget.h
@@ -10,11 +10,11 @@
  * messages are lost, as long as no more nodes are alive than the slack was
  * divided by.
  *
- * A node that has used up its share may borrow from another. The lender counts
- * a loan as spent from the time it grants it until the end of the last window
- * that the borrower's sends can fall into; the borrower must use it within a
- * time that starts with its own request. A loan whose message is lost is lost:
- * the limit holds whatever arrives.
+ * A node that has used up its share may borrow from another. The borrower may
+ * use a loan for REPEAT_LOAN_MS from its own request on. The lender counts it
+ * as spent for that time and a window more, counted from the grant, so that no
+ * window in which the borrower may have used it is missed. A loan whose
+ * message is lost is lost: the limit holds whatever arrives.
  */
 #ifndef FORWARD_REPEAT_BUDGET_H
 #define FORWARD_REPEAT_BUDGET_H
@@ -22,14 +22,15 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Buckets of a window; the oldest one counts in full. */
+/** Number of buckets: those of a window, and one more that has partly left it
+ * but counts in full. */
 #define REPEAT_BUCKETS 20
 
 /** Loans that a node may have outstanding. */
 #define REPEAT_LOANS_MAX 16
-/** How long a loan may be used, counted from the borrower's request: some
- * round trips between nodes, and failures of a service come in bursts of
- * seconds. */
+/** How long a loan may be used, counted from the borrower's request. It allows
+ * for some round trips between nodes, and for failures of a service, which
+ * come in bursts of seconds. */
 #define REPEAT_LOAN_MS 2000
 
 /** Repeats that were lent or borrowed. */
--- a/libberyl/forward/run_index.h
+++ b/libberyl/forward/run_index.h
@@ -1,6 +1,6 @@
 /** @file
  * Index of the peers' runs by engine, prefill engine or service. It avoids a
- * scan of all runs, of which there are some twenty thousand at 400 nodes.
+ * scan of all runs: 400 nodes have some twenty thousand.
  */
 #ifndef FORWARD_RUN_INDEX_H
 #define FORWARD_RUN_INDEX_H
@@ -19,7 +19,8 @@
   uint32_t index; /**< index among the peer's runs */
 };
 
-/** Runs with the same number. */
+/** Runs under the same number: the hash of their engine, prefill engine or
+ * service. */
 struct run_list
 {
   struct run_ref *items;
--- a/libberyl/forward/run_table.h
+++ b/libberyl/forward/run_table.h
@@ -1,5 +1,6 @@
 /** @file
- * Forecasts the memory of decode engines from the runs of all nodes.
+ * Table of the other nodes' runs and waiting requests, and forecasts of the
+ * memory of decode engines from the runs of all nodes.
  *
  * A run uses memory for its prompt and its output. The use grows by one token
  * at a time at a known pace and drops to zero when the run ends. The end is
@@ -37,9 +38,10 @@
 {
   double log_mean; /**< mean of log (output / estimate) */
   double log_variance;
-  double effective_runs;   /**< number of runs the means are weighted by */
-  double tokens_mean;      /**< mean output, for runs without an estimate */
-  double ms_per_token;     /**< used in forecasts; may be the fleet's */
+  double effective_runs; /**< number of runs in the means, the prior included;
+                            limited; a new run has the inverse as its weight */
+  double tokens_mean;    /**< mean output, for runs without an estimate */
+  double ms_per_token;   /**< used in forecasts; may be the fleet's */
   double own_ms_per_token; /**< mean pace of the node's own streams */
   uint32_t pace_samples;   /**< streams own_ms_per_token is from */
 };
@@ -80,7 +82,7 @@
 double memory_forecast_peak (const struct memory_forecast *forecast,
                              int64_t until_ms, double deviations);
 
-/** Runs of another node. */
+/** Runs of another node, its waiting requests included. */
 struct peer_runs
 {
   char name[BERYL_NAME_BYTES];
@@ -98,7 +100,7 @@
   struct run_index by_prefill_engine; /**< runs that are being prefilled, by
                                          prefill engine */
   struct run_index
-      waiting_by_service;      /**< runs that wait for memory, by service */
+      waiting_by_service; /**< requests that wait for memory, by service */
   int64_t suspect_reported_ms; /**< when a suspect run was last reported; 0 if
                                   never */
   int64_t report_interval_ms;  /**< interval of live peers' reports; 0 for the
@@ -119,7 +121,8 @@
  * not report it. */
 void run_table_drop_prompt (struct run_table *table, uint32_t prompt_key);
 
-/** Drop the runs of PEER, which has left the fleet. */
+/** Drop the runs of PEER, which has left the fleet. It counts as reachable
+ * until its last report is too old. */
 void run_table_remove_peer (struct run_table *table, const char *peer);
 
 /** Add the runs of all peers at ENGINE to FORECAST; returns their number. */
@@ -139,8 +142,8 @@
 uint64_t run_table_prefill_tokens (const struct run_table *table,
                                    uint32_t engine, int64_t now_ms);
 
-/** Return how many runs of peers wait for memory at the service with the
- * number SERVICE. */
+/** Return how many requests of peers wait for memory at the service whose name
+ * hashes to SERVICE. */
 uint32_t run_table_waiting (const struct run_table *table, uint32_t service,
                             int64_t now_ms);
 /** Return whether a peer has a run at ENGINE that may crash it. */
--- a/libberyl/forward/sample.c
+++ b/libberyl/forward/sample.c
@@ -8,8 +8,8 @@
 /* Minimum number of engines drawn: the better of two is far better than a
    single random one. */
 #define DRAWN_MIN 2
-/* Another node chooses the same engine with a probability of one in this
-   many. */
+/* The number of engines drawn is such that a concurrent choice is the same
+   engine with a probability of about one in this many. */
 #define COLLISION_DIVISOR 4
 
 void
@@ -107,8 +107,9 @@
 {
   size_t count = sample_count (sample);
   size_t local = local_first (sample->items, count, options->data_centre);
-  /* Other nodes prefer their own data centre too, so the number of concurrent
-     choices here is in proportion to the engines here. */
+  /* Other nodes prefer their own data centre too, so the concurrent choices
+     are divided among the local and the remote engines in proportion to their
+     numbers. */
   double per_engine
       = options->concurrent_choices / (double)(count > 0 ? count : 1);
   const struct candidate *best = best_of_drawn (
--- a/libberyl/forward/sample.h
+++ b/libberyl/forward/sample.h
@@ -5,7 +5,7 @@
  * same forecast and learn of each other's choices some ten milliseconds late:
  * if each took the best of all engines, nodes that choose at the same moment
  * would all ask the same engine, be refused there, and leave others empty.
- * With 70 nodes that happened to every second reservation.
+ * With 70 nodes every second reservation was refused for that reason.
  *
  * No I/O, and independent of requests.
  */
@@ -17,8 +17,8 @@
 
 #include "beryl/live.h"
 
-/** Most engines that are compared. A forecast of one takes some ten
- * microseconds; among this many the best is nearly as good as the best of
+/** Most engines that are compared. The forecast of one takes some ten
+ * microseconds, and the best of this many is nearly as good as the best of
  * all. */
 #define SAMPLE_MAX 64
 
@@ -33,7 +33,8 @@
 struct sample
 {
   struct candidate items[SAMPLE_MAX];
-  size_t offered; /**< number of engines offered */
+  size_t offered; /**< number of engines offered; after sample_drop_above, of
+                     those kept */
 };
 
 /** Options of sample_choose. */
--- a/libberyl/forward/stream.c
+++ b/libberyl/forward/stream.c
@@ -7,13 +7,13 @@
    jitter would count as a stall. */
 #define STALL_EVENTS 3
 #define STALL_MIN_MS 120
-/* Time before the first event, which includes a KV cache transfer and a
-   queue. */
+/* A stream has also stalled if its first event takes longer than this, which
+   includes a KV cache transfer and a queue. */
 #define FIRST_EVENT_STALL_MS 400
-/* A stalled stream continues at another engine after this time. An engine that
-   preempted the run needs a few hundred milliseconds to prefill its prompt
-   again; after that it is taken for dead. Before the first event engines are
-   given longer, since links may be slow. */
+/* A stream without events for this long is continued at another engine, since
+   its own is taken for dead: one that has preempted the run needs a few
+   hundred milliseconds to prefill its prompt again. Before the first event the
+   limit is longer, since links may be slow. */
 #define DEAD_AFTER_MS 1000
 #define FIRST_DEAD_AFTER_MS 2500
 /* An engine that is this full may have preempted a run for lack of memory. */
@@ -85,8 +85,8 @@
 
 /* If the engine is short of memory, asking it to move the run shows the run's
    state: a live run moves, and a preempted one is not found. Both end the
-   stall sooner than waiting. Otherwise the engine only pauses for a prefill,
-   or is dead. */
+   stall sooner than waiting. An engine that is not short of memory pauses for
+   a prefill, or is dead, which only time shows. */
 static void
 handle_stall (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
@@ -127,9 +127,9 @@
   relocate_start (f, r, "engine_silent", now_ms);
 }
 
-/* A token takes the same time whatever else runs, so the pace can be learned
-   long before the first run ends. Among runs that last for seconds, only the
-   shortest would have ended by then. */
+/* Apart from pauses for prefills a token takes the same time whatever else
+   runs, so the pace can be learned after a few events, while the ends of runs,
+   which last for seconds, would show that of the shortest first. */
 void
 stream_learn_pace (const struct request *r, int64_t now_ms)
 {
