--- a/include/beryl/forward.h
+++ b/include/beryl/forward.h
@@ -234,7 +234,7 @@
 
 /** Set whether the reports of any live node fail to reach this node. */
 void beryl_forward_set_reports_incomplete (struct beryl_forward *forward,
-                                           bool isolated);
+                                           bool incomplete);
 
 /** A caller's request has arrived completely. REQUEST is copied, except HOST
  * and PATH, which are only used during the call. */
@@ -403,9 +403,7 @@
 void beryl_forward_prompt_cached (struct beryl_forward *forward, uint32_t key,
                                   uint32_t engine, int64_t now_ms);
 
-/** Return the profile of SERVICE's generations, merged from those of all
- * nodes.
- */
+/** Return the profile of SERVICE's generations, merged over all nodes. */
 struct beryl_generation_mix
 beryl_forward_merged_profile (struct beryl_forward *forward,
                               const char *service);
--- a/libberyl/forward/crashes.c
+++ b/libberyl/forward/crashes.c
@@ -80,9 +80,9 @@
 }
 
 /* A broken connection does not prove that the endpoint has crashed, so the
-   endpoint is dialled: one that accepts no connection, also for lack of time,
-   is taken to have ended. The endpoint list would show that seconds later
-   only. */
+   endpoint is dialled: one that does not accept a connection, be it that the
+   attempt times out, is taken to have ended. The endpoint list shows an end
+   only seconds later. */
 void
 crashes_run_interrupted (struct beryl_forward *f, struct request *r,
                          struct beryl_live *endpoint, int64_t now_ms)
--- a/libberyl/forward/events.h
+++ b/libberyl/forward/events.h
@@ -19,8 +19,7 @@
 /** State of a stream; zero-initialise. */
 struct event_splitter
 {
-  struct buffer
-      pending;     /**< bytes of the event returned last and of later ones */
+  struct buffer pending; /**< the event returned last, and later bytes */
   size_t scanned;  /**< bytes searched without finding the end of an event */
   size_t consumed; /**< bytes of the event returned last */
 };
--- a/libberyl/forward/forward.c
+++ b/libberyl/forward/forward.c
@@ -160,9 +160,9 @@
 }
 
 void
-beryl_forward_set_reports_incomplete (struct beryl_forward *f, bool isolated)
+beryl_forward_set_reports_incomplete (struct beryl_forward *f, bool incomplete)
 {
-  f->reports_incomplete = isolated;
+  f->reports_incomplete = incomplete;
 }
 
 struct exchange *
--- a/libberyl/forward/generation.c
+++ b/libberyl/forward/generation.c
@@ -43,9 +43,8 @@
   update_means (s, r);
   r->warm_engine = prompt_locations_find (&f->prompt_locations,
                                           r->params.prompt_key, now_ms);
-  /* The prompt ran recently, so this request is taken for its caller's retry,
-     and a run of the prompt that a peer has reported is taken to have ended.
-     */
+  /* The prompt ran recently, so this is most likely its caller's retry. Runs
+     of the prompt that peers have reported are assumed to have ended. */
   if (r->warm_engine != 0)
     run_table_drop_prompt (&f->run_table, r->params.prompt_key);
   r->expected_tokens = length_model_median (
@@ -111,8 +110,8 @@
    or a move, and may stop at any moment. A moved run, whose memory no other
    engine has, may still be sent to a leaving engine for a limited time. */
 static bool
-engine_has_left (const struct beryl_forward *f, const struct request *r,
-                 int64_t now_ms)
+engine_is_unavailable (const struct beryl_forward *f, const struct request *r,
+                       int64_t now_ms)
 {
   const struct beryl_live *endpoint = r->reservation.endpoint;
 
@@ -141,7 +140,7 @@
   struct beryl_exchange_start start = { .kind = BERYL_EXCHANGE_RUN };
   struct beryl_live *endpoint = r->reservation.endpoint;
 
-  if (engine_has_left (f, r, now_ms))
+  if (engine_is_unavailable (f, r, now_ms))
     {
       forward_request_log (f, r, "decode", endpoint, "left", 0, now_ms);
       reservation_unusable (f, r, now_ms);
--- a/libberyl/forward/pace.c
+++ b/libberyl/forward/pace.c
@@ -41,8 +41,7 @@
 /* Tracks the quantile by steps that are larger downwards than upwards, so that
    it settles where the given share of samples is below it. The recent samples
    also limit it from above: after a few seconds of slow prefills, steps alone
-   would lower it too late, since few prefills are sent while it is too high.
-   */
+   would lower it late, since few prefills are sent while it is high. */
 void
 pace_learn (struct pace *pace, uint32_t tokens, int64_t took_ms)
 {
--- a/libberyl/forward/prefill.c
+++ b/libberyl/forward/prefill.c
@@ -29,9 +29,9 @@
   return true;
 }
 
-/* Returns the longest time between two events of other streams while their
-   engine prefills for BUSY_MS: that time and the production of two events, one
-   before and one after the prefill. */
+/* Returns an upper bound of the time between two events of other streams while
+   their engine prefills for BUSY_MS: that time plus twice the time of an
+   event. */
 static int64_t
 stream_pause_ms (const struct request *r, int64_t busy_ms)
 {
@@ -68,10 +68,9 @@
 }
 
 /* Lets the decode engine prefill R's prompt if that is better; returns whether
-   it is, and then records the time of the prefill. It takes twice as long as
-   at a prefill engine, and the engine's other runs nearly stop meanwhile. That
-   is worth it only if the prefill engines' queue would make the request late.
-   */
+   it does, and then records the time. It takes twice as long as at a prefill
+   engine, and the engine's other runs nearly stop meanwhile. That is worth it
+   only if the queue at the prefill engines makes the request late. */
 static bool
 try_local_prefill (struct beryl_forward *f, const struct request *r,
                    int64_t wait_ms, int64_t now_ms)
--- a/libberyl/forward/private.h
+++ b/libberyl/forward/private.h
@@ -141,8 +141,7 @@
   uint32_t expected_tokens; /**< estimated output: the median */
   int64_t first_event_ms;
   int64_t longest_gap_ms;
-  struct beryl_live
-      *move_target; /**< target while moving, else NULL; a reference is held */
+  struct beryl_live *move_target; /**< NULL if none; reference held */
   bool move_stopped;     /**< the engine has stopped the run for the move */
   uint32_t engine_sends; /**< number of times the request itself was sent to
                             engines */
@@ -173,8 +172,7 @@
   struct beryl_forward_owner *owner;
   struct beryl_routes *routes; /**< NULL before the first configuration */
   uint32_t nodes;
-  bool reports_incomplete; /**< reports of at least one live node do not arrive
-                            */
+  bool reports_incomplete; /**< reports of some live nodes do not arrive */
   struct map requests_by_handle;
   struct map exchanges_by_id;
   struct request_list requests;
@@ -341,8 +339,8 @@
  * run. */
 bool forward_request_is_repeatable (const struct request *r);
 /** Record that R's current run has started, or may have started, at its
- * endpoint. A run that continues a moved one is counted no second time; clears
- * R's continues_run. */
+ * endpoint. A run that continues a moved one is not counted again. Clears R's
+ * continues_run. */
 void forward_request_record_run (struct request *r);
 /** Take one repeat from the budget of R's service; false if none is left. */
 bool forward_request_take_repeat (struct beryl_forward *f, struct request *r,
--- a/libberyl/forward/profile.c
+++ b/libberyl/forward/profile.c
@@ -8,8 +8,7 @@
    (it holds the planner's lease) needs several to know the engines' speed. */
 
 /* Maximum weight of a node's profile in the merged one; below it, the weight
-   is the number of the node's observations. The limit lets a change show soon.
-   */
+   is the node's number of observations. It lets changes show soon. */
 #define ARRIVED_WEIGHT_MAX 20
 #define PREFILLS_WEIGHT_MAX 8
 #define STREAMS_WEIGHT_MAX 8
--- a/libberyl/forward/repeat_budget.c
+++ b/libberyl/forward/repeat_budget.c
@@ -3,8 +3,7 @@
 #include <string.h>
 
 /* Part of the allowance that is used. Sends take different times to arrive, so
-   that an endpoint may receive more within a window than were sent within one.
-   */
+   an endpoint may receive more in one window than were sent in any. */
 #define USED_SHARE 0.8
 
 static void
--- a/libberyl/forward/run_table.h
+++ b/libberyl/forward/run_table.h
@@ -131,8 +131,8 @@
                              const struct length_model *model, uint32_t engine,
                              int64_t now_ms);
 
-/** Return whether a peer has a run at ENGINE that has produced fewer than MADE
- * tokens. */
+/** Return whether a peer has a run at ENGINE that has produced fewer than
+ * PRODUCED tokens. */
 bool run_table_has_newer (const struct run_table *table,
                           const struct length_model *model, uint32_t engine,
                           uint32_t produced, int64_t now_ms);
--- a/libberyl/forward/stream.c
+++ b/libberyl/forward/stream.c
@@ -128,8 +128,9 @@
 }
 
 /* Apart from pauses for prefills a token takes the same time whatever else
-   runs, so the pace can be learned after a few events, while the ends of runs,
-   which last for seconds, would show that of the shortest first. */
+   runs, so the pace can be learned after a few events. Runs last for seconds;
+   if it were learned from their ends, it would come late and from the shortest
+   ones first. */
 void
 stream_learn_pace (const struct request *r, int64_t now_ms)
 {
--- a/tests/forward/test_choice.c
+++ b/tests/forward/test_choice.c
@@ -124,8 +124,8 @@
 
 /* At a peak a hundred requests wait at all nodes when a run ends. If all asked
    its engine, it would grant the memory several times before any node knew of
-   the others' choices. Only as many ask as there are places; a request that
-   waits alone asks in each round. */
+   the others' choices. Only as many ask as would fit; a request that waits
+   alone asks in each round. */
 START_TEST (test_waiting_requests_take_turns)
 {
   uint32_t alone = 0, among_many = 0;
