--- a/gatewayd/gateway.c
+++ b/gatewayd/gateway.c
@@ -223,7 +223,7 @@
 
 static void
 forward_decided (struct beryl_forward_owner *owner,
-                 const struct beryl_decision *d)
+                 const struct beryl_request_step *d)
 {
   char fingerprint[20];
 
@@ -262,7 +262,7 @@
   .refuse = forward_refuse,
   .fingerprint = forward_fingerprint,
   .quarantine_changed = forward_quarantine_changed,
-  .log_decision = forward_decided,
+  .log_step = forward_decided,
   .log_endpoint_state = forward_learned,
 };
 
@@ -550,7 +550,7 @@
   if (changing.count > 0 && g->announce_timer == NULL)
     g->announce_timer
         = loop_timer_start (g->loop, ANNOUNCE_DELAY_MS, 0, announce, g);
-  beryl_forward_set_isolated (g->forward, isolated);
+  beryl_forward_set_reports_incomplete (g->forward, isolated);
   store_set_watch_wait (g->store, members_count (g->members), isolated);
   planner_set_candidate (
       g->planner, g->stop_start_ms == 0
@@ -579,7 +579,7 @@
   int64_t now_ms;
 
   if (g->announce_timer == NULL && g->members != NULL
-      && beryl_forward_runs_changed (g->forward))
+      && beryl_forward_report_due (g->forward))
     g->announce_timer
         = loop_timer_start (g->loop, ANNOUNCE_DELAY_MS, 0, announce, g);
   /* An isolated node may have missed quarantines that are on record. */
--- a/gatewayd/metrics.c
+++ b/gatewayd/metrics.c
@@ -61,7 +61,8 @@
 }
 
 static void
-count_final_decision (struct metrics *metrics, const struct beryl_decision *d)
+count_final_decision (struct metrics *metrics,
+                      const struct beryl_request_step *d)
 {
   char labels[LABEL_BYTES];
 
@@ -77,7 +78,7 @@
 
 void
 metrics_count_decision (struct metrics *metrics,
-                        const struct beryl_decision *d)
+                        const struct beryl_request_step *d)
 {
   char labels[LABEL_BYTES];
 
--- a/gatewayd/metrics.h
+++ b/gatewayd/metrics.h
@@ -18,7 +18,7 @@
 
 /** Count one decision. */
 void metrics_count_decision (struct metrics *metrics,
-                             const struct beryl_decision *decision);
+                             const struct beryl_request_step *decision);
 
 /** Count a request that entered or left quarantine for CAUSE. */
 void metrics_count_quarantine (struct metrics *metrics, const char *cause);
--- a/gatewayd/planner.c
+++ b/gatewayd/planner.c
@@ -227,7 +227,7 @@
 {
   GArray *engines = collect_engines (p, service);
   struct beryl_generation_mix mix
-      = beryl_forward_generation_mix (p->forward, service);
+      = beryl_forward_merged_profile (p->forward, service);
   struct beryl_stage_order wanted;
 
   if (beryl_stages_plan (
--- a/libberyl/forward/backlog.c
+++ b/libberyl/forward/backlog.c
@@ -8,25 +8,29 @@
 
 /* Used when no run, and so no rate of completion, is known. */
 #define NO_RUNS_RETRY_MS 2000
-/* Memory that is expected sooner is not worth a new connection. */
+/* Minimum Retry-After; a shorter wait is not worth a new connection. */
 #define RETRY_MIN_MS 300
-/* A retrying caller keeps two thirds of its time for the second attempt. */
+/* Retry-After is at most the time left to the deadline divided by this, which
+   leaves a retrying caller two thirds of that time for its second attempt. */
 #define RETRY_MAX_DIVISOR 3
-/* Callers retry at a random time in this last part of the permitted time:
-   their answers are late in any case, a peak that had no memory for them lasts
-   for seconds, and a caller that is refused again has no further attempt. */
+/* Callers with a deadline retry at a random time in this last part of the time
+   until the largest permitted Retry-After. A peak lasts for seconds, the
+   answer is late in any case, and there is no time for a third attempt, so a
+   late retry has the best chance. */
 #define RETRY_RANDOM_PART 0.5
-/* Share of the freed places for callers that retry; the rest is for new
-   requests. */
+/* Share of the ending runs whose memory goes to callers that retry; the rest
+   is for new requests. */
 #define RETRY_SHARE 0.5
 
-/* Places freed per second at all engines of R's service: a run lasts as long
-   as its output takes to produce. */
+/* Returns how many runs end per second at all engines of R's service, each
+   leaving room for another one. A run lasts as long as its output takes to
+   produce. */
 static double
-places_per_s (struct beryl_forward *f, const struct request *r, int64_t now_ms)
+run_ends_per_s (struct beryl_forward *f, const struct request *r,
+                int64_t now_ms)
 {
   const struct length_model *lengths = &r->service->lengths;
-  double run_ms = r->service->output_tokens * lengths->ms_per_token;
+  double run_ms = r->service->output_tokens_mean * lengths->ms_per_token;
   uint32_t runs = engine_run_count (f, r, now_ms);
 
   return run_ms > 0 ? 1000 * runs / run_ms : 0;
@@ -41,22 +45,22 @@
                               beryl_name_hash (r->service->name), now_ms);
 }
 
-/* Waiting requests ask once per round, and as many new ones arrive as runs
-   end. */
+/* Waiting requests ask once per ASK_INTERVAL_MS. New requests are assumed to
+   arrive at the rate at which runs end. */
 double
 backlog_concurrent_choices (struct beryl_forward *f, const struct request *r,
                             int64_t now_ms)
 {
   return backlog_waiting (f, r, now_ms) * (double)PROPAGATION_MS
              / ASK_INTERVAL_MS
-         + places_per_s (f, r, now_ms) * PROPAGATION_MS / 1000;
+         + run_ends_per_s (f, r, now_ms) * PROPAGATION_MS / 1000;
 }
 
 int64_t
 backlog_wait_ms (struct beryl_forward *f, const struct request *r,
                  int64_t now_ms)
 {
-  double rate = places_per_s (f, r, now_ms);
+  double rate = run_ends_per_s (f, r, now_ms);
 
   if (rate <= 0)
     return 0;
@@ -71,19 +75,20 @@
   return (int64_t)(part * (double)max_ms);
 }
 
-/* Spreads the retries of refused callers at the rate at which places are freed
-   for them. With one common time they would all retry together, meet the same
-   peak again and be refused for good. */
+/* Spreads the retries of refused callers: each gets a random time, and
+   consecutive ones are at least as far apart as runs end that make room for
+   them. With one common time they would all retry together, meet the same peak
+   again and be refused for good. */
 int64_t
 backlog_retry_after_ms (struct beryl_forward *f, const struct request *r,
                         int64_t now_ms)
 {
   struct service *s = r->service;
-  double rate = RETRY_SHARE * places_per_s (f, r, now_ms) / f->nodes;
+  double rate = RETRY_SHARE * run_ends_per_s (f, r, now_ms) / f->nodes;
   int64_t prefill_ms = engine_prefill_wait_ms (f, r, now_ms);
   int64_t after_ms = backlog_wait_ms (f, r, now_ms);
   int64_t latest_ms = r->deadline_ms;
-  int64_t slot_ms;
+  int64_t retry_ms;
 
   if (latest_ms != BERYL_NEVER_MS)
     latest_ms = now_ms + (latest_ms - now_ms) / RETRY_MAX_DIVISOR;
@@ -95,11 +100,11 @@
     after_ms = RETRY_MIN_MS;
   if (latest_ms != BERYL_NEVER_MS)
     after_ms = MAX (after_ms, random_retry_ms (f, latest_ms - now_ms));
-  slot_ms = now_ms + after_ms;
-  if (s->next_retry_ms > slot_ms)
-    slot_ms = s->next_retry_ms;
-  if (slot_ms > latest_ms)
-    slot_ms = latest_ms;
-  s->next_retry_ms = slot_ms + (int64_t)(1000 / rate);
-  return slot_ms - now_ms;
+  retry_ms = now_ms + after_ms;
+  if (s->next_retry_ms > retry_ms)
+    retry_ms = s->next_retry_ms;
+  if (retry_ms > latest_ms)
+    retry_ms = latest_ms;
+  s->next_retry_ms = retry_ms + (int64_t)(1000 / rate);
+  return retry_ms - now_ms;
 }
--- a/libberyl/forward/crashes.c
+++ b/libberyl/forward/crashes.c
@@ -1,9 +1,9 @@
 #include "private.h"
 
 /* Detects requests that crash the endpoints they run at. Requests that were
-   interrupted together by a crash are sent on to different endpoints: at one
-   endpoint they would all look like the cause again, and each crash would
-   interrupt the others as well. */
+   interrupted by the same crash are sent to different endpoints: if they ran
+   at one endpoint again, the next crash would again interrupt all of them, and
+   not show which one is the cause. */
 
 /* A suspect that has run for this long no longer counts as a risk to the other
    runs at its engine. */
@@ -79,9 +79,10 @@
                     < run_table_peer_timeout_ms (&f->run_table));
 }
 
-/* A broken connection does not prove that the endpoint has crashed. Only a
-   process that has ended refuses connections, so the endpoint is dialled; its
-   entry stays listed for seconds. */
+/* A broken connection does not prove that the endpoint has crashed, so the
+   endpoint is dialled: one that does not accept a connection, be it that the
+   attempt times out, is taken to have ended. The endpoint list shows an end
+   only seconds later. */
 void
 crashes_run_interrupted (struct beryl_forward *f, struct request *r,
                          struct beryl_live *endpoint, int64_t now_ms)
@@ -165,11 +166,11 @@
     return false;
   TAILQ_FOREACH (other, &f->requests, entry)
   {
-    bool is_there
+    bool uses_endpoint
         = other->reservation.endpoint == endpoint
           || (other->primary != NULL && other->primary->endpoint == endpoint);
 
-    if (other != r && is_there && crashes_is_suspect (other, now_ms))
+    if (other != r && uses_endpoint && crashes_is_suspect (other, now_ms))
       return true;
   }
   return run_table_has_suspect (&f->run_table, beryl_live_hash (endpoint),
@@ -177,7 +178,7 @@
 }
 
 static bool
-is_at_endpoint (const struct request *r)
+has_open_run (const struct request *r)
 {
   return r->phase == PHASE_RUNNING && r->primary != NULL;
 }
@@ -194,7 +195,7 @@
   for (r = TAILQ_FIRST (&f->requests); r != NULL; r = next)
     {
       next = TAILQ_NEXT (r, entry);
-      if (!is_at_endpoint (r))
+      if (!has_open_run (r))
         crashes_refuse (f, r, now_ms);
     }
 }
--- a/libberyl/forward/endpoint_reports.c
+++ b/libberyl/forward/endpoint_reports.c
@@ -4,20 +4,22 @@
 
 /* Reports between nodes of endpoint states that the endpoint list does not
    show yet. Entries of dead endpoints stay listed for seconds, and with many
-   nodes each calls an endpoint rarely: without reports every node would lose a
-   connection timeout, or one of its few repeats, to each dead endpoint. */
+   nodes each of them calls an endpoint rarely: without reports every node
+   would wait for a connection timeout, or use one of its few repeats, at each
+   dead endpoint. */
 
-/* How long a replaced endpoint is reported: until one of the datagrams, some
-   of which may be lost, has arrived and its entry has lapsed. */
+/* How long a replaced endpoint is reported: until a report has arrived
+   although datagrams may be lost, and the endpoint's list entry has lapsed. */
 #define REPLACED_REPORT_MS 3000
 /* How long an unreachable endpoint is reported; it may be back after that. */
 #define UNREACHABLE_REPORT_MS 1000
 /* How long an engine that was reported to change its stage is avoided; the
    report is repeated while the change lasts. */
 #define CHANGING_AVOID_MS 2000
-/* A peer that cannot reach more than one in this many of all endpoints is cut
-   off itself, and its reports of unreachable endpoints are ignored. */
-#define UNREACHABLE_SHARE 3
+/* A peer that reports more than the number of endpoints divided by this as
+   unreachable is cut off itself, and its reports of unreachable endpoints are
+   ignored. */
+#define UNREACHABLE_MAX_DIVISOR 3
 
 void
 beryl_endpoint_set_add (struct beryl_endpoint_set *set, uint32_t number)
@@ -42,7 +44,7 @@
     return;
   beryl_live_mark_replaced (endpoint, now_ms);
   crashes_endpoint_ended (f, endpoint, now_ms);
-  f->runs_changed = true;
+  f->report_due = true;
   log_state (f, endpoint, "replaced", "own call");
 }
 
@@ -51,7 +53,7 @@
                              struct beryl_live *endpoint, int64_t now_ms)
 {
   beryl_live_mark_unreachable (endpoint, now_ms);
-  f->runs_changed = true;
+  f->report_due = true;
 }
 
 void
@@ -115,7 +117,7 @@
   uint32_t peer_number = beryl_name_hash (peer);
   struct beryl_endpoint_updates accepted = *reports;
 
-  if (reports->unreachable.count * UNREACHABLE_SHARE > count)
+  if (reports->unreachable.count * UNREACHABLE_MAX_DIVISOR > count)
     accepted.unreachable.count = 0;
   if (accepted.changing.count + accepted.replaced.count
           + accepted.unreachable.count
--- a/libberyl/forward/engines.c
+++ b/libberyl/forward/engines.c
@@ -17,9 +17,9 @@
    data centres is charged. */
 #define REMOTE_COST_PART 0.15
 #define REMOTE_WAIT_MS 50
-/* Time constant by which the estimate of memory used by unknown runs
+/* Time constant by which the estimate of memory used by unreported runs
    decays. */
-#define HIDDEN_DECAY_MS 2000.0
+#define UNREPORTED_DECAY_MS 2000.0
 
 static bool
 serves (const struct beryl_live *endpoint, const struct request *r,
@@ -31,18 +31,18 @@
 }
 
 static uint32_t
-made_tokens (const struct request *r, int64_t now_ms)
+produced_tokens (const struct request *r, int64_t now_ms)
 {
-  uint64_t made = r->event_count * r->config->engine.event_tokens;
+  uint64_t produced = r->event_count * r->config->engine.event_tokens;
 
   if (r->phase != PHASE_RUNNING)
     return 0;
   if (r->last_event_ms > 0 && now_ms > r->last_event_ms)
-    made += (uint64_t)fmin ((double)(now_ms - r->last_event_ms)
-                                / r->service->lengths.ms_per_token,
-                            r->config->engine.event_tokens);
-  return made < r->params.output_tokens_max ? (uint32_t)made
-                                            : r->params.output_tokens_max;
+    produced += (uint64_t)fmin ((double)(now_ms - r->last_event_ms)
+                                    / r->service->lengths.ms_per_token,
+                                r->config->engine.event_tokens);
+  return produced < r->params.output_tokens_max ? (uint32_t)produced
+                                                : r->params.output_tokens_max;
 }
 
 void
@@ -55,7 +55,7 @@
     .engine = endpoint != NULL ? beryl_live_hash (endpoint) : 0,
     .prompt_tokens = r->params.prompt_tokens,
     .expected_tokens = r->expected_tokens,
-    .generated_tokens = made_tokens (r, now_ms),
+    .generated_tokens = produced_tokens (r, now_ms),
     .started = r->phase == PHASE_RUNNING,
     .suspect = crashes_is_suspect (r, now_ms),
   };
@@ -68,29 +68,32 @@
     run->prefill_engine = beryl_live_hash (r->primary->endpoint);
 }
 
-/* Returns the memory that unknown runs are expected to use AHEAD_MS from now;
-   it decays as they end. */
+/* Returns the memory that unreported runs are expected to use AHEAD_MS from
+   now; it decays as they end. */
 static double
-hidden_at (const struct beryl_live *endpoint, int64_t now_ms, int64_t ahead_ms)
+unreported_tokens_at (const struct beryl_live *endpoint, int64_t now_ms,
+                      int64_t ahead_ms)
 {
   double age_ms
       = (double)(now_ms - endpoint->unreported_updated_ms + ahead_ms);
 
   return endpoint->unreported_tokens > 0
-             ? endpoint->unreported_tokens * exp (-age_ms / HIDDEN_DECAY_MS)
+             ? endpoint->unreported_tokens
+                   * exp (-age_ms / UNREPORTED_DECAY_MS)
              : 0;
 }
 
 static void
-hidden_add (const struct beryl_live *endpoint, int64_t now_ms,
-            struct memory_forecast *forecast)
+add_unreported (const struct beryl_live *endpoint, int64_t now_ms,
+                struct memory_forecast *forecast)
 {
   for (int i = 0; i < FORECAST_STEPS; i++)
     {
-      double hidden = hidden_at (endpoint, now_ms, i * FORECAST_STEP_MS);
+      double unreported
+          = unreported_tokens_at (endpoint, now_ms, i * FORECAST_STEP_MS);
 
-      forecast->tokens[i] += hidden;
-      forecast->upper_bound[i] += hidden;
+      forecast->tokens[i] += unreported;
+      forecast->upper_bound[i] += unreported;
     }
 }
 
@@ -113,30 +116,32 @@
   }
   run_table_forecast (&f->run_table, forecast, &s->lengths,
                       beryl_live_hash (endpoint), now_ms);
-  hidden_add (endpoint, now_ms, forecast);
+  add_unreported (endpoint, now_ms, forecast);
 }
 
-/* Runs of unreachable nodes use engine memory too. It is estimated from what
-   an engine grants or refuses: the use that the known runs do not explain. */
+/* Runs that no node reports, such as those of unreachable nodes, use engine
+   memory too. It is estimated from what an engine grants or refuses: THRESHOLD
+   is the most memory that can be in use if TOKENS were granted, and the least
+   if they were refused. */
 void
-engine_learn_capacity (struct beryl_forward *f, const struct request *r,
-                       struct beryl_live *endpoint, uint32_t tokens,
-                       bool granted, int64_t now_ms)
+engine_learn_unreported_use (struct beryl_forward *f, const struct request *r,
+                             struct beryl_live *endpoint, uint32_t tokens,
+                             bool granted, int64_t now_ms)
 {
   struct memory_forecast forecast;
-  double usable_tokens = (double)r->config->engine.kv_tokens - tokens;
+  double threshold = (double)r->config->engine.kv_tokens - tokens;
   double known;
 
-  endpoint->unreported_tokens = hidden_at (endpoint, now_ms, 0);
+  endpoint->unreported_tokens = unreported_tokens_at (endpoint, now_ms, 0);
   endpoint->unreported_updated_ms = now_ms;
   engine_forecast (f, r->service, endpoint, now_ms, &forecast);
   known = forecast.tokens[0] - endpoint->unreported_tokens;
   if (granted)
     endpoint->unreported_tokens
-        = fmin (endpoint->unreported_tokens, fmax (usable_tokens - known, 0));
+        = fmin (endpoint->unreported_tokens, fmax (threshold - known, 0));
   else
     endpoint->unreported_tokens
-        = fmax (endpoint->unreported_tokens, fmax (usable_tokens - known, 0));
+        = fmax (endpoint->unreported_tokens, fmax (threshold - known, 0));
 }
 
 double
@@ -154,8 +159,9 @@
                                deviations);
 }
 
-/* An engine that failed recently is avoided except for occasional trials; a
-   reservation call risks only the time of one connection. */
+/* An engine that failed recently is avoided except for occasional probes. A
+   reservation call may serve as one: if it fails, only the time of a
+   connection attempt is lost. */
 static bool
 worth_asking (const struct beryl_live *endpoint, int64_t now_ms)
 {
@@ -213,18 +219,20 @@
 
       if (least == 0 || cost < least)
         least = cost;
-      /* An engine of unknown memory size counts as one place. */
+      /* An engine of unknown memory size counts as room for one. */
       if (cost <= usable_tokens || usable_tokens <= 0)
-        capacity->free_places
+        capacity->fitting_runs
             += 1 + fmax (usable_tokens - cost, 0) / fmax (need, 1);
     }
   if (sample->offered > SAMPLE_MAX)
-    capacity->free_places *= (double)sample->offered / SAMPLE_MAX;
+    capacity->fitting_runs *= (double)sample->offered / SAMPLE_MAX;
+  /* USABLE_TOKENS is FILL_PART of the engine's memory. */
   capacity->min_fill
       = usable_tokens > 0 ? FILL_PART * least / usable_tokens : 0;
 }
 
-/* Chooses among the engines that run no suspect (APART), or among all. */
+/* Chooses among the engines that run no suspect (APART), or among all. The
+   forecast is an estimate; the engine itself counts exactly and decides. */
 static struct beryl_live *
 choose_decode (struct beryl_forward *f, const struct request *r, bool apart,
                struct engine_capacity *capacity, int64_t now_ms)
@@ -264,7 +272,8 @@
   return best;
 }
 
-/* This is an estimate; the engine itself counts exactly and decides. */
+/* Prefers engines that run no suspect. The choice of an avoided engine counts
+   as a probe of it. */
 struct beryl_live *
 engine_choose_decode (struct beryl_forward *f, const struct request *r,
                       struct engine_capacity *capacity, int64_t now_ms)
@@ -311,20 +320,21 @@
                  REMOTE_COST_PART * usable_tokens, now_ms, &cost);
 }
 
+/* The number of produced tokens stands for the age of a run. */
 bool
 engine_is_newest_run (struct beryl_forward *f, const struct request *r,
                       int64_t now_ms)
 {
   const struct request *other;
-  uint32_t made = made_tokens (r, now_ms);
+  uint32_t produced = produced_tokens (r, now_ms);
 
   TAILQ_FOREACH (other, &f->requests, entry)
   if (other != r && other->reservation.endpoint == r->reservation.endpoint
-      && made_tokens (other, now_ms) < made)
+      && produced_tokens (other, now_ms) < produced)
     return false;
   return !run_table_has_newer (&f->run_table, &r->service->lengths,
-                               beryl_live_hash (r->reservation.endpoint), made,
-                               now_ms);
+                               beryl_live_hash (r->reservation.endpoint),
+                               produced, now_ms);
 }
 
 static bool
@@ -467,14 +477,14 @@
 
 /* Runs with a reservation come before waiting ones: otherwise a peak of
    waiting requests would push them out of the report, and other nodes would
-   take their memory for free. */
+   assume that their memory is free. */
 size_t
 beryl_forward_runs (struct beryl_forward *f, struct beryl_engine_run *runs,
                     size_t most, int64_t now_ms)
 {
   size_t count = describe_runs (f, true, runs, 0, most, now_ms);
 
-  f->runs_changed = false;
+  f->report_due = false;
   return describe_runs (f, false, runs, count, most, now_ms);
 }
 
@@ -490,7 +500,7 @@
 }
 
 bool
-beryl_forward_runs_changed (const struct beryl_forward *f)
+beryl_forward_report_due (const struct beryl_forward *f)
 {
-  return f->runs_changed;
+  return f->report_due;
 }
--- a/libberyl/forward/generation.c
+++ b/libberyl/forward/generation.c
@@ -12,14 +12,15 @@
    first engine has rejected the run, since the cache may have been the
    reason. */
 #define KV_USES_MAX 2
-/* Weight of the newest request in the means, once enough were seen that this
-   exceeds its weight in a plain mean. */
+/* Minimum weight of the newest request in the means, which are plain means
+   until it is reached and moving ones after that. */
 #define MEAN_WEIGHT_MIN 0.05
 
-/* Updates the means from a request's arrival, when its size is known. Learning
-   from the runs that have ended would be biased to short ones in the first
-   seconds and after a shift to longer ones, which would leave too few engines
-   for decode; with an assumed length there would be too few for prefill. */
+/* Updates the means, by which the planner divides the engines between the
+   stages, when a request arrives. Means over ended runs would be biased to
+   short ones in the first seconds and after a shift to longer ones, and too
+   few engines would be assigned to decode; with an assumed length, too few to
+   prefill. */
 static void
 update_means (struct service *s, const struct request *r)
 {
@@ -29,9 +30,9 @@
 
   s->arrived++;
   weight = fmax (MEAN_WEIGHT_MIN, 1.0 / s->arrived);
-  s->prompt_tokens
-      += weight * ((double)r->params.prompt_tokens - s->prompt_tokens);
-  s->output_tokens += weight * (output - s->output_tokens);
+  s->prompt_tokens_mean
+      += weight * ((double)r->params.prompt_tokens - s->prompt_tokens_mean);
+  s->output_tokens_mean += weight * (output - s->output_tokens_mean);
 }
 
 void
@@ -42,8 +43,8 @@
   update_means (s, r);
   r->warm_engine = prompt_locations_find (&f->prompt_locations,
                                           r->params.prompt_key, now_ms);
-  /* The caller retries, so the run that another node reported for this prompt
-     has ended. */
+  /* The prompt ran recently, so this is most likely its caller's retry. Runs
+     of the prompt that peers have reported are assumed to have ended. */
   if (r->warm_engine != 0)
     run_table_drop_prompt (&f->run_table, r->params.prompt_key);
   r->expected_tokens = length_model_median (
@@ -92,25 +93,25 @@
   r->primary = forward_exchange_start (f, r, start, endpoint, now_ms);
 }
 
-/* The first run of a request is its one arrival at the service, and a moved
-   run is the same run. All others are repeats. */
+/* The first run of a request does not count as a repeat, nor does a moved run
+   that continues. All others do. */
 static bool
 run_allowed (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
-  bool paid = r->run_repeat_taken;
+  bool repeat_already_taken = r->run_repeat_taken;
 
   r->run_repeat_taken = false;
-  return r->runs == 0 || r->continues_run || paid
+  return r->engine_sends == 0 || r->continues_run || repeat_already_taken
          || forward_request_take_repeat (f, r, now_ms);
 }
 
-/* A prefill or a move may take longer than a leaving engine may still get
-   work, so that the run would reach an engine that may stop at any moment.
-   Only a run that was stopped at this engine may return to it in time, since
-   no other engine has its memory. */
+/* Returns whether R must not be sent to the engine of its reservation any
+   more, because it is leaving or gone. It may have become so during a prefill
+   or a move, and may stop at any moment. A moved run, whose memory no other
+   engine has, may still be sent to a leaving engine for a limited time. */
 static bool
-engine_has_left (const struct beryl_forward *f, const struct request *r,
-                 int64_t now_ms)
+engine_is_unavailable (const struct beryl_forward *f, const struct request *r,
+                       int64_t now_ms)
 {
   const struct beryl_live *endpoint = r->reservation.endpoint;
 
@@ -119,9 +120,11 @@
   return !beryl_live_accepts_work (endpoint);
 }
 
-/* Handles that the engine with R's reservation does not run it. */
+/* Handles that R cannot run at the engine of its reservation, because the
+   engine has rejected the run or is leaving. */
 static void
-reservation_lost (struct beryl_forward *f, struct request *r, int64_t now_ms)
+reservation_unusable (struct beryl_forward *f, struct request *r,
+                      int64_t now_ms)
 {
   relocate_end (f, r);
   if (r->continues_run && move_back (f, r, now_ms))
@@ -137,10 +140,10 @@
   struct beryl_exchange_start start = { .kind = BERYL_EXCHANGE_RUN };
   struct beryl_live *endpoint = r->reservation.endpoint;
 
-  if (engine_has_left (f, r, now_ms))
+  if (engine_is_unavailable (f, r, now_ms))
     {
       forward_request_log (f, r, "decode", endpoint, "left", 0, now_ms);
-      reservation_lost (f, r, now_ms);
+      reservation_unusable (f, r, now_ms);
       return;
     }
   if (!run_allowed (f, r, now_ms))
@@ -158,12 +161,12 @@
       r->kv.uses++;
     }
   r->phase = PHASE_RUNNING;
-  r->runs++;
+  r->engine_sends++;
   r->last_event_ms = now_ms;
   r->run_ms = now_ms;
   r->run_events = 0;
   r->stalled = false;
-  f->runs_changed = true;
+  f->report_due = true;
   r->timer_ms = stream_timer_ms (r);
   generation_start_exchange (f, r, &start, endpoint, now_ms);
   forward_request_log (f, r, "decode", endpoint,
@@ -180,7 +183,7 @@
 generation_reserved (struct beryl_forward *f, struct request *r,
                      int64_t now_ms)
 {
-  if (kv_usable (r, now_ms) || prefill_is_cached (f, r, now_ms))
+  if (kv_usable (r, now_ms) || prefill_use_cached (f, r, now_ms))
     generation_run (f, r, now_ms);
   else
     prefill_start (f, r, now_ms);
@@ -193,11 +196,10 @@
 {
   if (!r->may_have_run)
     return true;
-  return r->route->resumable && r->endpoints_run < r->route->endpoints_max;
+  return r->route->resumable
+         && r->endpoints_run_count < r->route->endpoints_max;
 }
 
-/* Plans R again after a failure; its KV cache is used again if it is still
-   valid. */
 void
 generation_restart (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
@@ -214,7 +216,7 @@
 /* The endpoint list shows a change of stage late, and not at all to a node
    that is cut off from it; the engine itself knows its stage. */
 void
-generation_switch_stage (struct beryl_live *endpoint)
+generation_record_other_stage (struct beryl_live *endpoint)
 {
   endpoint->info.stage = endpoint->info.stage == BERYL_STAGE_PREFILL
                              ? BERYL_STAGE_DECODE
@@ -278,7 +280,7 @@
       move_failed (f, r, sent, now_ms);
       return;
     case BERYL_EXCHANGE_RESERVE:
-      placement_no_answer (f, r, now_ms);
+      placement_ask_failed (f, r, now_ms);
       return;
     case BERYL_EXCHANGE_RUN:
       run_failed (f, r, now_ms);
@@ -310,9 +312,9 @@
                          bool wrong_stage, int64_t now_ms)
 {
   if (wrong_stage && r->reservation.endpoint != NULL)
-    generation_switch_stage (r->reservation.endpoint);
+    generation_record_other_stage (r->reservation.endpoint);
   back_off_cause (r, now_ms);
-  reservation_lost (f, r, now_ms);
+  reservation_unusable (f, r, now_ms);
 }
 
 void
--- a/libberyl/forward/placement.c
+++ b/libberyl/forward/placement.c
@@ -11,15 +11,13 @@
    this long; a run ends there every few hundred milliseconds. */
 #define FULL_BACKOFF_MS 60
 /* Minimum time from a reservation to the first event; a request with less time
-   left to its objective is already late. */
-#define SERVICE_MIN_MS 300
-/* How long a request that can no longer meet its objective waits for
-   memory. */
+   left until it should have had its first event is already late. */
+#define FIRST_EVENT_MIN_MS 300
+/* How long a request that is late already waits for memory. */
 #define LATE_WAIT_MS 600
-/* How long an interrupted stream, whose caller has part of it already, waits
-   for memory if its route does not state when such callers leave. Given up
-   sooner, the stream would be cut off although memory may still become
-   free. */
+/* How long an interrupted stream waits for memory if its route states no idle
+   timeout of callers (caller_idle_timeout_ms). The stream is cut off after
+   that, so the wait is longer than that of a new request. */
 #define RESUME_WAIT_MS 2000
 /* A request with a smaller chance of getting memory in time is refused at
    once. */
@@ -43,14 +41,14 @@
   r->waiting = false;
   f->waiting_count--;
   r->service->waiting--;
-  f->runs_changed = true;
+  f->report_due = true;
 }
 
-/* Returns when R needs a reservation to meet its objective. */
+/* Returns when R needs a reservation to have its first event in time. */
 static int64_t
 latest_start_ms (const struct request *r)
 {
-  return r->params.arrived_ms + r->route->objective_ms - SERVICE_MIN_MS;
+  return r->params.arrived_ms + r->route->objective_ms - FIRST_EVENT_MIN_MS;
 }
 
 /* Returns when R is refused unless it has a reservation. */
@@ -75,7 +73,7 @@
   r->waiting = true;
   f->waiting_count++;
   r->service->waiting++;
-  f->runs_changed = true;
+  f->report_due = true;
 }
 
 void
@@ -88,7 +86,7 @@
     }
   wait_begin (f, r);
   r->phase = PHASE_WAITING;
-  r->refusals = 0;
+  r->failed_asks = 0;
   r->tried_count = 0;
   placement_ask (f, r, now_ms);
 }
@@ -100,10 +98,10 @@
                           backlog_retry_after_ms (f, r, now_ms), now_ms);
 }
 
-/* Returns whether R will most likely not get memory before it is given up: its
-   caller is then told at once, and when to retry. Waiting requests are not
-   served in order, so the chance is the time left divided by the time that the
-   backlog takes. */
+/* Returns whether R, which has just begun to wait, will most likely not get
+   memory before it is given up: its caller is then told at once, and when to
+   retry. Waiting requests are not served in order, so the chance is the time
+   left divided by the time that the backlog takes. */
 static bool
 is_unlikely_in_time (struct beryl_forward *f, const struct request *r,
                      int64_t now_ms)
@@ -136,19 +134,19 @@
       return;
     }
   r->phase = PHASE_WAITING;
-  r->refusals = 0;
+  r->failed_asks = 0;
   r->tried_count = 0;
   r->timer_ms = now_ms + ASK_INTERVAL_MS;
   if (end_ms < r->timer_ms)
     r->timer_ms = end_ms;
 }
 
-/* An isolated node cannot forecast the memory that other nodes will use, and
-   reserves all that the run may need at once. */
+/* A node that misses reports cannot forecast the memory that other nodes will
+   use, and reserves the whole expected output in advance. */
 static uint32_t
 tokens_to_reserve (const struct beryl_forward *f, const struct request *r)
 {
-  if (f->isolated)
+  if (f->reports_incomplete)
     return r->params.prompt_tokens + r->expected_tokens;
   return reservation_tokens (r->params.prompt_tokens, r->expected_tokens);
 }
@@ -156,17 +154,17 @@
 /* Requests that wait at many nodes see free memory at the same moment. If all
    asked for it, an engine would grant it several times before any node knew of
    the others' choices, and would preempt running requests for lack of memory.
-   On average only as many ask as there are places. */
+   On average only as many ask as would fit. */
 static bool
 leaves_to_others (struct beryl_forward *f, const struct request *r,
-                  double free_places, int64_t now_ms)
+                  double fitting_runs, int64_t now_ms)
 {
   double concurrent_asks = (double)backlog_waiting (f, r, now_ms)
                            * PROPAGATION_MS / ASK_INTERVAL_MS;
   double chance = random_unit (&f->random);
 
-  return concurrent_asks > free_places
-         && chance * concurrent_asks > free_places;
+  return concurrent_asks > fitting_runs
+         && chance * concurrent_asks > fitting_runs;
 }
 
 struct exchange *
@@ -189,16 +187,16 @@
 
   if (prefill_would_be_late (f, r, now_ms))
     {
-      placement_defer (f, r, now_ms);
+      placement_refuse_or_defer (f, r, now_ms);
       return;
     }
-  if (r->refusals < ASKS_PER_ROUND)
+  if (r->failed_asks < ASKS_PER_ROUND)
     endpoint = engine_choose_decode (f, r, &capacity, now_ms);
   if (endpoint == NULL
-      || leaves_to_others (f, r, capacity.free_places, now_ms))
+      || leaves_to_others (f, r, capacity.fitting_runs, now_ms))
     {
       log_wait (f, r,
-                r->refusals > 0         ? "engines_refuse"
+                r->failed_asks > 0      ? "engines_refuse"
                 : capacity.min_fill > 0 ? "engines_full"
                                         : "no_engine",
                 (int64_t)(100 * capacity.min_fill), now_ms);
@@ -210,11 +208,12 @@
   r->primary = placement_reserve (f, r, endpoint, now_ms);
 }
 
-/* The prefill engines' queue will be no shorter after it has been worked off
-   once: a request that could still be in time is told at once that it will not
-   be. One that is late anyway waits for a gap. */
+/* The prefill engines' queue is expected to be no shorter when R asks again,
+   so a request that could have been in time is refused at once, with a
+   Retry-After. One that is late anyway waits until the queue is shorter. */
 void
-placement_defer (struct beryl_forward *f, struct request *r, int64_t now_ms)
+placement_refuse_or_defer (struct beryl_forward *f, struct request *r,
+                           int64_t now_ms)
 {
   wait_begin (f, r);
   log_wait (f, r, "prefill_behind", engine_prefill_wait_ms (f, r, now_ms),
@@ -253,14 +252,14 @@
   struct request *r = x->request;
   struct reservation *reservation = &r->reservation;
 
-  engine_learn_capacity (f, r, x->endpoint, x->tokens, true, now_ms);
+  engine_learn_unreported_use (f, r, x->endpoint, x->tokens, true, now_ms);
   rates_count_sent (f, r->service, x->endpoint, now_ms);
   reservation->endpoint = x->endpoint;
   reservation->tokens = x->tokens;
   reservation->expires_ms = x->started_ms + lease_ms (r);
   memcpy (reservation->handle, result->handle, sizeof reservation->handle);
   beryl_live_open (reservation->endpoint);
-  f->runs_changed = true;
+  f->report_due = true;
   forward_request_log (f, r, "reserve", x->endpoint, "granted", x->tokens,
                        now_ms);
   forward_exchange_free (f, x);
@@ -283,15 +282,15 @@
 }
 
 void
-placement_no_answer (struct beryl_forward *f, struct request *r,
-                     int64_t now_ms)
+placement_ask_failed (struct beryl_forward *f, struct request *r,
+                      int64_t now_ms)
 {
   if (r->relocating)
     {
       relocate_refused (f, r, now_ms);
       return;
     }
-  r->refusals++;
+  r->failed_asks++;
   placement_ask (f, r, now_ms);
 }
 
@@ -303,9 +302,9 @@
   forward_request_log (f, r, "reserve", x->endpoint, "full", x->tokens,
                        now_ms);
   x->endpoint->full_until_ms = now_ms + FULL_BACKOFF_MS;
-  engine_learn_capacity (f, r, x->endpoint, x->tokens, false, now_ms);
+  engine_learn_unreported_use (f, r, x->endpoint, x->tokens, false, now_ms);
   forward_exchange_free (f, x);
-  placement_no_answer (f, r, now_ms);
+  placement_ask_failed (f, r, now_ms);
 }
 
 void
@@ -313,7 +312,7 @@
 {
   if (reservation->endpoint == NULL)
     return;
-  f->runs_changed = true;
+  f->report_due = true;
   beryl_live_close (f->endpoints, reservation->endpoint);
   *reservation = (struct reservation){ 0 };
 }
--- a/libberyl/forward/prefill.c
+++ b/libberyl/forward/prefill.c
@@ -6,31 +6,32 @@
 /* Prefills prompts, at a prefill engine or at the decode engine itself. */
 
 /* How long a prefill's KV cache is kept if the service does not state it. */
-#define KV_HANDLE_MS 500
+#define DEFAULT_KV_HANDLE_MS 500
 /* How much longer a prefill takes at a decode engine, and the minimum time
    between two of them at one engine. */
 #define LOCAL_FACTOR 2.0
 #define LOCAL_SPACING_MS 1000
-/* Time from the end of the prefill to the first event: the KV cache is
-   transferred, and one event is produced. */
-#define FIRST_EVENT_MS 100
+/* Time from the end of the prefill to the first event, in which the KV cache
+   is transferred and one event is produced. */
+#define TRANSFER_AND_EVENT_MS 100
 
 /* Takes the repeats that a prefill and the run after it need. A prompt is not
    prefilled unless its run may be sent too. */
 static bool
 prefill_allowed (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
-  uint32_t needed = (r->prefilled ? 1 : 0) + (r->runs > 0 ? 1 : 0);
+  uint32_t needed = (r->prefilled ? 1 : 0) + (r->engine_sends > 0 ? 1 : 0);
 
   if (forward_request_repeats_left (f, r, now_ms) < needed)
     return false;
   forward_request_take_repeats (f, r, needed, now_ms);
-  r->run_repeat_taken = r->runs > 0;
+  r->run_repeat_taken = r->engine_sends > 0;
   return true;
 }
 
-/* Returns how long other streams pause while an engine prefills for BUSY_MS:
-   until their next event, of which half was produced on average. */
+/* Returns an upper bound of the time between two events of other streams while
+   their engine prefills for BUSY_MS: that time plus twice the time of an
+   event. */
 static int64_t
 stream_pause_ms (const struct request *r, int64_t busy_ms)
 {
@@ -66,12 +67,13 @@
   return (int64_t)(LOCAL_FACTOR * tokens * r->service->prefill_ms_per_token);
 }
 
-/* Decides whether the decode engine prefills R's prompt. It takes twice as
-   long as a prefill engine, and its other runs nearly stop meanwhile. That is
-   worth it only if the prefill engines' queue would make the request late. */
+/* Lets the decode engine prefill R's prompt if that is better; returns whether
+   it does, and then records the time. It takes twice as long as at a prefill
+   engine, and the engine's other runs nearly stop meanwhile. That is worth it
+   only if the queue at the prefill engines makes the request late. */
 static bool
-should_prefill_locally (struct beryl_forward *f, const struct request *r,
-                        int64_t wait_ms, int64_t now_ms)
+try_local_prefill (struct beryl_forward *f, const struct request *r,
+                   int64_t wait_ms, int64_t now_ms)
 {
   int64_t left_ms = r->params.arrived_ms + r->route->objective_ms - now_ms;
   int64_t remote_ms = wait_ms + (int64_t)prefill_ms (r);
@@ -87,9 +89,10 @@
 }
 
 /* An engine that has the prompt cached still has to prefill the part of the
-   answer that the caller already has. */
+   answer that the caller already has. The caller's last event id is taken for
+   the number of its events. */
 bool
-prefill_is_cached (struct beryl_forward *f, struct request *r, int64_t now_ms)
+prefill_use_cached (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
   struct beryl_live *endpoint = r->reservation.endpoint;
   double resumed_tokens
@@ -109,14 +112,15 @@
 }
 
 /* Returns whether a prefill queue of WAIT_MS makes R late although it could
-   still be in time. A request that is late anyway may use the capacity that a
-   short queue leaves. Without this limit the queue of an overloaded pool would
-   grow until every answer is late, while memory stays reserved. */
+   still be in time. A queue that is no longer than R's own prefill is always
+   accepted, so that requests that are late anyway still use the engines.
+   Without this limit the queue of an overloaded pool would grow until every
+   answer is late, while memory stays reserved. */
 static bool
 makes_late (const struct request *r, int64_t wait_ms, int64_t now_ms)
 {
   double spare_ms = (double)(r->params.arrived_ms + r->route->objective_ms
-                             - now_ms - FIRST_EVENT_MS)
+                             - now_ms - TRANSFER_AND_EVENT_MS)
                     - prefill_ms (r);
 
   return !r->answer_begun && !r->may_have_run && wait_ms > 0
@@ -140,14 +144,14 @@
   return makes_late (r, wait_ms, now_ms);
 }
 
-/* Releases R's reservation, since its prompt would be prefilled too late. It
-   keeps the start time of its wait. */
+/* Releases R's reservation, since its prompt would be prefilled too late. R
+   keeps the time since which it waits (waiting_since_ms). */
 static void
 give_up_reservation (struct beryl_forward *f, struct request *r,
                      int64_t now_ms)
 {
   reservation_release (f, &r->reservation, now_ms);
-  placement_defer (f, r, now_ms);
+  placement_refuse_or_defer (f, r, now_ms);
 }
 
 /* The first accepted prefill does not count as a repeat, later ones do. */
@@ -167,7 +171,7 @@
   r->timer_ms = r->reservation.expires_ms;
   start.tokens = r->params.prompt_tokens;
   generation_start_exchange (f, r, &start, endpoint, now_ms);
-  f->runs_changed = true;
+  f->report_due = true;
   forward_request_log (f, r, "prefill", endpoint, "sent", start.tokens,
                        now_ms);
 }
@@ -179,16 +183,17 @@
   struct beryl_live *endpoint = engine_choose_prefill (f, r, &wait_ms, now_ms);
 
   kv_clear (f, &r->kv);
+  /* All prefill engines are at their rate limits. */
   if (endpoint == NULL && engine_has_prefill (f, r, now_ms))
     {
       give_up_reservation (f, r, now_ms);
       return;
     }
   r->local_prefill
-      = endpoint == NULL || should_prefill_locally (f, r, wait_ms, now_ms);
+      = endpoint == NULL || try_local_prefill (f, r, wait_ms, now_ms);
   if (r->local_prefill)
     {
-      f->runs_changed = true;
+      f->report_due = true;
       generation_run (f, r, now_ms);
     }
   else if (makes_late (r, wait_ms, now_ms))
@@ -216,7 +221,8 @@
   int64_t stated_ms = r->config->engine.kv_handle_ms;
 
   r->kv.endpoint = x->endpoint;
-  r->kv.expires_ms = now_ms + (stated_ms > 0 ? stated_ms : KV_HANDLE_MS);
+  r->kv.expires_ms
+      = now_ms + (stated_ms > 0 ? stated_ms : DEFAULT_KV_HANDLE_MS);
   memcpy (r->kv.handle, result->handle, sizeof r->kv.handle);
   beryl_live_open (x->endpoint);
   forward_request_log (f, r, "prefill", x->endpoint, "done", took_ms, now_ms);
@@ -241,7 +247,7 @@
                        result->status, now_ms);
   generation_back_off (x->endpoint, now_ms);
   if (result->wrong_stage)
-    generation_switch_stage (x->endpoint);
+    generation_record_other_stage (x->endpoint);
   forward_exchange_free (f, x);
   if (allowed)
     generation_restart (f, r, now_ms);
--- a/libberyl/forward/relocate.c
+++ b/libberyl/forward/relocate.c
@@ -3,15 +3,17 @@
 /* Finds another engine for a stream whose engine has preempted it or has
    stopped responding, while the run is still open there. An engine that
    preempted a run for lack of memory prefills it again and continues once
-   memory is free. If the run were given up before another engine had granted a
-   reservation, the stream would have neither and, with all engines full, end
-   incomplete although its caller waits. */
+   memory is free. If the run were given up before another engine has granted a
+   reservation, and all others were full, the stream would have no engine left
+   and would end incomplete. */
 
 /* A reservation call without an answer after this time is abandoned. */
 #define RESERVE_TIMEOUT_MS 500
 /* Engines that are asked in one round. */
 #define ASKS_PER_ROUND 4
 
+/* Returns R's open reservation call, or NULL. It is the primary exchange if
+   the run's exchange has just ended. */
 static struct exchange *
 pending_reservation (const struct request *r)
 {
@@ -30,7 +32,7 @@
   if (!r->relocating)
     return;
   r->relocating = false;
-  r->refusals = 0;
+  r->failed_asks = 0;
   r->tried_count = 0;
   if (x != NULL)
     forward_exchange_detach (f, r, x);
@@ -39,7 +41,7 @@
 static void
 next_round (struct request *r, int64_t now_ms)
 {
-  r->refusals = 0;
+  r->failed_asks = 0;
   r->tried_count = 0;
   r->timer_ms = now_ms + ASK_INTERVAL_MS;
 }
@@ -52,7 +54,7 @@
 
   if (r->tried_count == 0)
     forward_request_mark_tried (r, r->reservation.endpoint);
-  if (r->refusals < ASKS_PER_ROUND && stream_may_relocate (f, r, now_ms))
+  if (r->failed_asks < ASKS_PER_ROUND && stream_may_relocate (f, r, now_ms))
     endpoint = engine_choose_decode (f, r, &capacity, now_ms);
   if (endpoint == NULL)
     {
@@ -72,7 +74,7 @@
   forward_request_log (f, r, "stall", r->primary->endpoint, why,
                        now_ms - r->last_event_ms, now_ms);
   r->relocating = true;
-  r->refusals = 0;
+  r->failed_asks = 0;
   r->tried_count = 0;
   ask (f, r, now_ms);
 }
@@ -95,13 +97,14 @@
 void
 relocate_refused (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
-  r->refusals++;
+  r->failed_asks++;
   ask (f, r, now_ms);
 }
 
-/* Other streams may have used up the repeats since R asked. If R gave up its
-   run now, it could continue neither at the other engine nor at its own, so it
-   stays. */
+/* R may not be sent again any more: most often other streams have used up the
+   repeats since R asked, which is what the log says, but R may also have been
+   quarantined. If R gave up its run now, it could continue neither at the
+   other engine nor at its own, so it stays. */
 static void
 decline (struct beryl_forward *f, struct exchange *x,
          const struct beryl_engine_result *result, int64_t now_ms)
@@ -131,7 +134,7 @@
     }
   r->relocating = false;
   if (!old->has_head)
-    forward_request_count_run (r);
+    forward_request_record_run (r);
   forward_exchange_abort (f, old);
   event_splitter_reset (&r->events);
   r->continues_run = false;
