--- a/fuzz/fuzz_objects.c
+++ b/fuzz/fuzz_objects.c
@@ -73,7 +73,7 @@
   char **lines = g_strsplit (copy, "\n", G_N_ELEMENTS (names) + 1);
   struct h1_field fields[G_N_ELEMENTS (names)];
   struct h1_head head = { .method = "GET", .target = "/", .fields = fields };
-  struct beryl_live endpoint = { .info = { .id = "e" } };
+  struct beryl_live_endpoint endpoint = { .info = { .id = "e" } };
   struct beryl_exchange_start start
       = { .kind = BERYL_EXCHANGE_RUN, .endpoint = &endpoint };
   struct beryl_forward_request request = { 0 };
--- a/gatewayd/gateway.c
+++ b/gatewayd/gateway.c
@@ -244,7 +244,7 @@
 
 static void
 forward_learned (struct beryl_forward_owner *owner,
-                 const struct beryl_live *endpoint, const char *what,
+                 const struct beryl_live_endpoint *endpoint, const char *what,
                  const char *from)
 {
   g_info ("endpoint id=%s revision=%" G_GUINT64_FORMAT " %s from=%s",
--- a/gatewayd/members.c
+++ b/gatewayd/members.c
@@ -279,7 +279,7 @@
 int64_t
 members_announce_interval_ms (const struct members *m)
 {
-  return beryl_announce_interval_ms (&m->announce);
+  return beryl_announce_heartbeat_ms (&m->announce);
 }
 
 bool
@@ -299,7 +299,7 @@
 }
 
 static bool
-has_transfer_for (const struct beryl_repeat_transfers *transfers,
+has_transfer_for (const struct beryl_budget_transfers *transfers,
                   uint32_t node)
 {
   for (size_t i = 0; i < transfers->count; i++)
--- a/gatewayd/notices.c
+++ b/gatewayd/notices.c
@@ -96,7 +96,7 @@
 notices_schedule (struct notices *n)
 {
   bool crashes
-      = beryl_quarantine_fetch_changed (beryl_forward_quarantine (n->forward));
+      = beryl_quarantine_take_changed (beryl_forward_quarantine (n->forward));
 
   if ((crashes || beryl_limits_has_changes (beryl_forward_limits (n->forward)))
       && n->send_timer == NULL)
--- a/gatewayd/planner.c
+++ b/gatewayd/planner.c
@@ -82,10 +82,10 @@
 
 /* Returns the engine of the call, or NULL if it has restarted since: the order
  * was decided for the state of its previous process. */
-static struct beryl_live *
+static struct beryl_live_endpoint *
 find_target (struct planner *p)
 {
-  struct beryl_live *endpoint
+  struct beryl_live_endpoint *endpoint
       = beryl_live_set_find (p->endpoints, p->target_id);
 
   return endpoint != NULL
@@ -100,7 +100,7 @@
 static void
 send_order (struct planner *p, uint64_t orders)
 {
-  struct beryl_live *endpoint = find_target (p);
+  struct beryl_live_endpoint *endpoint = find_target (p);
   struct gateway_stage_order o = { .stage = p->target_stage,
                                    .holder = p->settings->node,
                                    .expected_orders = orders };
@@ -151,7 +151,8 @@
 static void
 request_report (struct planner *p, const struct beryl_stage_order *wanted)
 {
-  struct beryl_live *endpoint = beryl_live_set_find (p->endpoints, wanted->id);
+  struct beryl_live_endpoint *endpoint
+      = beryl_live_set_find (p->endpoints, wanted->id);
   GString *head = g_string_new (NULL);
 
   memcpy (p->target_id, endpoint->info.id, sizeof p->target_id);
@@ -184,7 +185,7 @@
     {
       struct pending_order *pending
           = g_ptr_array_index (p->pending_orders, i - 1);
-      const struct beryl_live *endpoint
+      const struct beryl_live_endpoint *endpoint
           = beryl_live_set_find (p->endpoints, pending->id);
 
       if (endpoint == NULL
@@ -203,7 +204,8 @@
 
   for (size_t i = 0; i < beryl_live_set_count (p->endpoints); i++)
     {
-      struct beryl_live *endpoint = beryl_live_set_get (p->endpoints, i);
+      struct beryl_live_endpoint *endpoint
+          = beryl_live_set_get (p->endpoints, i);
       const struct pending_order *pending = pending_find (p, &endpoint->info);
       struct beryl_stage_engine engine = {
         .id = endpoint->info.id,
@@ -254,7 +256,8 @@
 {
   for (size_t i = 0; i < beryl_live_set_count (p->endpoints); i++)
     {
-      const struct beryl_live *endpoint = beryl_live_set_get (p->endpoints, i);
+      const struct beryl_live_endpoint *endpoint
+          = beryl_live_set_get (p->endpoints, i);
 
       if (endpoint->info.stage != BERYL_STAGE_NONE
           && !g_hash_table_contains (p->services, endpoint->info.service))
@@ -382,7 +385,7 @@
     {
       const struct pending_order *pending
           = g_ptr_array_index (p->pending_orders, i);
-      const struct beryl_live *endpoint
+      const struct beryl_live_endpoint *endpoint
           = beryl_live_set_find (p->endpoints, pending->id);
 
       if (endpoint != NULL
--- a/gatewayd/relay.c
+++ b/gatewayd/relay.c
@@ -37,7 +37,7 @@
   struct relay *r = user;
   enum beryl_relay_role role;
 
-  beryl_relay_set_group (
+  beryl_relay_set_nodes (
       r->core, members_local_count (r->members),
       members_is_local_candidate (r->members, ROLE_NAME, WATCHER_COUNT));
   role = beryl_relay_role (r->core, loop_now_ms (r->loop));
--- a/gatewayd/survey.c
+++ b/gatewayd/survey.c
@@ -65,7 +65,8 @@
 }
 
 static void
-query_engine (struct survey *survey, const struct beryl_live *endpoint)
+query_engine (struct survey *survey,
+              const struct beryl_live_endpoint *endpoint)
 {
   struct query *query = g_new0 (struct query, 1);
   GString *head = g_string_new (NULL);
@@ -94,7 +95,7 @@
   survey->timer = NULL;
   for (size_t i = 0; i < count && survey->engine_count < ENGINES_MAX; i++)
     {
-      const struct beryl_live *endpoint
+      const struct beryl_live_endpoint *endpoint
           = beryl_live_set_get (survey->endpoints, (first + i) % count);
 
       if (endpoint->info.stage == BERYL_STAGE_DECODE
--- a/include/beryl/announce.h
+++ b/include/beryl/announce.h
@@ -23,7 +23,7 @@
 };
 
 /** Return the interval at which a live node announces something. */
-int64_t beryl_announce_interval_ms (const struct beryl_announce *announce);
+int64_t beryl_announce_heartbeat_ms (const struct beryl_announce *announce);
 
 /** Return whether an announcement is due without a local change: as a
  * heartbeat, or to send earlier changes to remote peers. */
--- a/include/beryl/engine_load.h
+++ b/include/beryl/engine_load.h
@@ -61,7 +61,7 @@
 
 /** Request to another node for part of its unused repeat budget, or the reply.
  */
-struct beryl_repeat_transfer
+struct beryl_budget_transfer
 {
   uint32_t node;    /**< beryl_name_hash of the recipient */
   uint32_t service; /**< beryl_name_hash of the service */
@@ -70,11 +70,11 @@
 };
 
 /** Maximum number of requests, or replies, in one message. */
-#define BERYL_REPEAT_TRANSFERS_MAX 16
+#define BERYL_BUDGET_TRANSFERS_MAX 16
 
-struct beryl_repeat_transfers
+struct beryl_budget_transfers
 {
-  struct beryl_repeat_transfer items[BERYL_REPEAT_TRANSFERS_MAX];
+  struct beryl_budget_transfer items[BERYL_BUDGET_TRANSFERS_MAX];
   size_t count;
 };
 
--- a/include/beryl/forward.h
+++ b/include/beryl/forward.h
@@ -77,7 +77,7 @@
   uint64_t request; /**< request it belongs to; 0 for clean-up after the
                        request has ended */
   enum beryl_exchange_kind kind;
-  const struct beryl_live *endpoint;
+  const struct beryl_live_endpoint *endpoint;
   int64_t connect_timeout_ms;
   int64_t remaining_ms; /**< RUN, PREFILL: time until the request's deadline; 0
                            if it has none */
@@ -89,8 +89,9 @@
   uint16_t kv_port;
   bool resumes; /**< RUN, PREFILL: resume after LAST_EVENT_ID */
   uint64_t last_event_id;
-  const char *run_id;              /**< MOVE: the request's id */
-  const struct beryl_live *target; /**< MOVE: engine to move the run to */
+  const char *run_id; /**< MOVE: the request's id */
+  const struct beryl_live_endpoint
+      *target; /**< MOVE: engine to move the run to */
 };
 
 /** Why this node itself refused or failed a request. */
@@ -125,9 +126,9 @@
   const char *id;   /**< id of the request */
   const char *route;
   const char *service;
-  const struct beryl_live *endpoint; /**< may be NULL */
-  const char *outcome;               /**< stable name */
-  int64_t age_ms;                    /**< since the request's arrival */
+  const struct beryl_live_endpoint *endpoint; /**< may be NULL */
+  const char *outcome;                        /**< stable name */
+  int64_t age_ms;         /**< since the request's arrival */
   int64_t first_event_ms; /**< first event, since the arrival; 0 if none yet */
   int64_t longest_gap_ms; /**< longest time between two events */
   int64_t value; /**< tokens, bytes or milliseconds, depending on STEP */
@@ -178,7 +179,7 @@
    * yet. WHAT is the new state; FROM is the peer that reported it, or "own
    * call". May be NULL. */
   void (*log_endpoint_state) (struct beryl_forward_owner *owner,
-                              const struct beryl_live *endpoint,
+                              const struct beryl_live_endpoint *endpoint,
                               const char *what, const char *from);
 };
 
@@ -360,16 +361,16 @@
 /** Write this node's requests to borrow repeats (ASKS) and the loans it
  * grants. Each is returned once. */
 void beryl_forward_repeat_transfers (struct beryl_forward *forward,
-                                     struct beryl_repeat_transfers *asks,
-                                     struct beryl_repeat_transfers *loans,
+                                     struct beryl_budget_transfers *asks,
+                                     struct beryl_budget_transfers *loans,
                                      int64_t now_ms);
 
 /** Apply PEER's requests for repeats and its loans; those addressed to other
  * nodes are ignored. */
 void beryl_forward_peer_transfers (struct beryl_forward *forward,
                                    const char *peer,
-                                   const struct beryl_repeat_transfers *asks,
-                                   const struct beryl_repeat_transfers *loans,
+                                   const struct beryl_budget_transfers *asks,
+                                   const struct beryl_budget_transfers *loans,
                                    int64_t now_ms);
 
 /** PEER has left the fleet; its runs and profiles are dropped. */
@@ -394,10 +395,9 @@
 
 /** Return the tokens of KV memory that the runs of all nodes use at ENGINE of
  * SERVICE. */
-uint64_t beryl_forward_engine_used_tokens (struct beryl_forward *forward,
-                                           const char *service,
-                                           const struct beryl_live *engine,
-                                           int64_t now_ms);
+uint64_t beryl_forward_engine_used_tokens (
+    struct beryl_forward *forward, const char *service,
+    const struct beryl_live_endpoint *engine, int64_t now_ms);
 
 /** Run the timers that are due. */
 void beryl_forward_tick (struct beryl_forward *forward, int64_t now_ms);
--- a/include/beryl/limits.h
+++ b/include/beryl/limits.h
@@ -26,8 +26,8 @@
 {
   double reachable_fraction; /**< fraction of the nodes that can be reached, 0
                                 to 1 */
-  double concurrent;         /**< expected requests of all nodes within one
-                                         propagation delay */
+  double competing_requests; /**< expected requests of all nodes within one
+                                 propagation delay */
 };
 
 /** Create an instance without limits. */
@@ -72,7 +72,7 @@
   uint32_t endpoint;
   bool advertised;
   uint32_t answer_kind; /**< kind of answer that carries the limit */
-  uint32_t milli_per_s;
+  uint32_t millirequests_per_s;
   uint32_t age_ms; /**< age of the last answer that confirmed this state */
   uint32_t sent;   /**< counter of requests sent by this node; wraps around */
 };
--- a/include/beryl/live.h
+++ b/include/beryl/live.h
@@ -50,12 +50,12 @@
 /** Rate limit that an endpoint advertises for all nodes together. */
 struct beryl_rate_limit
 {
-  bool advertised;      /**< false: no limit */
-  uint32_t milli_per_s; /**< in thousandths of a request per second */
+  bool advertised;              /**< false: no limit */
+  uint32_t millirequests_per_s; /**< in thousandths of a request per second */
 };
 
 /** Endpoint with the state learned about it. */
-struct beryl_live
+struct beryl_live_endpoint
 {
   struct beryl_live_info info;
   bool gone; /**< left the list; kept while it has open exchanges */
@@ -87,8 +87,8 @@
   double unreported_tokens; /**< estimated memory used by runs that no node
                                reported */
   int64_t unreported_updated_ms; /**< when unreported_tokens was updated */
-  int64_t combined_run_ms;       /**< when it was last given a prompt without a
-                                    separate prefill */
+  int64_t last_local_prefill_ms; /**< when it was last given a prompt without a
+                              separate prefill */
   int64_t full_until_ms;  /**< do not send work before; it answered that it is
                              full */
   uint32_t open_prefills; /**< open prefills of this node */
@@ -109,15 +109,15 @@
 
 /** Return the hash that identifies this incarnation of an endpoint in
  * messages. */
-uint32_t beryl_live_hash (const struct beryl_live *live);
+uint32_t beryl_live_hash (const struct beryl_live_endpoint *live);
 
 /** Add or update an endpoint listed at NOW_MS and return it.  Entries older
  * than the known one and those of a previous incarnation are ignored.  A
  * restarted process becomes a new endpoint without history; the previous one
  * is marked replaced and gone. */
-struct beryl_live *beryl_live_set_put (struct beryl_live_set *set,
-                                       const struct beryl_live_info *info,
-                                       int64_t now_ms);
+struct beryl_live_endpoint *
+beryl_live_set_put (struct beryl_live_set *set,
+                    const struct beryl_live_info *info, int64_t now_ms);
 
 /** Record that the endpoint left the list.  Endpoints keep their own entries
  * alive, so that an outage of the list makes healthy ones lapse; they return
@@ -143,33 +143,35 @@
 
 /** Find an endpoint by id, including one that is gone but has open exchanges;
  * NULL if unknown. */
-struct beryl_live *beryl_live_set_find (const struct beryl_live_set *set,
-                                        const char *id);
+struct beryl_live_endpoint *
+beryl_live_set_find (const struct beryl_live_set *set, const char *id);
 
 /** Return the number of endpoints, gone ones with open exchanges included, and
  * endpoint I; indices change with put, remove and close. */
 size_t beryl_live_set_count (const struct beryl_live_set *set);
-struct beryl_live *beryl_live_set_get (const struct beryl_live_set *set,
-                                       size_t i);
+struct beryl_live_endpoint *
+beryl_live_set_get (const struct beryl_live_set *set, size_t i);
 
 /** Return whether new work may be sent to LIVE. */
-bool beryl_live_accepts_work (const struct beryl_live *live);
+bool beryl_live_accepts_work (const struct beryl_live_endpoint *live);
 
 /** Return whether work that only LIVE can do may be sent to it: it accepts
  * work, or it has been leaving for less than the set's LEAVE_MS. */
 bool beryl_live_set_allows_bound_work (const struct beryl_live_set *set,
-                                       const struct beryl_live *live,
+                                       const struct beryl_live_endpoint *live,
                                        int64_t now_ms);
 
 /** Return whether the engine LIVE is changing its stage. */
-bool beryl_live_stage_changing (const struct beryl_live *live, int64_t now_ms);
+bool beryl_live_stage_changing (const struct beryl_live_endpoint *live,
+                                int64_t now_ms);
 
 /** Record the start of an exchange with LIVE. */
-void beryl_live_open (struct beryl_live *live);
+void beryl_live_open (struct beryl_live_endpoint *live);
 
 /** Record the end of an exchange; a gone endpoint without open exchanges is
  * released. */
-void beryl_live_close (struct beryl_live_set *set, struct beryl_live *live);
+void beryl_live_close (struct beryl_live_set *set,
+                       struct beryl_live_endpoint *live);
 
 /** Outcome of an exchange. */
 enum beryl_live_outcome
@@ -181,23 +183,28 @@
 };
 
 /** Update the health of LIVE from an outcome after TOOK_MS. */
-void beryl_live_record_outcome (struct beryl_live *live,
+void beryl_live_record_outcome (struct beryl_live_endpoint *live,
                                 enum beryl_live_outcome outcome,
                                 int64_t took_ms, int64_t now_ms);
 
 /** Record that another process answered at LIVE's address. */
-void beryl_live_mark_replaced (struct beryl_live *live, int64_t now_ms);
+void beryl_live_mark_replaced (struct beryl_live_endpoint *live,
+                               int64_t now_ms);
 
 /** Record that a connection attempt of this node to LIVE failed. */
-void beryl_live_mark_unreachable (struct beryl_live *live, int64_t now_ms);
+void beryl_live_mark_unreachable (struct beryl_live_endpoint *live,
+                                  int64_t now_ms);
 
 /** Record that the peer with hash BY could not reach LIVE.  Returns whether
  * LIVE is avoided from now on because of that. */
-bool beryl_live_suspect (struct beryl_live *live, uint32_t by, int64_t now_ms);
+bool beryl_live_suspect (struct beryl_live_endpoint *live, uint32_t by,
+                         int64_t now_ms);
 
 /** Return whether LIVE is avoided, and whether a probe of it is due. */
-bool beryl_live_avoided (const struct beryl_live *live, int64_t now_ms);
-bool beryl_live_probe_due (const struct beryl_live *live, int64_t now_ms);
+bool beryl_live_avoided (const struct beryl_live_endpoint *live,
+                         int64_t now_ms);
+bool beryl_live_probe_due (const struct beryl_live_endpoint *live,
+                           int64_t now_ms);
 
 /** Return the stable name of STAGE. */
 const char *beryl_stage_name (enum beryl_stage stage);
--- a/include/beryl/quarantine.h
+++ b/include/beryl/quarantine.h
@@ -131,7 +131,7 @@
                                int64_t now_ms);
 
 /** Return whether there are changes to announce, and reset the flag. */
-bool beryl_quarantine_fetch_changed (struct beryl_quarantine *quarantine);
+bool beryl_quarantine_take_changed (struct beryl_quarantine *quarantine);
 
 /** Record that the platform's API holds a record of FINGERPRINT for
  * REMAINING_MS more.  Returns false if the request was cleared, so that the
--- a/include/beryl/relay.h
+++ b/include/beryl/relay.h
@@ -33,7 +33,7 @@
 
 /** Set the number of live nodes in the data centre, this one included, and
  * whether this node is elected to watch. */
-void beryl_relay_set_group (struct beryl_relay *relay, uint32_t nodes,
+void beryl_relay_set_nodes (struct beryl_relay *relay, uint32_t nodes,
                             bool elected);
 
 /** Record an update relayed by a watcher of the data centre. */
--- a/include/wire/loads.h
+++ b/include/wire/loads.h
@@ -22,8 +22,8 @@
   struct beryl_engine_run runs[BERYL_ENGINE_RUNS_MAX];
   size_t run_count;
   struct beryl_endpoint_updates news;
-  struct beryl_repeat_transfers asks;        /**< for repeats */
-  struct beryl_repeat_transfers loans;       /**< that this node gives */
+  struct beryl_budget_transfers asks;        /**< for repeats */
+  struct beryl_budget_transfers loans;       /**< that this node gives */
   struct beryl_generation_profiles profiles; /**< none in most messages */
 };
 
--- a/libberyl/base/map.c
+++ b/libberyl/base/map.c
@@ -117,7 +117,7 @@
 }
 
 struct map_key
-map_key_from_digest (const char *scope, const char *name)
+map_key_from_name (const char *scope, const char *name)
 {
   unsigned char digest[EVP_MAX_MD_SIZE] = { 0 };
   struct map_key key;
--- a/libberyl/base/map.h
+++ b/libberyl/base/map.h
@@ -48,6 +48,6 @@
 
 /** Return the digest of SCOPE and NAME.  It is cryptographic because callers
  * choose names: no two scopes can be made to share a key. */
-struct map_key map_key_from_digest (const char *scope, const char *name);
+struct map_key map_key_from_name (const char *scope, const char *name);
 
 #endif
--- a/libberyl/forward/balance.c
+++ b/libberyl/forward/balance.c
@@ -44,7 +44,7 @@
 static void
 balance_one (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
-  struct beryl_live *target;
+  struct beryl_live_endpoint *target;
 
   if (!engine_is_leaving (r) && !will_be_preempted (f, r, now_ms))
     return;
--- a/libberyl/forward/crashes.c
+++ b/libberyl/forward/crashes.c
@@ -47,7 +47,8 @@
 }
 
 static bool
-is_dialled (const struct beryl_forward *f, const struct beryl_live *endpoint)
+is_dialled (const struct beryl_forward *f,
+            const struct beryl_live_endpoint *endpoint)
 {
   const struct exchange *x = NULL;
 
@@ -84,7 +85,7 @@
    entry stays listed for seconds. */
 void
 crashes_run_interrupted (struct beryl_forward *f, struct request *r,
-                         struct beryl_live *endpoint, int64_t now_ms)
+                         struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
   struct beryl_exchange_start dial = { .kind = BERYL_EXCHANGE_DIAL };
   uint64_t fingerprint = forward_request_fingerprint (f, r);
@@ -102,7 +103,8 @@
 
 void
 crashes_endpoint_ended (struct beryl_forward *f,
-                        const struct beryl_live *endpoint, int64_t now_ms)
+                        const struct beryl_live_endpoint *endpoint,
+                        int64_t now_ms)
 {
   if (beryl_quarantine_endpoint_ended (f->quarantine,
                                        beryl_live_hash (endpoint), now_ms)
@@ -157,7 +159,7 @@
 
 bool
 crashes_suspect_at (const struct beryl_forward *f, const struct request *r,
-                    const struct beryl_live *endpoint, int64_t now_ms)
+                    const struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
   const struct request *other = NULL;
 
--- a/libberyl/forward/endpoint_reports.c
+++ b/libberyl/forward/endpoint_reports.c
@@ -27,7 +27,7 @@
 }
 
 static void
-log_state (struct beryl_forward *f, const struct beryl_live *endpoint,
+log_state (struct beryl_forward *f, const struct beryl_live_endpoint *endpoint,
            const char *what, const char *from)
 {
   if (f->owner->impl->log_endpoint_state != NULL)
@@ -35,8 +35,8 @@
 }
 
 void
-endpoint_report_replaced (struct beryl_forward *f, struct beryl_live *endpoint,
-                          int64_t now_ms)
+endpoint_report_replaced (struct beryl_forward *f,
+                          struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
   if (endpoint->replaced_ms != 0)
     return;
@@ -48,7 +48,8 @@
 
 void
 endpoint_report_unreachable (struct beryl_forward *f,
-                             struct beryl_live *endpoint, int64_t now_ms)
+                             struct beryl_live_endpoint *endpoint,
+                             int64_t now_ms)
 {
   beryl_live_mark_unreachable (endpoint, now_ms);
   f->runs_changed = true;
@@ -61,7 +62,8 @@
 {
   for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
     {
-      const struct beryl_live *endpoint = beryl_live_set_get (f->endpoints, i);
+      const struct beryl_live_endpoint *endpoint
+          = beryl_live_set_get (f->endpoints, i);
       uint32_t number;
 
       if (endpoint->replaced_ms == 0 && endpoint->unreachable_ms == 0)
@@ -89,7 +91,7 @@
 static void
 apply_report (struct beryl_forward *f, const char *peer, uint32_t peer_number,
               const struct beryl_endpoint_updates *reports,
-              struct beryl_live *endpoint, int64_t now_ms)
+              struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
   uint32_t number = beryl_live_hash (endpoint);
 
--- a/libberyl/forward/engines.c
+++ b/libberyl/forward/engines.c
@@ -22,7 +22,7 @@
 #define HIDDEN_DECAY_MS 2000.0
 
 static bool
-serves (const struct beryl_live *endpoint, const struct request *r,
+serves (const struct beryl_live_endpoint *endpoint, const struct request *r,
         enum beryl_stage stage, int64_t now_ms)
 {
   return endpoint->info.stage == stage && beryl_live_accepts_work (endpoint)
@@ -49,7 +49,7 @@
 engine_describe_run (const struct request *r, int64_t now_ms,
                      struct beryl_engine_run *run)
 {
-  const struct beryl_live *endpoint = r->reservation.endpoint;
+  const struct beryl_live_endpoint *endpoint = r->reservation.endpoint;
 
   *run = (struct beryl_engine_run){
     .engine = endpoint != NULL ? beryl_live_hash (endpoint) : 0,
@@ -71,7 +71,8 @@
 /* Returns the memory that unknown runs are expected to use AHEAD_MS from now;
    it decays as they end. */
 static double
-hidden_at (const struct beryl_live *endpoint, int64_t now_ms, int64_t ahead_ms)
+hidden_at (const struct beryl_live_endpoint *endpoint, int64_t now_ms,
+           int64_t ahead_ms)
 {
   double age_ms
       = (double)(now_ms - endpoint->unreported_updated_ms + ahead_ms);
@@ -82,7 +83,7 @@
 }
 
 static void
-hidden_add (const struct beryl_live *endpoint, int64_t now_ms,
+hidden_add (const struct beryl_live_endpoint *endpoint, int64_t now_ms,
             struct memory_forecast *forecast)
 {
   for (int i = 0; i < FORECAST_STEPS; i++)
@@ -96,7 +97,7 @@
 
 void
 engine_forecast (struct beryl_forward *f, const struct service *s,
-                 const struct beryl_live *endpoint, int64_t now_ms,
+                 const struct beryl_live_endpoint *endpoint, int64_t now_ms,
                  struct memory_forecast *forecast)
 {
   const struct request *r = NULL;
@@ -120,7 +121,7 @@
    an engine grants or refuses: the use that the known runs do not explain. */
 void
 engine_learn_capacity (struct beryl_forward *f, const struct request *r,
-                       struct beryl_live *endpoint, uint32_t tokens,
+                       struct beryl_live_endpoint *endpoint, uint32_t tokens,
                        bool granted, int64_t now_ms)
 {
   struct memory_forecast forecast;
@@ -141,8 +142,8 @@
 
 double
 engine_peak_with (struct beryl_forward *f, const struct request *r,
-                  const struct beryl_live *endpoint, double deviations,
-                  int64_t now_ms)
+                  const struct beryl_live_endpoint *endpoint,
+                  double deviations, int64_t now_ms)
 {
   struct beryl_engine_run run;
   struct memory_forecast forecast;
@@ -157,7 +158,7 @@
 /* An engine that failed recently is avoided except for occasional trials; a
    reservation call risks only the time of one connection. */
 static bool
-worth_asking (const struct beryl_live *endpoint, int64_t now_ms)
+worth_asking (const struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
   return !beryl_live_avoided (endpoint, now_ms)
          || beryl_live_probe_due (endpoint, now_ms);
@@ -165,14 +166,14 @@
 
 bool
 engine_has_prompt_cached (const struct request *r,
-                          const struct beryl_live *endpoint)
+                          const struct beryl_live_endpoint *endpoint)
 {
   return r->warm_engine != 0 && beryl_live_hash (endpoint) == r->warm_engine;
 }
 
 /* Chooses an engine from SAMPLE for R; engines outside the data centre
    PREFERRED cost REMOTE_COST more. */
-static struct beryl_live *
+static struct beryl_live_endpoint *
 choose (struct beryl_forward *f, const struct request *r,
         struct sample *sample, const char *preferred, double remote_cost,
         int64_t now_ms, double *cost)
@@ -189,8 +190,8 @@
 
 /* Returns whether ENDPOINT may be asked to run R. */
 static bool
-may_be_asked (const struct request *r, const struct beryl_live *endpoint,
-              int64_t now_ms)
+may_be_asked (const struct request *r,
+              const struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
   return serves (endpoint, r, BERYL_STAGE_DECODE, now_ms)
          && now_ms >= endpoint->full_until_ms
@@ -225,19 +226,20 @@
 }
 
 /* Chooses among the engines that run no suspect (APART), or among all. */
-static struct beryl_live *
+static struct beryl_live_endpoint *
 choose_decode (struct beryl_forward *f, const struct request *r, bool apart,
                struct engine_capacity *capacity, int64_t now_ms)
 {
   struct sample sample;
-  struct beryl_live *best = NULL, *warm = NULL;
+  struct beryl_live_endpoint *best = NULL, *warm = NULL;
   double usable_tokens = FILL_PART * (double)r->config->engine.kv_tokens;
   double cost;
 
   sample_init (&sample);
   for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
     {
-      struct beryl_live *endpoint = beryl_live_set_get (f->endpoints, i);
+      struct beryl_live_endpoint *endpoint
+          = beryl_live_set_get (f->endpoints, i);
 
       if (!may_be_asked (r, endpoint, now_ms)
           || !rates_allows (f, r->service, endpoint, now_ms)
@@ -265,11 +267,11 @@
 }
 
 /* This is an estimate; the engine itself counts exactly and decides. */
-struct beryl_live *
+struct beryl_live_endpoint *
 engine_choose_decode (struct beryl_forward *f, const struct request *r,
                       struct engine_capacity *capacity, int64_t now_ms)
 {
-  struct beryl_live *best = NULL;
+  struct beryl_live_endpoint *best = NULL;
 
   if (crashes_any_suspect (f, now_ms))
     best = choose_decode (f, r, true, capacity, now_ms);
@@ -283,7 +285,7 @@
   return best;
 }
 
-struct beryl_live *
+struct beryl_live_endpoint *
 engine_choose_target (struct beryl_forward *f, const struct request *r,
                       int64_t now_ms)
 {
@@ -294,7 +296,8 @@
   sample_init (&sample);
   for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
     {
-      struct beryl_live *endpoint = beryl_live_set_get (f->endpoints, i);
+      struct beryl_live_endpoint *endpoint
+          = beryl_live_set_get (f->endpoints, i);
 
       if (serves (endpoint, r, BERYL_STAGE_DECODE, now_ms)
           && endpoint != r->reservation.endpoint
@@ -328,8 +331,8 @@
 }
 
 static bool
-is_usable_prefill (const struct beryl_live *endpoint, const struct request *r,
-                   int64_t now_ms)
+is_usable_prefill (const struct beryl_live_endpoint *endpoint,
+                   const struct request *r, int64_t now_ms)
 {
   return serves (endpoint, r, BERYL_STAGE_PREFILL, now_ms)
          && now_ms >= endpoint->full_until_ms
@@ -339,7 +342,7 @@
 /* Returns the prompt tokens queued at ENDPOINT by all nodes. */
 static double
 queued_tokens (const struct beryl_forward *f,
-               const struct beryl_live *endpoint, int64_t now_ms)
+               const struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
   uint32_t number = beryl_live_hash (endpoint);
 
@@ -347,18 +350,19 @@
                   + run_table_prefill_tokens (&f->run_table, number, now_ms));
 }
 
-struct beryl_live *
+struct beryl_live_endpoint *
 engine_choose_prefill (struct beryl_forward *f, const struct request *r,
                        int64_t *wait_ms, int64_t now_ms)
 {
   struct sample sample;
-  struct beryl_live *best;
+  struct beryl_live_endpoint *best;
   double waiting_tokens = 0;
 
   sample_init (&sample);
   for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
     {
-      struct beryl_live *endpoint = beryl_live_set_get (f->endpoints, i);
+      struct beryl_live_endpoint *endpoint
+          = beryl_live_set_get (f->endpoints, i);
 
       if (is_usable_prefill (endpoint, r, now_ms)
           && rates_allows (f, r->service, endpoint, now_ms))
@@ -391,7 +395,8 @@
 
   for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
     {
-      struct beryl_live *endpoint = beryl_live_set_get (f->endpoints, i);
+      struct beryl_live_endpoint *endpoint
+          = beryl_live_set_get (f->endpoints, i);
       double tokens;
 
       if (!is_usable_prefill (endpoint, r, now_ms))
@@ -412,7 +417,8 @@
 
   for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
     {
-      const struct beryl_live *endpoint = beryl_live_set_get (f->endpoints, i);
+      const struct beryl_live_endpoint *endpoint
+          = beryl_live_set_get (f->endpoints, i);
 
       if (endpoint->info.stage == BERYL_STAGE_DECODE
           && strcmp (endpoint->info.service, r->service->name) == 0)
@@ -480,7 +486,7 @@
 
 uint64_t
 beryl_forward_engine_used_tokens (struct beryl_forward *f, const char *service,
-                                  const struct beryl_live *engine,
+                                  const struct beryl_live_endpoint *engine,
                                   int64_t now_ms)
 {
   struct memory_forecast forecast;
--- a/libberyl/forward/forward.c
+++ b/libberyl/forward/forward.c
@@ -167,7 +167,7 @@
 struct exchange *
 forward_exchange_start (struct beryl_forward *f, struct request *r,
                         struct beryl_exchange_start *start,
-                        struct beryl_live *endpoint, int64_t now_ms)
+                        struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
   struct exchange *x = calloc (1, sizeof *x);
 
--- a/libberyl/forward/generation.c
+++ b/libberyl/forward/generation.c
@@ -85,7 +85,8 @@
 void
 generation_start_exchange (struct beryl_forward *f, struct request *r,
                            struct beryl_exchange_start *start,
-                           struct beryl_live *endpoint, int64_t now_ms)
+                           struct beryl_live_endpoint *endpoint,
+                           int64_t now_ms)
 {
   start->resumes = r->event_count > 0;
   start->last_event_id = r->last_event_id;
@@ -112,7 +113,7 @@
 engine_has_left (const struct beryl_forward *f, const struct request *r,
                  int64_t now_ms)
 {
-  const struct beryl_live *endpoint = r->reservation.endpoint;
+  const struct beryl_live_endpoint *endpoint = r->reservation.endpoint;
 
   if (r->continues_run)
     return !beryl_live_set_allows_bound_work (f->endpoints, endpoint, now_ms);
@@ -135,7 +136,7 @@
 generation_run (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
   struct beryl_exchange_start start = { .kind = BERYL_EXCHANGE_RUN };
-  struct beryl_live *endpoint = r->reservation.endpoint;
+  struct beryl_live_endpoint *endpoint = r->reservation.endpoint;
 
   if (engine_has_left (f, r, now_ms))
     {
@@ -214,7 +215,7 @@
 /* The endpoint list shows a change of stage late, and not at all to a node
    that is cut off from it; the engine itself knows its stage. */
 void
-generation_switch_stage (struct beryl_live *endpoint)
+generation_switch_stage (struct beryl_live_endpoint *endpoint)
 {
   endpoint->info.stage = endpoint->info.stage == BERYL_STAGE_PREFILL
                              ? BERYL_STAGE_DECODE
@@ -222,7 +223,7 @@
 }
 
 void
-generation_back_off (struct beryl_live *endpoint, int64_t now_ms)
+generation_back_off (struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
   endpoint->full_until_ms = now_ms + REJECTED_BACKOFF_MS;
 }
@@ -297,7 +298,7 @@
 static void
 back_off_cause (struct request *r, int64_t now_ms)
 {
-  struct beryl_live *engine = r->reservation.endpoint;
+  struct beryl_live_endpoint *engine = r->reservation.endpoint;
 
   if (r->kv.endpoint != NULL && r->kv.uses >= KV_USES_MAX)
     engine = r->kv.endpoint;
--- a/libberyl/forward/live.c
+++ b/libberyl/forward/live.c
@@ -40,7 +40,7 @@
 
 struct beryl_live_set
 {
-  struct beryl_live **items;
+  struct beryl_live_endpoint **items;
   size_t count;
   size_t capacity;
   struct map by_id;
@@ -66,7 +66,7 @@
 }
 
 uint32_t
-beryl_live_hash (const struct beryl_live *endpoint)
+beryl_live_hash (const struct beryl_live_endpoint *endpoint)
 {
   const char *id = endpoint->info.id;
 
@@ -95,22 +95,23 @@
   free (lives);
 }
 
-struct beryl_live *
+struct beryl_live_endpoint *
 beryl_live_set_find (const struct beryl_live_set *lives, const char *id)
 {
   return map_get (&lives->by_id, id_key (id));
 }
 
-static struct beryl_live *
+static struct beryl_live_endpoint *
 lives_add (struct beryl_live_set *lives, const char *id)
 {
-  struct beryl_live *endpoint = calloc (1, sizeof *endpoint);
+  struct beryl_live_endpoint *endpoint = calloc (1, sizeof *endpoint);
 
   if (lives->count == lives->capacity)
     {
       lives->capacity = lives->capacity != 0 ? 2 * lives->capacity : 16;
-      lives->items = realloc (lives->items,
-                              lives->capacity * sizeof (struct beryl_live *));
+      lives->items
+          = realloc (lives->items,
+                     lives->capacity * sizeof (struct beryl_live_endpoint *));
     }
   lives->items[lives->count++] = endpoint;
   map_put (&lives->by_id, id_key (id), endpoint);
@@ -118,7 +119,8 @@
 }
 
 static void
-lives_release (struct beryl_live_set *lives, struct beryl_live *endpoint)
+lives_release (struct beryl_live_set *lives,
+               struct beryl_live_endpoint *endpoint)
 {
   for (size_t i = 0; i < lives->count; i++)
     if (lives->items[i] == endpoint)
@@ -133,7 +135,7 @@
 }
 
 static void
-mark_gone (struct beryl_live_set *lives, struct beryl_live *endpoint)
+mark_gone (struct beryl_live_set *lives, struct beryl_live_endpoint *endpoint)
 {
   endpoint->gone = true;
   endpoint->lapsed_until_ms = 0;
@@ -142,7 +144,8 @@
 }
 
 static bool
-is_former_incarnation (const struct beryl_live *endpoint, uint64_t born_ms)
+is_former_incarnation (const struct beryl_live_endpoint *endpoint,
+                       uint64_t born_ms)
 {
   for (size_t i = 0; i < BERYL_LIVE_PREVIOUS_MAX; i++)
     if (born_ms != 0 && endpoint->previous_starts_ms[i] == born_ms)
@@ -151,7 +154,7 @@
 }
 
 static bool
-has_restarted (const struct beryl_live *endpoint,
+has_restarted (const struct beryl_live_endpoint *endpoint,
                const struct beryl_live_info *info)
 {
   return endpoint->info.process_start_ms != 0 && info->process_start_ms != 0
@@ -163,11 +166,11 @@
    of these refers to the object of its incarnation, or to its number, so a new
    object invalidates them all. Otherwise requests would be sent with handles
    that the new incarnation may have given to other requests. */
-static struct beryl_live *
-replace_incarnation (struct beryl_live_set *lives, struct beryl_live *endpoint,
-                     int64_t now_ms)
+static struct beryl_live_endpoint *
+replace_incarnation (struct beryl_live_set *lives,
+                     struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
-  struct beryl_live *next = lives_add (lives, endpoint->info.id);
+  struct beryl_live_endpoint *next = lives_add (lives, endpoint->info.id);
 
   next->previous_starts_ms[0] = endpoint->info.process_start_ms;
   memcpy (&next->previous_starts_ms[1], endpoint->previous_starts_ms,
@@ -179,11 +182,11 @@
   return next;
 }
 
-struct beryl_live *
+struct beryl_live_endpoint *
 beryl_live_set_put (struct beryl_live_set *lives,
                     const struct beryl_live_info *info, int64_t now_ms)
 {
-  struct beryl_live *endpoint = beryl_live_set_find (lives, info->id);
+  struct beryl_live_endpoint *endpoint = beryl_live_set_find (lives, info->id);
   uint64_t born_ms = info->process_start_ms;
 
   if (endpoint == NULL)
@@ -219,7 +222,7 @@
 beryl_live_set_remove (struct beryl_live_set *lives, const char *id,
                        int64_t now_ms)
 {
-  struct beryl_live *endpoint = beryl_live_set_find (lives, id);
+  struct beryl_live_endpoint *endpoint = beryl_live_set_find (lives, id);
 
   if (endpoint == NULL || endpoint->gone)
     return;
@@ -237,7 +240,7 @@
 beryl_live_set_reject (struct beryl_live_set *lives, const char *id,
                        int64_t now_ms)
 {
-  struct beryl_live *endpoint = beryl_live_set_find (lives, id);
+  struct beryl_live_endpoint *endpoint = beryl_live_set_find (lives, id);
 
   if (endpoint == NULL || endpoint->gone)
     return;
@@ -266,7 +269,7 @@
 
   for (size_t i = lives->count; i > 0; i--)
     {
-      struct beryl_live *endpoint = lives->items[i - 1];
+      struct beryl_live_endpoint *endpoint = lives->items[i - 1];
 
       if (endpoint->lapsed_until_ms == 0 || now_ms < endpoint->lapsed_until_ms)
         continue;
@@ -282,14 +285,14 @@
   return lives->count;
 }
 
-struct beryl_live *
+struct beryl_live_endpoint *
 beryl_live_set_get (const struct beryl_live_set *lives, size_t i)
 {
   return lives->items[i];
 }
 
 bool
-beryl_live_accepts_work (const struct beryl_live *endpoint)
+beryl_live_accepts_work (const struct beryl_live_endpoint *endpoint)
 {
   return !endpoint->gone && !endpoint->info.leaving
          && endpoint->replaced_ms == 0;
@@ -297,7 +300,7 @@
 
 bool
 beryl_live_set_allows_bound_work (const struct beryl_live_set *lives,
-                                  const struct beryl_live *endpoint,
+                                  const struct beryl_live_endpoint *endpoint,
                                   int64_t now_ms)
 {
   return beryl_live_accepts_work (endpoint)
@@ -306,19 +309,21 @@
 }
 
 bool
-beryl_live_stage_changing (const struct beryl_live *endpoint, int64_t now_ms)
+beryl_live_stage_changing (const struct beryl_live_endpoint *endpoint,
+                           int64_t now_ms)
 {
   return now_ms < endpoint->stage_change_until_ms;
 }
 
 void
-beryl_live_open (struct beryl_live *endpoint)
+beryl_live_open (struct beryl_live_endpoint *endpoint)
 {
   endpoint->open_exchanges++;
 }
 
 void
-beryl_live_close (struct beryl_live_set *lives, struct beryl_live *endpoint)
+beryl_live_close (struct beryl_live_set *lives,
+                  struct beryl_live_endpoint *endpoint)
 {
   endpoint->open_exchanges--;
   if (endpoint->gone && endpoint->open_exchanges == 0)
@@ -326,7 +331,7 @@
 }
 
 static int64_t
-avoid_ms (const struct beryl_live *endpoint)
+avoid_ms (const struct beryl_live_endpoint *endpoint)
 {
   uint32_t doublings = endpoint->consecutive_failures > AVOID_FAULTS
                            ? endpoint->consecutive_failures - AVOID_FAULTS
@@ -338,7 +343,7 @@
 }
 
 void
-beryl_live_record_outcome (struct beryl_live *endpoint,
+beryl_live_record_outcome (struct beryl_live_endpoint *endpoint,
                            enum beryl_live_outcome outcome, int64_t took_ms,
                            int64_t now_ms)
 {
@@ -369,14 +374,15 @@
 }
 
 void
-beryl_live_mark_replaced (struct beryl_live *endpoint, int64_t now_ms)
+beryl_live_mark_replaced (struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
   if (endpoint->replaced_ms == 0)
     endpoint->replaced_ms = now_ms;
 }
 
 void
-beryl_live_mark_unreachable (struct beryl_live *endpoint, int64_t now_ms)
+beryl_live_mark_unreachable (struct beryl_live_endpoint *endpoint,
+                             int64_t now_ms)
 {
   endpoint->unreachable_ms = now_ms;
 }
@@ -386,7 +392,8 @@
    endpoint that others reach, so reports of two peers are needed, and this
    node's own recent answers override them. */
 bool
-beryl_live_suspect (struct beryl_live *endpoint, uint32_t by, int64_t now_ms)
+beryl_live_suspect (struct beryl_live_endpoint *endpoint, uint32_t by,
+                    int64_t now_ms)
 {
   bool again = endpoint->suspected_ms != 0 && endpoint->suspected_by != by
                && now_ms - endpoint->suspected_ms < UNREACHABLE_REPORT_MS;
@@ -410,19 +417,20 @@
    a peak, two such engines that were asked again and again took half of the
    time that requests had to get memory while the other engines were full. */
 static bool
-lapsed_and_failed (const struct beryl_live *endpoint)
+lapsed_and_failed (const struct beryl_live_endpoint *endpoint)
 {
   return endpoint->lapsed_until_ms != 0 && endpoint->last_failure_ms != 0;
 }
 
 bool
-beryl_live_avoided (const struct beryl_live *endpoint, int64_t now_ms)
+beryl_live_avoided (const struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
   return now_ms < endpoint->avoid_until_ms || lapsed_and_failed (endpoint);
 }
 
 bool
-beryl_live_probe_due (const struct beryl_live *endpoint, int64_t now_ms)
+beryl_live_probe_due (const struct beryl_live_endpoint *endpoint,
+                      int64_t now_ms)
 {
   return !lapsed_and_failed (endpoint)
          && (beryl_live_avoided (endpoint, now_ms)
--- a/libberyl/forward/loans.c
+++ b/libberyl/forward/loans.c
@@ -45,16 +45,16 @@
 }
 
 static void
-add_transfer (struct beryl_repeat_transfers *transfers,
-              struct beryl_repeat_transfer transfer)
+add_transfer (struct beryl_budget_transfers *transfers,
+              struct beryl_budget_transfer transfer)
 {
-  if (transfers->count < BERYL_REPEAT_TRANSFERS_MAX)
+  if (transfers->count < BERYL_BUDGET_TRANSFERS_MAX)
     transfers->items[transfers->count++] = transfer;
 }
 
 static void
 request_loan (struct beryl_forward *f, struct service *s,
-              struct beryl_repeat_transfers *asks, int64_t now_ms)
+              struct beryl_budget_transfers *asks, int64_t now_ms)
 {
   struct repeat_limits limits = forward_repeat_limits (f);
   const struct peer_runs *peer;
@@ -67,7 +67,7 @@
     return;
   s->loan_requested_ms = now_ms;
   s->loan_serial = ++f->last_loan_serial;
-  add_transfer (asks, (struct beryl_repeat_transfer){
+  add_transfer (asks, (struct beryl_budget_transfer){
                           .node = beryl_name_hash (peer->name),
                           .service = beryl_name_hash (s->name),
                           .count = LOAN_MAX,
@@ -76,8 +76,8 @@
 
 void
 beryl_forward_repeat_transfers (struct beryl_forward *f,
-                                struct beryl_repeat_transfers *asks,
-                                struct beryl_repeat_transfers *loans,
+                                struct beryl_budget_transfers *asks,
+                                struct beryl_budget_transfers *loans,
                                 int64_t now_ms)
 {
   asks->count = 0;
@@ -89,20 +89,20 @@
 
 static void
 lend (struct beryl_forward *f, const char *peer,
-      const struct beryl_repeat_transfer *request, int64_t now_ms)
+      const struct beryl_budget_transfer *request, int64_t now_ms)
 {
   struct repeat_limits limits = forward_repeat_limits (f);
   struct service *s = forward_service_by_number (f, request->service);
   uint32_t max_count = request->count < LOAN_MAX ? request->count : LOAN_MAX;
   uint32_t count;
 
-  if (s == NULL || f->pending_loans.count == BERYL_REPEAT_TRANSFERS_MAX)
+  if (s == NULL || f->pending_loans.count == BERYL_BUDGET_TRANSFERS_MAX)
     return;
   count = repeat_budget_lend (&s->budget, &limits, max_count, now_ms);
   if (count == 0)
     return;
   add_transfer (&f->pending_loans,
-                (struct beryl_repeat_transfer){ .node = beryl_name_hash (peer),
+                (struct beryl_budget_transfer){ .node = beryl_name_hash (peer),
                                                 .service = request->service,
                                                 .count = count,
                                                 .serial = request->serial });
@@ -111,7 +111,7 @@
 
 /* Only the answer to the last request counts, and only once. */
 static void
-borrow (struct beryl_forward *f, const struct beryl_repeat_transfer *lent,
+borrow (struct beryl_forward *f, const struct beryl_budget_transfer *lent,
         int64_t now_ms)
 {
   struct service *s = forward_service_by_number (f, lent->service);
@@ -124,8 +124,8 @@
 
 void
 beryl_forward_peer_transfers (struct beryl_forward *f, const char *peer,
-                              const struct beryl_repeat_transfers *asks,
-                              const struct beryl_repeat_transfers *loans,
+                              const struct beryl_budget_transfers *asks,
+                              const struct beryl_budget_transfers *loans,
                               int64_t now_ms)
 {
   uint32_t own = beryl_name_hash (f->settings.node);
--- a/libberyl/forward/move.c
+++ b/libberyl/forward/move.c
@@ -17,7 +17,7 @@
 
 void
 move_start (struct beryl_forward *f, struct request *r,
-            struct beryl_live *target, int64_t now_ms)
+            struct beryl_live_endpoint *target, int64_t now_ms)
 {
   struct beryl_exchange_start start = { .kind = BERYL_EXCHANGE_MOVE };
 
@@ -37,7 +37,7 @@
 static void
 move_continue (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
-  struct beryl_live *target = r->move_target;
+  struct beryl_live_endpoint *target = r->move_target;
 
   if (!r->move_stopped || !r->stream_ended)
     return;
@@ -53,7 +53,8 @@
 
 static void
 keep_kv_cache (struct beryl_forward *f, struct request *r,
-               struct beryl_live *endpoint, const char *handle, int64_t now_ms)
+               struct beryl_live_endpoint *endpoint, const char *handle,
+               int64_t now_ms)
 {
   int64_t stated_ms = r->config->engine.kv_handle_ms;
 
@@ -88,7 +89,7 @@
              const struct beryl_engine_result *result, int64_t now_ms)
 {
   struct request *r = x->request;
-  struct beryl_live *source = x->endpoint;
+  struct beryl_live_endpoint *source = x->endpoint;
   bool stopped = result->handle[0] != '\0';
 
   forward_request_log (f, r, "move", r->move_target,
@@ -137,7 +138,7 @@
 bool
 move_back (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
-  struct beryl_live *source = r->kv.endpoint;
+  struct beryl_live_endpoint *source = r->kv.endpoint;
 
   if (source == NULL || source == r->reservation.endpoint
       || now_ms >= r->kv.expires_ms)
--- a/libberyl/forward/placement.c
+++ b/libberyl/forward/placement.c
@@ -171,7 +171,7 @@
 
 struct exchange *
 placement_reserve (struct beryl_forward *f, struct request *r,
-                   struct beryl_live *endpoint, int64_t now_ms)
+                   struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
   struct beryl_exchange_start start = { .kind = BERYL_EXCHANGE_RESERVE };
 
@@ -184,7 +184,7 @@
 void
 placement_ask (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
-  struct beryl_live *endpoint = NULL;
+  struct beryl_live_endpoint *endpoint = NULL;
   struct engine_capacity capacity = { 0 };
 
   if (prefill_would_be_late (f, r, now_ms))
@@ -329,8 +329,9 @@
 }
 
 void
-reservation_cancel (struct beryl_forward *f, struct beryl_live *endpoint,
-                    const char *handle, int64_t now_ms)
+reservation_cancel (struct beryl_forward *f,
+                    struct beryl_live_endpoint *endpoint, const char *handle,
+                    int64_t now_ms)
 {
   struct beryl_exchange_start start
       = { .kind = BERYL_EXCHANGE_UNRESERVE, .reservation = handle };
--- a/libberyl/forward/plain.c
+++ b/libberyl/forward/plain.c
@@ -51,8 +51,9 @@
 /* Returns how many requests of this node wait at ENDPOINT for longer than
    usual. An endpoint that has stopped responding is first seen by these. */
 static uint32_t
-stalled_at (const struct beryl_forward *f, const struct beryl_live *endpoint,
-            int64_t late_ms, int64_t now_ms)
+stalled_at (const struct beryl_forward *f,
+            const struct beryl_live_endpoint *endpoint, int64_t late_ms,
+            int64_t now_ms)
 {
   const struct exchange *x;
   uint32_t count = 0;
@@ -70,7 +71,7 @@
    endpoint. */
 static double
 endpoint_cost (struct beryl_forward *f, const struct request *r,
-               struct beryl_live *endpoint, int64_t now_ms)
+               struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
   double cost = endpoint->open_exchanges;
 
@@ -88,17 +89,17 @@
   return cost;
 }
 
-static struct beryl_live *
+static struct beryl_live_endpoint *
 plain_choose (struct beryl_forward *f, const struct request *r, int64_t now_ms)
 {
-  struct beryl_live *best = NULL;
+  struct beryl_live_endpoint *best = NULL;
   double best_cost = 0;
   size_t count = beryl_live_set_count (f->endpoints);
   size_t start = count > 0 ? random_next (&f->random) % count : 0;
 
   for (size_t i = 0; i < count; i++)
     {
-      struct beryl_live *endpoint
+      struct beryl_live_endpoint *endpoint
           = beryl_live_set_get (f->endpoints, (start + i) % count);
       double cost;
 
@@ -125,7 +126,7 @@
 
 static void
 plain_send (struct beryl_forward *f, struct request *r,
-            struct beryl_live *endpoint, int64_t now_ms)
+            struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
   struct beryl_exchange_start start = { .kind = BERYL_EXCHANGE_RUN };
   struct exchange *x;
@@ -158,7 +159,7 @@
 void
 plain_start (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
-  struct beryl_live *endpoint = plain_choose (f, r, now_ms);
+  struct beryl_live_endpoint *endpoint = plain_choose (f, r, now_ms);
   int64_t after_ms;
 
   if (endpoint != NULL)
@@ -178,7 +179,7 @@
 plain_attempt_failed (struct beryl_forward *f, struct request *r,
                       int64_t now_ms)
 {
-  struct beryl_live *endpoint;
+  struct beryl_live_endpoint *endpoint;
 
   if (r->primary != NULL) /* another send is still open */
     return;
@@ -204,7 +205,7 @@
 void
 plain_timer (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
-  struct beryl_live *endpoint;
+  struct beryl_live_endpoint *endpoint;
 
   r->timer_ms = r->deadline_ms;
   if (r->primary == NULL || r->primary->has_head || r->secondary != NULL
--- a/libberyl/forward/prefill.c
+++ b/libberyl/forward/prefill.c
@@ -43,9 +43,10 @@
    prompt for any node: two in a row make its streams pause for too long. */
 static bool
 engine_is_prefilling (struct beryl_forward *f,
-                      const struct beryl_live *endpoint, int64_t now_ms)
+                      const struct beryl_live_endpoint *endpoint,
+                      int64_t now_ms)
 {
-  return now_ms - endpoint->combined_run_ms < LOCAL_SPACING_MS
+  return now_ms - endpoint->last_local_prefill_ms < LOCAL_SPACING_MS
          || run_table_prefill_tokens (&f->run_table,
                                       beryl_live_hash (endpoint), now_ms)
                 > 0;
@@ -76,13 +77,13 @@
   int64_t left_ms = r->params.arrived_ms + r->route->objective_ms - now_ms;
   int64_t remote_ms = wait_ms + (int64_t)prefill_ms (r);
   int64_t busy_ms = local_prefill_ms (r, r->params.prompt_tokens);
-  struct beryl_live *endpoint = r->reservation.endpoint;
+  struct beryl_live_endpoint *endpoint = r->reservation.endpoint;
 
   if (remote_ms < left_ms || busy_ms >= left_ms
       || engine_is_prefilling (f, endpoint, now_ms)
       || stream_pause_ms (r, busy_ms) > r->route->gap_objective_ms)
     return false;
-  endpoint->combined_run_ms = now_ms;
+  endpoint->last_local_prefill_ms = now_ms;
   return true;
 }
 
@@ -91,7 +92,7 @@
 bool
 prefill_is_cached (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
-  struct beryl_live *endpoint = r->reservation.endpoint;
+  struct beryl_live_endpoint *endpoint = r->reservation.endpoint;
   double resumed_tokens
       = (double)r->params.last_event_id * r->config->engine.event_tokens;
 
@@ -103,7 +104,7 @@
       || stream_pause_ms (r, local_prefill_ms (r, resumed_tokens))
              > r->route->gap_objective_ms)
     return false;
-  endpoint->combined_run_ms = now_ms;
+  endpoint->last_local_prefill_ms = now_ms;
   r->local_prefill = true;
   return true;
 }
@@ -153,7 +154,7 @@
 /* The first accepted prefill does not count as a repeat, later ones do. */
 static void
 send_prefill (struct beryl_forward *f, struct request *r,
-              struct beryl_live *endpoint, int64_t now_ms)
+              struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
   struct beryl_exchange_start start = { .kind = BERYL_EXCHANGE_PREFILL };
 
@@ -176,7 +177,8 @@
 prefill_start (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
   int64_t wait_ms;
-  struct beryl_live *endpoint = engine_choose_prefill (f, r, &wait_ms, now_ms);
+  struct beryl_live_endpoint *endpoint
+      = engine_choose_prefill (f, r, &wait_ms, now_ms);
 
   kv_clear (f, &r->kv);
   if (endpoint == NULL && engine_has_prefill (f, r, now_ms))
--- a/libberyl/forward/private.h
+++ b/libberyl/forward/private.h
@@ -67,7 +67,7 @@
   uint64_t id;
   struct request *request; /**< NULL if its request has ended */
   enum beryl_exchange_kind kind;
-  struct beryl_live *endpoint;
+  struct beryl_live_endpoint *endpoint;
   int64_t started_ms;
   bool has_head;
   bool paused;
@@ -88,7 +88,7 @@
 /** A generation's memory at a decode engine. */
 struct reservation
 {
-  struct beryl_live *endpoint; /**< NULL if none; kept open */
+  struct beryl_live_endpoint *endpoint; /**< NULL if none; kept open */
   char handle[BERYL_ENGINE_HANDLE_BYTES];
   uint32_t tokens;
   int64_t expires_ms;
@@ -97,7 +97,7 @@
 /** The KV cache of a prompt that was prefilled. */
 struct kv_cache
 {
-  struct beryl_live *endpoint; /**< NULL if none; kept open */
+  struct beryl_live_endpoint *endpoint; /**< NULL if none; kept open */
   char handle[BERYL_ENGINE_HANDLE_BYTES];
   int64_t expires_ms;
   uint32_t uses; /**< runs it was handed to */
@@ -141,7 +141,8 @@
   uint32_t expected_tokens; /**< estimated output: the median */
   int64_t first_event_ms;
   int64_t longest_gap_ms;
-  struct beryl_live *move_target; /**< target while moving; kept open */
+  struct beryl_live_endpoint
+      *move_target;  /**< target while moving; kept open */
   bool move_stopped; /**< the engine has stopped the run for the move */
   uint32_t runs; /**< number of times the request itself was sent to engines */
   bool prefilled;        /**< a prefill engine has accepted its prompt */
@@ -185,7 +186,7 @@
   int64_t stop_ms;            /**< planned stop; BERYL_NEVER_MS if none */
   struct run_table run_table; /**< runs of the other nodes at engines */
   struct prompt_locations prompt_locations; /**< where prompts ran recently */
-  struct beryl_repeat_transfers pending_loans; /**< granted, not sent yet */
+  struct beryl_budget_transfers pending_loans; /**< granted, not sent yet */
   uint32_t last_loan_serial;
   bool runs_changed; /**< this node's runs have changed since they were
                         reported */
@@ -210,7 +211,7 @@
 struct exchange *forward_exchange_start (struct beryl_forward *f,
                                          struct request *r,
                                          struct beryl_exchange_start *start,
-                                         struct beryl_live *endpoint,
+                                         struct beryl_live_endpoint *endpoint,
                                          int64_t now_ms);
 /** Free an exchange whose connection is closed. */
 void forward_exchange_free (struct beryl_forward *f, struct exchange *x);
@@ -224,20 +225,23 @@
 /* endpoint_reports.c */
 /** An answer shows that another process now has ENDPOINT's address. */
 void endpoint_report_replaced (struct beryl_forward *f,
-                               struct beryl_live *endpoint, int64_t now_ms);
+                               struct beryl_live_endpoint *endpoint,
+                               int64_t now_ms);
 /** ENDPOINT did not accept a connection. */
 void endpoint_report_unreachable (struct beryl_forward *f,
-                                  struct beryl_live *endpoint, int64_t now_ms);
+                                  struct beryl_live_endpoint *endpoint,
+                                  int64_t now_ms);
 
 /* crashes.c */
 void crashes_init (struct beryl_forward *f);
 /** R's run at ENDPOINT ended in a reset or closed connection. */
 void crashes_run_interrupted (struct beryl_forward *f, struct request *r,
-                              struct beryl_live *endpoint, int64_t now_ms);
+                              struct beryl_live_endpoint *endpoint,
+                              int64_t now_ms);
 /** ENDPOINT accepts no connections, or its address belongs to another process.
  */
 void crashes_endpoint_ended (struct beryl_forward *f,
-                             const struct beryl_live *endpoint,
+                             const struct beryl_live_endpoint *endpoint,
                              int64_t now_ms);
 /** R was answered completely. */
 void crashes_answered (struct beryl_forward *f, struct request *r,
@@ -258,7 +262,8 @@
 /** Return whether a suspect other than R runs at ENDPOINT. */
 bool crashes_suspect_at (const struct beryl_forward *f,
                          const struct request *r,
-                         const struct beryl_live *endpoint, int64_t now_ms);
+                         const struct beryl_live_endpoint *endpoint,
+                         int64_t now_ms);
 void crashes_tick (struct beryl_forward *f, int64_t now_ms);
 
 /* rates.c */
@@ -269,13 +274,14 @@
                   int64_t now_ms);
 /** Return whether ENDPOINT has stated a rate limit. */
 bool rates_is_limited (const struct beryl_forward *f,
-                       const struct beryl_live *endpoint);
+                       const struct beryl_live_endpoint *endpoint);
 /** Return whether ENDPOINT's rate limit allows a request of S now. */
 bool rates_allows (struct beryl_forward *f, struct service *s,
-                   const struct beryl_live *endpoint, int64_t now_ms);
+                   const struct beryl_live_endpoint *endpoint, int64_t now_ms);
 /** Count a request of S that is sent to ENDPOINT. */
 void rates_count_sent (struct beryl_forward *f, struct service *s,
-                       const struct beryl_live *endpoint, int64_t now_ms);
+                       const struct beryl_live_endpoint *endpoint,
+                       int64_t now_ms);
 /** Return the Retry-After for a request of S that no rate limit allows; 0 if
  * no endpoint of S has a limit. */
 int64_t rates_retry_after_ms (struct beryl_forward *f, struct service *s,
@@ -318,7 +324,8 @@
 /** Log one step of R. NUMBER is tokens, bytes or milliseconds, depending on
  * STEP. */
 void forward_request_log (struct beryl_forward *f, const struct request *r,
-                          const char *step, const struct beryl_live *endpoint,
+                          const char *step,
+                          const struct beryl_live_endpoint *endpoint,
                           const char *outcome, int64_t number, int64_t now_ms);
 /** End R: abort its open exchanges, free its memory at engines, free it. */
 void forward_request_end (struct beryl_forward *f, struct request *r,
@@ -351,9 +358,9 @@
 void forward_request_take_repeats (struct beryl_forward *f, struct request *r,
                                    uint32_t count, int64_t now_ms);
 void forward_request_mark_tried (struct request *r,
-                                 const struct beryl_live *endpoint);
+                                 const struct beryl_live_endpoint *endpoint);
 bool forward_request_was_tried (const struct request *r,
-                                const struct beryl_live *endpoint);
+                                const struct beryl_live_endpoint *endpoint);
 
 /* plain.c */
 void plain_start (struct beryl_forward *f, struct request *r, int64_t now_ms);
@@ -397,7 +404,7 @@
 void placement_wake_all (struct beryl_forward *f, int64_t now_ms);
 /** Ask ENDPOINT to reserve the memory that R needs. */
 struct exchange *placement_reserve (struct beryl_forward *f, struct request *r,
-                                    struct beryl_live *endpoint,
+                                    struct beryl_live_endpoint *endpoint,
                                     int64_t now_ms);
 /** Record the reservation that the engine of X has granted to R; frees X. */
 void placement_accept (struct beryl_forward *f, struct exchange *x,
@@ -411,7 +418,8 @@
 void reservation_clear (struct beryl_forward *f,
                         struct reservation *reservation);
 /** Ask ENDPOINT to release the reservation HANDLE. */
-void reservation_cancel (struct beryl_forward *f, struct beryl_live *endpoint,
+void reservation_cancel (struct beryl_forward *f,
+                         struct beryl_live_endpoint *endpoint,
                          const char *handle, int64_t now_ms);
 
 /* generation.c */
@@ -420,7 +428,8 @@
 /** Start an exchange of R with ENDPOINT. */
 void generation_start_exchange (struct beryl_forward *f, struct request *r,
                                 struct beryl_exchange_start *start,
-                                struct beryl_live *endpoint, int64_t now_ms);
+                                struct beryl_live_endpoint *endpoint,
+                                int64_t now_ms);
 /** R has a reservation: prefill its prompt, or run it. */
 void generation_reserved (struct beryl_forward *f, struct request *r,
                           int64_t now_ms);
@@ -455,10 +464,11 @@
 void generation_restart (struct beryl_forward *f, struct request *r,
                          int64_t now_ms);
 /** ENDPOINT has reported that it now has the other stage. */
-void generation_switch_stage (struct beryl_live *endpoint);
+void generation_switch_stage (struct beryl_live_endpoint *endpoint);
 /** ENDPOINT rejected work that it had memory for: back off from it for a
  * while. */
-void generation_back_off (struct beryl_live *endpoint, int64_t now_ms);
+void generation_back_off (struct beryl_live_endpoint *endpoint,
+                          int64_t now_ms);
 
 /* prefill.c */
 /** Return whether R, which has no reservation yet, could not have its prompt
@@ -530,7 +540,7 @@
 /* move.c */
 /** Start to move R's run to TARGET. */
 void move_start (struct beryl_forward *f, struct request *r,
-                 struct beryl_live *target, int64_t now_ms);
+                 struct beryl_live_endpoint *target, int64_t now_ms);
 /** The engine answered X, a MOVE. */
 void move_result (struct beryl_forward *f, struct exchange *x,
                   const struct beryl_engine_result *result, int64_t now_ms);
@@ -575,23 +585,23 @@
 /** Return the highest expected use of ENDPOINT's memory, in tokens, if R ran
  * there too. DEVIATIONS standard deviations are added. */
 double engine_peak_with (struct beryl_forward *f, const struct request *r,
-                         const struct beryl_live *endpoint, double deviations,
-                         int64_t now_ms);
+                         const struct beryl_live_endpoint *endpoint,
+                         double deviations, int64_t now_ms);
 /** ENDPOINT granted or refused a reservation of TOKENS: estimate from that
  * what runs of unknown nodes use there. */
 void engine_learn_capacity (struct beryl_forward *f, const struct request *r,
-                            struct beryl_live *endpoint, uint32_t tokens,
-                            bool granted, int64_t now_ms);
+                            struct beryl_live_endpoint *endpoint,
+                            uint32_t tokens, bool granted, int64_t now_ms);
 /** Choose an engine to move R's run to; NULL if none has enough memory. */
-struct beryl_live *engine_choose_target (struct beryl_forward *f,
-                                         const struct request *r,
-                                         int64_t now_ms);
+struct beryl_live_endpoint *engine_choose_target (struct beryl_forward *f,
+                                                  const struct request *r,
+                                                  int64_t now_ms);
 /** Return whether R's run is the newest at its engine. */
 bool engine_is_newest_run (struct beryl_forward *f, const struct request *r,
                            int64_t now_ms);
 /** Return whether ENDPOINT has R's prompt cached. */
 bool engine_has_prompt_cached (const struct request *r,
-                               const struct beryl_live *endpoint);
+                               const struct beryl_live_endpoint *endpoint);
 /** Estimated free capacity of a service's decode engines. */
 struct engine_capacity
 {
@@ -603,15 +613,15 @@
 
 /** Choose a decode engine to ask for a reservation; NULL if there is none.
  * *CAPACITY must be zero-initialised. */
-struct beryl_live *engine_choose_decode (struct beryl_forward *f,
-                                         const struct request *r,
-                                         struct engine_capacity *capacity,
-                                         int64_t now_ms);
+struct beryl_live_endpoint *
+engine_choose_decode (struct beryl_forward *f, const struct request *r,
+                      struct engine_capacity *capacity, int64_t now_ms);
 /** Choose an engine to prefill R's prompt; NULL if there is none. *WAIT_MS is
  * set to the duration of its queue. */
-struct beryl_live *engine_choose_prefill (struct beryl_forward *f,
-                                          const struct request *r,
-                                          int64_t *wait_ms, int64_t now_ms);
+struct beryl_live_endpoint *engine_choose_prefill (struct beryl_forward *f,
+                                                   const struct request *r,
+                                                   int64_t *wait_ms,
+                                                   int64_t now_ms);
 /** Return whether there is a usable prefill engine, rate limits apart. */
 bool engine_has_prefill (struct beryl_forward *f, const struct request *r,
                          int64_t now_ms);
@@ -624,7 +634,7 @@
                           struct beryl_engine_run *run);
 /** Forecast the memory of ENDPOINT. */
 void engine_forecast (struct beryl_forward *f, const struct service *s,
-                      const struct beryl_live *endpoint, int64_t now_ms,
-                      struct memory_forecast *forecast);
+                      const struct beryl_live_endpoint *endpoint,
+                      int64_t now_ms, struct memory_forecast *forecast);
 
 #endif
--- a/libberyl/forward/rates.c
+++ b/libberyl/forward/rates.c
@@ -47,13 +47,13 @@
 
   return (struct beryl_limit_cluster){
     .reachable_fraction = reachable_share (f, now_ms),
-    .concurrent
+    .competing_requests
     = requests * f->nodes * REPORT_DELAY_MS / (double)repeats.window_ms,
   };
 }
 
 static void
-log_limit (struct beryl_forward *f, const struct beryl_live *endpoint,
+log_limit (struct beryl_forward *f, const struct beryl_live_endpoint *endpoint,
            const char *from)
 {
   struct beryl_rate_limit limit
@@ -63,7 +63,8 @@
   if (f->owner->impl->log_endpoint_state == NULL)
     return;
   if (limit.advertised)
-    snprintf (what, sizeof what, "limited milli_per_s=%u", limit.milli_per_s);
+    snprintf (what, sizeof what, "limited milli_per_s=%u",
+              limit.millirequests_per_s);
   else
     snprintf (what, sizeof what, "unlimited");
   f->owner->impl->log_endpoint_state (f->owner, endpoint, what, from);
@@ -83,7 +84,7 @@
 
 bool
 rates_is_limited (const struct beryl_forward *f,
-                  const struct beryl_live *endpoint)
+                  const struct beryl_live_endpoint *endpoint)
 {
   return beryl_limits_count (f->limits) > 0
          && beryl_limits_get (f->limits, beryl_live_hash (endpoint))
@@ -92,7 +93,7 @@
 
 bool
 rates_allows (struct beryl_forward *f, struct service *s,
-              const struct beryl_live *endpoint, int64_t now_ms)
+              const struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
   struct beryl_limit_cluster terms;
 
@@ -105,7 +106,7 @@
 
 void
 rates_count_sent (struct beryl_forward *f, struct service *s,
-                  const struct beryl_live *endpoint, int64_t now_ms)
+                  const struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
   struct beryl_limit_cluster terms;
 
@@ -126,7 +127,8 @@
 
   for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
     {
-      const struct beryl_live *endpoint = beryl_live_set_get (f->endpoints, i);
+      const struct beryl_live_endpoint *endpoint
+          = beryl_live_set_get (f->endpoints, i);
       int64_t wait_ms;
 
       if (strcmp (endpoint->info.service, s->name) != 0
@@ -151,7 +153,7 @@
   return f->limits;
 }
 
-static const struct beryl_live *
+static const struct beryl_live_endpoint *
 find_endpoint (const struct beryl_forward *f, uint32_t number)
 {
   for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
@@ -170,7 +172,7 @@
   struct beryl_rate_limit before
       = beryl_limits_get (f->limits, item->endpoint);
   struct beryl_rate_limit after;
-  const struct beryl_live *endpoint;
+  const struct beryl_live_endpoint *endpoint;
 
   beryl_limits_apply_update (f->limits, &news, terms, now_ms);
   after = beryl_limits_get (f->limits, item->endpoint);
--- a/libberyl/forward/relocate.c
+++ b/libberyl/forward/relocate.c
@@ -47,7 +47,7 @@
 static void
 ask (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
-  struct beryl_live *endpoint = NULL;
+  struct beryl_live_endpoint *endpoint = NULL;
   struct engine_capacity capacity = { 0 };
 
   if (r->tried_count == 0)
--- a/libberyl/forward/request.c
+++ b/libberyl/forward/request.c
@@ -39,7 +39,8 @@
 
 void
 forward_request_log (struct beryl_forward *f, const struct request *r,
-                     const char *step, const struct beryl_live *endpoint,
+                     const char *step,
+                     const struct beryl_live_endpoint *endpoint,
                      const char *outcome, int64_t number, int64_t now_ms)
 {
   struct beryl_decision decision = {
@@ -233,14 +234,14 @@
 }
 
 static uint64_t
-id_hash (const struct beryl_live *endpoint)
+id_hash (const struct beryl_live_endpoint *endpoint)
 {
   return XXH3_64bits (endpoint->info.id, strlen (endpoint->info.id));
 }
 
 void
 forward_request_mark_tried (struct request *r,
-                            const struct beryl_live *endpoint)
+                            const struct beryl_live_endpoint *endpoint)
 {
   r->tried[r->tried_count % TRIED_MAX] = id_hash (endpoint);
   r->tried_count++;
@@ -248,7 +249,7 @@
 
 bool
 forward_request_was_tried (const struct request *r,
-                           const struct beryl_live *endpoint)
+                           const struct beryl_live_endpoint *endpoint)
 {
   uint32_t count = r->tried_count < TRIED_MAX ? r->tried_count : TRIED_MAX;
   uint64_t hash = id_hash (endpoint);
--- a/libberyl/forward/sample.c
+++ b/libberyl/forward/sample.c
@@ -26,7 +26,7 @@
 
 /* Reservoir sampling. */
 void
-sample_add (struct sample *sample, struct beryl_live *endpoint,
+sample_add (struct sample *sample, struct beryl_live_endpoint *endpoint,
             uint64_t *random)
 {
   size_t at = sample->offered++;
@@ -101,7 +101,7 @@
   return &items[best];
 }
 
-struct beryl_live *
+struct beryl_live_endpoint *
 sample_choose (struct sample *sample, const struct sample_options *options,
                double *cost)
 {
--- a/libberyl/forward/sample.h
+++ b/libberyl/forward/sample.h
@@ -25,7 +25,7 @@
 /** An engine and the cost of choosing it. */
 struct candidate
 {
-  struct beryl_live *endpoint;
+  struct beryl_live_endpoint *endpoint;
   double cost;
 };
 
@@ -54,7 +54,7 @@
 
 /** Offer ENDPOINT; each engine offered is equally likely to be in the sample.
  */
-void sample_add (struct sample *sample, struct beryl_live *endpoint,
+void sample_add (struct sample *sample, struct beryl_live_endpoint *endpoint,
                  uint64_t *random);
 
 /** Remove the engines that cost more than MOST. */
@@ -63,8 +63,8 @@
 /** Return the cheapest of a random part of SAMPLE, which is smaller the more
  * choices are made at once, and set *COST; NULL if SAMPLE is empty. Reorders
  * SAMPLE. */
-struct beryl_live *sample_choose (struct sample *sample,
-                                  const struct sample_options *options,
-                                  double *cost);
+struct beryl_live_endpoint *
+sample_choose (struct sample *sample, const struct sample_options *options,
+               double *cost);
 
 #endif
--- a/libberyl/forward/stream.c
+++ b/libberyl/forward/stream.c
@@ -88,7 +88,7 @@
 static void
 handle_stall (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
-  struct beryl_live *target = NULL;
+  struct beryl_live_endpoint *target = NULL;
 
   r->stalled = true;
   forward_request_log (f, r, "stall", r->primary->endpoint, "seen",
--- a/libberyl/limits/limits.c
+++ b/libberyl/limits/limits.c
@@ -44,7 +44,7 @@
 {
   struct limit items[LIMITS_MAX];
   uint32_t count;
-  uint32_t next_export; /* rotation position of full exports */
+  uint32_t next_item; /* rotation position of full exports */
 };
 
 struct beryl_limits *
@@ -120,7 +120,8 @@
              const struct beryl_rate_limit *b)
 {
   return a->advertised == b->advertised
-         && (!a->advertised || a->milli_per_s == b->milli_per_s);
+         && (!a->advertised
+             || a->millirequests_per_s == b->millirequests_per_s);
 }
 
 /* A new limit starts with an empty bucket: the endpoint advertised it because
@@ -174,7 +175,7 @@
 tokens_per_ms (const struct limit *limit,
                const struct beryl_limit_cluster *cluster)
 {
-  uint32_t milli_per_s = limit->rate.milli_per_s;
+  uint32_t milli_per_s = limit->rate.millirequests_per_s;
 
   if (milli_per_s < MIN_MILLI_PER_S)
     milli_per_s = MIN_MILLI_PER_S;
@@ -207,7 +208,8 @@
   if (limit == NULL || !limit->rate.advertised)
     return true;
   refill (limit, cluster, now_ms);
-  return limit->tokens >= 1 && chance * cluster->concurrent <= limit->tokens;
+  return limit->tokens >= 1
+         && chance * cluster->competing_requests <= limit->tokens;
 }
 
 void
@@ -249,14 +251,14 @@
 }
 
 static bool
-needs_export (const struct limit *limit, int64_t now_ms)
+must_announce (const struct limit *limit, int64_t now_ms)
 {
   return limit->changed || now_ms - limit->state_since_ms < ANNOUNCE_MS;
 }
 
 static void
-export_one (struct limit *limit, struct beryl_limits_update *update,
-            int64_t now_ms)
+add_item (struct limit *limit, struct beryl_limits_update *update,
+          int64_t now_ms)
 {
   int64_t age_ms = now_ms - limit->confirmed_ms;
 
@@ -264,7 +266,7 @@
     .endpoint = limit->endpoint,
     .advertised = limit->rate.advertised,
     .answer_kind = limit->answer_kind,
-    .milli_per_s = limit->rate.milli_per_s,
+    .millirequests_per_s = limit->rate.millirequests_per_s,
     .age_ms = age_ms > 0 ? (uint32_t)age_ms : 0,
     .sent = limit->sent,
   };
@@ -272,7 +274,7 @@
 }
 
 static bool
-is_exported (const struct beryl_limits_update *update, uint32_t endpoint)
+has_item (const struct beryl_limits_update *update, uint32_t endpoint)
 {
   for (size_t i = 0; i < update->count; i++)
     if (update->items[i].endpoint == endpoint)
@@ -288,16 +290,16 @@
   update->count = 0;
   for (uint32_t i = 0;
        i < limits->count && update->count < BERYL_LIMIT_ITEMS_MAX; i++)
-    if (needs_export (&limits->items[i], now_ms))
-      export_one (&limits->items[i], update, now_ms);
+    if (must_announce (&limits->items[i], now_ms))
+      add_item (&limits->items[i], update, now_ms);
   for (uint32_t i = 0;
        all && i < limits->count && update->count < BERYL_LIMIT_ITEMS_MAX; i++)
     {
       struct limit *limit
-          = &limits->items[limits->next_export++ % limits->count];
+          = &limits->items[limits->next_item++ % limits->count];
 
-      if (!is_exported (update, limit->endpoint))
-        export_one (limit, update, now_ms);
+      if (!has_item (update, limit->endpoint))
+        add_item (limit, update, now_ms);
     }
   return update->count > 0;
 }
@@ -342,7 +344,8 @@
            const struct beryl_limit_item *item,
            const struct beryl_limit_cluster *cluster, int64_t now_ms)
 {
-  struct beryl_rate_limit rate = { item->advertised, item->milli_per_s };
+  struct beryl_rate_limit rate
+      = { item->advertised, item->millirequests_per_s };
   int64_t confirmed_ms = now_ms - item->age_ms;
   struct limit *limit = limit_find (limits, item->endpoint);
 
--- a/libberyl/planner/arrange.c
+++ b/libberyl/planner/arrange.c
@@ -38,7 +38,7 @@
 }
 
 static bool
-will_be_warm (const struct engine *e, const struct service *s)
+is_assigned (const struct engine *e, const struct service *s)
 {
   return e->ordered && e->ordered_role != 0
          && strcmp (e->ordered_model, s->model->name) == 0;
@@ -60,8 +60,7 @@
  * each other down, and the first waiting call would wait for the last of them.
  */
 static bool
-load_may_start (struct beryl_planner *p, const struct service *s,
-                int64_t now_ms)
+reserve_load (struct beryl_planner *p, const struct service *s, int64_t now_ms)
 {
   double seconds
       = (double)s->model->weight_bytes / p->settings.weight_store_bytes_per_s;
@@ -82,7 +81,7 @@
     {
       const struct engine *e = &p->engines[i];
 
-      count += is_engine_of (e, s) && will_be_warm (e, s)
+      count += is_engine_of (e, s) && is_assigned (e, s)
                && strcmp (e->endpoint->data_centre, data_centre) == 0;
     }
   return count;
@@ -109,7 +108,7 @@
       struct engine *e = &p->engines[i];
       uint32_t count;
 
-      if (!is_engine_of (e, s) || !e->responding || will_be_warm (e, s)
+      if (!is_engine_of (e, s) || !e->responding || is_assigned (e, s)
           || engine_is_warm (e, s) || e->loading)
         continue;
       count = count_in_data_centre (p, s, e->endpoint->data_centre);
@@ -134,7 +133,7 @@
       struct engine *e = &p->engines[i];
       uint32_t count;
 
-      if (!is_engine_of (e, s) || !will_be_warm (e, s) || is_changing (e))
+      if (!is_engine_of (e, s) || !is_assigned (e, s) || is_changing (e))
         continue;
       count = count_in_data_centre (p, s, e->endpoint->data_centre);
       count += is_current (e, s) ? 0 : 1000000;
@@ -158,7 +157,7 @@
 static struct engine_counts
 count_engines (const struct beryl_planner *p, const struct service *s)
 {
-  struct engine_counts t = { 0 };
+  struct engine_counts counts = { 0 };
 
   for (size_t i = 0; i < p->engine_count; i++)
     {
@@ -166,40 +165,40 @@
 
       if (!is_engine_of (e, s))
         continue;
-      t.warm += engine_is_warm (e, s);
-      t.assigned += will_be_warm (e, s);
-      t.changing += is_changing (e);
-      t.prefill
-          += will_be_warm (e, s) && e->ordered_role == BERYL_ROLE_PREFILL;
-      t.outdated += engine_is_warm (e, s) && !is_current (e, s);
+      counts.warm += engine_is_warm (e, s);
+      counts.assigned += is_assigned (e, s);
+      counts.changing += is_changing (e);
+      counts.prefill
+          += is_assigned (e, s) && e->ordered_role == BERYL_ROLE_PREFILL;
+      counts.outdated += engine_is_warm (e, s) && !is_current (e, s);
     }
-  return t;
+  return counts;
 }
 
 static enum beryl_role
-next_role (const struct service *s, const struct engine_counts *t)
+next_role (const struct service *s, const struct engine_counts *counts)
 {
   if (s->target_prefill == 0)
     return BERYL_ROLE_BOTH;
-  return t->prefill < s->target_prefill ? BERYL_ROLE_PREFILL
-                                        : BERYL_ROLE_DECODE;
+  return counts->prefill < s->target_prefill ? BERYL_ROLE_PREFILL
+                                             : BERYL_ROLE_DECODE;
 }
 
 static void
 grow (struct beryl_planner *p, struct service *s,
-      const struct engine_counts *t, int64_t now_ms)
+      const struct engine_counts *counts, int64_t now_ms)
 {
   struct engine *e = pick_cold (p, s);
 
-  if (e == NULL || !load_may_start (p, s, now_ms))
+  if (e == NULL || !reserve_load (p, s, now_ms))
     return;
   engine_order (e, s->model->name, s->model->version,
-                fitting_role (e, next_role (s, t)), "grow");
+                fitting_role (e, next_role (s, counts)), "grow");
 }
 
 static void
 shrink (struct beryl_planner *p, struct service *s,
-        const struct engine_counts *t, int64_t now_ms)
+        const struct engine_counts *counts, int64_t now_ms)
 {
   struct engine *e;
 
@@ -216,12 +215,12 @@
   if (s->target > 0
       && now_ms - s->surplus_since_ms < p->settings.shrink_delay_ms)
     return;
-  if (s->target > 0 && t->assigned <= s->surplus_peak)
+  if (s->target > 0 && counts->assigned <= s->surplus_peak)
     {
       s->surplus_since_ms = 0;
       return;
     }
-  if (t->warm <= s->target && s->target > 0)
+  if (counts->warm <= s->target && s->target > 0)
     return;
   e = pick_surplus (p, s);
   if (e != NULL)
@@ -234,19 +233,20 @@
  */
 static void
 roll_out (struct beryl_planner *p, struct service *s,
-          const struct engine_counts *t, int64_t now_ms)
+          const struct engine_counts *counts, int64_t now_ms)
 {
   struct engine *spare = pick_cold (p, s);
-  uint32_t limit = t->warm / CHANGE_DIVISOR;
+  uint32_t limit = counts->warm / CHANGE_DIVISOR;
 
-  if (t->changing > limit || (t->changing > 0 && limit == 0))
+  if (counts->changing > limit || (counts->changing > 0 && limit == 0))
     return;
-  if (spare != NULL && t->assigned <= s->target)
+  if (spare != NULL && counts->assigned <= s->target)
     {
-      grow (p, s, t, now_ms);
+      grow (p, s, counts, now_ms);
       return;
     }
-  if (t->warm < 2 && now_ms - s->last_demand_ms < p->settings.idle_timeout_ms)
+  if (counts->warm < 2
+      && now_ms - s->last_demand_ms < p->settings.idle_timeout_ms)
     return;
   for (size_t i = 0; i < p->engine_count; i++)
     {
@@ -255,7 +255,7 @@
       if (!is_engine_of (e, s) || !engine_is_warm (e, s) || is_current (e, s)
           || is_changing (e))
         continue;
-      if (load_may_start (p, s, now_ms))
+      if (reserve_load (p, s, now_ms))
         engine_order (e, s->model->name, s->model->version, e->role,
                       "roll-out");
       return;
@@ -280,20 +280,20 @@
  * only if the split is off by more than one engine. */
 static void
 rebalance (struct beryl_planner *p, struct service *s,
-           const struct engine_counts *t)
+           const struct engine_counts *counts)
 {
   enum beryl_role from = BERYL_ROLE_DECODE;
   enum beryl_role to = BERYL_ROLE_PREFILL;
 
-  if (t->changing > 0 || s->target_prefill == 0)
+  if (counts->changing > 0 || s->target_prefill == 0)
     return;
-  if (t->prefill > s->target_prefill + 1)
+  if (counts->prefill > s->target_prefill + 1)
     {
       from = BERYL_ROLE_PREFILL;
       to = BERYL_ROLE_DECODE;
     }
-  else if (t->prefill + 1 >= s->target_prefill
-           && !(t->prefill == 0 && t->warm >= 2))
+  else if (counts->prefill + 1 >= s->target_prefill
+           && !(counts->prefill == 0 && counts->warm >= 2))
     return;
   for (size_t i = 0; i < p->engine_count; i++)
     {
@@ -311,27 +311,28 @@
 void
 service_arrange (struct beryl_planner *p, struct service *s, int64_t now_ms)
 {
-  struct engine_counts t;
+  struct engine_counts counts;
 
   adopt (p, s);
-  t = count_engines (p, s);
-  if (t.assigned <= s->target)
+  counts = count_engines (p, s);
+  if (counts.assigned <= s->target)
     s->surplus_since_ms = 0;
-  if (t.assigned < s->target)
-    grow (p, s, &t, now_ms);
-  else if (t.outdated > 0 && s->target > 0)
-    roll_out (p, s, &t, now_ms);
-  if (t.assigned > s->target)
+  if (counts.assigned < s->target)
+    grow (p, s, &counts, now_ms);
+  else if (counts.outdated > 0 && s->target > 0)
+    roll_out (p, s, &counts, now_ms);
+  if (counts.assigned > s->target)
     {
       /* The surplus of a roll-out is the old version, which is removed without
        * delay. */
-      if (t.outdated > 0 && t.warm > s->target && t.changing == 0)
+      if (counts.outdated > 0 && counts.warm > s->target
+          && counts.changing == 0)
         {
           s->surplus_since_ms = now_ms - p->settings.shrink_delay_ms;
           s->surplus_peak = s->target;
         }
-      shrink (p, s, &t, now_ms);
+      shrink (p, s, &counts, now_ms);
     }
-  else if (t.assigned == s->target)
-    rebalance (p, s, &t);
+  else if (counts.assigned == s->target)
+    rebalance (p, s, &counts);
 }
--- a/libberyl/planner/private.h
+++ b/libberyl/planner/private.h
@@ -50,9 +50,9 @@
   bool reported;         /* at least one node has reported demand */
   uint64_t step_tokens;  /* prompt tokens in this step */
   uint64_t step_arrived; /* calls in this step */
-  double running_sum;    /* sum of running and waiting calls over the step's
-                            samples */
-  uint32_t running_count;
+  double load_sum;       /* sum of running and waiting calls over the step's
+                               samples */
+  uint32_t load_samples;
   int64_t step_end_ms;
   int64_t last_demand_ms; /* time of the last demand */
   double decode_load;     /* predicted, in concurrent streams */
--- a/libberyl/planner/size.c
+++ b/libberyl/planner/size.c
@@ -27,8 +27,7 @@
 static void
 step_end (struct beryl_planner *p, struct service *s, int64_t now_ms)
 {
-  double streams
-      = s->running_count > 0 ? s->running_sum / s->running_count : 0;
+  double streams = s->load_samples > 0 ? s->load_sum / s->load_samples : 0;
   double seconds = (double)p->settings.step_ms / 1000;
   int64_t day_ms = now_ms + p->settings.day_offset_ms;
   double prefill = (double)s->step_tokens / seconds
@@ -39,8 +38,8 @@
   s->prefill_load = beryl_sizer_step (s->prefill_sizer, prefill, day_ms);
   s->step_tokens = 0;
   s->step_arrived = 0;
-  s->running_sum = 0;
-  s->running_count = 0;
+  s->load_sum = 0;
+  s->load_samples = 0;
   s->step_end_ms = now_ms + p->settings.step_ms;
 }
 
@@ -121,8 +120,8 @@
   double prefill;
 
   current_demand (s, now_ms, &waiting, &running);
-  s->running_sum += waiting + running;
-  s->running_count++;
+  s->load_sum += waiting + running;
+  s->load_samples++;
   if (waiting + running > 0)
     s->last_demand_ms = now_ms;
   if (now_ms >= s->step_end_ms)
--- a/libberyl/planner/sizer.c
+++ b/libberyl/planner/sizer.c
@@ -87,16 +87,16 @@
 correction (const struct beryl_sizer *s)
 {
   size_t count = s->ratio_count < RATIOS_MAX ? s->ratio_count : RATIOS_MAX;
-  double sum = 0;
+  double mean = 0;
 
   if (count == 0)
     return 1;
   for (size_t i = 0; i < count; i++)
-    sum += s->ratios[i];
-  sum /= (double)count;
-  if (sum < CORRECTION_MIN)
+    mean += s->ratios[i];
+  mean /= (double)count;
+  if (mean < CORRECTION_MIN)
     return CORRECTION_MIN;
-  return sum > CORRECTION_MAX ? CORRECTION_MAX : sum;
+  return mean > CORRECTION_MAX ? CORRECTION_MAX : mean;
 }
 
 /* Returns the peak of the profile until an engine ordered now is warm. */
--- a/libberyl/quarantine/quarantine.c
+++ b/libberyl/quarantine/quarantine.c
@@ -56,8 +56,8 @@
   bool cleared_locally;   /* cleared by an answer at this node */
   int64_t expires_ms;     /* end of the quarantine; 0: not quarantined */
   int64_t quarantined_ms; /* when this node learned of it */
-  bool in_store;
-  bool seen_in_store; /* part of the record list being read */
+  bool has_record;
+  bool record_seen; /* part of the record list being read */
 };
 
 TAILQ_HEAD (suspect_list, suspect);
@@ -73,9 +73,9 @@
   struct beryl_quarantine_owner *owner;
   struct suspect_list suspects; /* most recently seen last */
   struct map by_fingerprint;
-  uint32_t count;       /* suspects, including quarantined ones */
-  uint32_t quarantined; /* quarantined ones among them */
-  uint32_t pending;     /* unconfirmed crashes */
+  uint32_t tracked_count; /* suspects, including quarantined ones */
+  uint32_t quarantined;   /* quarantined ones among them */
+  uint32_t pending;       /* unconfirmed crashes */
   bool changed;
   struct answered answered[ANSWERED_SLOTS]; /* indexed by fingerprint */
   int64_t last_expire_ms;                   /* last expiry scan */
@@ -117,7 +117,7 @@
   TAILQ_REMOVE (&q->suspects, s, entry);
   map_remove (&q->by_fingerprint, map_key_from_number (s->fingerprint));
   q->quarantined -= s->expires_ms != 0;
-  q->count--;
+  q->tracked_count--;
   free (s);
 }
 
@@ -137,7 +137,7 @@
 bool
 beryl_quarantine_empty (const struct beryl_quarantine *q)
 {
-  return q->count == 0;
+  return q->tracked_count == 0;
 }
 
 static struct suspect *
@@ -170,13 +170,13 @@
       TAILQ_INSERT_TAIL (&q->suspects, s, entry);
       return s;
     }
-  if (q->count == SUSPECTS_MAX)
+  if (q->tracked_count == SUSPECTS_MAX)
     suspect_free (q, eviction_candidate (q));
   s = calloc (1, sizeof *s);
   s->fingerprint = fingerprint;
   TAILQ_INSERT_TAIL (&q->suspects, s, entry);
   map_put (&q->by_fingerprint, map_key_from_number (fingerprint), s);
-  q->count++;
+  q->tracked_count++;
   return s;
 }
 
@@ -296,7 +296,7 @@
                 enum beryl_quarantine_cause cause, int64_t now_ms)
 {
   s->expires_ms = 0;
-  s->in_store = false;
+  s->has_record = false;
   q->quarantined--;
   q->owner->impl->changed (q->owner, s->fingerprint, 0, cause, now_ms);
 }
@@ -435,8 +435,8 @@
 }
 
 static void
-export_suspect (const struct suspect *s,
-                struct beryl_quarantine_update *update, int64_t now_ms)
+add_suspect (const struct suspect *s, struct beryl_quarantine_update *update,
+             int64_t now_ms)
 {
   for (uint32_t i = 0; i < s->crash_count; i++)
     {
@@ -454,8 +454,8 @@
 }
 
 static void
-export_quarantined (const struct suspect *s,
-                    struct beryl_quarantine_update *update, int64_t now_ms)
+add_quarantined (const struct suspect *s,
+                 struct beryl_quarantine_update *update, int64_t now_ms)
 {
   if (s->expires_ms > now_ms
       && update->quarantined_count < BERYL_QUARANTINED_MAX)
@@ -467,10 +467,10 @@
 
 /* Exported entries move to the end of the list, so that all take turns. */
 static void
-export_older (struct beryl_quarantine *q,
-              struct beryl_quarantine_update *update, int64_t now_ms)
+add_older (struct beryl_quarantine *q, struct beryl_quarantine_update *update,
+           int64_t now_ms)
 {
-  uint32_t left = q->count;
+  uint32_t left = q->tracked_count;
   struct suspect *s, *next;
 
   for (s = TAILQ_FIRST (&q->suspects);
@@ -480,7 +480,7 @@
       next = TAILQ_NEXT (s, entry);
       if (s->expires_ms == 0 || is_recent (s->quarantined_ms, now_ms))
         continue;
-      export_quarantined (s, update, now_ms);
+      add_quarantined (s, update, now_ms);
       TAILQ_REMOVE (&q->suspects, s, entry);
       TAILQ_INSERT_TAIL (&q->suspects, s, entry);
     }
@@ -494,16 +494,16 @@
   struct suspect *s = NULL;
 
   *update = (struct beryl_quarantine_update){ 0 };
-  if (q->count == 0)
+  if (q->tracked_count == 0)
     return false;
   TAILQ_FOREACH_REVERSE (s, &q->suspects, suspect_list, entry)
   {
-    export_suspect (s, update, now_ms);
+    add_suspect (s, update, now_ms);
     if (is_recent (s->quarantined_ms, now_ms))
-      export_quarantined (s, update, now_ms);
+      add_quarantined (s, update, now_ms);
   }
   if (all)
-    export_older (q, update, now_ms);
+    add_older (q, update, now_ms);
   return update->crash_count + update->cleared_count
              + update->quarantined_count
          > 0;
@@ -596,7 +596,7 @@
 }
 
 bool
-beryl_quarantine_fetch_changed (struct beryl_quarantine *q)
+beryl_quarantine_take_changed (struct beryl_quarantine *q)
 {
   bool changed = q->changed;
 
@@ -615,8 +615,8 @@
   s = suspect_find (q, fingerprint);
   if (s == NULL || s->expires_ms == 0)
     return false;
-  s->in_store = true;
-  s->seen_in_store = true;
+  s->has_record = true;
+  s->record_seen = true;
   return true;
 }
 
@@ -627,13 +627,13 @@
 
   TAILQ_FOREACH (s, &q->suspects, entry)
   {
-    if (s->in_store && !s->seen_in_store)
+    if (s->has_record && !s->record_seen)
       {
         suspect_clear (q, s, BERYL_QUARANTINE_LIFTED, now_ms);
         s->cleared_locally = true;
         q->changed = true;
       }
-    s->seen_in_store = false;
+    s->record_seen = false;
   }
 }
 
@@ -694,5 +694,5 @@
 uint32_t
 beryl_quarantine_suspect_count (const struct beryl_quarantine *q)
 {
-  return q->count - q->quarantined;
+  return q->tracked_count - q->quarantined;
 }
--- a/libberyl/relay/announce.c
+++ b/libberyl/relay/announce.c
@@ -13,7 +13,7 @@
 }
 
 int64_t
-beryl_announce_interval_ms (const struct beryl_announce *a)
+beryl_announce_heartbeat_ms (const struct beryl_announce *a)
 {
   int64_t nodes = (int64_t)a->local_count + a->remote_count;
 
@@ -31,7 +31,7 @@
 {
   bool remote_pending = a->announced_remote_ms != a->announced_ms;
 
-  return now_ms - a->announced_ms >= beryl_announce_interval_ms (a)
+  return now_ms - a->announced_ms >= beryl_announce_heartbeat_ms (a)
          || (remote_pending && beryl_announce_includes_remote (a, now_ms));
 }
 
--- a/libberyl/relay/relay.c
+++ b/libberyl/relay/relay.c
@@ -37,7 +37,7 @@
 }
 
 void
-beryl_relay_set_group (struct beryl_relay *relay, uint32_t nodes, bool elected)
+beryl_relay_set_nodes (struct beryl_relay *relay, uint32_t nodes, bool elected)
 {
   relay->nodes = nodes;
   relay->elected = elected;
--- a/libberyl/requests/claims.c
+++ b/libberyl/requests/claims.c
@@ -378,7 +378,7 @@
                                    BERYL_CLAIM_UNAVAILABLE, 0);
       return;
     }
-  waiting->key = map_key_from_digest (organisation, key);
+  waiting->key = map_key_from_name (organisation, key);
   waiting->body_hash = body_hash;
   waiting->incarnation = claims->settings.incarnation;
   waiting->id = request;
--- a/libberyl/requests/records.c
+++ b/libberyl/requests/records.c
@@ -15,7 +15,7 @@
   const char *scope
       = BERYL_GUARD (BERYL_GUARD_KEY_ORGANISATION, false) ? "" : organisation;
 
-  return map_get (&requests->by_key, map_key_from_digest (scope, key));
+  return map_get (&requests->by_key, map_key_from_name (scope, key));
 }
 
 static struct map_key
@@ -25,7 +25,7 @@
                           ? ""
                           : call->organisation;
 
-  return map_key_from_digest (scope, call->key);
+  return map_key_from_name (scope, call->key);
 }
 
 /* A free key that was not granted to this node may belong to another node's
@@ -70,7 +70,7 @@
     record->body_hash = call_body_hash (call);
   record->outcome = BERYL_OUTCOME_PENDING;
   record->delivered = false;
-  record->id = map_key_from_digest (call->organisation, call->request_id);
+  record->id = map_key_from_name (call->organisation, call->request_id);
   map_put (&requests->by_id, record->id, record);
   return record;
 }
@@ -242,8 +242,8 @@
                  const struct beryl_event *event)
 {
   struct record *record = map_get (
-      &requests->by_id, map_key_from_digest (event->fetch.organisation,
-                                             event->fetch.request_id));
+      &requests->by_id,
+      map_key_from_name (event->fetch.organisation, event->fetch.request_id));
 
   if (record == NULL)
     record = record_of_key (requests, event->fetch.organisation,
--- a/libberyl/router/baselines.c
+++ b/libberyl/router/baselines.c
@@ -15,8 +15,8 @@
 }
 
 static double
-load_with_own (const struct router_service *s, const struct router_endpoint *e,
-               bool prefill, int64_t now_ms)
+estimated_load (const struct router_service *s,
+                const struct router_endpoint *e, bool prefill, int64_t now_ms)
 {
   if (prefill)
     return prefill_backlog_ms (s, e, now_ms);
@@ -67,8 +67,8 @@
 {
   uint32_t a = list->items[random_next (&r->random) % list->count];
   uint32_t b = list->items[random_next (&r->random) % list->count];
-  return load_with_own (s, &r->endpoints[a], prefill, now_ms)
-                 <= load_with_own (s, &r->endpoints[b], prefill, now_ms)
+  return estimated_load (s, &r->endpoints[a], prefill, now_ms)
+                 <= estimated_load (s, &r->endpoints[b], prefill, now_ms)
              ? a
              : b;
 }
--- a/libberyl/router/cost.c
+++ b/libberyl/router/cost.c
@@ -29,7 +29,7 @@
 /* Assumes full batches: a job planned while engines are empty must still meet
  * its deadline when they fill up. */
 static double
-full_batch (const struct router_service *s)
+own_slots_per_engine (const struct router_service *s)
 {
   return s->own.count ? (double)s->own_slots / (double)s->own.count
                       : ROUTER_DEFAULT_SLOTS;
@@ -40,6 +40,6 @@
 {
   double fraction = estimate_mean_plus_sd (&s->length_ratio, z);
   fraction = fmin (1, fmax (0.01, fraction));
-  double batch = fmax (full_batch (s), ROUTER_DEFAULT_SLOTS);
+  double batch = fmax (own_slots_per_engine (s), ROUTER_DEFAULT_SLOTS);
   return fraction * max_tokens * estimate_line_at (&s->interval_ms, batch);
 }
--- a/libberyl/router/estimate.c
+++ b/libberyl/router/estimate.c
@@ -66,7 +66,7 @@
 }
 
 uint32_t
-estimate_poisson_quantile (double mu, double certainty)
+estimate_poisson_lower_bound (double mu, double certainty)
 {
   double term = exp (-mu);
   double below = term; /* P (X < k + 1) */
--- a/libberyl/router/estimate.h
+++ b/libberyl/router/estimate.h
@@ -42,6 +42,6 @@
 
 /** Return the largest K for which a Poisson variable of mean MU is at least
  * K with probability CERTAINTY or more. */
-uint32_t estimate_poisson_quantile (double mu, double certainty);
+uint32_t estimate_poisson_lower_bound (double mu, double certainty);
 
 #endif
--- a/libberyl/router/fleet.c
+++ b/libberyl/router/fleet.c
@@ -9,7 +9,7 @@
 /* Interval at which free slots are counted; longer for long lists, so that the
  * work per decision does not grow with the fleet. */
 #define REFRESH_MS 50
-#define REFRESH_LIST_STEP 128
+#define REFRESH_LIST_SIZE 128
 
 /* Endpoints sampled for slots to borrow. */
 #define BORROW_SAMPLE 128
@@ -146,8 +146,8 @@
 fleet_refresh (struct beryl_router *r, struct router_service *s,
                int64_t now_ms)
 {
-  int64_t turns = 1 + (int64_t)(s->own.count / REFRESH_LIST_STEP);
-  if (now_ms - s->slots_counted_ms < turns * REFRESH_MS
+  int64_t interval_factor = 1 + (int64_t)(s->own.count / REFRESH_LIST_SIZE);
+  if (now_ms - s->slots_counted_ms < interval_factor * REFRESH_MS
       && s->slots_counted_ms != 0)
     return;
   s->slots_counted_ms = now_ms;
@@ -162,7 +162,7 @@
 }
 
 static const struct router_list *
-list_with (const struct router_service *s, enum beryl_role role)
+endpoints_of_role (const struct router_service *s, enum beryl_role role)
 {
   if (role == BERYL_ROLE_SERVICE)
     return &s->plain;
@@ -181,7 +181,7 @@
   if (e->consecutive_failures < FAILURES_TO_EJECT || !e->config)
     return;
   const struct router_list *list
-      = list_with (&r->services[e->service], e->config->role);
+      = endpoints_of_role (&r->services[e->service], e->config->role);
   size_t usable = 0;
   for (size_t i = 0; i < list->count; i++)
     if (fleet_usable (&r->endpoints[list->items[i]], now_ms))
@@ -210,7 +210,7 @@
   e->name_hash = shares_hash (e->name);
   e->config = config;
   e->slots = config->slots ? config->slots : ROUTER_DEFAULT_SLOTS;
-  e->cache_trust = 1;
+  e->predicted_hit_accuracy = 1;
 }
 
 /* Copies the state of an endpoint from the previous configuration. */
@@ -406,8 +406,8 @@
       uint32_t number = renumber_service (r, old, r->waiting[i].service);
       if (number == ROUTER_NONE)
         {
-          organisation_closed (r, r->waiting[i].organisation);
-          waiting_remove (r, i);
+          organisation_job_closed (r, r->waiting[i].organisation);
+          waiting_remove_at (r, i);
           continue;
         }
       r->waiting[i++].service = number;
@@ -454,8 +454,8 @@
 static uint32_t
 non_urgent_slots (uint32_t max_concurrent)
 {
-  uint32_t headroom = (max_concurrent + 3) / 4;
-  return max_concurrent - headroom;
+  uint32_t urgent_slots = (max_concurrent + 3) / 4;
+  return max_concurrent - urgent_slots;
 }
 
 void
--- a/libberyl/router/organisation.c
+++ b/libberyl/router/organisation.c
@@ -34,32 +34,33 @@
 }
 
 static void
-carry_over (struct beryl_router *r, struct router_organisation *all,
+carry_over (struct beryl_router *r, struct router_organisation *organisations,
             size_t count)
 {
   r->active_weight = 0;
   for (size_t i = 0; i < count; i++)
     {
-      uint32_t old = organisation_find (r, all[i].config->name);
+      uint32_t old = organisation_find (r, organisations[i].config->name);
       if (old == ROUTER_NONE)
         continue;
-      all[i].open = r->organisations[old].open;
-      all[i].tokens = r->organisations[old].tokens;
-      all[i].refilled_ms = r->organisations[old].refilled_ms;
-      if (all[i].open > 0)
-        r->active_weight += all[i].config->weight;
+      organisations[i].open = r->organisations[old].open;
+      organisations[i].tokens = r->organisations[old].tokens;
+      organisations[i].refilled_ms = r->organisations[old].refilled_ms;
+      if (organisations[i].open > 0)
+        r->active_weight += organisations[i].config->weight;
     }
 }
 
 static uint32_t
-renumbered (const struct router_organisation *all, size_t count,
+renumbered (const struct router_organisation *organisations, size_t count,
             const struct beryl_router *r, uint32_t old)
 {
   if (old == ROUTER_NONE)
     return ROUTER_NONE;
   const char *name = r->organisations[old].config->name;
   for (size_t i = 0; i < count; i++)
-    if (all[i].config && strcmp (all[i].config->name, name) == 0)
+    if (organisations[i].config
+        && strcmp (organisations[i].config->name, name) == 0)
       return (uint32_t)i;
   return ROUTER_NONE;
 }
@@ -68,31 +69,32 @@
 organisation_build (struct beryl_router *r, const struct beryl_config *config)
 {
   size_t count = config->organisation_count;
-  struct router_organisation *all = calloc (count + 1, sizeof *all);
-  if (!all)
+  struct router_organisation *organisations
+      = calloc (count + 1, sizeof *organisations);
+  if (!organisations)
     return false;
   for (size_t i = 0; i < count; i++)
     {
-      all[i].config = &config->organisations[i];
-      all[i].tokens = config->organisations[i].requests_per_s;
+      organisations[i].config = &config->organisations[i];
+      organisations[i].tokens = config->organisations[i].requests_per_s;
     }
-  qsort (all, count, sizeof *all, compare_names);
-  carry_over (r, all, count);
+  qsort (organisations, count, sizeof *organisations, compare_names);
+  carry_over (r, organisations, count);
   for (size_t i = 0; i < r->ticket_count; i++)
     if (r->tickets[i].phase != ROUTER_PHASE_FREE)
       r->tickets[i].organisation
-          = renumbered (all, count, r, r->tickets[i].organisation);
+          = renumbered (organisations, count, r, r->tickets[i].organisation);
   for (size_t i = 0; i < r->waiting_count; i++)
     r->waiting[i].organisation
-        = renumbered (all, count, r, r->waiting[i].organisation);
+        = renumbered (organisations, count, r, r->waiting[i].organisation);
   free (r->organisations);
-  r->organisations = all;
+  r->organisations = organisations;
   r->organisation_count = count;
   return true;
 }
 
 void
-organisation_opened (struct beryl_router *r, uint32_t organisation)
+organisation_job_opened (struct beryl_router *r, uint32_t organisation)
 {
   if (organisation == ROUTER_NONE)
     return;
@@ -102,7 +104,7 @@
 }
 
 void
-organisation_closed (struct beryl_router *r, uint32_t organisation)
+organisation_job_closed (struct beryl_router *r, uint32_t organisation)
 {
   if (organisation == ROUTER_NONE)
     return;
@@ -119,8 +121,9 @@
   if (organisation == ROUTER_NONE)
     return 1;
   const struct router_organisation *o = &r->organisations[organisation];
-  double all = r->active_weight + (o->open == 0 ? o->config->weight : 0);
-  return all > 0 ? o->config->weight / all : 1;
+  double total_weight
+      = r->active_weight + (o->open == 0 ? o->config->weight : 0);
+  return total_weight > 0 ? o->config->weight / total_weight : 1;
 }
 
 /* This node's share of a system-wide limit, rounded up. */
--- a/libberyl/router/pair.c
+++ b/libberyl/router/pair.c
@@ -57,7 +57,7 @@
                         uint32_t prompt_tokens)
 {
   uint32_t block = s->model ? s->model->block_tokens : 0;
-  double tokens = (double)blocks * block * e->cache_trust;
+  double tokens = (double)blocks * block * e->predicted_hit_accuracy;
   return tokens < prompt_tokens ? (uint32_t)tokens : prompt_tokens;
 }
 
--- a/libberyl/router/plain.c
+++ b/libberyl/router/plain.c
@@ -4,7 +4,7 @@
 #include "../base/random.h"
 #include "private.h"
 
-#define HEAD_RETRY_MS 10
+#define QUEUE_HEAD_RETRY_MS 10
 #define RETRY_MS 60
 #define RETRY_AFTER_MS 500
 
@@ -91,8 +91,8 @@
 refuse (struct beryl_router *r, const struct beryl_job *job,
         const char *reason, struct beryl_plan *plan)
 {
-  if (waiting_drop (r, job->request))
-    organisation_closed (r, organisation_find (r, job->organisation));
+  if (waiting_remove_request (r, job->request))
+    organisation_job_closed (r, organisation_find (r, job->organisation));
   router_refuse (plan, reason, RETRY_AFTER_MS);
 }
 
@@ -100,8 +100,8 @@
 start (struct beryl_router *r, const struct beryl_job *job, uint32_t service,
        uint32_t endpoint, int64_t now_ms, struct beryl_plan *plan)
 {
-  if (waiting_drop (r, job->request))
-    organisation_closed (r, organisation_find (r, job->organisation));
+  if (waiting_remove_request (r, job->request))
+    organisation_job_closed (r, organisation_find (r, job->organisation));
   struct router_ticket *t = ticket_open (r, job, service, now_ms);
   if (!t)
     {
@@ -190,7 +190,7 @@
       start (r, job, w.service, best, now_ms, plan);
       return;
     }
-  w.retry_at_ms = now_ms + (ahead == 0 ? HEAD_RETRY_MS : RETRY_MS);
+  w.retry_at_ms = now_ms + (ahead == 0 ? QUEUE_HEAD_RETRY_MS : RETRY_MS);
   waiting_put (r, &w);
   plan->verdict = BERYL_VERDICT_WAIT;
   plan->retry_at_ms = w.retry_at_ms;
--- a/libberyl/router/planned.c
+++ b/libberyl/router/planned.c
@@ -9,7 +9,7 @@
 /* A decode must have started this long before the KV cache expires. */
 #define KV_MARGIN_MS 120
 
-#define HEAD_RETRY_MS 20
+#define QUEUE_HEAD_RETRY_MS 20
 #define RETRY_MS 60
 #define BIND_RETRY_MS 10
 #define RETRY_AFTER_MIN_MS 200
@@ -64,7 +64,7 @@
 expected_slots (const struct router_service *s, double lead_ms)
 {
   double mu = departures_per_ms (s) * (lead_ms + KV_WAIT_MS);
-  return (int32_t)estimate_poisson_quantile (mu, slot_certainty (s));
+  return (int32_t)estimate_poisson_lower_bound (mu, slot_certainty (s));
 }
 
 static bool
@@ -83,12 +83,12 @@
 static int32_t
 headroom (const struct router_service *s, const struct beryl_job *job)
 {
-  int32_t kept = 0;
+  int32_t withheld = 0;
   if (job->call_class != BERYL_CLASS_URGENT && serves_urgent (s->config))
-    kept += 1 + (int32_t)s->own_slots / 16;
+    withheld += 1 + (int32_t)s->own_slots / 16;
   if (job->call_class == BERYL_CLASS_BATCH)
-    kept += (int32_t)s->own_slots / 8;
-  return kept;
+    withheld += (int32_t)s->own_slots / 8;
+  return withheld;
 }
 
 /* Time margin that a job needs when it starts: its prefill may queue behind
@@ -135,8 +135,8 @@
 refuse (struct beryl_router *r, uint64_t request, uint32_t organisation,
         struct beryl_plan *plan, const char *reason, int64_t after_ms)
 {
-  if (waiting_drop (r, request))
-    organisation_closed (r, organisation);
+  if (waiting_remove_request (r, request))
+    organisation_job_closed (r, organisation);
   router_refuse (plan, reason, after_ms);
 }
 
@@ -159,7 +159,7 @@
 wait_for_slot (struct beryl_router *r, struct router_waiting *w, size_t ahead,
                int64_t now_ms, struct beryl_plan *plan)
 {
-  w->retry_at_ms = now_ms + (ahead == 0 ? HEAD_RETRY_MS : RETRY_MS);
+  w->retry_at_ms = now_ms + (ahead == 0 ? QUEUE_HEAD_RETRY_MS : RETRY_MS);
   waiting_put (r, w);
   plan->verdict = BERYL_VERDICT_WAIT;
   plan->retry_at_ms = w->retry_at_ms;
@@ -211,8 +211,8 @@
       if (!pair_choose (r, s, job, decode, now_ms, &chosen, plan))
         return false;
     }
-  if (waiting_drop (r, job->request))
-    organisation_closed (r, organisation_find (r, job->organisation));
+  if (waiting_remove_request (r, job->request))
+    organisation_job_closed (r, organisation_find (r, job->organisation));
   start (r, s, job, &chosen, now_ms, plan);
   return true;
 }
@@ -251,47 +251,47 @@
 static void
 forecast_job (struct beryl_router *r, struct router_service *s,
               const struct beryl_job *job, const struct router_waiting *w,
-              int64_t now_ms, struct job_forecast *o, struct beryl_plan *plan)
+              int64_t now_ms, struct job_forecast *f, struct beryl_plan *plan)
 {
-  o->queued = waiting_find (r, job->request) != SIZE_MAX;
-  o->has_prefill_engine
-      = pair_choose (r, s, job, ROUTER_NONE, now_ms, &o->pair, plan);
-  if (!o->has_prefill_engine)
-    o->pair.first_token_ms = cost_prefill_ms (s, job->prompt_tokens);
-  o->queue = waiting_of_service (r, w->service);
-  o->ahead = waiting_ahead (r, w);
-  o->slots = available_slots (r, s, job, o->pair.first_token_ms);
-  o->slack_ms = (double)job->deadline_ms - (double)now_ms;
-  o->need_ms = o->pair.first_token_ms + bind_margin_ms (s)
+  f->queued = waiting_find (r, job->request) != SIZE_MAX;
+  f->has_prefill_engine
+      = pair_choose (r, s, job, ROUTER_NONE, now_ms, &f->pair, plan);
+  if (!f->has_prefill_engine)
+    f->pair.first_token_ms = cost_prefill_ms (s, job->prompt_tokens);
+  f->queue = waiting_of_service (r, w->service);
+  f->ahead = waiting_ahead (r, w);
+  f->slots = available_slots (r, s, job, f->pair.first_token_ms);
+  f->slack_ms = (double)job->deadline_ms - (double)now_ms;
+  f->need_ms = f->pair.first_token_ms + bind_margin_ms (s)
                + cost_decode_ms (s, job->max_tokens, LENGTH_DEVIATIONS);
-  o->wait_ms = wait_ms (s, o->ahead, o->slots);
+  f->wait_ms = wait_ms (s, f->ahead, f->slots);
 }
 
 /* Refuse a job that cannot finish in time, and a new one also if the wait or
  * the fair share rules it out.  Returns false if the job may proceed. */
 static bool
-refused (struct beryl_router *r, const struct router_service *s,
-         const struct router_waiting *w, const struct job_forecast *o,
-         struct beryl_plan *plan)
+refuse_if_infeasible (struct beryl_router *r, const struct router_service *s,
+                      const struct router_waiting *w,
+                      const struct job_forecast *f, struct beryl_plan *plan)
 {
-  double overrun_ms = o->wait_ms + o->need_ms - o->slack_ms;
-  if (o->need_ms > o->slack_ms)
+  double overrun_ms = f->wait_ms + f->need_ms - f->slack_ms;
+  if (f->need_ms > f->slack_ms)
     {
       refuse (r, w->request, w->organisation, plan, "deadline",
-              retry_after (wait_ms (s, o->queue, o->slots)));
+              retry_after (wait_ms (s, f->queue, f->slots)));
       return true;
     }
-  if (o->queued)
+  if (f->queued)
     return false;
   if (overrun_ms > 0)
     {
       router_refuse (plan, "no_capacity", retry_after (overrun_ms));
       return true;
     }
-  if (contended (s, o->queue, CONTENDED_JOBS_PER_SLOT)
-      && exceeds_fair_share (r, s, w->organisation, o->queue))
+  if (contended (s, f->queue, CONTENDED_JOBS_PER_SLOT)
+      && exceeds_fair_share (r, s, w->organisation, f->queue))
     {
-      router_refuse (plan, "fair_share", retry_after (o->wait_ms));
+      router_refuse (plan, "fair_share", retry_after (f->wait_ms));
       return true;
     }
   return false;
@@ -304,17 +304,17 @@
   struct router_service *s = router_service_find (r, job->service);
   fleet_refresh (r, s, now_ms);
   struct router_waiting w = waiting_entry (r, s, job);
-  struct job_forecast o;
-  forecast_job (r, s, job, &w, now_ms, &o, plan);
-  if (refused (r, s, &w, &o, plan))
+  struct job_forecast f;
+  forecast_job (r, s, job, &w, now_ms, &f, plan);
+  if (refuse_if_infeasible (r, s, &w, &f, plan))
     return;
   bool backlog_is_short
-      = o.has_prefill_engine && o.pair.backlog_ms <= PREFILL_BACKLOG_MAX_MS;
-  if (backlog_is_short && (int64_t)o.ahead < o.slots
-      && try_start (r, s, job, &o.pair, now_ms, plan))
+      = f.has_prefill_engine && f.pair.backlog_ms <= PREFILL_BACKLOG_MAX_MS;
+  if (backlog_is_short && (int64_t)f.ahead < f.slots
+      && try_start (r, s, job, &f.pair, now_ms, plan))
     return;
-  wait_for_slot (r, &w, o.ahead, now_ms, plan);
-  if (!o.has_prefill_engine)
+  wait_for_slot (r, &w, f.ahead, now_ms, plan);
+  if (!f.has_prefill_engine)
     plan->reason = "no_endpoint";
 }
 
--- a/libberyl/router/prefill.c
+++ b/libberyl/router/prefill.c
@@ -32,7 +32,7 @@
 prefill_backlog_ms (const struct router_service *s,
                     const struct router_endpoint *e, int64_t now_ms)
 {
-  double own = fmax (0, e->prefill_free_ms - (double)now_ms);
+  double own = fmax (0, e->prefills_end_ms - (double)now_ms);
   return fmax (own, reported_backlog_ms (s, e, now_ms));
 }
 
@@ -40,7 +40,7 @@
 prefill_started (struct router_endpoint *e, double cost_ms, int64_t now_ms)
 {
   e->prefills++;
-  e->prefill_free_ms = fmax (e->prefill_free_ms, (double)now_ms) + cost_ms;
+  e->prefills_end_ms = fmax (e->prefills_end_ms, (double)now_ms) + cost_ms;
   e->changes[e->change_count++ % ROUTER_CHANGES_MAX]
       = (struct router_change){ now_ms, cost_ms, -1 };
 }
@@ -51,5 +51,5 @@
   if (e->prefills > 0)
     e->prefills--;
   if (e->prefills == 0)
-    e->prefill_free_ms = (double)now_ms;
+    e->prefills_end_ms = (double)now_ms;
 }
--- a/libberyl/router/private.h
+++ b/libberyl/router/private.h
@@ -44,7 +44,7 @@
   uint32_t reserved;      /**< slots reserved for own tickets in prefill */
   uint32_t non_urgent;    /**< plain services: own non-urgent calls */
   uint32_t prefills;      /**< own unfinished prefills */
-  double prefill_free_ms; /**< expected end of the own prefills */
+  double prefills_end_ms; /**< expected end of the own prefills */
   struct router_change changes[ROUTER_CHANGES_MAX];
   uint32_t change_count;
   bool reported;
@@ -52,7 +52,8 @@
   bool cache_known;
   bool cache_gap;
   uint64_t cache_sequence;
-  double cache_trust; /**< fraction of predicted hits that were real */
+  double
+      predicted_hit_accuracy; /**< fraction of predicted hits that were real */
   uint32_t consecutive_failures;
   int64_t ejected_until_ms;
 };
@@ -243,8 +244,8 @@
 bool organisation_build (struct beryl_router *r,
                          const struct beryl_config *config);
 uint32_t organisation_find (const struct beryl_router *r, const char *name);
-void organisation_opened (struct beryl_router *r, uint32_t organisation);
-void organisation_closed (struct beryl_router *r, uint32_t organisation);
+void organisation_job_opened (struct beryl_router *r, uint32_t organisation);
+void organisation_job_closed (struct beryl_router *r, uint32_t organisation);
 const char *organisation_admit (struct beryl_router *r, uint32_t organisation,
                                 int64_t now_ms, int64_t *retry_after_ms);
 double organisation_fair_share (const struct beryl_router *r,
@@ -256,9 +257,9 @@
                       const struct router_waiting *w);
 size_t waiting_of_service (const struct beryl_router *r, uint32_t service);
 bool waiting_insert (struct beryl_router *r, const struct router_waiting *w);
-void waiting_remove (struct beryl_router *r, size_t at);
+void waiting_remove_at (struct beryl_router *r, size_t at);
 void waiting_put (struct beryl_router *r, const struct router_waiting *w);
-bool waiting_drop (struct beryl_router *r, uint64_t request);
+bool waiting_remove_request (struct beryl_router *r, uint64_t request);
 
 /* cost.c: cost estimates of a job */
 double cost_prefill_ms (const struct router_service *s,
--- a/libberyl/router/router.c
+++ b/libberyl/router/router.c
@@ -10,10 +10,10 @@
 #define PREFIX_ENTRIES 32768
 
 /* Cache trust after a gap in an endpoint's events. */
-#define TRUST_AFTER_GAP 0.7
-#define TRUST_GAIN 0.1
+#define HIT_ACCURACY_AFTER_GAP 0.7
+#define HIT_ACCURACY_WEIGHT 0.1
 
-#define TOKENS_GAIN 0.2
+#define INTERVAL_WEIGHT 0.2
 
 static const struct router_policy *const policies[] = {
   [BERYL_POLICY_PLANNED] = &router_policy_planned,
@@ -145,8 +145,8 @@
   if (e->cache_known && event->sequence != e->cache_sequence + 1)
     {
       e->cache_gap = true;
-      if (e->cache_trust > TRUST_AFTER_GAP)
-        e->cache_trust = TRUST_AFTER_GAP;
+      if (e->predicted_hit_accuracy > HIT_ACCURACY_AFTER_GAP)
+        e->predicted_hit_accuracy = HIT_ACCURACY_AFTER_GAP;
     }
   e->cache_known = true;
   e->cache_sequence = event->sequence;
@@ -171,7 +171,7 @@
   e->cache_known = true;
   e->cache_gap = false;
   e->cache_sequence = sequence;
-  e->cache_trust = 1;
+  e->predicted_hit_accuracy = 1;
 }
 
 bool
@@ -203,14 +203,14 @@
       router_refuse (plan, "no_service", 0);
       return;
     }
-  int64_t after = 0;
-  const char *limit = NULL;
+  int64_t retry_after_ms = 0;
+  const char *refusal = NULL;
   if (waiting_find (r, job->request) == SIZE_MAX)
-    limit = organisation_admit (r, organisation_find (r, job->organisation),
-                                now_ms, &after);
-  if (limit)
+    refusal = organisation_admit (r, organisation_find (r, job->organisation),
+                                  now_ms, &retry_after_ms);
+  if (refusal)
     {
-      router_refuse (plan, limit, after);
+      router_refuse (plan, refusal, retry_after_ms);
       return;
     }
   if (job->plain && r->policy == &router_policy_planned)
@@ -261,8 +261,8 @@
   size_t at = waiting_find (r, request);
   if (at == SIZE_MAX)
     return;
-  organisation_closed (r, r->waiting[at].organisation);
-  waiting_remove (r, at);
+  organisation_job_closed (r, r->waiting[at].organisation);
+  waiting_remove_at (r, at);
 }
 
 static void
@@ -291,7 +291,8 @@
   double hit_ratio = (double)cached_tokens / t->cached_tokens;
   if (hit_ratio > 1)
     hit_ratio = 1;
-  e->cache_trust += TRUST_GAIN * (hit_ratio - e->cache_trust);
+  e->predicted_hit_accuracy
+      += HIT_ACCURACY_WEIGHT * (hit_ratio - e->predicted_hit_accuracy);
 }
 
 void
@@ -357,7 +358,7 @@
                      : e->busy;
   estimate_line_add (&r->services[t->service].interval_ms, batch,
                      (double)(now_ms - t->last_token_ms) / tokens,
-                     TOKENS_GAIN);
+                     INTERVAL_WEIGHT);
   t->last_token_ms = now_ms;
 }
 
--- a/libberyl/router/ticket.c
+++ b/libberyl/router/ticket.c
@@ -50,7 +50,7 @@
     .deadline_ms = job->deadline_ms,
     .started_ms = now_ms,
   };
-  organisation_opened (r, t->organisation);
+  organisation_job_opened (r, t->organisation);
   return t;
 }
 
@@ -67,7 +67,7 @@
 void
 ticket_close (struct beryl_router *r, struct router_ticket *t)
 {
-  organisation_closed (r, t->organisation);
+  organisation_job_closed (r, t->organisation);
   t->phase = ROUTER_PHASE_FREE;
   t->prefill = ROUTER_NONE;
   t->decode = ROUTER_NONE;
--- a/libberyl/stages/stages.c
+++ b/libberyl/stages/stages.c
@@ -115,9 +115,9 @@
 /* Records the split before the first order.  The first orders after the mix is
  * measured count as initial again. */
 static void
-update_baseline (struct beryl_stages *stages,
-                 const struct beryl_generation_mix *mix,
-                 const struct pools *pools)
+update_initial_split (struct beryl_stages *stages,
+                      const struct beryl_generation_mix *mix,
+                      const struct pools *pools)
 {
   if (mix->measured && !stages->measured)
     {
@@ -149,7 +149,7 @@
 
   if (count < 2)
     return false;
-  update_baseline (stages, mix, &pools);
+  update_initial_split (stages, mix, &pools);
   imbalance = (double)pools.prefill - target_prefill (stages, mix, count);
   if (fabs (imbalance) < IMBALANCE_ENGINES)
     {
--- a/tests/forward/fixture.c
+++ b/tests/forward/fixture.c
@@ -267,7 +267,8 @@
 static void
 show (struct fx *fx, const char *id, enum beryl_stage stage, bool leaving)
 {
-  const struct beryl_live *known = beryl_live_set_find (fx->lives, id);
+  const struct beryl_live_endpoint *known
+      = beryl_live_set_find (fx->lives, id);
   struct beryl_live_info info = {
     .address = "127.0.0.1",
     .port = 1,
@@ -533,10 +534,10 @@
   return x;
 }
 
-const struct beryl_live *
+const struct beryl_live_endpoint *
 fx_find_endpoint (const struct fx *fx, const char *id)
 {
-  const struct beryl_live *live = beryl_live_set_find (fx->lives, id);
+  const struct beryl_live_endpoint *live = beryl_live_set_find (fx->lives, id);
 
   ck_assert_ptr_nonnull (live);
   return live;
--- a/tests/forward/fixture.h
+++ b/tests/forward/fixture.h
@@ -131,7 +131,7 @@
 struct fx_exchange *fx_to_stream (struct fx *fx, uint64_t request,
                                   uint64_t events);
 
-const struct beryl_live *fx_find_endpoint (const struct fx *fx,
-                                           const char *id);
+const struct beryl_live_endpoint *fx_find_endpoint (const struct fx *fx,
+                                                    const char *id);
 
 #endif
--- a/tests/forward/test_history.c
+++ b/tests/forward/test_history.c
@@ -477,7 +477,8 @@
   check_none_open (h);
   for (size_t i = 0; i < beryl_live_set_count (h->fx.lives); i++)
     {
-      const struct beryl_live *live = beryl_live_set_get (h->fx.lives, i);
+      const struct beryl_live_endpoint *live
+          = beryl_live_set_get (h->fx.lives, i);
 
       ck_assert_uint_eq (live->open_exchanges, 0);
       ck_assert_uint_eq (live->open_prefills, 0);
--- a/tests/forward/test_live.c
+++ b/tests/forward/test_live.c
@@ -6,7 +6,7 @@
 
 #define LEAVE_MS 5000
 
-static struct beryl_live *
+static struct beryl_live_endpoint *
 put (struct beryl_live_set *lives, const char *id, uint64_t revision,
      bool leaving)
 {
@@ -37,7 +37,7 @@
 START_TEST (test_live_gone_with_work)
 {
   struct beryl_live_set *lives = beryl_live_set_create (LEAVE_MS);
-  struct beryl_live *live = put (lives, "a", 1, false);
+  struct beryl_live_endpoint *live = put (lives, "a", 1, false);
 
   beryl_live_set_synced (lives, 1000);
   beryl_live_open (live);
@@ -84,7 +84,7 @@
 START_TEST (test_live_lapsed_and_failed)
 {
   struct beryl_live_set *lives = beryl_live_set_create (LEAVE_MS);
-  struct beryl_live *dead, *healthy;
+  struct beryl_live_endpoint *dead, *healthy;
 
   put (lives, "dead", 1, false);
   put (lives, "healthy", 1, false);
@@ -121,7 +121,7 @@
 START_TEST (test_live_avoided)
 {
   struct beryl_live_set *lives = beryl_live_set_create (LEAVE_MS);
-  struct beryl_live *live = put (lives, "a", 1, false);
+  struct beryl_live_endpoint *live = put (lives, "a", 1, false);
 
   beryl_live_record_outcome (live, BERYL_LIVE_BROKEN, 5, 1000);
   ck_assert (!beryl_live_avoided (live, 1000));
--- a/tests/forward/test_loans.c
+++ b/tests/forward/test_loans.c
@@ -197,7 +197,7 @@
 static void
 tell (int from, int to)
 {
-  struct beryl_repeat_transfers asks, loans;
+  struct beryl_budget_transfers asks, loans;
 
   beryl_forward_peer_runs (nodes[to]->forward, names[from], NULL, 0,
                            nodes[to]->now_ms);
@@ -252,7 +252,7 @@
    nothing more. */
 START_TEST (test_answer_counts_once)
 {
-  struct beryl_repeat_transfers asks, loans, none = { 0 };
+  struct beryl_budget_transfers asks, loans, none = { 0 };
   int repeated = 0;
 
   tell (1, 0);
--- a/tests/forward/test_near.c
+++ b/tests/forward/test_near.c
@@ -11,7 +11,7 @@
 #define ENGINES 30
 #define REMOTE_COST 15.0
 
-static struct beryl_live lives[ENGINES];
+static struct beryl_live_endpoint lives[ENGINES];
 
 static void
 setup (void)
@@ -23,7 +23,7 @@
 
 /* Chooses among engines of which local ones cost LOCAL and the others REMOTE.
  */
-static const struct beryl_live *
+static const struct beryl_live_endpoint *
 chosen (double local, double remote, uint64_t seed)
 {
   struct sample sample = { 0 };
@@ -32,7 +32,7 @@
                                   .remote_cost = REMOTE_COST,
                                   .random = &seed };
   double cost = 0;
-  const struct beryl_live *live;
+  const struct beryl_live_endpoint *live;
 
   for (int i = 0; i < ENGINES; i++)
     sample_add (&sample, &lives[i], &seed);
--- a/tests/forward/test_news.c
+++ b/tests/forward/test_news.c
@@ -173,7 +173,7 @@
 /* A recent answer to this node overrides reports of others. */
 START_TEST (test_own_answer_overrides_reports)
 {
-  struct beryl_live *live;
+  struct beryl_live_endpoint *live;
 
   fail_to_connect (0, "d3");
   fail_to_connect (1, "d3");
--- a/tests/forward/test_profile.c
+++ b/tests/forward/test_profile.c
@@ -316,7 +316,7 @@
    other nodes. */
 START_TEST (test_first_stream_of_a_paused_node)
 {
-  const struct beryl_live *d0;
+  const struct beryl_live_endpoint *d0;
   uint64_t used, grown;
 
   for (int i = 0; i < 3; i++)
--- a/tests/forward/test_rates.c
+++ b/tests/forward/test_rates.c
@@ -11,7 +11,7 @@
 per_s (uint32_t number)
 {
   return (struct beryl_rate_limit){ .advertised = true,
-                                    .milli_per_s = 1000 * number };
+                                    .millirequests_per_s = 1000 * number };
 }
 
 /* ENDPOINT has stated a limit in answers of KIND. */
@@ -95,7 +95,7 @@
           .items = { { .endpoint = beryl_name_hash ("a"),
                        .advertised = true,
                        .answer_kind = 1 + BERYL_EXCHANGE_RUN,
-                       .milli_per_s = 1000,
+                       .millirequests_per_s = 1000,
                        .sent = 1 } },
           .count = 1 };
 
--- a/tests/forward/test_restart.c
+++ b/tests/forward/test_restart.c
@@ -9,12 +9,12 @@
 
 static uint64_t revision;
 
-static const struct beryl_live *
+static const struct beryl_live_endpoint *
 start (const char *id, enum beryl_stage stage, uint64_t born_ms)
 {
   struct beryl_live_info info
       = { .stage = stage, .process_start_ms = born_ms };
-  const struct beryl_live *live;
+  const struct beryl_live_endpoint *live;
 
   g_strlcpy (info.id, id, sizeof info.id);
   g_strlcpy (info.service, FX_SERVICE, sizeof info.service);
@@ -76,7 +76,7 @@
    it. */
 START_TEST (test_peers_runs_are_void)
 {
-  const struct beryl_live *live = beryl_live_set_find (fx.lives, "d");
+  const struct beryl_live_endpoint *live = beryl_live_set_find (fx.lives, "d");
   struct beryl_engine_run runs[10];
 
   for (size_t i = 0; i < G_N_ELEMENTS (runs); i++)
@@ -119,12 +119,12 @@
    one. */
 START_TEST (test_history_is_void)
 {
-  struct beryl_live *live = beryl_live_set_find (fx.lives, "d");
+  struct beryl_live_endpoint *live = beryl_live_set_find (fx.lives, "d");
 
   beryl_live_record_outcome (live, BERYL_LIVE_TIMED_OUT, 0, fx.now_ms);
   beryl_live_mark_replaced (live, fx.now_ms);
   live->full_until_ms = fx.now_ms + 10000;
-  live = (struct beryl_live *)start ("d", BERYL_STAGE_DECODE, 200);
+  live = (struct beryl_live_endpoint *)start ("d", BERYL_STAGE_DECODE, 200);
   ck_assert (beryl_live_accepts_work (live));
   ck_assert (!beryl_live_avoided (live, fx.now_ms));
   fx_arrive (&fx, 1);
@@ -137,7 +137,8 @@
    granted. */
 START_TEST (test_late_entry_of_former_incarnation)
 {
-  const struct beryl_live *live = start ("d", BERYL_STAGE_DECODE, 200);
+  const struct beryl_live_endpoint *live
+      = start ("d", BERYL_STAGE_DECODE, 200);
 
   ck_assert_ptr_eq (start ("d", BERYL_STAGE_PREFILL, 100), live);
   ck_assert_int_eq (live->info.stage, BERYL_STAGE_DECODE);
@@ -153,7 +154,7 @@
    time is smaller then, but it is still the new incarnation. */
 START_TEST (test_start_time_is_no_order)
 {
-  const struct beryl_live *live = start ("d", BERYL_STAGE_DECODE, 50);
+  const struct beryl_live_endpoint *live = start ("d", BERYL_STAGE_DECODE, 50);
 
   ck_assert_uint_eq (live->info.process_start_ms, 50);
   fx_arrive (&fx, 1);
@@ -166,7 +167,7 @@
 START_TEST (test_late_report_of_former_incarnation)
 {
   struct beryl_endpoint_updates news = { 0 };
-  const struct beryl_live *live = beryl_live_set_find (fx.lives, "d");
+  const struct beryl_live_endpoint *live = beryl_live_set_find (fx.lives, "d");
 
   beryl_endpoint_set_add (&news.replaced, beryl_live_hash (live));
   live = start ("d", BERYL_STAGE_DECODE, 200);
@@ -192,7 +193,7 @@
 /* Endpoints whose entries state no start time are identified by their id. */
 START_TEST (test_no_start_time)
 {
-  const struct beryl_live *live = start ("d", BERYL_STAGE_DECODE, 0);
+  const struct beryl_live_endpoint *live = start ("d", BERYL_STAGE_DECODE, 0);
 
   ck_assert_uint_eq (live->info.process_start_ms, 100);
   live = start ("e", BERYL_STAGE_DECODE, 0);
--- a/tests/limits/test_limits.c
+++ b/tests/limits/test_limits.c
@@ -72,7 +72,7 @@
 {
   struct beryl_rate_limit limit
       = { .advertised = per_s >= 0,
-          .milli_per_s = per_s >= 0 ? (uint32_t)(per_s * 1000) : 0 };
+          .millirequests_per_s = per_s >= 0 ? (uint32_t)(per_s * 1000) : 0 };
 
   beryl_limits_observe (fleet.nodes[node], ENDPOINT, KIND, &limit, sent_ms,
                         now_ms);
@@ -142,7 +142,8 @@
 {
   int64_t end_ms = now_ms + RUN_MS;
 
-  fleet.cluster.concurrent = per_s * (SEND_DELAY_MS + LATENCY_MS) / 1000;
+  fleet.cluster.competing_requests
+      = per_s * (SEND_DELAY_MS + LATENCY_MS) / 1000;
   for (; now_ms < end_ms; now_ms++)
     {
       deliver ();
@@ -330,7 +331,8 @@
 /* Guards against unbounded memory as endpoints come and go. */
 START_TEST (test_many_endpoints)
 {
-  struct beryl_rate_limit limit = { .advertised = true, .milli_per_s = 1000 };
+  struct beryl_rate_limit limit
+      = { .advertised = true, .millirequests_per_s = 1000 };
 
   open_fleet (1, 3);
   for (uint32_t i = 100; i < 1100; i++)
--- a/tests/platform_wire/test_wire.c
+++ b/tests/platform_wire/test_wire.c
@@ -7,13 +7,13 @@
 #include "platform.h"
 
 static const struct gateway_wire *wire;
-static struct beryl_live endpoint;
+static struct beryl_live_endpoint endpoint;
 
 static void
 setup (void)
 {
   wire = platform_gateway_wire ();
-  endpoint = (struct beryl_live){
+  endpoint = (struct beryl_live_endpoint){
     .info = { .id = "i-7f3a91c2", .address = "10.1.64.9", .port = 8080 }
   };
 }
@@ -400,10 +400,12 @@
   ck_assert (!read_answer (200, "X-Other", "1").limit.advertised);
   ck_assert (read_answer (200, "Server-Limit", "5.2").limit.advertised);
   ck_assert_uint_eq (
-      read_answer (200, "server-limit", "5.2").limit.milli_per_s, 5200);
+      read_answer (200, "server-limit", "5.2").limit.millirequests_per_s,
+      5200);
   ck_assert (read_answer (503, "Server-Limit", "0").limit.advertised);
   ck_assert_uint_eq (
-      read_answer (200, "Server-Limit", "1e99").limit.milli_per_s, UINT32_MAX);
+      read_answer (200, "Server-Limit", "1e99").limit.millirequests_per_s,
+      UINT32_MAX);
   ck_assert (!read_answer (200, "Server-Limit", "").limit.advertised);
   ck_assert (!read_answer (200, "Server-Limit", "few").limit.advertised);
   ck_assert (!read_answer (200, "Server-Limit", "-1").limit.advertised);
@@ -490,7 +492,7 @@
 
 START_TEST (test_engine_calls)
 {
-  struct beryl_live target
+  struct beryl_live_endpoint target
       = { .info = { .id = "i-2", .address = "10.1.64.7", .port = 8082 } };
   struct beryl_exchange_start start = { .kind = BERYL_EXCHANGE_RESERVE,
                                         .endpoint = &endpoint,
--- a/tests/relay/test_announce.c
+++ b/tests/relay/test_announce.c
@@ -82,7 +82,7 @@
 {
   struct beryl_announce small = { .local_count = 3, .remote_count = 4 };
 
-  ck_assert_int_eq (beryl_announce_interval_ms (&small), 500);
+  ck_assert_int_eq (beryl_announce_heartbeat_ms (&small), 500);
   ck_assert_uint_ge (announce_for (3, 4, 0).remote, DURATION_MS / 600);
   ck_assert_uint_le (announce_for (49, 246, 0).remote, DURATION_MS / 2900);
 }
--- a/tests/relay/test_relay.c
+++ b/tests/relay/test_relay.c
@@ -9,7 +9,7 @@
 {
   struct beryl_relay *relay = beryl_relay_create (LEAVE_MS);
 
-  beryl_relay_set_group (relay, nodes, elected);
+  beryl_relay_set_nodes (relay, nodes, elected);
   return relay;
 }
 
@@ -20,7 +20,7 @@
 
   beryl_relay_note_update (relay, 1000);
   ck_assert_int_eq (beryl_relay_role (relay, 1000), BERYL_RELAY_STANDALONE);
-  beryl_relay_set_group (relay, 3, true);
+  beryl_relay_set_nodes (relay, 3, true);
   ck_assert_int_eq (beryl_relay_role (relay, 1000), BERYL_RELAY_STANDALONE);
   beryl_relay_destroy (relay);
 }
@@ -36,7 +36,7 @@
   ck_assert_int_eq (beryl_relay_role (relay, 10), BERYL_RELAY_STANDALONE);
   beryl_relay_note_update (relay, 10);
   ck_assert_int_eq (beryl_relay_role (relay, 10), BERYL_RELAY_FOLLOWER);
-  beryl_relay_set_group (relay, 50, true);
+  beryl_relay_set_nodes (relay, 50, true);
   ck_assert_int_eq (beryl_relay_role (relay, 10), BERYL_RELAY_WATCHER);
   beryl_relay_destroy (relay);
 }
@@ -67,7 +67,7 @@
       int64_t interval_ms
           = beryl_relay_poll_timeout_ms (relay, SPACING_MS) + SPACING_MS;
 
-      beryl_relay_set_group (relay, 50, false);
+      beryl_relay_set_nodes (relay, 50, false);
       beryl_relay_note_update (relay, 1000);
       if (leave_ms >= 2000)
         ck_assert_int_eq (beryl_relay_role (relay, 1000 + interval_ms),
--- a/tests/requests/test_parts.c
+++ b/tests/requests/test_parts.c
@@ -93,8 +93,8 @@
 /* "ab" of "c" and "a" of "bc" are different keys. */
 START_TEST (digest_separates_scope_and_name)
 {
-  struct map_key a = map_key_from_digest ("ab", "c");
-  struct map_key b = map_key_from_digest ("a", "bc");
+  struct map_key a = map_key_from_name ("ab", "c");
+  struct map_key b = map_key_from_name ("a", "bc");
 
   ck_assert (a.high != b.high && a.low != b.low);
 }
--- a/tests/wire/test_loads.c
+++ b/tests/wire/test_loads.c
@@ -47,9 +47,9 @@
   beryl_endpoint_set_add (&message.news.replaced, 1);
   beryl_endpoint_set_add (&message.news.replaced, 2);
   message.asks.items[message.asks.count++]
-      = (struct beryl_repeat_transfer){ 1, 2, 3, 4 };
+      = (struct beryl_budget_transfer){ 1, 2, 3, 4 };
   message.loans.items[message.loans.count++]
-      = (struct beryl_repeat_transfer){ 5, 6, 7, UINT32_MAX };
+      = (struct beryl_budget_transfer){ 5, 6, 7, UINT32_MAX };
   message.profiles.items[message.profiles.count++]
       = (struct beryl_generation_profile){ 1, 2, 3, 4, 5, 6, 7, UINT32_MAX };
   ck_assert (pass (&message, &again));
--- a/wire/loads.c
+++ b/wire/loads.c
@@ -48,14 +48,14 @@
 
 static void
 put_transfers (struct frame_writer *writer, enum field field,
-               const struct beryl_repeat_transfers *transfers)
+               const struct beryl_budget_transfers *transfers)
 {
   if (transfers->count == 0)
     return;
   frame_put_array (writer, field);
   for (size_t i = 0; i < transfers->count; i++)
     {
-      const struct beryl_repeat_transfer *transfer = &transfers->items[i];
+      const struct beryl_budget_transfer *transfer = &transfers->items[i];
 
       frame_put_uint (writer, 0, transfer->node);
       frame_put_uint (writer, 0, transfer->service);
@@ -163,18 +163,18 @@
 
 static void
 read_transfers (struct frame *frame, struct frame_map map, enum field field,
-                struct beryl_repeat_transfers *transfers)
+                struct beryl_budget_transfers *transfers)
 {
   struct frame_array array = frame_array (map, field);
 
-  if (array.count > BERYL_REPEAT_TRANSFERS_MAX * NUMBERS_PER_TRANSFER
+  if (array.count > BERYL_BUDGET_TRANSFERS_MAX * NUMBERS_PER_TRANSFER
       || array.count % NUMBERS_PER_TRANSFER != 0)
     {
       frame_fail (frame);
       return;
     }
   for (uint32_t i = 0; i < array.count; i += NUMBERS_PER_TRANSFER)
-    transfers->items[transfers->count++] = (struct beryl_repeat_transfer){
+    transfers->items[transfers->count++] = (struct beryl_budget_transfer){
       .node = frame_array_uint32 (array, i),
       .service = frame_array_uint32 (array, i + 1),
       .count = frame_array_uint32 (array, i + 2),
--- a/wire/notices.c
+++ b/wire/notices.c
@@ -52,7 +52,7 @@
       frame_put_uint (writer, 0, item->endpoint);
       frame_put_uint (writer, 0, item->advertised);
       frame_put_uint (writer, 0, item->answer_kind);
-      frame_put_uint (writer, 0, item->milli_per_s);
+      frame_put_uint (writer, 0, item->millirequests_per_s);
       frame_put_uint (writer, 0, item->age_ms);
       frame_put_uint (writer, 0, item->sent);
     }
@@ -123,7 +123,7 @@
       .endpoint = frame_array_uint32 (array, i),
       .advertised = frame_array_uint32 (array, i + 1) != 0,
       .answer_kind = frame_array_uint32 (array, i + 2),
-      .milli_per_s = frame_array_uint32 (array, i + 3),
+      .millirequests_per_s = frame_array_uint32 (array, i + 3),
       .age_ms = frame_array_uint32 (array, i + 4),
       .sent = frame_array_uint32 (array, i + 5),
     };
