--- a/include/beryl/announce.h
+++ b/include/beryl/announce.h
@@ -22,7 +22,8 @@
   int64_t announced_remote_ms; /**< last announcement to all peers */
 };
 
-/** Return the interval at which a live node announces something. */
+/** Return the heartbeat interval: the longest time between two announcements
+ * of a live node. */
 int64_t beryl_announce_heartbeat_ms (const struct beryl_announce *announce);
 
 /** Return whether an announcement is due without a local change: as a
--- a/include/beryl/engine_load.h
+++ b/include/beryl/engine_load.h
@@ -1,10 +1,11 @@
 /** @file
- * Messages by which nodes share their generations, so that each can predict
- * every engine's memory use.
+ * Messages by which nodes share the state of engines: generation runs,
+ * endpoint changes, transfers of retry budget and generation statistics.
  *
- * Memory grows deterministically (a token takes the same time whatever else
- * runs) and only the output length is uncertain, so that one message at the
- * start of a run lets every node track it to its end.
+ * Runs let each node predict the memory use of every engine.  The prediction
+ * assumes a fixed time per token, whatever else the engine runs, so that only
+ * the output length is uncertain and one message at the start of a run lets
+ * every node track it to its end.
  */
 #ifndef BERYL_ENGINE_LOAD_H
 #define BERYL_ENGINE_LOAD_H
@@ -59,7 +60,7 @@
   struct beryl_endpoint_set unreachable;
 };
 
-/** Request to another node for part of its unused repeat budget, or the reply.
+/** Request to another node for part of its unused retry budget, or the reply.
  */
 struct beryl_budget_transfer
 {
--- a/include/beryl/limits.h
+++ b/include/beryl/limits.h
@@ -26,8 +26,9 @@
 {
   double reachable_fraction; /**< fraction of the nodes that can be reached, 0
                                 to 1 */
-  double competing_requests; /**< expected requests of all nodes within one
-                                 propagation delay */
+  double competing_requests; /**< expected number of requests of all nodes
+                                within the time that an announcement of a send
+                                takes to reach the others */
 };
 
 /** Create an instance without limits. */
@@ -37,9 +38,10 @@
 void beryl_limits_destroy (struct beryl_limits *limits);
 
 /** Record that ENDPOINT answered a request sent at SENT_MS and advertised
- * LIMIT or none.  ANSWER_KIND (not 0) identifies the kind of answer: not all
- * kinds carry limits, so that only an answer of the same kind can end one.
- * Returns whether the limit changed. */
+ * LIMIT or none.  ANSWER_KIND is a number, not 0, that the caller assigns to
+ * each kind of exchange (prefill, decode, plain call, ...).  Not all kinds of
+ * answer carry limits, so only an answer of the kind that advertised a limit
+ * can end it.  Returns whether the limit changed. */
 bool beryl_limits_observe (struct beryl_limits *limits, uint32_t endpoint,
                            uint32_t answer_kind,
                            const struct beryl_rate_limit *limit,
--- a/include/beryl/live.h
+++ b/include/beryl/live.h
@@ -17,7 +17,8 @@
 
 #include "beryl/ids.h"
 
-/** Current stage of an engine. */
+/** Current stage of an engine.  Router and autoscaler use enum beryl_role,
+ * which can also be both. */
 enum beryl_stage
 {
   BERYL_STAGE_NONE, /**< process of a plain service */
@@ -54,13 +55,15 @@
   uint32_t millirequests_per_s; /**< in thousandths of a request per second */
 };
 
-/** Endpoint with the state learned about it. */
+/** Endpoint with the state learned about it; it may be gone, replaced or
+ * unreachable. */
 struct beryl_live_endpoint
 {
   struct beryl_live_info info;
   bool gone; /**< left the list; kept while it has open exchanges */
-  /** When an entry that lapsed during an outage of the list counts as gone,
-   * unless it is back by then; 0: not lapsed. */
+  /** End of the grace period of an endpoint whose entry expired during an
+   * outage of the list: it counts as gone then unless the entry is back; 0:
+   * not expired. */
   int64_t lapsed_until_ms;
   /** When an answer showed that another process has the address, which proves
    * that this incarnation has ended; 0: never. */
@@ -71,24 +74,25 @@
   uint32_t
       suspected_by; /**< hash of the peer that last reported it unreachable */
   int64_t suspected_ms;     /**< time of that report */
-  int64_t leaving_since_ms; /**< when it was first known to be leaving; 0: it
-                               is not */
-  int64_t stage_change_until_ms; /**< until when an ordered stage change may
-                                    take */
+  int64_t leaving_since_ms; /**< when it was first known to be leaving or to
+                               have left the list; 0: neither */
+  int64_t stage_change_until_ms; /**< time until which it is assumed to be
+                                    changing its stage */
   uint32_t open_exchanges;       /**< of this node */
   int64_t last_failure_ms;       /**< last failure; 0: none since a success */
   uint32_t consecutive_failures;
   int64_t avoid_until_ms;
   int64_t last_probe_ms;   /**< last probe while avoided */
-  double response_time_ms; /**< typical response time; 0: unknown */
+  double response_time_ms; /**< exponential moving average of its response
+                              times; 0: unknown */
   double failure_rate;     /**< recent fraction of failures, 0 to 1 */
   int64_t
       oldest_open_ms; /**< start of the oldest unanswered request; 0: none */
   double unreported_tokens; /**< estimated memory used by runs that no node
                                reported */
   int64_t unreported_updated_ms; /**< when unreported_tokens was updated */
-  int64_t last_local_prefill_ms; /**< when it was last given a prompt without a
-                              separate prefill */
+  int64_t last_local_prefill_ms; /**< when this node last sent it, a decode
+                                    engine, a prompt to prefill itself */
   int64_t full_until_ms;  /**< do not send work before; it answered that it is
                              full */
   uint32_t open_prefills; /**< open prefills of this node */
@@ -100,8 +104,10 @@
 
 struct beryl_live_set;
 
-/** Create an empty set.  An endpoint may still get work for LEAVE_MS after it
- * left the list. */
+/** Create an empty set.  LEAVE_MS is the grace period of a leaving endpoint:
+ * how long after it was marked as leaving or removed from the list it may
+ * still get work that only it can do.  This node uses only a part of it, since
+ * updates of the list may be late. */
 struct beryl_live_set *beryl_live_set_create (int64_t leave_ms);
 
 /** Release the set; NULL is allowed. */
@@ -109,7 +115,7 @@
 
 /** Return the hash that identifies this incarnation of an endpoint in
  * messages. */
-uint32_t beryl_live_hash (const struct beryl_live_endpoint *live);
+uint32_t beryl_live_hash (const struct beryl_live_endpoint *endpoint);
 
 /** Add or update an endpoint listed at NOW_MS and return it.  Entries older
  * than the known one and those of a previous incarnation are ignored.  A
@@ -119,10 +125,11 @@
 beryl_live_set_put (struct beryl_live_set *set,
                     const struct beryl_live_info *info, int64_t now_ms);
 
-/** Record that the endpoint left the list.  Endpoints keep their own entries
- * alive, so that an outage of the list makes healthy ones lapse; they return
- * within seconds of its end.  One that disappears right after an outage is
- * therefore kept for as long as it may get work. */
+/** Record that the endpoint left the list.  Entries expire unless their
+ * endpoints renew them, so an outage of the list makes entries of healthy
+ * endpoints expire; these return within seconds of its end.  An endpoint that
+ * disappears right after an outage without having been marked as leaving is
+ * therefore kept for the grace period. */
 void beryl_live_set_remove (struct beryl_live_set *set, const char *id,
                             int64_t now_ms);
 
@@ -137,8 +144,8 @@
 /** Return when the list was last read or confirmed; 0: never. */
 int64_t beryl_live_set_synced_ms (const struct beryl_live_set *set);
 
-/** Drop lapsed endpoints whose time is over.  Returns whether there were any.
- */
+/** Drop endpoints with an expired entry whose grace period is over.  Returns
+ * whether there were any. */
 bool beryl_live_set_expire (struct beryl_live_set *set, int64_t now_ms);
 
 /** Find an endpoint by id, including one that is gone but has open exchanges;
@@ -152,26 +159,27 @@
 struct beryl_live_endpoint *
 beryl_live_set_get (const struct beryl_live_set *set, size_t i);
 
-/** Return whether new work may be sent to LIVE. */
-bool beryl_live_accepts_work (const struct beryl_live_endpoint *live);
+/** Return whether new work may be sent to ENDPOINT. */
+bool beryl_live_accepts_work (const struct beryl_live_endpoint *endpoint);
 
-/** Return whether work that only LIVE can do may be sent to it: it accepts
- * work, or it has been leaving for less than the set's LEAVE_MS. */
-bool beryl_live_set_allows_bound_work (const struct beryl_live_set *set,
-                                       const struct beryl_live_endpoint *live,
-                                       int64_t now_ms);
+/** Return whether work that only ENDPOINT can do may be sent to it: it accepts
+ * work, or its grace period has not ended. */
+bool
+beryl_live_set_allows_bound_work (const struct beryl_live_set *set,
+                                  const struct beryl_live_endpoint *endpoint,
+                                  int64_t now_ms);
 
-/** Return whether the engine LIVE is changing its stage. */
-bool beryl_live_stage_changing (const struct beryl_live_endpoint *live,
+/** Return whether the engine ENDPOINT is changing its stage. */
+bool beryl_live_stage_changing (const struct beryl_live_endpoint *endpoint,
                                 int64_t now_ms);
 
-/** Record the start of an exchange with LIVE. */
-void beryl_live_open (struct beryl_live_endpoint *live);
+/** Record the start of an exchange with ENDPOINT. */
+void beryl_live_open (struct beryl_live_endpoint *endpoint);
 
 /** Record the end of an exchange; a gone endpoint without open exchanges is
  * released. */
 void beryl_live_close (struct beryl_live_set *set,
-                       struct beryl_live_endpoint *live);
+                       struct beryl_live_endpoint *endpoint);
 
 /** Outcome of an exchange. */
 enum beryl_live_outcome
@@ -179,31 +187,32 @@
   BERYL_LIVE_ANSWERED,
   BERYL_LIVE_FAILED,    /**< error response of the endpoint */
   BERYL_LIVE_BROKEN,    /**< connection reset, malformed or truncated answer */
-  BERYL_LIVE_TIMED_OUT, /**< no answer in the usual time, or no connection */
+  BERYL_LIVE_TIMED_OUT, /**< no answer, or no event of a stream, within the
+                           caller's time limit, or no connection */
 };
 
-/** Update the health of LIVE from an outcome after TOOK_MS. */
-void beryl_live_record_outcome (struct beryl_live_endpoint *live,
+/** Update the health of ENDPOINT from an outcome after TOOK_MS. */
+void beryl_live_record_outcome (struct beryl_live_endpoint *endpoint,
                                 enum beryl_live_outcome outcome,
                                 int64_t took_ms, int64_t now_ms);
 
-/** Record that another process answered at LIVE's address. */
-void beryl_live_mark_replaced (struct beryl_live_endpoint *live,
+/** Record that another process answered at ENDPOINT's address. */
+void beryl_live_mark_replaced (struct beryl_live_endpoint *endpoint,
                                int64_t now_ms);
 
-/** Record that a connection attempt of this node to LIVE failed. */
-void beryl_live_mark_unreachable (struct beryl_live_endpoint *live,
+/** Record that a connection attempt of this node to ENDPOINT failed. */
+void beryl_live_mark_unreachable (struct beryl_live_endpoint *endpoint,
                                   int64_t now_ms);
 
-/** Record that the peer with hash BY could not reach LIVE.  Returns whether
- * LIVE is avoided from now on because of that. */
-bool beryl_live_suspect (struct beryl_live_endpoint *live, uint32_t by,
+/** Record that the peer with hash BY could not reach ENDPOINT.  Returns
+ * whether ENDPOINT is avoided from now on because of that. */
+bool beryl_live_suspect (struct beryl_live_endpoint *endpoint, uint32_t by,
                          int64_t now_ms);
 
-/** Return whether LIVE is avoided, and whether a probe of it is due. */
-bool beryl_live_avoided (const struct beryl_live_endpoint *live,
+/** Return whether ENDPOINT is avoided, and whether a probe of it is due. */
+bool beryl_live_avoided (const struct beryl_live_endpoint *endpoint,
                          int64_t now_ms);
-bool beryl_live_probe_due (const struct beryl_live_endpoint *live,
+bool beryl_live_probe_due (const struct beryl_live_endpoint *endpoint,
                            int64_t now_ms);
 
 /** Return the stable name of STAGE. */
--- a/include/beryl/planner.h
+++ b/include/beryl/planner.h
@@ -1,6 +1,7 @@
 /** @file
- * Autoscaling of model services: computes how many engines each service needs
- * and orders engines to load or unload models.
+ * Autoscaler of model services (requests are scheduled in router.h, stages are
+ * chosen in stages.h): computes how many engines each service needs and orders
+ * engines to load or unload models.
  *
  * The sizer turns demand into a target count.  The planner compares targets
  * with the engines' reports and issues absolute orders ("serve model M,
@@ -26,7 +27,8 @@
 {
   BERYL_SIZING_REACTIVE, /**< the current load */
   BERYL_SIZING_FORECAST, /**< the load at the same time of previous days */
-  /** The forecast, corrected by its recent errors (as in BARISTA). */
+  /** The forecast, multiplied by the mean ratio of recent loads to the profile
+   * (the method of BARISTA, Bhattacharjee et al., 2019). */
   BERYL_SIZING_CORRECTED,
   /** The greater of the corrected forecast and the current load. */
   BERYL_SIZING_HYBRID,
@@ -66,7 +68,8 @@
 struct beryl_engine_state
 {
   const char *endpoint;
-  const char *model; /**< "": no model loaded */
+  const char
+      *model; /**< "": no model loaded; NULL: the engine did not answer */
   const char *version;
   enum beryl_role role; /**< 0: no role */
   bool loading;
@@ -80,8 +83,9 @@
   const char *model; /**< "": unload */
   const char *version;
   enum beryl_role role; /**< 0: unload */
-  /** Whether the order stops what the engine serves now: the engine must be
-   * drained first. */
+  /** Whether the order unloads or replaces the model that the engine serves
+   * now, so that the engine must be drained first; false for a change of role
+   * only. */
   bool interrupts;
   const char *reason; /**< stable text for the log */
 };
@@ -139,12 +143,14 @@
                                const struct beryl_config *config,
                                int64_t now_ms);
 
-/** Record an engine's report; STATE->model NULL: the engine did not answer. */
+/** Record an engine's report, or that it did not answer. */
 void beryl_planner_report_engine (struct beryl_planner *planner,
                                   const struct beryl_engine_state *state,
                                   int64_t now_ms);
 
-/** Record the demand of SERVICE at NODE since the node's last report. */
+/** Record the demand of SERVICE at NODE: the calls that have ARRIVED since the
+ * node's last report with their PROMPT_TOKENS, and the calls that are WAITING
+ * and RUNNING now. */
 void beryl_planner_report_demand (struct beryl_planner *planner,
                                   const char *node, const char *service,
                                   uint32_t arrived, uint32_t waiting,
--- a/include/beryl/quarantine.h
+++ b/include/beryl/quarantine.h
@@ -7,8 +7,8 @@
  * there become suspects.  A suspect with several crashes is quarantined;
  * crashes that it explains no longer count against other requests.  A complete
  * answer clears a suspect for a while, since many callers may send the same
- * request.  The crashes that nodes observe form a grow-only set, so that
- * updates may arrive late, twice or out of order.
+ * request.  Nodes merge the crashes that others observe as a set until these
+ * expire, so that updates may arrive late, twice or out of order.
  *
  * No I/O.  Not thread-safe.
  */
@@ -28,9 +28,9 @@
   BERYL_QUARANTINE_CRASHES, /**< this node observed at least one of the crashes
                              */
   BERYL_QUARANTINE_FROM_PEER, /**< reported by peers */
-  BERYL_QUARANTINE_STORED,    /**< read from the platform's records */
+  BERYL_QUARANTINE_STORED,    /**< read from a stored record */
   BERYL_QUARANTINE_ANSWERED,  /**< an endpoint answered it */
-  BERYL_QUARANTINE_LIFTED,    /**< an operator deleted its record */
+  BERYL_QUARANTINE_LIFTED,    /**< an operator deleted its stored record */
   BERYL_QUARANTINE_EXPIRED,
 };
 
@@ -56,8 +56,8 @@
 /** Release; NULL is allowed. */
 void beryl_quarantine_destroy (struct beryl_quarantine *quarantine);
 
-/** Return whether there are neither suspects nor quarantined requests, so that
- * lookups can be skipped. */
+/** Return whether no request is tracked (suspect, quarantined or recently
+ * cleared), so that lookups can be skipped. */
 bool beryl_quarantine_empty (const struct beryl_quarantine *quarantine);
 
 /** Record that a run of FINGERPRINT broke off at the endpoint with this hash.
@@ -67,8 +67,7 @@
                                   int64_t now_ms);
 
 /** Record that the endpoint has ended: runs that broke off there recently did
- * so by its crash.  Returns whether any such run was not yet known to have
- * crashed. */
+ * so by its crash.  Returns whether a pending crash was confirmed by this. */
 bool beryl_quarantine_endpoint_ended (struct beryl_quarantine *quarantine,
                                       uint32_t endpoint, int64_t now_ms);
 
@@ -130,17 +129,18 @@
                                const struct beryl_quarantine_update *update,
                                int64_t now_ms);
 
-/** Return whether there are changes to announce, and reset the flag. */
+/** Return whether there are changes to announce since the last call, and reset
+ * the flag. */
 bool beryl_quarantine_take_changed (struct beryl_quarantine *quarantine);
 
-/** Record that the platform's API holds a record of FINGERPRINT for
+/** Record that the store holds a quarantine record of FINGERPRINT, valid for
  * REMAINING_MS more.  Returns false if the request was cleared, so that the
  * record is to be deleted. */
 bool beryl_quarantine_record_read (struct beryl_quarantine *quarantine,
                                    uint64_t fingerprint, int64_t remaining_ms,
                                    int64_t now_ms);
 
-/** Record that all records were read at NOW_MS and passed to
+/** Record that all stored records were read at NOW_MS and passed to
  * beryl_quarantine_record_read: a record that is gone was deleted by an
  * operator, which lifts the quarantine. */
 void beryl_quarantine_records_synced (struct beryl_quarantine *quarantine,
@@ -150,7 +150,8 @@
 void beryl_quarantine_expire (struct beryl_quarantine *quarantine,
                               int64_t now_ms);
 
-/** Return the number of quarantined requests, and of suspects. */
+/** Return the number of quarantined requests, and of the other tracked
+ * requests: suspects and recently cleared ones. */
 uint32_t beryl_quarantine_count (const struct beryl_quarantine *quarantine);
 uint32_t
 beryl_quarantine_suspect_count (const struct beryl_quarantine *quarantine);
--- a/include/beryl/relay.h
+++ b/include/beryl/relay.h
@@ -43,8 +43,8 @@
 enum beryl_relay_role beryl_relay_role (const struct beryl_relay *relay,
                                         int64_t now_ms);
 
-/** Return how long a watcher's call waits for a change if calls follow
- * SPACING_MS after an answer. */
+/** Return the long-poll timeout of a watcher's calls, given that it pauses for
+ * SPACING_MS between an answer and the next call. */
 int64_t beryl_relay_poll_timeout_ms (const struct beryl_relay *relay,
                                      int64_t spacing_ms);
 
--- a/include/beryl/router.h
+++ b/include/beryl/router.h
@@ -25,13 +25,15 @@
 /** Scheduling policies; all but BERYL_POLICY_PLANNED are baselines. */
 enum beryl_policy
 {
-  BERYL_POLICY_PLANNED, /**< slot reservation and just-in-time prefill */
+  BERYL_POLICY_PLANNED, /**< slot reservation; a prefill starts when a decode
+                           slot is expected to be free at its end */
   BERYL_POLICY_RANDOM,
   BERYL_POLICY_ROUND_ROBIN,
   BERYL_POLICY_LEAST_REPORTED,
   BERYL_POLICY_TWO_CHOICES,
-  BERYL_POLICY_EXACT, /**< upper bound for benchmarks: exact state without lag
-                       */
+  BERYL_POLICY_EXACT, /**< upper bound for benchmarks: the planned policy with
+                         a single router, whose state is complete since it
+                         makes all decisions */
 };
 
 /** Resource needs and limits of a request. */
@@ -41,7 +43,8 @@
   const char *service;
   const char *organisation;
   enum beryl_class call_class;
-  bool plain; /**< call of a plain service: neither prefill nor decode */
+  bool plain; /**< call of a plain service, which has no model and no prefill
+                 and decode stages */
   uint32_t prompt_tokens;
   uint32_t max_tokens;
   const uint64_t
@@ -70,7 +73,7 @@
 {
   char prefill[BERYL_NAME_BYTES];
   char decode[BERYL_NAME_BYTES];
-  double cost_ms;
+  double cost_ms; /**< plain calls: number of calls, in place of a time */
 };
 
 #define BERYL_ALTERNATIVES_MAX 8
@@ -97,7 +100,7 @@
   const char *endpoint;
   int64_t measured_ms; /**< estimated time of the measurement, in this node's
                           clock */
-  uint32_t decoding;
+  uint32_t decoding;   /**< open decodes, or calls at a plain endpoint */
   uint32_t prefill_queue;
   uint64_t prefill_queue_tokens;
   uint64_t kv_bytes_held;
--- a/include/beryl/routes.h
+++ b/include/beryl/routes.h
@@ -56,15 +56,16 @@
   uint32_t slots; /**< concurrent requests */
   uint64_t kv_tokens;
   uint64_t kv_bytes_per_token;
-  double link_mbps;
+  double link_mbps;  /**< link bandwidth, in the unit of the configuration; not
+                        used */
   bool can_relocate; /**< a running request's KV cache can be moved to another
                         engine */
   bool can_back_up;  /**< a running request's KV cache can be copied to another
                         engine */
-  uint32_t event_tokens; /**< maximum tokens in one event */
-  int64_t kv_handle_ms;  /**< lifetime of a prefill's KV handle */
-  int64_t role_change_ms;
-  int64_t pin_ms;
+  uint32_t event_tokens;  /**< maximum tokens in one event */
+  int64_t kv_handle_ms;   /**< lifetime of a prefill's KV handle */
+  int64_t role_change_ms; /**< stated duration of a stage change; not used */
+  int64_t pin_ms;         /**< stated pin time; not used */
   int64_t reservation_ms; /**< maximum lease on decode memory */
 };
 
--- a/include/beryl/stages.h
+++ b/include/beryl/stages.h
@@ -17,7 +17,9 @@
 
 #include "beryl/live.h"
 
-/** Mean properties of a service's generations. */
+/** Mean properties of a service's generations over all nodes, assumed values
+ * where nothing is measured; beryl_generation_profile holds those of one node.
+ */
 struct beryl_generation_mix
 {
   double prompt_tokens;
--- a/libberyl/base/map.h
+++ b/libberyl/base/map.h
@@ -46,8 +46,8 @@
 /** Return the key of a number. */
 struct map_key map_key_from_number (uint64_t number);
 
-/** Return the digest of SCOPE and NAME.  It is cryptographic because callers
- * choose names: no two scopes can be made to share a key. */
+/** Return the key of NAME in SCOPE, a digest of both.  It is cryptographic
+ * because callers choose names: no two scopes can be made to share a key. */
 struct map_key map_key_from_name (const char *scope, const char *name);
 
 #endif
--- a/libberyl/limits/limits.c
+++ b/libberyl/limits/limits.c
@@ -14,7 +14,8 @@
 #define BUCKET_MS 500
 /* A limit is dropped after this time without an answer at any node. */
 #define STALE_MS INT64_C (600000)
-/* Changes are announced for this long, since datagrams may be lost. */
+/* The start or end of a limit is announced for this long, since datagrams may
+ * be lost; other changes are announced once, and again in rotation. */
 #define ANNOUNCE_MS 3000
 
 /* Last send counter announced by another node. */
@@ -34,7 +35,7 @@
   double tokens;          /* below 0 if overdrawn */
   int64_t refilled_ms;
   uint32_t sent; /* requests sent by this node */
-  bool changed;  /* changed since the last export */
+  bool changed;  /* changed since it was last put into an update */
   struct sender *senders;
   uint32_t sender_count;
   uint32_t sender_evict; /* next entry to replace when the table is full */
@@ -44,7 +45,7 @@
 {
   struct limit items[LIMITS_MAX];
   uint32_t count;
-  uint32_t next_item; /* rotation position of full exports */
+  uint32_t next_item; /* rotation position of updates with all items */
 };
 
 struct beryl_limits *
@@ -324,9 +325,10 @@
   return sender;
 }
 
-/* Returns the number of new sends of NODE by its counter SENT.  Sends before
- * the first contact are already accounted for, except the last one.  A smaller
- * counter means that the node has restarted. */
+/* Returns the number of new sends of NODE by its counter SENT.  If no earlier
+ * count is known, only the last send counts: the earlier ones are taken to be
+ * covered by the bucket of a new limit, which starts empty.  A smaller counter
+ * means that the node has restarted. */
 static uint32_t
 count_new_sends (struct limit *limit, uint32_t node, uint32_t sent)
 {
@@ -354,6 +356,7 @@
   if (limit == NULL)
     {
       limit = limit_add (limits, item->endpoint, now_ms);
+      /* Earlier than the answer of ITEM, so that ITEM is applied below. */
       limit->confirmed_ms = confirmed_ms - 1;
     }
   if (confirmed_ms > limit->confirmed_ms)
--- a/libberyl/planner/arrange.c
+++ b/libberyl/planner/arrange.c
@@ -2,7 +2,9 @@
 
 #include "private.h"
 
-/* At most 1 / CHANGE_DIVISOR of a service's warm engines change at a time. */
+/* A roll-out changes another engine only while at most 1 / CHANGE_DIVISOR of
+ * the service's warm engines are changing, or none if these are fewer than
+ * CHANGE_DIVISOR. */
 #define CHANGE_DIVISOR 4
 
 static bool
@@ -37,6 +39,7 @@
              || e->ordered_role != e->role);
 }
 
+/* Returns whether the engine is ordered to serve the model, warm or not. */
 static bool
 is_assigned (const struct engine *e, const struct service *s)
 {
@@ -56,9 +59,9 @@
   e->reason = reason;
 }
 
-/* Loads are started at the pace of the weight store: parallel loads would slow
- * each other down, and the first waiting call would wait for the last of them.
- */
+/* Reserves the weight store for a load, if no other load has reserved it.
+ * Loads are started at its pace: parallel loads would slow each other down,
+ * and the first waiting call would wait for the last of them. */
 static bool
 reserve_load (struct beryl_planner *p, const struct service *s, int64_t now_ms)
 {
@@ -120,8 +123,9 @@
   return best;
 }
 
-/* Returns a warm engine in the data centre with the most engines of the
- * service; outdated versions first. */
+/* Returns an assigned engine that is not changing, in the data centre with the
+ * most engines of the service; those that are not warm in the current version
+ * first. */
 static struct engine *
 pick_surplus (struct beryl_planner *p, const struct service *s)
 {
@@ -136,6 +140,7 @@
       if (!is_engine_of (e, s) || !is_assigned (e, s) || is_changing (e))
         continue;
       count = count_in_data_centre (p, s, e->endpoint->data_centre);
+      /* Ranks them first: no data centre has that many engines. */
       count += is_current (e, s) ? 0 : 1000000;
       if (best != NULL && count <= best_count)
         continue;
@@ -229,8 +234,8 @@
 
 /* The old version serves until the new one is warm elsewhere: a spare engine
  * loads it first, and the resulting surplus is taken from the old version.
- * Without a spare, engines change one at a time, but never the last warm one.
- */
+ * Without a spare, warm engines change, the last one only after the idle
+ * timeout. */
 static void
 roll_out (struct beryl_planner *p, struct service *s,
           const struct engine_counts *counts, int64_t now_ms)
@@ -277,7 +282,8 @@
 }
 
 /* A role change drops the engine's cache, so roles change one at a time and
- * only if the split is off by more than one engine. */
+ * only if the split is off by more than one engine, or if none of several warm
+ * engines does prefill. */
 static void
 rebalance (struct beryl_planner *p, struct service *s,
            const struct engine_counts *counts)
--- a/libberyl/planner/planner.c
+++ b/libberyl/planner/planner.c
@@ -205,7 +205,8 @@
   (void)now_ms;
   if (e == NULL)
     return;
-  /* An engine that does not answer is neither warm nor a spare. */
+  /* An engine that does not answer is neither warm nor a spare.  Its order is
+   * dropped, and what it reports when it answers again is adopted. */
   if (state->model == NULL)
     {
       e->responding = false;
@@ -272,7 +273,7 @@
 }
 
 /* Repeats orders until the engines' reports match: an order or its answer may
- * be lost, and an engine may restart empty. */
+ * be lost, and an engine may restart empty between two reports. */
 static void
 orders_send (struct beryl_planner *p, int64_t now_ms)
 {
@@ -304,7 +305,7 @@
       struct service *s = &p->services[i];
 
       /* Missing reports are not absence of demand: unloading the engines would
-       * refuse calls that do arrive. */
+       * leave calls that do arrive without one. */
       if (!s->reported)
         continue;
       service_size (p, s, now_ms);
--- a/libberyl/planner/private.h
+++ b/libberyl/planner/private.h
@@ -49,17 +49,18 @@
   size_t node_count;
   bool reported;         /* at least one node has reported demand */
   uint64_t step_tokens;  /* prompt tokens in this step */
-  uint64_t step_arrived; /* calls in this step */
+  uint64_t step_arrived; /* calls in this step; not used */
   double load_sum;       /* sum of running and waiting calls over the step's
                                samples */
-  uint32_t load_samples;
+  uint32_t load_samples; /* number of samples in load_sum */
   int64_t step_end_ms;
   int64_t last_demand_ms; /* time of the last demand */
   double decode_load;     /* predicted, in concurrent streams */
   double prefill_load;    /* predicted, in engines */
   uint32_t target;        /* target number of engines */
   uint32_t target_prefill;
-  double running_mean; /* running calls, smoothed against single-call noise */
+  double running_mean;      /* exponential moving average of the running calls,
+                               against the noise of single calls */
   int64_t surplus_since_ms; /* start of the surplus; 0: none */
   uint32_t surplus_peak;    /* highest target since then */
 };
--- a/libberyl/planner/save.c
+++ b/libberyl/planner/save.c
@@ -4,7 +4,7 @@
 
 #include "private.h"
 
-/* Loads are saved as integers in hundredths, which is precise enough. */
+/* Loads are saved as integers in hundredths. */
 #define LOAD_SCALE 100
 
 static json_t *
--- a/libberyl/planner/size.c
+++ b/libberyl/planner/size.c
@@ -7,7 +7,7 @@
 #define REPORT_TTL_MS 15000
 /* A predicted load below this counts as no demand. */
 #define LOAD_EPSILON 0.01
-/* Weight of a new sample in the running mean. */
+/* Weight of a new sample in the moving average of the running calls. */
 #define RUNNING_GAIN 0.1
 
 static void
@@ -137,7 +137,8 @@
       && s->decode_load < LOAD_EPSILON)
     decode = prefill = 0;
   s->target = (uint32_t)ceil (decode + prefill);
-  /* Scales up from zero for the first call. */
+  /* One engine is started for the first call and kept until the idle timeout.
+   */
   if (s->target == 0
       && now_ms - s->last_demand_ms < p->settings.idle_timeout_ms)
     s->target = 1;
--- a/libberyl/planner/sizer.c
+++ b/libberyl/planner/sizer.c
@@ -5,8 +5,8 @@
 #define DAY_MS 86400000
 /* Weight of a new day in the profile. */
 #define PROFILE_GAIN 0.4
-/* Number of recent load/forecast ratios that the correction averages, as in
- * BARISTA. */
+/* Number of recent ratios of load to profile that the correction averages, as
+ * in BARISTA. */
 #define RATIOS_MAX 5
 /* Bounds of the correction, so that a wrong profile cannot dominate. */
 #define CORRECTION_MIN 0.5
--- a/libberyl/quarantine/quarantine.c
+++ b/libberyl/quarantine/quarantine.c
@@ -20,8 +20,9 @@
 #define CRASH_TTL_MS INT64_C (3600000)
 #define QUARANTINE_MS INT64_C (86400000)
 /* Answered requests that are remembered, and how long they are not suspected:
- * many callers may send the same request, so that it runs at all endpoints of
- * a failing rack. */
+ * a request that many callers send runs at all endpoints, so it would be
+ * suspected of each crash when several endpoints fail at once, as in a failing
+ * rack. */
 #define ANSWERED_SLOTS 1024
 #define ANSWERED_TTL_MS 60000
 /* Interval between expiry scans. */
@@ -50,14 +51,15 @@
 {
   TAILQ_ENTRY (suspect) entry;
   uint64_t fingerprint;
-  struct crash crashes[CRASHES_MAX]; /* oldest first */
+  struct crash
+      crashes[CRASHES_MAX]; /* in the order in which they were added */
   uint32_t crash_count;
   int64_t cleared_ms;     /* 0: never */
   bool cleared_locally;   /* cleared by an answer at this node */
   int64_t expires_ms;     /* end of the quarantine; 0: not quarantined */
   int64_t quarantined_ms; /* when this node learned of it */
-  bool has_record;
-  bool record_seen; /* part of the record list being read */
+  bool has_record;        /* a stored record of it has been read */
+  bool record_seen;       /* found in the stored records that are being read */
 };
 
 TAILQ_HEAD (suspect_list, suspect);
@@ -73,7 +75,8 @@
   struct beryl_quarantine_owner *owner;
   struct suspect_list suspects; /* most recently seen last */
   struct map by_fingerprint;
-  uint32_t tracked_count; /* suspects, including quarantined ones */
+  uint32_t tracked_count; /* entries of suspects: suspected, quarantined and
+                             recently cleared requests */
   uint32_t quarantined;   /* quarantined ones among them */
   uint32_t pending;       /* unconfirmed crashes */
   bool changed;
@@ -275,7 +278,7 @@
 }
 
 /* A node that observed one of the crashes itself reports cause CRASHES, which
- * makes it write the record. */
+ * makes it store a record. */
 static void
 quarantine_begin (struct beryl_quarantine *q, struct suspect *s,
                   int64_t remaining_ms, enum beryl_quarantine_cause cause,
@@ -651,9 +654,9 @@
     }
 }
 
-/* After its quarantine a request may run again, and one more crash quarantines
- * it again: it keeps one crash less than the threshold, at hashes that match
- * no endpoint. */
+/* After its quarantine a request may run again, and one more crash within
+ * CRASH_TTL_MS quarantines it again: it gets one crash less than the
+ * threshold, at made-up hashes that are unlikely to be those of endpoints. */
 static void
 begin_probation (struct beryl_quarantine *q, struct suspect *s, int64_t now_ms)
 {
--- a/libberyl/relay/relay.c
+++ b/libberyl/relay/relay.c
@@ -2,12 +2,14 @@
 
 #include <stdlib.h>
 
-/* In smaller data centres nearly every node would be a watcher. */
+/* Minimum number of nodes for relaying: in smaller data centres nearly every
+ * node would be a watcher. */
 #define MIN_NODES 8
-/* Fractions of the time in which a change must be known: how long a follower
- * waits for silent watchers before it reads the list itself, and how often a
- * watcher's call is answered.  Each follower is updated by two watchers, so
- * the loss of one makes no follower read the list. */
+/* Fractions of leave_ms, within which a change must be known.
+ * SILENCE_FRACTION is how long a follower waits for silent watchers before it
+ * reads the list itself, POLL_FRACTION the longest interval between the
+ * answers to a watcher's calls.  A data centre has two watchers (WATCHER_COUNT
+ * in gatewayd/relay.c), so the loss of one makes no follower read the list. */
 #define SILENCE_FRACTION 0.4
 #define POLL_FRACTION 0.3
 
--- a/libberyl/router/baselines.c
+++ b/libberyl/router/baselines.c
@@ -14,6 +14,8 @@
                  : (double)e->report.decoding;
 }
 
+/* Load by the last report and the work that this node has sent since: prefill
+ * backlog in milliseconds, or busy slots. */
 static double
 estimated_load (const struct router_service *s,
                 const struct router_endpoint *e, bool prefill, int64_t now_ms)
@@ -73,8 +75,8 @@
              : b;
 }
 
-/* Choose an endpoint; ones that are unusable, excluded or have just refused
- * only if no other is found. */
+/* Choose an endpoint; unusable or excluded ones, and the one that has just
+ * refused, only if no other is found. */
 static uint32_t
 choose_allowed (struct beryl_router *r, struct router_service *s,
                 const struct router_list *list, choose_fn *choose,
--- a/libberyl/router/cost.c
+++ b/libberyl/router/cost.c
@@ -26,8 +26,7 @@
               : estimated_ms;
 }
 
-/* Assumes full batches: a job planned while engines are empty must still meet
- * its deadline when they fill up. */
+/* Mean number of this node's slots per engine at which it has any. */
 static double
 own_slots_per_engine (const struct router_service *s)
 {
@@ -40,6 +39,8 @@
 {
   double fraction = estimate_mean_plus_sd (&s->length_ratio, z);
   fraction = fmin (1, fmax (0.01, fraction));
+  /* Assumes full batches: a job planned while engines are empty must still
+   * meet its deadline when they fill up. */
   double batch = fmax (own_slots_per_engine (s), ROUTER_DEFAULT_SLOTS);
   return fraction * max_tokens * estimate_line_at (&s->interval_ms, batch);
 }
--- a/libberyl/router/estimate.h
+++ b/libberyl/router/estimate.h
@@ -9,8 +9,8 @@
 /** Line y = a + b * x fitted to exponentially weighted observations. */
 struct estimate_line
 {
-  double weight, x, y, xx, xy;
-  double spread; /**< mean absolute deviation of y from the line */
+  double weight, x, y, xx, xy; /**< weighted sums of 1, x, y, x * x, x * y */
+  double spread; /**< mean absolute deviation of y from the line; not used */
 };
 
 /** Exponentially weighted mean and variance. */
--- a/libberyl/router/fleet.c
+++ b/libberyl/router/fleet.c
@@ -6,8 +6,9 @@
 #include "private.h"
 #include "shares.h"
 
-/* Interval at which free slots are counted; longer for long lists, so that the
- * work per decision does not grow with the fleet. */
+/* Interval at which free slots are counted, longer by REFRESH_MS for each
+ * REFRESH_LIST_SIZE endpoints, so that the work per decision does not grow
+ * with the fleet. */
 #define REFRESH_MS 50
 #define REFRESH_LIST_SIZE 128
 
@@ -269,8 +270,11 @@
   r->endpoint_count = 0;
 }
 
-/* Initial estimates of an unknown service.  They only need the right order of
- * magnitude until a few dozen requests have corrected them. */
+/* Initial estimates of an unknown service: a prefill takes 5 ms and 0.1 ms per
+ * token, a token 25 ms and 0.75 ms per request of the batch, a transfer 2 ms
+ * and 0.4 ms per megabyte; answers have 60 % of max_tokens, and a decode takes
+ * 5 s.  They only need the right order of magnitude until a few dozen requests
+ * have corrected them. */
 static void
 service_init (struct router_service *s)
 {
@@ -450,7 +454,8 @@
   return true;
 }
 
-/* Reserves a quarter of a plain service's limit for urgent calls. */
+/* Returns how much of a plain service's limit non-urgent calls may use: a
+ * quarter is reserved for urgent ones. */
 static uint32_t
 non_urgent_slots (uint32_t max_concurrent)
 {
--- a/libberyl/router/pair.c
+++ b/libberyl/router/pair.c
@@ -138,6 +138,8 @@
       uint32_t own = fleet_free_own (e, now_ms);
       if (own == 0)
         continue;
+      /* All free slots break ties between equal numbers of own ones; the own
+       * data centre is worth half a slot. */
       double score = own + 0.1 * fleet_free_slots (e, now_ms);
       if (strcmp (e->config->data_centre, r->data_centre) == 0)
         score += 0.5;
--- a/libberyl/router/plain.c
+++ b/libberyl/router/plain.c
@@ -4,6 +4,8 @@
 #include "../base/random.h"
 #include "private.h"
 
+/* Intervals at which waiting calls are planned again: the first of the queue,
+ * and the others. */
 #define QUEUE_HEAD_RETRY_MS 10
 #define RETRY_MS 60
 #define RETRY_AFTER_MS 500
@@ -136,8 +138,8 @@
 }
 
 /* Returns by how much a non-urgent call with AHEAD others before it would miss
- * its deadline, or 0.  Refusing it now keeps the queue short enough to be
- * useful. */
+ * its deadline, or 0.  Refusing it at once keeps calls that cannot finish in
+ * time out of the queue. */
 static int64_t
 deadline_overrun_ms (const struct router_service *s,
                      const struct beryl_job *job, size_t ahead, int64_t now_ms)
--- a/libberyl/router/planned.c
+++ b/libberyl/router/planned.c
@@ -2,13 +2,16 @@
 
 #include "private.h"
 
-/* Maximum time that the KV cache of a finished prefill waits for a slot;
- * engines keep it for less than a second. */
+/* Time that the KV cache of a finished prefill is assumed to wait for a slot
+ * at most; engines keep it for less than a second. */
 #define KV_WAIT_MS 500
 
-/* A decode must have started this long before the KV cache expires. */
+/* This long before its KV cache expires, a decode may take any free slot, out
+ * of turn and also one of another node. */
 #define KV_MARGIN_MS 120
 
+/* Intervals at which waiting jobs are planned again: the first of the queue,
+ * and the others. */
 #define QUEUE_HEAD_RETRY_MS 20
 #define RETRY_MS 60
 #define BIND_RETRY_MS 10
@@ -18,8 +21,8 @@
 /* Waiting jobs per own slot above which fair shares are enforced. */
 #define CONTENDED_JOBS_PER_SLOT 0.5
 
-/* Open jobs allowed per organisation at a node: at least FAIR_MIN_OPEN, and
- * FAIR_FACTOR times its fair share, since demand is uneven. */
+/* Open jobs allowed per organisation at a node: FAIR_FACTOR times its fair
+ * share, since demand is uneven, but at least FAIR_MIN_OPEN. */
 #define FAIR_MIN_OPEN 2
 #define FAIR_FACTOR 1.5
 
@@ -35,11 +38,14 @@
 /* Standard deviations of the bind delay that are added as margin. */
 #define BIND_DELAY_DEVIATIONS 2.0
 
+/* Accepted probability that a prefill finds no free slot, at a waste weight of
+ * 0. */
 #define SLOT_MISS_PROBABILITY 0.3
 
-/* Required probability of a free slot when a prefill starts.  It follows from
- * the objective: a prefill without a slot is wasted, and a slot that waits for
- * a prefill is lost goodput. */
+/* Required probability that a prefill that is started finds a free slot.  A
+ * prefill without a slot is wasted, and a slot that waits for a prefill is
+ * lost goodput; the accepted probability of a miss falls with the square of 1
+ * + waste_weight. */
 static double
 slot_certainty (const struct router_service *s)
 {
@@ -59,7 +65,9 @@
   return s->decoding / fmax (1, s->decode_ms.mean);
 }
 
-/* Slots expected to become free while a prefill that starts now runs. */
+/* Returns the number of slots that become free, with the probability
+ * slot_certainty, while a prefill of LEAD_MS that starts now runs and its KV
+ * cache waits. */
 static int32_t
 expected_slots (const struct router_service *s, double lead_ms)
 {
@@ -78,8 +86,9 @@
   return false;
 }
 
-/* Slots reserved from JOB: for urgent calls, and from batch calls, so that
- * they are the first to go without. */
+/* Returns the number of free slots that JOB may not use: about a sixteenth of
+ * the own slots is kept for urgent calls, if the service has any, and another
+ * eighth from batch jobs, so that these are the first to wait. */
 static int32_t
 headroom (const struct router_service *s, const struct beryl_job *job)
 {
@@ -140,8 +149,9 @@
   router_refuse (plan, reason, after_ms);
 }
 
-/* An organisation may fill slots and queue up to its fair share.  Checked only
- * while jobs wait, so that no slot is left idle for fairness. */
+/* An organisation may fill slots and queue up to its fair share.  A new job
+ * beyond it only gets a lower place in the queue; it is refused only while
+ * jobs wait, so that no slot is left idle for fairness. */
 static bool
 exceeds_fair_share (const struct beryl_router *r,
                     const struct router_service *s, uint32_t organisation,
@@ -223,12 +233,12 @@
   bool queued;             /* already in the queue */
   bool has_prefill_engine; /* an engine is available for its prefill */
   struct pair pair;
-  size_t queue; /* jobs of its service that wait */
-  size_t ahead; /* jobs before it in the queue */
-  int32_t slots;
-  double slack_ms;
-  double need_ms; /* from the start of its prefill to the end of its decode */
-  double wait_ms;
+  size_t queue;    /* jobs of its service that wait */
+  size_t ahead;    /* jobs before it in the queue */
+  int32_t slots;   /* slots available to it */
+  double slack_ms; /* time to its deadline */
+  double need_ms;  /* from the start of its prefill to the end of its decode */
+  double wait_ms;  /* before the start of its prefill */
 };
 
 static struct router_waiting
@@ -318,7 +328,8 @@
     plan->reason = "no_endpoint";
 }
 
-/* Number of KV caches of the same service that expire before T's. */
+/* Number of waiting KV caches of the same service that were exported before
+ * T's and thus expire earlier, as engines keep all for the same time. */
 static int32_t
 count_expiring_earlier (const struct beryl_router *r,
                         const struct router_ticket *t)
--- a/libberyl/router/prefix.c
+++ b/libberyl/router/prefix.c
@@ -8,7 +8,7 @@
 
 #define WAYS 4
 
-/* New blocks that one prompt adds at most. */
+/* Maximum number of new blocks that one prompt adds. */
 #define NEW_BLOCKS_MAX 24
 
 struct entry
--- a/libberyl/router/prefix.h
+++ b/libberyl/router/prefix.h
@@ -13,7 +13,8 @@
 /** Maximum number of holders per block. */
 #define PREFIX_HOLDERS 6
 
-/** Maximum number of endpoints returned by a lookup. */
+/** Size of the array for the results of a lookup, at least PREFIX_HOLDERS:
+ * only holders of the first block are found. */
 #define PREFIX_MATCHES 8
 
 struct prefix_index;
@@ -38,8 +39,9 @@
                           uint32_t endpoint);
 
 /** Record that ENDPOINT will hold the chain BLOCKS.  Only a few new blocks are
- * added per call: a document's own blocks seldom recur, and a preamble is
- * complete after a few calls. */
+ * added per call: blocks after a prefix that prompts share, such as a system
+ * prompt, seldom recur, and the shared prefix is complete after a few calls.
+ */
 void prefix_index_add_chain (struct prefix_index *index,
                              const uint64_t *blocks, size_t block_count,
                              uint32_t endpoint, int64_t now_ms);
--- a/libberyl/router/private.h
+++ b/libberyl/router/private.h
@@ -12,6 +12,8 @@
 #include "estimate.h"
 #include "prefix.h"
 
+/** No index: services, organisations and endpoints are referred to by their
+ * indices in the router's arrays. */
 #define ROUTER_NONE UINT32_MAX
 
 /** Slots assumed for endpoints without a configured number. */
@@ -44,7 +46,8 @@
   uint32_t reserved;      /**< slots reserved for own tickets in prefill */
   uint32_t non_urgent;    /**< plain services: own non-urgent calls */
   uint32_t prefills;      /**< own unfinished prefills */
-  double prefills_end_ms; /**< expected end of the own prefills */
+  double prefills_end_ms; /**< time at which the own prefills are expected to
+                             have ended */
   struct router_change changes[ROUTER_CHANGES_MAX];
   uint32_t change_count;
   bool reported;
@@ -53,7 +56,9 @@
   bool cache_gap;
   uint64_t cache_sequence;
   double
-      predicted_hit_accuracy; /**< fraction of predicted hits that were real */
+      predicted_hit_accuracy; /**< moving average of the fraction of predicted
+                                 hits that occurred; reduced after a gap in the
+                                 cache events, 1 after a resync */
   uint32_t consecutive_failures;
   int64_t ejected_until_ms;
 };
@@ -80,7 +85,7 @@
   uint32_t non_urgent_slots; /**< plain services: sum of this node's shares */
   uint32_t non_urgent;       /**< plain services: own non-urgent calls */
   uint32_t unbound;          /**< tickets in prefill without a decode engine */
-  uint32_t decoding;         /**< own open decodes */
+  uint32_t decoding;         /**< own open decodes or plain calls */
   int32_t free_own;          /**< free slots in this node's shares */
   int32_t borrowable;        /**< slots of other nodes that may be used now */
   int64_t slots_counted_ms;
@@ -94,7 +99,8 @@
   /** Delay from the planned first token to the binding of a decode engine. */
   struct estimate_mean bind_delay_ms;
   /** Plain services: response times by class. */
-  struct estimate_mean answer_ms[BERYL_CLASS_BATCH + 1];
+  struct estimate_mean
+      answer_ms[BERYL_CLASS_BATCH + 1]; /* BATCH is the last class */
 };
 
 /** Usage of an organisation at this node. */
@@ -121,20 +127,21 @@
 {
   uint64_t id;
   enum router_phase phase;
-  uint32_t service;
-  uint32_t organisation;
-  uint32_t prefill;
-  uint32_t decode;
+  uint32_t service;      /**< index, or ROUTER_NONE if deleted */
+  uint32_t organisation; /**< index or ROUTER_NONE */
+  uint32_t prefill;      /**< endpoint index or ROUTER_NONE */
+  uint32_t decode;       /**< endpoint index or ROUTER_NONE */
   enum beryl_class call_class;
   uint32_t prompt_tokens;
   uint32_t max_tokens;
   uint32_t cached_tokens; /**< predicted prefix hits */
-  double prefill_cost_ms;
-  bool prefill_unqueued; /**< started with an empty prefill queue */
+  double prefill_cost_ms; /**< estimated duration of the prefill */
+  bool prefill_unqueued;  /**< started with an empty prefill queue */
   int64_t deadline_ms;
   int64_t started_ms;
-  double planned_ms; /**< planned delay from the start to the first token */
-  int64_t exported_ms;
+  double planned_ms;   /**< planned delay from the start to the first token */
+  int64_t exported_ms; /**< when the KV cache was exported; once a decode
+                          engine is bound, when it was bound */
   int64_t first_token_ms;
   int64_t last_token_ms;
   uint64_t kv_bytes;
@@ -244,6 +251,7 @@
 bool organisation_build (struct beryl_router *r,
                          const struct beryl_config *config);
 uint32_t organisation_find (const struct beryl_router *r, const char *name);
+/* A job counts as open from its entry into the queue or its start. */
 void organisation_job_opened (struct beryl_router *r, uint32_t organisation);
 void organisation_job_closed (struct beryl_router *r, uint32_t organisation);
 const char *organisation_admit (struct beryl_router *r, uint32_t organisation,
@@ -251,7 +259,8 @@
 double organisation_fair_share (const struct beryl_router *r,
                                 uint32_t organisation);
 
-/* waiting.c */
+/* waiting.c: only waiting_put updates the count of open jobs; callers that
+ * remove or insert a job do so themselves. */
 size_t waiting_find (const struct beryl_router *r, uint64_t request);
 size_t waiting_ahead (const struct beryl_router *r,
                       const struct router_waiting *w);
@@ -261,7 +270,8 @@
 void waiting_put (struct beryl_router *r, const struct router_waiting *w);
 bool waiting_remove_request (struct beryl_router *r, uint64_t request);
 
-/* cost.c: cost estimates of a job */
+/* cost.c: cost estimates of a job; Z is the number of standard deviations
+ * added to the mean length of an answer. */
 double cost_prefill_ms (const struct router_service *s,
                         uint32_t uncached_tokens);
 double cost_transfer_ms (const struct router_service *s,
--- a/libberyl/router/router.c
+++ b/libberyl/router/router.c
@@ -9,10 +9,13 @@
 /* Capacity of the prefix index, in blocks. */
 #define PREFIX_ENTRIES 32768
 
-/* Cache trust after a gap in an endpoint's events. */
+/* Upper bound of an endpoint's predicted hit accuracy after a gap in its
+ * events. */
 #define HIT_ACCURACY_AFTER_GAP 0.7
+/* Weight of one observation in the predicted hit accuracy. */
 #define HIT_ACCURACY_WEIGHT 0.1
 
+/* Weight of one observation of the time between tokens. */
 #define INTERVAL_WEIGHT 0.2
 
 static const struct router_policy *const policies[] = {
@@ -182,7 +185,7 @@
 }
 
 /* Clears the notice of freed capacity once the first waiting job is planned
- * again: the others that are planned in the same turn see the same capacity.
+ * again: the caller plans the others right after it, with the same capacity.
  */
 static void
 clear_capacity_freed (struct beryl_router *r, uint64_t request, int64_t now_ms)
@@ -235,6 +238,7 @@
   uint32_t refused = refused_by ? fleet_find (r, refused_by) : ROUTER_NONE;
   if (refused != ROUTER_NONE)
     {
+      /* The refusal serves as a load report of a full engine. */
       struct router_endpoint *e = &r->endpoints[refused];
       e->reported = true;
       e->report.measured_ms = now_ms;
@@ -276,8 +280,9 @@
                           : 0;
   double took = (double)(now_ms - t->started_ms);
   double expected = estimate_line_at (&s->prefill_ms, uncached);
-  /* Far longer than expected: another node's unreported prefill was probably
-   * queued before it. */
+  /* More than 30 % and 20 ms longer than expected: another node's unreported
+   * prefill was probably queued before it, so it gets a tenth of the weight.
+   */
   double weight = took > 1.3 * expected + 20 ? 0.1 : 1;
   estimate_line_add (&s->prefill_ms, uncached, took, weight);
 }
--- a/libberyl/router/shares.h
+++ b/libberyl/router/shares.h
@@ -15,7 +15,7 @@
 uint32_t shares_of_node (uint64_t endpoint_hash, uint32_t slots, uint64_t own,
                          const uint64_t *nodes, size_t node_count);
 
-/** Hash a name. */
+/** Return the hash that identifies a node or endpoint in the assignment. */
 uint64_t shares_hash (const char *name);
 
 #endif
--- a/libberyl/stages/stages.c
+++ b/libberyl/stages/stages.c
@@ -3,25 +3,27 @@
 #include <math.h>
 #include <stdlib.h>
 
-/* Target utilization of each pool.  Requests that arrive together queue for
- * prefill, and the queue adds to the time to the first event; decode memory is
+/* Target utilization of each pool.  It is lower for prefill, where requests
+ * that arrive together queue, which delays the first event; decode memory is
  * predicted and kept from overflowing. */
 #define PREFILL_UTILIZATION 0.75
 #define DECODE_UTILIZATION 0.85
 /* A stage changes if the split is off by at least this many engines for this
- * long: a change takes an engine out of service for longer. */
+ * long: a change takes an engine out of service, so short imbalances are
+ * ignored. */
 #define IMBALANCE_ENGINES 1.0
 #define IMBALANCE_MS 8000
-/* Initial orders are sent at once: before the first requests a change is free,
- * and later orders follow measurements. */
+/* Delay of initial orders: it is short, since before the first requests a
+ * change is free, and later orders follow measurements. */
 #define INITIAL_DELAY_MS 500
 /* Until the mix is measured, the target moves this fraction of the way from
- * the configured split to the split of the assumed mix; either may be wrong.
- */
+ * the split before the first order to the split for the assumed mix; either
+ * may be wrong. */
 #define ASSUMED_WEIGHT 0.5
 /* Orders within this time after the first one count as initial. */
 #define INITIAL_PHASE_MS 4000
-/* Maximum fraction of the engines that change their stage at a time. */
+/* No order is sent while this fraction of the engines or more is changing its
+ * stage. */
 #define CHANGING_FRACTION 0.25
 
 struct beryl_stages
