--- a/include/beryl/live.h
+++ b/include/beryl/live.h
@@ -64,7 +64,7 @@
   /** End of the grace period of an endpoint whose entry expired during an
    * outage of the list: it counts as gone then unless the entry is back; 0:
    * not expired. */
-  int64_t lapsed_until_ms;
+  int64_t grace_end_ms;
   /** When an answer showed that another process has the address, which proves
    * that this incarnation has ended; 0: never. */
   int64_t replaced_ms;
--- a/include/beryl/routes.h
+++ b/include/beryl/routes.h
@@ -62,11 +62,11 @@
                         engine */
   bool can_back_up;  /**< a running request's KV cache can be copied to another
                         engine */
-  uint32_t event_tokens;  /**< maximum tokens in one event */
-  int64_t kv_handle_ms;   /**< lifetime of a prefill's KV handle */
-  int64_t role_change_ms; /**< stated duration of a stage change; not used */
-  int64_t pin_ms;         /**< stated pin time; not used */
-  int64_t reservation_ms; /**< maximum lease on decode memory */
+  uint32_t event_tokens;   /**< maximum tokens in one event */
+  int64_t kv_handle_ms;    /**< lifetime of a prefill's KV handle */
+  int64_t stage_change_ms; /**< stated duration of a stage change; not used */
+  int64_t pin_ms;          /**< stated pin time; not used */
+  int64_t reservation_ms;  /**< maximum lease on decode memory */
 };
 
 /** Service that routes can target. */
--- a/libberyl/forward/live.c
+++ b/libberyl/forward/live.c
@@ -138,7 +138,7 @@
 mark_gone (struct beryl_live_set *lives, struct beryl_live_endpoint *endpoint)
 {
   endpoint->gone = true;
-  endpoint->lapsed_until_ms = 0;
+  endpoint->grace_end_ms = 0;
   if (endpoint->open_exchanges == 0)
     lives_release (lives, endpoint);
 }
@@ -201,7 +201,7 @@
   endpoint->info = *info;
   endpoint->info.process_start_ms = born_ms;
   endpoint->gone = false;
-  endpoint->lapsed_until_ms = 0;
+  endpoint->grace_end_ms = 0;
   if (!info->leaving)
     endpoint->leaving_since_ms = 0;
   else if (endpoint->leaving_since_ms == 0)
@@ -231,7 +231,7 @@
     endpoint->leaving_since_ms = now_ms;
   if (lives->returned_ms != 0 && now_ms < lives->returned_ms + RELIST_MS
       && !endpoint->info.leaving)
-    endpoint->lapsed_until_ms = now_ms + keep_ms (lives);
+    endpoint->grace_end_ms = now_ms + keep_ms (lives);
   else
     mark_gone (lives, endpoint);
 }
@@ -271,7 +271,7 @@
     {
       struct beryl_live_endpoint *endpoint = lives->items[i - 1];
 
-      if (endpoint->lapsed_until_ms == 0 || now_ms < endpoint->lapsed_until_ms)
+      if (endpoint->grace_end_ms == 0 || now_ms < endpoint->grace_end_ms)
         continue;
       mark_gone (lives, endpoint);
       any = true;
@@ -419,7 +419,7 @@
 static bool
 lapsed_and_failed (const struct beryl_live_endpoint *endpoint)
 {
-  return endpoint->lapsed_until_ms != 0 && endpoint->last_failure_ms != 0;
+  return endpoint->grace_end_ms != 0 && endpoint->last_failure_ms != 0;
 }
 
 bool
--- a/tests/platform_wire/test_wire.c
+++ b/tests/platform_wire/test_wire.c
@@ -85,7 +85,7 @@
   ck_assert_uint_eq (engine->kv_tokens, 106284);
   ck_assert_uint_eq (engine->event_tokens, 16);
   ck_assert_int_eq (engine->kv_handle_ms, 1500);
-  ck_assert_int_eq (engine->role_change_ms, 2000);
+  ck_assert_int_eq (engine->stage_change_ms, 2000);
   ck_assert_int_eq (engine->reservation_ms, 2500);
   ck_assert (engine->can_relocate && !engine->can_back_up);
   beryl_routes_unref (routes);
