--- a/libberyl/router/fleet.c
+++ b/libberyl/router/fleet.c
@@ -411,7 +411,7 @@
       if (number == ROUTER_NONE)
         {
           organisation_job_closed (r, r->waiting[i].organisation);
-          waiting_remove_at (r, i);
+          waiting_remove_index (r, i);
           continue;
         }
       r->waiting[i++].service = number;
--- a/libberyl/router/private.h
+++ b/libberyl/router/private.h
@@ -266,7 +266,7 @@
                       const struct router_waiting *w);
 size_t waiting_of_service (const struct beryl_router *r, uint32_t service);
 bool waiting_insert (struct beryl_router *r, const struct router_waiting *w);
-void waiting_remove_at (struct beryl_router *r, size_t at);
+void waiting_remove_index (struct beryl_router *r, size_t at);
 void waiting_put (struct beryl_router *r, const struct router_waiting *w);
 bool waiting_remove_request (struct beryl_router *r, uint64_t request);
 
--- a/libberyl/router/router.c
+++ b/libberyl/router/router.c
@@ -266,7 +266,7 @@
   if (at == SIZE_MAX)
     return;
   organisation_job_closed (r, r->waiting[at].organisation);
-  waiting_remove_at (r, at);
+  waiting_remove_index (r, at);
 }
 
 static void
--- a/libberyl/router/waiting.c
+++ b/libberyl/router/waiting.c
@@ -71,7 +71,7 @@
 }
 
 void
-waiting_remove_at (struct beryl_router *r, size_t at)
+waiting_remove_index (struct beryl_router *r, size_t at)
 {
   r->waiting_count--;
   memmove (r->waiting + at, r->waiting + at + 1,
@@ -95,7 +95,7 @@
       return;
     }
   if (at != SIZE_MAX)
-    waiting_remove_at (r, at);
+    waiting_remove_index (r, at);
   else
     organisation_job_opened (r, w->organisation);
   if (!waiting_insert (r, w))
@@ -108,6 +108,6 @@
   size_t at = waiting_find (r, request);
   if (at == SIZE_MAX)
     return false;
-  waiting_remove_at (r, at);
+  waiting_remove_index (r, at);
   return true;
 }
