--- a/include/beryl/limits.h
+++ b/include/beryl/limits.h
@@ -39,7 +39,7 @@
 
 /** Record that ENDPOINT answered a request sent at SENT_MS and advertised
  * LIMIT or none.  ANSWER_KIND is a number, not 0, that the caller assigns to
- * each kind of exchange (prefill, decode, plain call, ...).  Not all kinds of
+ * each kind of exchange (run, prefill, reservation, ...).  Not all kinds of
  * answer carry limits, so only an answer of the kind that advertised a limit
  * can end it.  Returns whether the limit changed. */
 bool beryl_limits_observe (struct beryl_limits *limits, uint32_t endpoint,
--- a/libberyl/router/planned.c
+++ b/libberyl/router/planned.c
@@ -329,7 +329,7 @@
 }
 
 /* Number of waiting KV caches of the same service that were exported before
- * T's and thus expire earlier, as engines keep all for the same time. */
+ * T's, and so expire earlier if engines keep all for the same time. */
 static int32_t
 count_expiring_earlier (const struct beryl_router *r,
                         const struct router_ticket *t)
--- a/libberyl/router/router.c
+++ b/libberyl/router/router.c
@@ -185,7 +185,7 @@
 }
 
 /* Clears the notice of freed capacity once the first waiting job is planned
- * again: the caller plans the others right after it, with the same capacity.
+ * again: the caller plans the others in the same pass, with the same capacity.
  */
 static void
 clear_capacity_freed (struct beryl_router *r, uint64_t request, int64_t now_ms)
