--- a/include/beryl/announce.h
+++ b/include/beryl/announce.h
@@ -22,8 +22,9 @@
   int64_t announced_remote_ms; /**< last announcement to all peers */
 };
 
-/** Return the interval at which a live node announces something. */
-int64_t beryl_announce_interval_ms (const struct beryl_announce *announce);
+/** Return the heartbeat interval: the longest time between two announcements
+ * of a live node. */
+int64_t beryl_announce_heartbeat_ms (const struct beryl_announce *announce);
 
 /** Return whether an announcement is due without a local change: as a
  * heartbeat, or to send earlier changes to remote peers. */
--- a/libberyl/forward/engines.c
+++ b/libberyl/forward/engines.c
@@ -22,7 +22,7 @@
 #define UNREPORTED_DECAY_MS 2000.0
 
 static bool
-serves (const struct beryl_live *endpoint, const struct request *r,
+serves (const struct beryl_live_endpoint *endpoint, const struct request *r,
         enum beryl_stage stage, int64_t now_ms)
 {
   return endpoint->info.stage == stage && beryl_live_accepts_work (endpoint)
@@ -49,7 +49,7 @@
 engine_describe_run (const struct request *r, int64_t now_ms,
                      struct beryl_engine_run *run)
 {
-  const struct beryl_live *endpoint = r->reservation.endpoint;
+  const struct beryl_live_endpoint *endpoint = r->reservation.endpoint;
 
   *run = (struct beryl_engine_run){
     .engine = endpoint != NULL ? beryl_live_hash (endpoint) : 0,
@@ -71,8 +71,8 @@
 /* Returns the memory that unreported runs are expected to use AHEAD_MS from
    now; it decays as they end. */
 static double
-unreported_tokens_at (const struct beryl_live *endpoint, int64_t now_ms,
-                      int64_t ahead_ms)
+unreported_tokens_at (const struct beryl_live_endpoint *endpoint,
+                      int64_t now_ms, int64_t ahead_ms)
 {
   double age_ms
       = (double)(now_ms - endpoint->unreported_updated_ms + ahead_ms);
@@ -84,7 +84,7 @@
 }
 
 static void
-add_unreported (const struct beryl_live *endpoint, int64_t now_ms,
+add_unreported (const struct beryl_live_endpoint *endpoint, int64_t now_ms,
                 struct memory_forecast *forecast)
 {
   for (int i = 0; i < FORECAST_STEPS; i++)
@@ -99,7 +99,7 @@
 
 void
 engine_forecast (struct beryl_forward *f, const struct service *s,
-                 const struct beryl_live *endpoint, int64_t now_ms,
+                 const struct beryl_live_endpoint *endpoint, int64_t now_ms,
                  struct memory_forecast *forecast)
 {
   const struct request *r = NULL;
@@ -125,8 +125,8 @@
    if they were refused. */
 void
 engine_learn_unreported_use (struct beryl_forward *f, const struct request *r,
-                             struct beryl_live *endpoint, uint32_t tokens,
-                             bool granted, int64_t now_ms)
+                             struct beryl_live_endpoint *endpoint,
+                             uint32_t tokens, bool granted, int64_t now_ms)
 {
   struct memory_forecast forecast;
   double threshold = (double)r->config->engine.kv_tokens - tokens;
@@ -146,8 +146,8 @@
 
 double
 engine_peak_with (struct beryl_forward *f, const struct request *r,
-                  const struct beryl_live *endpoint, double deviations,
-                  int64_t now_ms)
+                  const struct beryl_live_endpoint *endpoint,
+                  double deviations, int64_t now_ms)
 {
   struct beryl_engine_run run;
   struct memory_forecast forecast;
@@ -163,7 +163,7 @@
    reservation call may serve as one: if it fails, only the time of a
    connection attempt is lost. */
 static bool
-worth_asking (const struct beryl_live *endpoint, int64_t now_ms)
+worth_asking (const struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
   return !beryl_live_avoided (endpoint, now_ms)
          || beryl_live_probe_due (endpoint, now_ms);
@@ -171,14 +171,14 @@
 
 bool
 engine_has_prompt_cached (const struct request *r,
-                          const struct beryl_live *endpoint)
+                          const struct beryl_live_endpoint *endpoint)
 {
   return r->warm_engine != 0 && beryl_live_hash (endpoint) == r->warm_engine;
 }
 
 /* Chooses an engine from SAMPLE for R; engines outside the data centre
    PREFERRED cost REMOTE_COST more. */
-static struct beryl_live *
+static struct beryl_live_endpoint *
 choose (struct beryl_forward *f, const struct request *r,
         struct sample *sample, const char *preferred, double remote_cost,
         int64_t now_ms, double *cost)
@@ -195,8 +195,8 @@
 
 /* Returns whether ENDPOINT may be asked to run R. */
 static bool
-may_be_asked (const struct request *r, const struct beryl_live *endpoint,
-              int64_t now_ms)
+may_be_asked (const struct request *r,
+              const struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
   return serves (endpoint, r, BERYL_STAGE_DECODE, now_ms)
          && now_ms >= endpoint->full_until_ms
@@ -233,19 +233,20 @@
 
 /* Chooses among the engines that run no suspect (APART), or among all. The
    forecast is an estimate; the engine itself counts exactly and decides. */
-static struct beryl_live *
+static struct beryl_live_endpoint *
 choose_decode (struct beryl_forward *f, const struct request *r, bool apart,
                struct engine_capacity *capacity, int64_t now_ms)
 {
   struct sample sample;
-  struct beryl_live *best = NULL, *warm = NULL;
+  struct beryl_live_endpoint *best = NULL, *warm = NULL;
   double usable_tokens = FILL_PART * (double)r->config->engine.kv_tokens;
   double cost;
 
   sample_init (&sample);
   for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
     {
-      struct beryl_live *endpoint = beryl_live_set_get (f->endpoints, i);
+      struct beryl_live_endpoint *endpoint
+          = beryl_live_set_get (f->endpoints, i);
 
       if (!may_be_asked (r, endpoint, now_ms)
           || !rates_allows (f, r->service, endpoint, now_ms)
@@ -274,11 +275,11 @@
 
 /* Prefers engines that run no suspect. The choice of an avoided engine counts
    as a probe of it. */
-struct beryl_live *
+struct beryl_live_endpoint *
 engine_choose_decode (struct beryl_forward *f, const struct request *r,
                       struct engine_capacity *capacity, int64_t now_ms)
 {
-  struct beryl_live *best = NULL;
+  struct beryl_live_endpoint *best = NULL;
 
   if (crashes_any_suspect (f, now_ms))
     best = choose_decode (f, r, true, capacity, now_ms);
@@ -292,7 +293,7 @@
   return best;
 }
 
-struct beryl_live *
+struct beryl_live_endpoint *
 engine_choose_target (struct beryl_forward *f, const struct request *r,
                       int64_t now_ms)
 {
@@ -303,7 +304,8 @@
   sample_init (&sample);
   for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
     {
-      struct beryl_live *endpoint = beryl_live_set_get (f->endpoints, i);
+      struct beryl_live_endpoint *endpoint
+          = beryl_live_set_get (f->endpoints, i);
 
       if (serves (endpoint, r, BERYL_STAGE_DECODE, now_ms)
           && endpoint != r->reservation.endpoint
@@ -338,8 +340,8 @@
 }
 
 static bool
-is_usable_prefill (const struct beryl_live *endpoint, const struct request *r,
-                   int64_t now_ms)
+is_usable_prefill (const struct beryl_live_endpoint *endpoint,
+                   const struct request *r, int64_t now_ms)
 {
   return serves (endpoint, r, BERYL_STAGE_PREFILL, now_ms)
          && now_ms >= endpoint->full_until_ms
@@ -349,7 +351,7 @@
 /* Returns the prompt tokens queued at ENDPOINT by all nodes. */
 static double
 queued_tokens (const struct beryl_forward *f,
-               const struct beryl_live *endpoint, int64_t now_ms)
+               const struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
   uint32_t number = beryl_live_hash (endpoint);
 
@@ -357,18 +359,19 @@
                   + run_table_prefill_tokens (&f->run_table, number, now_ms));
 }
 
-struct beryl_live *
+struct beryl_live_endpoint *
 engine_choose_prefill (struct beryl_forward *f, const struct request *r,
                        int64_t *wait_ms, int64_t now_ms)
 {
   struct sample sample;
-  struct beryl_live *best;
+  struct beryl_live_endpoint *best;
   double waiting_tokens = 0;
 
   sample_init (&sample);
   for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
     {
-      struct beryl_live *endpoint = beryl_live_set_get (f->endpoints, i);
+      struct beryl_live_endpoint *endpoint
+          = beryl_live_set_get (f->endpoints, i);
 
       if (is_usable_prefill (endpoint, r, now_ms)
           && rates_allows (f, r->service, endpoint, now_ms))
@@ -401,7 +404,8 @@
 
   for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
     {
-      struct beryl_live *endpoint = beryl_live_set_get (f->endpoints, i);
+      struct beryl_live_endpoint *endpoint
+          = beryl_live_set_get (f->endpoints, i);
       double tokens;
 
       if (!is_usable_prefill (endpoint, r, now_ms))
@@ -422,7 +426,8 @@
 
   for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
     {
-      const struct beryl_live *endpoint = beryl_live_set_get (f->endpoints, i);
+      const struct beryl_live_endpoint *endpoint
+          = beryl_live_set_get (f->endpoints, i);
 
       if (endpoint->info.stage == BERYL_STAGE_DECODE
           && strcmp (endpoint->info.service, r->service->name) == 0)
@@ -490,7 +495,7 @@
 
 uint64_t
 beryl_forward_engine_used_tokens (struct beryl_forward *f, const char *service,
-                                  const struct beryl_live *engine,
+                                  const struct beryl_live_endpoint *engine,
                                   int64_t now_ms)
 {
   struct memory_forecast forecast;
--- a/libberyl/planner/sizer.c
+++ b/libberyl/planner/sizer.c
@@ -5,8 +5,8 @@
 #define DAY_MS 86400000
 /* Weight of a new day in the profile. */
 #define PROFILE_GAIN 0.4
-/* Number of recent load/forecast ratios that the correction averages, as in
- * BARISTA. */
+/* Number of recent ratios of load to profile that the correction averages, as
+ * in BARISTA. */
 #define RATIOS_MAX 5
 /* Bounds of the correction, so that a wrong profile cannot dominate. */
 #define CORRECTION_MIN 0.5
@@ -87,16 +87,16 @@
 correction (const struct beryl_sizer *s)
 {
   size_t count = s->ratio_count < RATIOS_MAX ? s->ratio_count : RATIOS_MAX;
-  double sum = 0;
+  double mean = 0;
 
   if (count == 0)
     return 1;
   for (size_t i = 0; i < count; i++)
-    sum += s->ratios[i];
-  sum /= (double)count;
-  if (sum < CORRECTION_MIN)
+    mean += s->ratios[i];
+  mean /= (double)count;
+  if (mean < CORRECTION_MIN)
     return CORRECTION_MIN;
-  return sum > CORRECTION_MAX ? CORRECTION_MAX : sum;
+  return mean > CORRECTION_MAX ? CORRECTION_MAX : mean;
 }
 
 /* Returns the peak of the profile until an engine ordered now is warm. */
--- a/libberyl/requests/due.c
+++ b/libberyl/requests/due.c
@@ -1,7 +1,7 @@
 #include "private.h"
 
 static void
-waiting_remove (struct beryl_requests *requests, struct request *request)
+waiting_remove_at (struct beryl_requests *requests, struct request *request)
 {
   struct waiting_list *list = &requests->waiting[request->call_class];
 
@@ -47,7 +47,7 @@
 
   request->phase = phase;
   if (waited && !waits)
-    waiting_remove (requests, request);
+    waiting_remove_at (requests, request);
   if (waits && !waited)
     waiting_insert (requests, request);
 }
--- a/libberyl/router/estimate.h
+++ b/libberyl/router/estimate.h
@@ -9,8 +9,8 @@
 /** Line y = a + b * x fitted to exponentially weighted observations. */
 struct estimate_line
 {
-  double weight, x, y, xx, xy;
-  double spread; /**< mean absolute deviation of y from the line */
+  double weight, x, y, xx, xy; /**< weighted sums of 1, x, y, x * x, x * y */
+  double spread; /**< mean absolute deviation of y from the line; not used */
 };
 
 /** Exponentially weighted mean and variance. */
@@ -42,6 +42,6 @@
 
 /** Return the largest K for which a Poisson variable of mean MU is at least
  * K with probability CERTAINTY or more. */
-uint32_t estimate_poisson_quantile (double mu, double certainty);
+uint32_t estimate_poisson_lower_bound (double mu, double certainty);
 
 #endif
--- a/libberyl/router/pair.c
+++ b/libberyl/router/pair.c
@@ -57,7 +57,7 @@
                         uint32_t prompt_tokens)
 {
   uint32_t block = s->model ? s->model->block_tokens : 0;
-  double tokens = (double)blocks * block * e->cache_trust;
+  double tokens = (double)blocks * block * e->predicted_hit_accuracy;
   return tokens < prompt_tokens ? (uint32_t)tokens : prompt_tokens;
 }
 
@@ -138,6 +138,8 @@
       uint32_t own = fleet_free_own (e, now_ms);
       if (own == 0)
         continue;
+      /* All free slots break ties between equal numbers of own ones; the own
+       * data centre is worth half a slot. */
       double score = own + 0.1 * fleet_free_slots (e, now_ms);
       if (strcmp (e->config->data_centre, r->data_centre) == 0)
         score += 0.5;
--- a/libberyl/router/plain.c
+++ b/libberyl/router/plain.c
@@ -4,7 +4,9 @@
 #include "../base/random.h"
 #include "private.h"
 
-#define HEAD_RETRY_MS 10
+/* Intervals at which waiting calls are planned again: the first of the queue,
+ * and the others. */
+#define QUEUE_HEAD_RETRY_MS 10
 #define RETRY_MS 60
 #define RETRY_AFTER_MS 500
 
@@ -91,8 +93,8 @@
 refuse (struct beryl_router *r, const struct beryl_job *job,
         const char *reason, struct beryl_plan *plan)
 {
-  if (waiting_drop (r, job->request))
-    organisation_closed (r, organisation_find (r, job->organisation));
+  if (waiting_remove_request (r, job->request))
+    organisation_job_closed (r, organisation_find (r, job->organisation));
   router_refuse (plan, reason, RETRY_AFTER_MS);
 }
 
@@ -100,8 +102,8 @@
 start (struct beryl_router *r, const struct beryl_job *job, uint32_t service,
        uint32_t endpoint, int64_t now_ms, struct beryl_plan *plan)
 {
-  if (waiting_drop (r, job->request))
-    organisation_closed (r, organisation_find (r, job->organisation));
+  if (waiting_remove_request (r, job->request))
+    organisation_job_closed (r, organisation_find (r, job->organisation));
   struct router_ticket *t = ticket_open (r, job, service, now_ms);
   if (!t)
     {
@@ -136,8 +138,8 @@
 }
 
 /* Returns by how much a non-urgent call with AHEAD others before it would miss
- * its deadline, or 0.  Refusing it now keeps the queue short enough to be
- * useful. */
+ * its deadline, or 0.  Refusing it at once keeps calls that cannot finish in
+ * time out of the queue. */
 static int64_t
 deadline_overrun_ms (const struct router_service *s,
                      const struct beryl_job *job, size_t ahead, int64_t now_ms)
@@ -190,7 +192,7 @@
       start (r, job, w.service, best, now_ms, plan);
       return;
     }
-  w.retry_at_ms = now_ms + (ahead == 0 ? HEAD_RETRY_MS : RETRY_MS);
+  w.retry_at_ms = now_ms + (ahead == 0 ? QUEUE_HEAD_RETRY_MS : RETRY_MS);
   waiting_put (r, &w);
   plan->verdict = BERYL_VERDICT_WAIT;
   plan->retry_at_ms = w.retry_at_ms;
--- a/libberyl/router/router.c
+++ b/libberyl/router/router.c
@@ -9,11 +9,14 @@
 /* Capacity of the prefix index, in blocks. */
 #define PREFIX_ENTRIES 32768
 
-/* Cache trust after a gap in an endpoint's events. */
-#define TRUST_AFTER_GAP 0.7
-#define TRUST_GAIN 0.1
+/* Upper bound of an endpoint's predicted hit accuracy after a gap in its
+ * events. */
+#define HIT_ACCURACY_AFTER_GAP 0.7
+/* Weight of one observation in the predicted hit accuracy. */
+#define HIT_ACCURACY_WEIGHT 0.1
 
-#define TOKENS_GAIN 0.2
+/* Weight of one observation of the time between tokens. */
+#define INTERVAL_WEIGHT 0.2
 
 static const struct router_policy *const policies[] = {
   [BERYL_POLICY_PLANNED] = &router_policy_planned,
@@ -145,8 +148,8 @@
   if (e->cache_known && event->sequence != e->cache_sequence + 1)
     {
       e->cache_gap = true;
-      if (e->cache_trust > TRUST_AFTER_GAP)
-        e->cache_trust = TRUST_AFTER_GAP;
+      if (e->predicted_hit_accuracy > HIT_ACCURACY_AFTER_GAP)
+        e->predicted_hit_accuracy = HIT_ACCURACY_AFTER_GAP;
     }
   e->cache_known = true;
   e->cache_sequence = event->sequence;
@@ -171,7 +174,7 @@
   e->cache_known = true;
   e->cache_gap = false;
   e->cache_sequence = sequence;
-  e->cache_trust = 1;
+  e->predicted_hit_accuracy = 1;
 }
 
 bool
@@ -182,7 +185,7 @@
 }
 
 /* Clears the notice of freed capacity once the first waiting job is planned
- * again: the others that are planned in the same turn see the same capacity.
+ * again: the caller plans the others in the same pass, with the same capacity.
  */
 static void
 clear_capacity_freed (struct beryl_router *r, uint64_t request, int64_t now_ms)
@@ -203,14 +206,14 @@
       router_refuse (plan, "no_service", 0);
       return;
     }
-  int64_t after = 0;
-  const char *limit = NULL;
+  int64_t retry_after_ms = 0;
+  const char *refusal = NULL;
   if (waiting_find (r, job->request) == SIZE_MAX)
-    limit = organisation_admit (r, organisation_find (r, job->organisation),
-                                now_ms, &after);
-  if (limit)
+    refusal = organisation_admit (r, organisation_find (r, job->organisation),
+                                  now_ms, &retry_after_ms);
+  if (refusal)
     {
-      router_refuse (plan, limit, after);
+      router_refuse (plan, refusal, retry_after_ms);
       return;
     }
   if (job->plain && r->policy == &router_policy_planned)
@@ -235,6 +238,7 @@
   uint32_t refused = refused_by ? fleet_find (r, refused_by) : ROUTER_NONE;
   if (refused != ROUTER_NONE)
     {
+      /* The refusal serves as a load report of a full engine. */
       struct router_endpoint *e = &r->endpoints[refused];
       e->reported = true;
       e->report.measured_ms = now_ms;
@@ -261,8 +265,8 @@
   size_t at = waiting_find (r, request);
   if (at == SIZE_MAX)
     return;
-  organisation_closed (r, r->waiting[at].organisation);
-  waiting_remove (r, at);
+  organisation_job_closed (r, r->waiting[at].organisation);
+  waiting_remove_index (r, at);
 }
 
 static void
@@ -276,8 +280,9 @@
                           : 0;
   double took = (double)(now_ms - t->started_ms);
   double expected = estimate_line_at (&s->prefill_ms, uncached);
-  /* Far longer than expected: another node's unreported prefill was probably
-   * queued before it. */
+  /* More than 30 % and 20 ms longer than expected: another node's unreported
+   * prefill was probably queued before it, so it gets a tenth of the weight.
+   */
   double weight = took > 1.3 * expected + 20 ? 0.1 : 1;
   estimate_line_add (&s->prefill_ms, uncached, took, weight);
 }
@@ -291,7 +296,8 @@
   double hit_ratio = (double)cached_tokens / t->cached_tokens;
   if (hit_ratio > 1)
     hit_ratio = 1;
-  e->cache_trust += TRUST_GAIN * (hit_ratio - e->cache_trust);
+  e->predicted_hit_accuracy
+      += HIT_ACCURACY_WEIGHT * (hit_ratio - e->predicted_hit_accuracy);
 }
 
 void
@@ -357,7 +363,7 @@
                      : e->busy;
   estimate_line_add (&r->services[t->service].interval_ms, batch,
                      (double)(now_ms - t->last_token_ms) / tokens,
-                     TOKENS_GAIN);
+                     INTERVAL_WEIGHT);
   t->last_token_ms = now_ms;
 }
 
