--- a/gatewayd/config_sync.h
+++ b/gatewayd/config_sync.h
@@ -6,8 +6,8 @@
  * Nodes connect to each other for this.  Each configuration carries a message
  * authentication code (MAC), computed with the cluster key.
  */
-#ifndef GATEWAYD_PULLS_H
-#define GATEWAYD_PULLS_H
+#ifndef GATEWAYD_CONFIG_SYNC_H
+#define GATEWAYD_CONFIG_SYNC_H
 
 #include <stddef.h>
 #include <stdint.h>
--- a/gatewayd/frontend.c
+++ b/gatewayd/frontend.c
@@ -9,12 +9,12 @@
   const struct gateway_wire *wire;
   struct beryl_forward *forward;
   struct h1_server *server;
-  GHashTable *exchanges; /* request number to struct h1_exchange */
+  GHashTable *requests; /* request number to struct h1_exchange */
   uint64_t last_request;
 };
 
 /* State of a request, attached to the server's exchange. */
-struct caller
+struct request_state
 {
   uint64_t request; /* first member, since the table's key points here */
   bool finished;    /* ended by the forwarder */
@@ -24,7 +24,7 @@
 static struct h1_exchange *
 find_exchange (const struct frontend *frontend, uint64_t request)
 {
-  return g_hash_table_lookup (frontend->exchanges, &request);
+  return g_hash_table_lookup (frontend->requests, &request);
 }
 
 /* Removes a request before its response ends, so that exchange_closed does not
@@ -33,13 +33,13 @@
 detach_exchange (struct frontend *frontend, uint64_t request)
 {
   struct h1_exchange *ex = find_exchange (frontend, request);
-  struct caller *caller;
+  struct request_state *state;
 
   if (ex == NULL)
     return NULL;
-  caller = h1_exchange_user (ex);
-  caller->finished = true;
-  g_hash_table_remove (frontend->exchanges, &request);
+  state = h1_exchange_user (ex);
+  state->finished = true;
+  g_hash_table_remove (frontend->requests, &request);
   return ex;
 }
 
@@ -47,30 +47,29 @@
 request_arrived (struct h1_server_handler *handler, struct h1_exchange *ex)
 {
   struct frontend *frontend = (struct frontend *)handler;
-  struct caller *caller = g_new0 (struct caller, 1);
+  struct request_state *state = g_new0 (struct request_state, 1);
   struct beryl_forward_request request = { 0 };
   int64_t now_ms = loop_now_ms (frontend->loop);
 
-  caller->request = ++frontend->last_request;
-  h1_exchange_set_user (ex, caller);
-  g_hash_table_insert (frontend->exchanges, &caller->request, ex);
+  state->request = ++frontend->last_request;
+  h1_exchange_set_user (ex, state);
+  g_hash_table_insert (frontend->requests, &state->request, ex);
   frontend->wire->impl->read_request (frontend->wire, h1_exchange_head (ex),
                                       now_ms, &request);
-  g_strlcpy (caller->id, request.id, sizeof caller->id);
-  request.request = caller->request;
+  g_strlcpy (state->id, request.id, sizeof state->id);
+  request.request = state->request;
   request.arrived_ms = now_ms;
   beryl_forward_submit (frontend->forward, &request, now_ms);
 }
 
 static void
-caller_drained (struct h1_server_handler *handler, struct h1_exchange *ex)
+caller_caught_up (struct h1_server_handler *handler, struct h1_exchange *ex)
 {
   struct frontend *frontend = (struct frontend *)handler;
-  const struct caller *caller = h1_exchange_user (ex);
+  const struct request_state *state = h1_exchange_user (ex);
 
-  if (!caller->finished)
-    beryl_forward_set_caller_paused (frontend->forward, caller->request,
-                                     false);
+  if (!state->finished)
+    beryl_forward_set_caller_paused (frontend->forward, state->request, false);
 }
 
 static void
@@ -78,20 +77,20 @@
                  bool whole)
 {
   struct frontend *frontend = (struct frontend *)handler;
-  struct caller *caller = h1_exchange_user (ex);
+  struct request_state *state = h1_exchange_user (ex);
 
-  if (!caller->finished)
+  if (!state->finished)
     {
-      detach_exchange (frontend, caller->request);
-      beryl_forward_cancel (frontend->forward, caller->request,
+      detach_exchange (frontend, state->request);
+      beryl_forward_cancel (frontend->forward, state->request,
                             loop_now_ms (frontend->loop));
     }
-  g_free (caller);
+  g_free (state);
 }
 
 static const struct h1_server_handler_impl handler_impl = {
   .request = request_arrived,
-  .drained = caller_drained,
+  .drained = caller_caught_up,
   .closed = exchange_closed,
 };
 
@@ -106,7 +105,7 @@
   frontend->loop = loop;
   frontend->wire = wire;
   frontend->forward = forward;
-  frontend->exchanges = g_hash_table_new (g_int64_hash, g_int64_equal);
+  frontend->requests = g_hash_table_new (g_int64_hash, g_int64_equal);
   frontend->server = h1_server_create (loop, address->ip, address->port,
                                        &frontend->base, error);
   if (frontend->server != NULL)
@@ -121,7 +120,7 @@
   if (frontend == NULL)
     return;
   h1_server_destroy (frontend->server);
-  g_hash_table_destroy (frontend->exchanges);
+  g_hash_table_destroy (frontend->requests);
   g_free (frontend);
 }
 
@@ -224,15 +223,15 @@
                  const struct beryl_refusal *refusal)
 {
   struct h1_exchange *ex = detach_exchange (frontend, request);
-  struct caller *caller;
+  struct request_state *state;
   GPtrArray *pointers;
   struct h1_field *fields;
 
   if (ex == NULL)
     return;
-  caller = h1_exchange_user (ex);
+  state = h1_exchange_user (ex);
   pointers = g_ptr_array_new_with_free_func (field_free);
-  frontend->wire->impl->format_refusal (frontend->wire, refusal, caller->id,
+  frontend->wire->impl->format_refusal (frontend->wire, refusal, state->id,
                                         pointers);
   fields = g_new (struct h1_field, pointers->len + 1);
   for (guint i = 0; i < pointers->len; i++)
--- a/gatewayd/frontend.h
+++ b/gatewayd/frontend.h
@@ -2,8 +2,8 @@
  * Server for callers: passes their requests to the forwarder, which refers to
  * them by number, and writes its responses.
  */
-#ifndef GATEWAYD_FRONT_H
-#define GATEWAYD_FRONT_H
+#ifndef GATEWAYD_FRONTEND_H
+#define GATEWAYD_FRONTEND_H
 
 #include "beryl/error.h"
 #include "beryl/forward.h"
--- a/gatewayd/gateway.c
+++ b/gatewayd/gateway.c
@@ -41,7 +41,7 @@
 /* Number of nodes that compete for the planner's lease, and interval at which
  * they are determined. */
 #define PLANNER_CANDIDATES 2
-#define ROLE_CHECK_MS 1000
+#define FLEET_CHECK_MS 1000
 
 struct gateway
 {
@@ -71,7 +71,7 @@
   struct relay *relay;
   struct planner *planner;
   struct survey *survey;
-  struct loop_timer *role_timer;     /* runs check_roles */
+  struct loop_timer *fleet_timer;    /* runs check_fleet */
   struct loop_timer *announce_timer; /* pending announcement; NULL if none */
   struct loop_timer *tick_timer;
   int64_t tick_due_ms;
@@ -169,7 +169,7 @@
 }
 
 static void
-forward_cut (struct beryl_forward_owner *owner, uint64_t request)
+forward_truncate (struct beryl_forward_owner *owner, uint64_t request)
 {
   frontend_truncate (gateway_from_forward (owner)->frontend, request);
 }
@@ -198,17 +198,17 @@
 
 static void
 forward_quarantine_changed (struct beryl_forward_owner *owner,
-                            uint64_t fingerprint, int64_t left_ms,
+                            uint64_t fingerprint, int64_t remaining_ms,
                             enum beryl_quarantine_cause cause)
 {
   struct gateway *g = gateway_from_forward (owner);
 
   g_info ("quarantine fingerprint=%016" G_GINT64_MODIFIER
           "x left_ms=%" G_GINT64_FORMAT " cause=%s",
-          fingerprint, left_ms, beryl_quarantine_cause_name (cause));
+          fingerprint, remaining_ms, beryl_quarantine_cause_name (cause));
   metrics_count_quarantine (g->metrics, beryl_quarantine_cause_name (cause));
   if (cause == BERYL_QUARANTINE_CRASHES)
-    quarantine_records_add (g->quarantine_records, fingerprint, left_ms);
+    quarantine_records_add (g->quarantine_records, fingerprint, remaining_ms);
 }
 
 /* Only requests whose run has broken off have a fingerprint. */
@@ -222,8 +222,8 @@
 }
 
 static void
-forward_decided (struct beryl_forward_owner *owner,
-                 const struct beryl_decision *d)
+forward_log_decision (struct beryl_forward_owner *owner,
+                      const struct beryl_decision *d)
 {
   char fingerprint[20];
 
@@ -243,9 +243,9 @@
 }
 
 static void
-forward_learned (struct beryl_forward_owner *owner,
-                 const struct beryl_live *endpoint, const char *what,
-                 const char *from)
+forward_log_endpoint_state (struct beryl_forward_owner *owner,
+                            const struct beryl_live *endpoint,
+                            const char *what, const char *from)
 {
   g_info ("endpoint id=%s revision=%" G_GUINT64_FORMAT " %s from=%s",
           endpoint->info.id, endpoint->info.revision, what, from);
@@ -258,12 +258,12 @@
   .answer_begin = forward_begin,
   .answer_data = forward_data,
   .answer_end = forward_end,
-  .answer_abort = forward_cut,
+  .answer_abort = forward_truncate,
   .refuse = forward_refuse,
   .fingerprint = forward_fingerprint,
   .quarantine_changed = forward_quarantine_changed,
-  .log_decision = forward_decided,
-  .log_endpoint_state = forward_learned,
+  .log_decision = forward_log_decision,
+  .log_endpoint_state = forward_log_endpoint_state,
 };
 
 static void
@@ -539,7 +539,7 @@
 }
 
 static void
-check_roles (void *user)
+check_fleet (void *user)
 {
   struct gateway *g = user;
   struct beryl_endpoint_set changing = { 0 };
@@ -571,7 +571,7 @@
  * for an earlier time: a timer that fires too early costs an empty tick,
  * moving it for each event would cost more. */
 static void
-schedule_tick (uv_prepare_t *prepare)
+schedule_pending_work (uv_prepare_t *prepare)
 {
   struct gateway *g = prepare->data;
   int64_t next_ms = beryl_forward_next_tick_ms (g->forward);
@@ -602,7 +602,7 @@
   g->prepare = g_new0 (uv_prepare_t, 1);
   uv_prepare_init (loop_uv (g->loop), g->prepare);
   g->prepare->data = g;
-  uv_prepare_start (g->prepare, schedule_tick);
+  uv_prepare_start (g->prepare, schedule_pending_work);
 }
 
 static void
@@ -698,8 +698,8 @@
       g->planner = planner_create (loop, wire, &g->settings, g->store,
                                    g->forward, g->endpoints);
       g->survey = survey_create (loop, wire, g->forward, g->endpoints);
-      g->role_timer = loop_timer_start (loop, ROLE_CHECK_MS, ROLE_CHECK_MS,
-                                        check_roles, g);
+      g->fleet_timer = loop_timer_start (loop, FLEET_CHECK_MS, FLEET_CHECK_MS,
+                                         check_fleet, g);
       return g;
     }
   gateway_destroy (g);
@@ -714,7 +714,7 @@
   loop_timer_stop (g->tick_timer);
   loop_timer_stop (g->announce_timer);
   loop_timer_stop (g->stop_timer);
-  loop_timer_stop (g->role_timer);
+  loop_timer_stop (g->fleet_timer);
   survey_destroy (g->survey);
   planner_destroy (g->planner);
   cluster_key_destroy (g->cluster_key);
--- a/gatewayd/members.c
+++ b/gatewayd/members.c
@@ -9,8 +9,8 @@
 #include "wire/gossip.h"
 #include "wire/link.h"
 
-#define PROBE_MS 500
-#define ACK_MS 150
+#define PROBE_INTERVAL_MS 500
+#define ACK_TIMEOUT_MS 150
 /* Interval at which the node checks whether an announcement is due. */
 #define ANNOUNCE_CHECK_MS 100
 /* Number of announcement intervals without a message after which a peer is not
@@ -34,18 +34,18 @@
   uint64_t sequence;
   uint64_t endpoint_revision; /* newest change seen by this node */
   struct beryl_announce announce;
-  GHashTable *peers;        /* node name to struct peer */
-  GHashTable *recorded;     /* names of the nodes that have a record */
-  GHashTable *silent_since; /* node name to start of silence, int64_t */
+  GHashTable *announcements; /* node name to struct announcement */
+  GHashTable *recorded;      /* names of the nodes that have a record */
+  GHashTable *silent_since;  /* node name to start of silence, int64_t */
   struct config_sync *config_sync;
   uint64_t configuration_revision;      /* of this node's configuration */
   char key[DATAGRAM_KEY_MAX_BYTES + 1]; /* "" until known */
   uint32_t count;                       /* nodes that are not dead */
-  uint32_t active_count; /* not dead or on record; 0 until listed */
+  uint32_t possible_count; /* not dead or on record; 0 until listed */
 };
 
 /* The last announcement of a peer. */
-struct peer
+struct announcement
 {
   uint64_t incarnation;
   uint64_t sequence;
@@ -101,7 +101,7 @@
 }
 
 static uint32_t
-count_active (const struct members *m)
+count_possible (const struct members *m)
 {
   uint32_t count = g_hash_table_size (m->recorded);
 
@@ -118,15 +118,16 @@
 static void
 update_counts (struct members *m)
 {
-  uint32_t active_count = count_active (m);
+  uint32_t possible_count = count_possible (m);
 
   m->count = members_count (m);
   m->announce.remote_count = count_remote (m);
   m->announce.local_count = m->count - m->announce.remote_count;
-  if (active_count == m->active_count || g_hash_table_size (m->recorded) == 0)
+  if (possible_count == m->possible_count
+      || g_hash_table_size (m->recorded) == 0)
     return;
-  m->active_count = active_count;
-  m->owner->impl->count_changed (m->owner, active_count);
+  m->possible_count = possible_count;
+  m->owner->impl->count_changed (m->owner, possible_count);
 }
 
 static void
@@ -207,25 +208,25 @@
 receive_loads (struct members *m, struct frame *frame)
 {
   struct loads_message message;
-  struct peer *peer;
+  struct announcement *last;
 
   if (!loads_read (frame, &message)
       || strcmp (message.from, m->settings->node) == 0)
     return;
-  peer = g_hash_table_lookup (m->peers, message.from);
-  if (peer == NULL)
+  last = g_hash_table_lookup (m->announcements, message.from);
+  if (last == NULL)
     {
-      peer = g_new0 (struct peer, 1);
-      g_hash_table_insert (m->peers, g_strdup (message.from), peer);
+      last = g_new0 (struct announcement, 1);
+      g_hash_table_insert (m->announcements, g_strdup (message.from), last);
     }
   /* Datagrams may be reordered; an older one would bring ended runs back. */
-  if (message.incarnation < peer->incarnation
-      || (message.incarnation == peer->incarnation
-          && message.sequence <= peer->sequence))
+  if (message.incarnation < last->incarnation
+      || (message.incarnation == last->incarnation
+          && message.sequence <= last->sequence))
     return;
-  peer->incarnation = message.incarnation;
-  peer->sequence = message.sequence;
-  peer->heard_ms = now_ms (m);
+  last->incarnation = message.incarnation;
+  last->sequence = message.sequence;
+  last->heard_ms = now_ms (m);
   m->owner->impl->loads_received (m->owner, &message);
 }
 
@@ -326,11 +327,12 @@
 void
 members_announce_loads (struct members *m, struct loads_message *message)
 {
-  bool everywhere = beryl_announce_includes_remote (&m->announce, now_ms (m));
+  bool includes_remote
+      = beryl_announce_includes_remote (&m->announce, now_ms (m));
 
   if (m->table == NULL)
     return;
-  beryl_announce_done (&m->announce, everywhere, now_ms (m));
+  beryl_announce_done (&m->announce, includes_remote, now_ms (m));
   message->sequence = ++m->sequence;
   message->incarnation = m->incarnation;
   message->endpoint_revision = m->endpoint_revision;
@@ -344,7 +346,7 @@
 
       if (peer->state != BERYL_MEMBER_DEAD
           && strcmp (peer->name, m->settings->node) != 0
-          && (everywhere || is_local (m, peer)
+          && (includes_remote || is_local (m, peer)
               || concerns_peer (message, peer)))
         datagram_send_sealed (m->datagram, peer->address, peer->port);
     }
@@ -428,7 +430,8 @@
   m->counters = counters;
   m->count = 1;
   m->announce.local_count = 1;
-  m->peers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  m->announcements
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   m->recorded = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   m->silent_since
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
@@ -461,7 +464,7 @@
   ticker_destroy (m->ticker);
   frame_writer_destroy (m->writer);
   beryl_membership_destroy (m->table);
-  g_hash_table_destroy (m->peers);
+  g_hash_table_destroy (m->announcements);
   g_hash_table_destroy (m->recorded);
   g_hash_table_destroy (m->silent_since);
   g_free (m);
@@ -492,8 +495,8 @@
   self->port = datagram_port (m->datagram);
   self->incarnation = incarnation;
   settings.seed = incarnation * UINT64_C (0x9e3779b97f4a7c15);
-  settings.probe_ms = PROBE_MS;
-  settings.ack_ms = ACK_MS;
+  settings.probe_ms = PROBE_INTERVAL_MS;
+  settings.ack_ms = ACK_TIMEOUT_MS;
   m->incarnation = incarnation;
   m->table = beryl_membership_create (&settings, &m->base, now_ms (m));
   beryl_membership_set_entry (m->table, incarnation, m->settings->front.port,
@@ -545,15 +548,16 @@
 static bool
 accepts_callers (const struct members *m, const struct beryl_member *member)
 {
-  const struct peer *peer = g_hash_table_lookup (m->peers, member->name);
+  const struct announcement *last
+      = g_hash_table_lookup (m->announcements, member->name);
 
   if (member->state != BERYL_MEMBER_ALIVE || member->leaving
       || member->http_port == 0)
     return false;
   if (strcmp (member->name, m->settings->node) == 0)
     return true;
-  return peer != NULL
-         && now_ms (m) - peer->heard_ms
+  return last != NULL
+         && now_ms (m) - last->heard_ms
                 <= SILENT_INTERVALS * members_announce_interval_ms (m);
 }
 
@@ -620,9 +624,9 @@
 
   if (m->count <= 1)
     return false;
-  g_hash_table_iter_init (&iter, m->peers);
+  g_hash_table_iter_init (&iter, m->announcements);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (now_ms (m) - ((const struct peer *)value)->heard_ms
+    if (now_ms (m) - ((const struct announcement *)value)->heard_ms
         <= SILENT_INTERVALS * members_announce_interval_ms (m))
       return false;
   return true;
--- a/gatewayd/notices.c
+++ b/gatewayd/notices.c
@@ -25,14 +25,14 @@
                bool with_older)
 {
   int64_t now_ms = loop_now_ms (n->loop);
-  bool crashes = beryl_quarantine_build_update (
+  bool quarantine_changed = beryl_quarantine_build_update (
       beryl_forward_quarantine (n->forward), &message->quarantine, with_older,
       now_ms);
   bool limits = beryl_limits_build_update (
       beryl_forward_limits (n->forward), &message->limits, with_older, now_ms);
 
   message->limits.node = n->node;
-  return crashes || limits;
+  return quarantine_changed || limits;
 }
 
 static void
@@ -95,13 +95,14 @@
 bool
 notices_schedule (struct notices *n)
 {
-  bool crashes
+  bool quarantine_changed
       = beryl_quarantine_fetch_changed (beryl_forward_quarantine (n->forward));
 
-  if ((crashes || beryl_limits_has_changes (beryl_forward_limits (n->forward)))
+  if ((quarantine_changed
+       || beryl_limits_has_changes (beryl_forward_limits (n->forward)))
       && n->send_timer == NULL)
     n->send_timer = loop_timer_start (n->loop, SEND_DELAY_MS, 0, send_due, n);
-  return crashes;
+  return quarantine_changed;
 }
 
 void
--- a/gatewayd/outbound.c
+++ b/gatewayd/outbound.c
@@ -114,7 +114,7 @@
 }
 
 static enum beryl_exchange_failure
-break_from_failure (enum h1_failure failure)
+convert_failure (enum h1_failure failure)
 {
   switch (failure)
     {
@@ -140,7 +140,7 @@
 
   call_detach (call);
   beryl_forward_exchange_failed (o->forward, call->exchange,
-                                 break_from_failure (failure), sent,
+                                 convert_failure (failure), sent,
                                  loop_now_ms (o->loop));
   call_free (call);
 }
--- a/gatewayd/planner.c
+++ b/gatewayd/planner.c
@@ -98,12 +98,12 @@
  * the report may have been read after a pause in which another node took
  * over. */
 static void
-send_order (struct planner *p, uint64_t orders)
+send_order (struct planner *p, uint64_t accepted_orders)
 {
   struct beryl_live *endpoint = find_target (p);
   struct gateway_stage_order o = { .stage = p->target_stage,
                                    .holder = p->settings->node,
-                                   .expected_orders = orders };
+                                   .expected_orders = accepted_orders };
   GString *head, *body;
 
   if (endpoint == NULL || !stored_lease_held (p->lease, &o.fence)
--- a/gatewayd/platform_source.h
+++ b/gatewayd/platform_source.h
@@ -2,8 +2,8 @@
  * Watches the platform's API: the configuration object and the entries of the
  * endpoints.
  */
-#ifndef GATEWAYD_SOURCE_H
-#define GATEWAYD_SOURCE_H
+#ifndef GATEWAYD_PLATFORM_SOURCE_H
+#define GATEWAYD_PLATFORM_SOURCE_H
 
 #include "beryl/live.h"
 #include "beryl/relay.h"
--- a/gatewayd/quarantine_records.c
+++ b/gatewayd/quarantine_records.c
@@ -138,12 +138,12 @@
 
 void
 quarantine_records_add (struct quarantine_records *q, uint64_t fingerprint,
-                        int64_t left_ms)
+                        int64_t remaining_ms)
 {
   struct record *record = g_new0 (struct record, 1);
 
   record->fingerprint = fingerprint;
-  record->expires_s = unix_time_s () + left_ms / 1000;
+  record->expires_s = unix_time_s () + remaining_ms / 1000;
   g_queue_push_tail (q->pending, record);
   write_first (q);
 }
@@ -160,7 +160,7 @@
 }
 
 static int64_t
-read_left_ms (const struct beryl_object *object)
+read_remaining_ms (const struct beryl_object *object)
 {
   json_t *value = json_loadb (object->value, object->value_bytes, 0, NULL);
   json_int_t expires_s
@@ -196,14 +196,14 @@
   for (size_t i = 0; i < count; i++)
     {
       uint64_t fingerprint;
-      int64_t left_ms;
+      int64_t remaining_ms;
 
       if (!read_fingerprint (objects[i].name, &fingerprint))
         continue;
-      left_ms = read_left_ms (&objects[i]);
-      if (left_ms == 0
+      remaining_ms = read_remaining_ms (&objects[i]);
+      if (remaining_ms == 0
           || !beryl_quarantine_record_read (q->quarantine, fingerprint,
-                                            left_ms, now_ms))
+                                            remaining_ms, now_ms))
         remove_record (q, &objects[i]);
     }
   beryl_quarantine_records_synced (q->quarantine, now_ms);
--- a/gatewayd/quarantine_records.h
+++ b/gatewayd/quarantine_records.h
@@ -25,10 +25,10 @@
 /** Release; the records stay.  NULL is allowed. */
 void quarantine_records_destroy (struct quarantine_records *records);
 
-/** Write a record that quarantines FINGERPRINT for LEFT_MS; retries until it
- * is written. */
+/** Write a record that quarantines FINGERPRINT for REMAINING_MS; retries until
+ * it is written. */
 void quarantine_records_add (struct quarantine_records *records,
-                             uint64_t fingerprint, int64_t left_ms);
+                             uint64_t fingerprint, int64_t remaining_ms);
 
 /** Update the quarantine from all records of the kind, which include those of
  * nodes. */
--- a/gatewayd/registry.c
+++ b/gatewayd/registry.c
@@ -30,7 +30,7 @@
   uint32_t list_count;
 };
 
-static const struct platform_client_options write_options
+static const struct platform_client_options call_options
     = { .use = BERYL_USE_STATUS, .timeout_ms = CALL_TIMEOUT_MS, .wait = true };
 
 static void write_record (struct registry *r);
@@ -105,7 +105,7 @@
   write.value = text;
   write.value_bytes = strlen (text);
   r->request
-      = platform_client_put (r->client, &write_options, &write, write_done, r);
+      = platform_client_put (r->client, &call_options, &write, write_done, r);
   free (text);
 }
 
@@ -134,11 +134,11 @@
 }
 
 static int64_t
-list_delay_ms (const struct registry *r, size_t nodes)
+list_delay_ms (const struct registry *r, size_t objects)
 {
   if (r->list_count < INITIAL_LIST_COUNT)
     return INITIAL_LIST_MS;
-  return MAX (LIST_MIN_MS, (int64_t)nodes * LIST_PER_NODE_MS);
+  return MAX (LIST_MIN_MS, (int64_t)objects * LIST_PER_NODE_MS);
 }
 
 static void
@@ -161,7 +161,7 @@
         continue;
       g_info ("record of node=%s is being removed", node);
       r->delete_request
-          = platform_client_delete (r->client, &write_options, REGISTRY_KIND,
+          = platform_client_delete (r->client, &call_options, REGISTRY_KIND,
                                     node, objects[i].version, delete_done, r);
     }
 }
@@ -209,7 +209,7 @@
 list_records (void *user)
 {
   struct registry *r = user;
-  struct platform_client_options options = write_options;
+  struct platform_client_options options = call_options;
 
   options.wait = false;
   r->request = platform_client_list (r->client, &options, REGISTRY_KIND, "",
@@ -271,7 +271,7 @@
     platform_client_forget (r->client, r->request);
   r->request = 0;
   if (r->version != 0)
-    r->request = platform_client_delete (r->client, &write_options,
+    r->request = platform_client_delete (r->client, &call_options,
                                          REGISTRY_KIND, r->settings->node,
                                          r->version, withdraw_done, r);
 }
--- a/gatewayd/store.c
+++ b/gatewayd/store.c
@@ -10,11 +10,11 @@
 #define WATCH_PER_NODE_MS 500
 #define WATCH_MAX_MS 25000
 #define BACKOFF_MIN_MS 50
-#define BACKOFF_MAX_MS 400
+#define BACKOFF_MAX_LOW_MS 400
 /* The longest backoff grows likewise, so that the call rate of the fleet stays
  * the same while the store is unreachable. */
 #define BACKOFF_PER_NODE_MS 15
-#define BACKOFF_LIMIT_MS 1300
+#define BACKOFF_MAX_HIGH_MS 1300
 /* Number of nodes that are assumed to share the rates until the nodes have
  * been listed. */
 #define ASSUMED_NODES 50
@@ -39,7 +39,7 @@
       .watch_wait_ms = WATCH_MIN_MS,
       .watch_spacing_ms = STORE_WATCH_SPACING_MS,
       .backoff_min_ms = BACKOFF_MIN_MS,
-      .backoff_max_ms = BACKOFF_MAX_MS,
+      .backoff_max_ms = BACKOFF_MAX_LOW_MS,
     },
   };
 
@@ -49,8 +49,8 @@
 static int64_t
 backoff_max_ms (uint32_t nodes)
 {
-  return CLAMP ((int64_t)nodes * BACKOFF_PER_NODE_MS, BACKOFF_MAX_MS,
-                BACKOFF_LIMIT_MS);
+  return CLAMP ((int64_t)nodes * BACKOFF_PER_NODE_MS, BACKOFF_MAX_LOW_MS,
+                BACKOFF_MAX_HIGH_MS);
 }
 
 void
--- a/gatewayd/survey.c
+++ b/gatewayd/survey.c
@@ -16,7 +16,7 @@
 {
   struct survey *survey;
   struct engine_call *call;
-  uint32_t engine;
+  uint32_t engine_hash;
 };
 
 struct survey
@@ -53,9 +53,9 @@
                                       response->body, response->body_bytes,
                                       keys);
   for (guint i = 0; i < keys->len; i++)
-    beryl_forward_prompt_cached (survey->forward,
-                                 g_array_index (keys, uint32_t, i),
-                                 query->engine, loop_now_ms (survey->loop));
+    beryl_forward_prompt_cached (
+        survey->forward, g_array_index (keys, uint32_t, i), query->engine_hash,
+        loop_now_ms (survey->loop));
   survey->prompt_count += keys->len;
   g_array_free (keys, TRUE);
   g_ptr_array_remove_fast (survey->queries, query);
@@ -71,7 +71,7 @@
   GString *head = g_string_new (NULL);
 
   query->survey = survey;
-  query->engine = beryl_live_hash (endpoint);
+  query->engine_hash = beryl_live_hash (endpoint);
   survey->wire->impl->format_prompts_request (survey->wire, &endpoint->info,
                                               head);
   query->call = engine_call_start (survey->loop, &endpoint->info, head, NULL,
