--- a/gatewayd/cluster_key.c
+++ b/gatewayd/cluster_key.c
@@ -65,8 +65,8 @@
   if (result->code == BERYL_OK)
     report_key (k, k->generated);
   else
-    schedule_retry (
-        k); /* another node created it first, or the platform is unreachable */
+    /* Another node created it first, or the write failed: read again. */
+    schedule_retry (k);
 }
 
 static void
--- a/gatewayd/cluster_key.h
+++ b/gatewayd/cluster_key.h
@@ -1,9 +1,10 @@
 /** @file
  * Key that authenticates the messages between nodes.
  *
- * The first node of a fleet creates it and stores it in the platform's API,
- * which only nodes and operators can read.  It prevents anyone who can merely
- * send datagrams from declaring a node dead or distributing a configuration.
+ * The first node of a fleet creates it and stores it as an object in the
+ * platform's API, which is meant to be read only by nodes and operators.
+ * Without it, anyone who can send datagrams could declare a node dead or
+ * distribute a configuration.
  */
 #ifndef GATEWAYD_CLUSTER_KEY_H
 #define GATEWAYD_CLUSTER_KEY_H
--- a/gatewayd/config_sync.c
+++ b/gatewayd/config_sync.c
@@ -74,7 +74,9 @@
   g_free (transfer);
 }
 
-/* Logs one line for each pull by this node. */
+/* Logs the end of a connection if this node pulled over it.  The outcome is
+ * "whole" for any complete response and "none" for one without a
+ * configuration. */
 static void
 log_outcome (const struct transfer *transfer, const char *outcome)
 {
@@ -145,7 +147,7 @@
     }
   compute_mac (sync, revision, value, bytes, expected_mac);
   if (CRYPTO_memcmp (mac, expected_mac, MAC_BYTES) != 0)
-    g_warning ("configuration from a peer rejected: wrong key");
+    g_warning ("configuration from a peer rejected: MAC does not match");
   else if (revision > sync->revision)
     sync->owner->impl->configuration_received (sync->owner, revision, value,
                                                bytes);
--- a/gatewayd/config_sync.h
+++ b/gatewayd/config_sync.h
@@ -3,8 +3,9 @@
  * that are ahead, so that a node without access to the store follows the
  * others.
  *
- * Nodes connect to each other for this.  Each configuration carries a message
- * authentication code (MAC), computed with the cluster key.
+ * Nodes connect to each other over TCP, at the peer port.  Each configuration
+ * carries a message authentication code (MAC), computed with the cluster
+ * key.
  */
 #ifndef GATEWAYD_CONFIG_SYNC_H
 #define GATEWAYD_CONFIG_SYNC_H
--- a/gatewayd/engine_call.h
+++ b/gatewayd/engine_call.h
@@ -1,6 +1,6 @@
 /** @file
- * A single HTTP call to an engine, made by this node itself; the response is
- * read whole.
+ * A single HTTP call to an engine, made by this node itself; the callback runs
+ * when the whole response has been read.
  */
 #ifndef GATEWAYD_ENGINE_CALL_H
 #define GATEWAYD_ENGINE_CALL_H
@@ -17,7 +17,7 @@
 struct engine_response
 {
   const struct h1_head *head; /**< response head; NULL if the call failed */
-  const char *body;           /**< response body, up to the requested limit */
+  const char *body;           /**< response body, see engine_call_start */
   size_t body_bytes;
   enum h1_failure failure; /**< reason, if the call failed */
   bool sent;               /**< a failed call may have reached the engine */
@@ -27,8 +27,9 @@
 typedef void engine_call_cb (void *user,
                              const struct engine_response *response);
 
-/** Send HEAD and BODY (may be NULL) to ENGINE; keep at most BODY_MAX_BYTES of
- * the response body. */
+/** Send HEAD and BODY (may be NULL) to ENGINE.  At most BODY_MAX_BYTES of the
+ * response body are kept: each piece that does not fit is dropped, so the
+ * body of a longer response may have gaps. */
 struct engine_call *
 engine_call_start (struct loop *loop, const struct beryl_live_info *engine,
                    const GString *head, const GString *body,
--- a/gatewayd/fingerprint.h
+++ b/gatewayd/fingerprint.h
@@ -7,9 +7,10 @@
 
 #include "h1/head.h"
 
-/** Return the fingerprint of a request by CALLER, never 0.  It is a
- * cryptographic hash because callers choose the bodies: none must be able to
- * construct a collision with another caller's request. */
+/** Return the fingerprint of a request by CALLER, never 0: the first 64 bits
+ * of a SHA-256 over CALLER, method, host, target and body.  A cryptographic
+ * hash prevents callers, who choose the bodies, from constructing one that has
+ * the fingerprint of another caller's request. */
 uint64_t fingerprint_request (const struct h1_head *head, const char *caller,
                               const char *body, size_t body_bytes);
 
--- a/gatewayd/frontend.c
+++ b/gatewayd/frontend.c
@@ -9,15 +9,16 @@
   const struct gateway_wire *wire;
   struct beryl_forward *forward;
   struct h1_server *server;
-  GHashTable *requests; /* request number to struct h1_exchange */
+  GHashTable *requests; /* number to h1_exchange */
   uint64_t last_request;
 };
 
-/* State of a request, attached to the server's exchange. */
+/* State of a request, attached to its h1_exchange: the request and response at
+ * this server, as opposed to the forwarder's exchanges with endpoints. */
 struct request_state
 {
-  uint64_t request; /* first member, since the table's key points here */
-  bool finished;    /* ended by the forwarder */
+  uint64_t request; /* the table's key points here */
+  bool finished;    /* removed from the table */
   char id[BERYL_REQUEST_ID_BYTES];
 };
 
@@ -27,8 +28,8 @@
   return g_hash_table_lookup (frontend->requests, &request);
 }
 
-/* Removes a request before its response ends, so that exchange_closed does not
- * report its end to the forwarder, which caused it. */
+/* Removes a request from the table and marks it as finished, so that
+ * exchange_closed does not cancel it at the forwarder. */
 static struct h1_exchange *
 detach_exchange (struct frontend *frontend, uint64_t request)
 {
--- a/gatewayd/frontend.h
+++ b/gatewayd/frontend.h
@@ -1,6 +1,6 @@
 /** @file
  * Server for callers: passes their requests to the forwarder, which refers to
- * them by number, and writes its responses.
+ * them by number, and sends the responses that the forwarder decides on.
  */
 #ifndef GATEWAYD_FRONTEND_H
 #define GATEWAYD_FRONTEND_H
@@ -38,11 +38,18 @@
                               const struct h1_head *head, bool has_length,
                               uint64_t length);
 
-/** Continue or end a response, as in struct beryl_forward_owner_impl. */
+/** Send part of the body of a response that has begun. */
 void frontend_write (struct frontend *frontend, uint64_t request,
                      const char *bytes, size_t bytes_count);
+
+/** End a response as complete. */
 void frontend_finish (struct frontend *frontend, uint64_t request);
+
+/** End a response that has begun such that the caller sees it is
+ * incomplete. */
 void frontend_truncate (struct frontend *frontend, uint64_t request);
+
+/** Send a response that refuses a request; no response has begun. */
 void frontend_refuse (struct frontend *frontend, uint64_t request,
                       const struct beryl_refusal *refusal);
 
--- a/gatewayd/gateway.c
+++ b/gatewayd/gateway.c
@@ -27,20 +27,22 @@
  * their callers get a response from this node. */
 #define STOP_MARGIN_MS 700
 /* Delay by which changes of this node's runs are batched into one
- * announcement; other nodes place a request every few tens of milliseconds. */
+ * announcement.  Other nodes choose an engine every few tens of milliseconds,
+ * by the runs announced so far. */
 #define ANNOUNCE_DELAY_MS 30
-/* Minimum interval between announcements of generation profiles, which change
- * slowly and go to all peers. */
+/* Minimum interval between announcements of generation profiles (token counts
+ * and speeds of each service, which the planner uses).  They change slowly and
+ * go to all peers. */
 #define PROFILE_INTERVAL_MS 500
 
-/* Request bodies may take one part in BODY_MEMORY_DIVISOR of the memory. */
+/* Request bodies may use 1 / BODY_MEMORY_DIVISOR of memory_mb. */
 #define BODY_MEMORY_DIVISOR 4
 /* Number of nodes that are assumed to share the retry budget until the nodes
  * have been listed. */
 #define ASSUMED_NODES 50
-/* Number of nodes that compete for the planner's lease, and interval at which
- * they are determined. */
+/* Number of nodes that compete for the planner's lease. */
 #define PLANNER_CANDIDATES 2
+/* Interval of check_fleet. */
 #define FLEET_CHECK_MS 1000
 
 struct gateway
@@ -196,6 +198,7 @@
                               body, body_bytes);
 }
 
+/* Logs that a request entered quarantine for REMAINING_MS, or left it (0). */
 static void
 forward_quarantine_changed (struct beryl_forward_owner *owner,
                             uint64_t fingerprint, int64_t remaining_ms,
@@ -211,7 +214,8 @@
     quarantine_records_add (g->quarantine_records, fingerprint, remaining_ms);
 }
 
-/* Only requests whose run has broken off have a fingerprint. */
+/* FINGERPRINT is 0 if the quarantine has not needed it, for example because no
+ * RUN exchange of the request was interrupted. */
 static const char *
 format_fingerprint (uint64_t fingerprint, char *text, size_t text_bytes)
 {
@@ -242,13 +246,15 @@
       format_fingerprint (d->fingerprint, fingerprint, sizeof fingerprint));
 }
 
+/* Logs a STATE that the endpoint list does not show yet; SOURCE is the peer
+ * that reported it, or this node. */
 static void
 forward_log_endpoint_state (struct beryl_forward_owner *owner,
                             const struct beryl_live *endpoint,
-                            const char *what, const char *from)
+                            const char *state, const char *source)
 {
   g_info ("endpoint id=%s revision=%" G_GUINT64_FORMAT " %s from=%s",
-          endpoint->info.id, endpoint->info.revision, what, from);
+          endpoint->info.id, endpoint->info.revision, state, source);
 }
 
 static const struct beryl_forward_owner_impl forward_impl = {
@@ -280,6 +286,7 @@
     .body_bytes = caller_limits->body_bytes,
     .header_timeout_ms = caller_limits->header_timeout_ms,
     .idle_timeout_ms = caller_limits->idle_timeout_ms,
+    /* The other half is left to connections to endpoints. */
     .connections = g->settings.descriptors_max / 2,
     .all_bodies_bytes
     = ((uint64_t)g->settings.memory_mb << 20) / BODY_MEMORY_DIVISOR,
@@ -493,9 +500,9 @@
                              objects, count);
 }
 
-/* A silent node is back within seconds, or never.  Until its record is
- * removed, the other nodes leave its share of the retry budget unused: it may
- * be running, partitioned from this node. */
+/* The planner's node removes the record of a node that has been silent for
+ * record_keep_ms.  Until then the others leave the silent node's share of the
+ * retry budget unused, because it may be running, partitioned from them. */
 static bool
 registry_should_remove (struct registry_owner *owner, const char *node)
 {
@@ -523,6 +530,8 @@
   g->announce_timer = NULL;
   message.run_count = beryl_forward_runs (g->forward, message.runs,
                                           BERYL_ENGINE_RUNS_MAX, now_ms);
+  /* Engines that are ordered to change their stage are added for the peers
+     and applied at this node too; the forwarder then adds its own reports. */
   planner_add_pending (g->planner, &message.news.changing);
   beryl_forward_peer_endpoint_reports (g->forward, g->settings.node,
                                        &message.news, now_ms);
@@ -538,6 +547,8 @@
   members_announce_loads (g->members, &message);
 }
 
+/* Announces engines with pending orders, applies whether this node is isolated
+ * and determines whether it competes for the planner's lease. */
 static void
 check_fleet (void *user)
 {
@@ -567,9 +578,10 @@
   beryl_forward_tick (g->forward, loop_now_ms (g->loop));
 }
 
-/* Runs once per loop iteration, before it waits.  The timer is only re-armed
- * for an earlier time: a timer that fires too early costs an empty tick,
- * moving it for each event would cost more. */
+/* Runs once per loop iteration, before it waits: schedules announcements,
+ * notices and the forwarder's next tick.  The tick timer is only re-armed for
+ * an earlier time: a timer that fires too early costs an empty tick, moving it
+ * for each event would cost more. */
 static void
 schedule_pending_work (uv_prepare_t *prepare)
 {
@@ -581,7 +593,7 @@
       && beryl_forward_runs_changed (g->forward))
     g->announce_timer
         = loop_timer_start (g->loop, ANNOUNCE_DELAY_MS, 0, announce, g);
-  /* An isolated node may have missed quarantines that are on record. */
+  /* An isolated node may have missed quarantines that the store records. */
   if (g->notices != NULL && notices_schedule (g->notices)
       && g->registry != NULL && members_isolated (g->members))
     registry_refresh (g->registry);
--- a/gatewayd/gateway.h
+++ b/gatewayd/gateway.h
@@ -23,13 +23,16 @@
 void gateway_destroy (struct gateway *gateway);
 
 /** Apply the settings that may change at run time: the retry budget, how long
- * addresses may be cached and how long a stop may take.  Other changes are
- * logged and take effect at the next start. */
+ * addresses may be cached and how long a stop may take.  Other changes have no
+ * effect until the next start; those for which gateway_settings_need_restart
+ * is true are logged. */
 void gateway_reload (struct gateway *gateway,
                      const struct gateway_settings *settings);
 
-/** Begin a graceful shutdown: accept no new callers, finish open requests,
- * then quit the loop. */
+/** Begin a graceful shutdown and quit the loop at its end.  The node is no
+ * longer listed to callers, but accepts connections until their cached lists
+ * of addresses have expired.  Requests that are still open shortly before the
+ * end of stop_ms are ended. */
 void gateway_stop (struct gateway *gateway);
 
 #endif
--- a/gatewayd/main.c
+++ b/gatewayd/main.c
@@ -99,5 +99,6 @@
     return status;
   log_init (program.name, LOG_FORMAT_TEXT, settings.log_level);
   log_bound (STDOUT_FILENO, settings.log_lines_per_s);
+  /* daemon_start has loaded this file: the last argument. */
   return run (&settings, argv[argc - 1]);
 }
--- a/gatewayd/members.c
+++ b/gatewayd/members.c
@@ -9,12 +9,14 @@
 #include "wire/gossip.h"
 #include "wire/link.h"
 
+/* Interval between membership probes, and the time after which other nodes are
+ * asked to probe a peer that has not acknowledged one. */
 #define PROBE_INTERVAL_MS 500
 #define ACK_TIMEOUT_MS 150
 /* Interval at which the node checks whether an announcement is due. */
 #define ANNOUNCE_CHECK_MS 100
-/* Number of announcement intervals without a message after which a peer is not
- * listed to callers. */
+/* Number of announcement intervals without an announcement after which a peer
+ * is not listed to callers; if no peer announces, this node is isolated. */
 #define SILENT_INTERVALS 3
 
 struct members
@@ -309,8 +311,9 @@
   return false;
 }
 
-/* Returns whether MESSAGE asks PEER for retry budget or lends it some.  This
- * is sent only once, so such a peer gets the message wherever it is. */
+/* Returns whether MESSAGE asks PEER for retry budget or lends it some.  A
+ * transfer is announced only once, so such a peer gets the message in whatever
+ * data centre it is. */
 static bool
 concerns_peer (const struct loads_message *message,
                const struct beryl_member *peer)
@@ -499,6 +502,8 @@
   settings.ack_ms = ACK_TIMEOUT_MS;
   m->incarnation = incarnation;
   m->table = beryl_membership_create (&settings, &m->base, now_ms (m));
+  /* These fields are those of beryl-entryd in other fleets; this process
+     serves callers itself and has no second peer port. */
   beryl_membership_set_entry (m->table, incarnation, m->settings->front.port,
                               0, now_ms (m));
   if (m->configuration_revision != 0)
--- a/gatewayd/members.h
+++ b/gatewayd/members.h
@@ -1,6 +1,8 @@
 /** @file
- * The other nodes of the fleet: which there are, what they run at engines, and
- * the newest configuration that one of them has.
+ * The other nodes of the fleet: which there are, their runs, and the newest
+ * configuration that one of them has.
+ *
+ * A run is a request in progress at an engine.
  */
 #ifndef GATEWAYD_MEMBERS_H
 #define GATEWAYD_MEMBERS_H
@@ -23,9 +25,9 @@
 /** Callbacks to the owner. */
 struct members_owner_impl
 {
-  /** The number of nodes that may be running has changed: those alive and
-   * those with a record.  A node that is not heard may only be partitioned
-   * from this one. */
+  /** The number of nodes that may be running has changed: those that are not
+   * dead and those with a record.  A node that appears dead may merely be
+   * partitioned from this one. */
   void (*count_changed) (struct members_owner *owner, uint32_t count);
   /** A peer announced its loads; MESSAGE is newer than all its earlier
    * ones. */
@@ -34,14 +36,14 @@
   /** A peer relayed changes of the endpoint list. */
   void (*changes_received) (struct members_owner *owner,
                             const struct changes_message *message);
-  /** A peer sent notices. */
+  /** A peer sent notices of crashes, quarantined requests or rate limits. */
   void (*notices_received) (struct members_owner *owner,
                             const struct notices_message *message);
-  /** PEER is suspect or dead, and its runs no longer count. */
+  /** PEER is suspect or dead; disregard its runs. */
   void (*peer_lost) (struct members_owner *owner, const char *peer);
   /** An announcement is due: call members_announce_loads with the current
-   * runs.  Peers take silence for death and account for engine load by the
-   * announced runs. */
+   * runs.  Peers estimate the load of engines by them, and do not list a node
+   * to callers if its announcements cease. */
   void (*announce_due) (struct members_owner *owner);
   /** A peer has a newer configuration than this node: return whether to pull
    * it now. */
@@ -73,16 +75,16 @@
 /** Set the key that authenticates messages from and to peers. */
 void members_set_key (struct members *members, const char *key);
 
-/** Join the fleet; INCARNATION numbers this process among all that ran as this
- * node.  Only the first call has an effect. */
+/** Join the fleet; INCARNATION is greater than that of any earlier process of
+ * this node.  Only the first call has an effect. */
 void members_join (struct members *members, uint64_t incarnation);
 
 /** Update from the platform's records of all nodes. */
 void members_set_records (struct members *members,
                           const struct beryl_listed *items, size_t count);
 
-/** Return for how long NODE has not been heard by any node, in milliseconds; 0
- * if it is alive. */
+/** Return the time since this node first saw NODE suspect or dead, in
+ * milliseconds; 0 if it is alive or unknown. */
 int64_t members_silent_ms (const struct members *members, const char *node);
 
 /** Announce that this node is shutting down. */
@@ -92,8 +94,8 @@
  * centres. */
 bool members_announces_remote (const struct members *members);
 
-/** Announce MESSAGE to the peers.  The caller sets this node's runs, news,
- * profiles and transfers of retry budget. */
+/** Announce MESSAGE to the peers.  The caller sets this node's runs, its
+ * reports on endpoints, generation profiles and transfers of retry budget. */
 void members_announce_loads (struct members *members,
                              struct loads_message *message);
 
@@ -133,7 +135,8 @@
 bool members_is_candidate (const struct members *members, const char *role,
                            uint32_t max);
 
-/** Return whether there are other nodes but none of them is heard. */
+/** Return whether other nodes are listed as not dead, but none of them has
+ * announced anything recently. */
 bool members_isolated (const struct members *members);
 
 /** Return the interval at which a live peer announces its loads, in
--- a/gatewayd/metrics.c
+++ b/gatewayd/metrics.c
@@ -12,8 +12,8 @@
   struct counters *counters;
 };
 
-/* Upper bounds of the histogram buckets; they include the latency objectives
- * of plain calls and of first events. */
+/* Upper bounds of the histogram buckets.  They include the latency objectives
+ * of plain services (whole response) and of engines (first event). */
 static const int64_t bucket_ends_ms[]
     = { 5, 10, 20, 50, 100, 200, 300, 500, 900, 1500, 3000, 6000, 14000 };
 
--- a/gatewayd/metrics.h
+++ b/gatewayd/metrics.h
@@ -1,6 +1,6 @@
 /** @file
- * Counters and latency histograms of a node, taken from the same decisions as
- * the log.
+ * Counters and latency histograms of a node, taken from the same steps of
+ * requests (struct beryl_decision) as the lines of the log.
  */
 #ifndef GATEWAYD_METRICS_H
 #define GATEWAYD_METRICS_H
@@ -40,7 +40,7 @@
   bool is_endpoint_watcher;      /**< it relays changes of the endpoint list */
   uint64_t limited_endpoints;    /**< endpoints that announce a rate limit */
   uint64_t quarantined_requests; /**< not sent to any endpoint */
-  uint64_t suspect_requests;     /**< during which an endpoint has ended */
+  uint64_t suspect_requests;     /**< whose endpoint ended while it ran them */
 };
 
 /** Set the gauges and return all metrics as text, to be freed with free(). */
--- a/gatewayd/notices.c
+++ b/gatewayd/notices.c
@@ -2,8 +2,8 @@
 
 /* Delay by which changes are batched into one message. */
 #define SEND_DELAY_MS 20
-/* Interval at which new notices are repeated and older ones are sent in
- * turns. */
+/* Interval at which new notices are repeated and some of the older ones are
+ * sent, in rotation. */
 #define REPEAT_MS 500
 /* Number of peers that older notices go to. */
 #define OLDER_NOTICE_PEERS 2
@@ -18,8 +18,8 @@
   struct loop_timer *send_timer;
 };
 
-/* Fills MESSAGE with new notices, and WITH_OLDER in turns with older ones;
- * returns false if there are none. */
+/* Fills MESSAGE with new notices and, if WITH_OLDER, some of the older ones in
+ * rotation; returns false if there are none. */
 static bool
 write_message (struct notices *n, struct notices_message *message,
                bool with_older)
--- a/gatewayd/notices.h
+++ b/gatewayd/notices.h
@@ -1,10 +1,11 @@
 /** @file
  * Sends notices to the other nodes: requests that crash endpoints, rate limits
- * that endpoints announce, and what this node sends to such endpoints.
+ * that endpoints announce, and the rate of this node's requests to such
+ * endpoints.
  *
  * New notices go to all peers, several times.  Older ones go to a few random
- * peers, so that nodes that were away learn of them and a node's share does
- * not grow with the fleet.
+ * peers, so that nodes that were unreachable learn of them, while the number
+ * of messages that a node sends does not grow with the fleet.
  */
 #ifndef GATEWAYD_NOTICES_H
 #define GATEWAYD_NOTICES_H
@@ -24,8 +25,8 @@
 /** Release; NULL is allowed. */
 void notices_destroy (struct notices *notices);
 
-/** Schedule the sending of new notices; return whether a crash or a quarantine
- * is among them. */
+/** Schedule the sending of new notices; return whether those of crashes or
+ * quarantined requests have changed. */
 bool notices_schedule (struct notices *notices);
 
 /** Handle the notices of a peer. */
--- a/gatewayd/outbound.c
+++ b/gatewayd/outbound.c
@@ -4,7 +4,8 @@
 
 #include "h1/client.h"
 
-/* Limit of the response body of an engine call; valid ones are small. */
+/* Maximum response body that is kept of an exchange other than RUN; pieces
+ * that exceed it are dropped.  Valid responses are smaller. */
 #define ENGINE_RESPONSE_MAX_BYTES 65536
 
 struct outbound
@@ -68,7 +69,8 @@
     g_string_append_len (call->body, bytes, (gssize)bytes_count);
 }
 
-/* Removes CALL from the table; it is freed after its event was reported. */
+/* Removes CALL, whose HTTP call has ended, from the table.  The caller frees
+ * it with call_free after reporting the event. */
 static void
 call_detach (struct call *call)
 {
--- a/gatewayd/outbound.h
+++ b/gatewayd/outbound.h
@@ -1,6 +1,6 @@
 /** @file
- * Exchanges with endpoints: each is one HTTP call, whose events are reported
- * to the forwarder by exchange number.
+ * Exchanges with endpoints: each is one HTTP call (DIAL only connects), whose
+ * events are reported to the forwarder by exchange number.
  */
 #ifndef GATEWAYD_OUTBOUND_H
 #define GATEWAYD_OUTBOUND_H
--- a/gatewayd/planner.c
+++ b/gatewayd/planner.c
@@ -9,8 +9,8 @@
 #define LEASE_KIND "gateway-leases"
 #define LEASE_NAME "stage-planner"
 #define PLAN_INTERVAL_MS 500
-/* The holder stays idle in the last part of the lease's duration, one in
- * LEASE_MARGIN_DIVISOR; this covers clocks that run at different rates. */
+/* The holder stays idle in the last 1 / LEASE_MARGIN_DIVISOR of the lease's
+ * duration; this covers clocks that run at different rates. */
 #define LEASE_MARGIN_DIVISOR 6
 /* How long an order counts as pending.  It shows in the engine's entry within
  * some seconds; one that does not was lost or is carried out late. */
@@ -68,7 +68,9 @@
       = { "accepted", "holds", "busy", "fenced", "refused" };
 
   p->call = NULL;
-  /* An order without a response stays pending: it may be carried out. */
+  /* Whatever the outcome, the order stays pending until the engine's entry
+     shows the stage or the order expires: one without a response may still be
+     carried out. */
   if (response->head == NULL)
     g_info ("planner engine=%s order failed=%s sent=%d", p->target_id,
             h1_failure_name (response->failure), response->sent);
@@ -289,10 +291,9 @@
   plan (p);
 }
 
-/* Plans again right after an order, because others are often due as well.
- * With one order per plan interval of half a second, seven of 45 engines would
- * reach their new stage some seconds later than possible, with too few for
- * decode meanwhile. */
+/* Plans again right after an order, because others are often due as well: with
+ * one order per PLAN_INTERVAL_MS, changing seven of 45 engines took some
+ * seconds longer, with too few engines for decode meanwhile. */
 static void
 schedule_plan (struct planner *p)
 {
--- a/gatewayd/platform_source.c
+++ b/gatewayd/platform_source.c
@@ -2,7 +2,8 @@
 
 #include <string.h>
 
-/* A watch that is behind a peer's for this long is polled. */
+/* The store is polled if this node's endpoint list has been older than a
+ * peer's for this long. */
 #define BEHIND_MAX_MS 400
 /* Minimum interval between such polls.  A slow store must be given time to
  * respond, or polling would keep this node behind for as long as the store is
@@ -13,13 +14,13 @@
 #define CHECK_INTERVAL_MS 250
 /* Minimum interval between log lines about invalid entries. */
 #define INVALID_LOG_INTERVAL_MS 1000
-/* The store sends a change to all nodes at the same time, so a peer that is
- * ahead is merely faster.  Pulling from it would take half of a slow link from
- * the store's response, which would then arrive twice as late.  So a peer is
- * asked if no response has begun to arrive by this time ... */
+/* Time after which the configuration is pulled from a peer that is ahead, if
+ * the store's response has not begun to arrive.  The store sends a change to
+ * all nodes at the same time, and pulling it as well would take half of a slow
+ * link from the store's response, which would then arrive twice as late. */
 #define RESPONSE_START_MAX_MS 400
-/* ... or if the response is still arriving at this time, when less than half
- * of the time in which a change must be in use is left. */
+/* The same if the response has begun to arrive, but is not complete: by now
+ * more than half of the time in which a change should be in use is over. */
 #define RESPONSE_END_MAX_MS 3500
 /* Changes of one response that are buffered to be relayed. */
 #define BUFFERED_CHANGES_MAX 128
@@ -36,8 +37,8 @@
   struct platform_source_owner *owner;
   uint64_t configuration_watch;
   uint64_t endpoint_watch;
-  uint64_t configuration_version;  /* 0 if there is none */
-  uint64_t configuration_revision; /* of the object in use */
+  uint64_t configuration_version;  /* stated in the text; 0 if none */
+  uint64_t configuration_revision; /* given by the store to the object */
   GString *configuration_text;     /* JSON text of the object in use */
   bool has_routes;
   bool has_endpoints;
@@ -193,9 +194,9 @@
   return s->configuration_text->str;
 }
 
-/* Rejects an entry that was not written by an endpoint.  An endpoint that had
- * this name is removed until its next heartbeat restores the entry.  Foreign
- * writers may be fast, so that at most one line a second is logged. */
+/* Rejects a malformed entry, which some other client has written.  An endpoint
+ * that had this name is removed until its next heartbeat restores the entry.
+ * Invalid entries may be frequent, so at most one line a second is logged. */
 static void
 reject_entry (struct platform_source *s, const char *name, const char *why)
 {
@@ -290,7 +291,7 @@
       && now_ms - s->gap_polled_ms < GAP_POLL_INTERVAL_MS)
     return;
   s->gap_polled_ms = now_ms;
-  g_info ("endpoints missed relayed changes: seen=%" G_GUINT64_FORMAT
+  g_info ("endpoint list missed relayed changes: seen=%" G_GUINT64_FORMAT
           " relayed after=%" G_GUINT64_FORMAT,
           s->synced_revision, after);
   platform_client_poke (s->client, s->endpoint_watch);
@@ -349,9 +350,10 @@
          || beryl_platform_is_away (platform_client_core (s->client));
 }
 
-/* Polls the store if this node stays behind its peers.  The waiting watches of
- * all nodes are answered at the same time, so one that stays behind is waiting
- * on a dead connection. */
+/* Polls the store if this node's endpoint list stays behind its peers'.  A
+ * change is answered to all waiting watches at the same time and relayed to
+ * followers at once, so a node that stays behind probably waits on a dead
+ * connection. */
 static void
 check_behind (struct platform_source *s)
 {
@@ -364,7 +366,7 @@
   else if (now_ms - s->behind_since_ms >= BEHIND_MAX_MS
            && (s->polled_ms == 0 || now_ms - s->polled_ms >= POLL_INTERVAL_MS))
     {
-      g_info ("endpoints behind peers: seen=%" G_GUINT64_FORMAT
+      g_info ("endpoint list is behind peers: seen=%" G_GUINT64_FORMAT
               " peers=%" G_GUINT64_FORMAT,
               s->endpoint_revision, s->peer_revision);
       s->polled_ms = now_ms;
@@ -399,8 +401,8 @@
   check_behind (s);
   if (!beryl_live_set_expire (s->endpoints, loop_now_ms (s->loop)))
     return;
-  g_info ("endpoints removed whose entries expired in the outage and did not "
-          "return");
+  g_info ("endpoints removed: their entries expired during a store outage and "
+          "were not renewed");
   s->owner->impl->endpoints_changed (s->owner);
 }
 
--- a/gatewayd/platform_source.h
+++ b/gatewayd/platform_source.h
@@ -1,6 +1,6 @@
 /** @file
- * Watches the platform's API: the configuration object and the entries of the
- * endpoints.
+ * Watches two kinds of objects in the platform's API (the store): the
+ * configuration and the entries of the endpoints.
  */
 #ifndef GATEWAYD_PLATFORM_SOURCE_H
 #define GATEWAYD_PLATFORM_SOURCE_H
@@ -54,12 +54,13 @@
                                           uint64_t revision, const char *value,
                                           size_t value_bytes);
 
-/** Return the version of the configuration in use; 0 if there is none. */
+/** Return the version of the configuration in use, as its text states it; 0 if
+ * there is none. */
 uint64_t
 platform_source_configuration_version (const struct platform_source *source);
 
-/** Return the revision and the JSON text of the configuration object in
- * use. */
+/** Return the store's revision of the configuration object in use, and its
+ * JSON text. */
 uint64_t
 platform_source_configuration_revision (const struct platform_source *source);
 const char *
@@ -79,13 +80,15 @@
 void platform_source_apply_changes (struct platform_source *source,
                                     const struct changes_message *message);
 
-/** Watch the endpoint list according to ROLE: a follower makes no calls, those
- * of a watcher wait for WAIT_MS. */
+/** Watch the endpoint list according to ROLE: a follower does not watch, each
+ * watch call of a watcher waits for a change for at most WAIT_MS, and those of
+ * a standalone node wait for the time set by store_set_watch_wait. */
 void platform_source_set_role (struct platform_source *source,
                                enum beryl_relay_role role, int64_t wait_ms);
 
-/** A peer has a newer configuration: return whether to pull it now.  False
- * while the store is likely to deliver it as soon. */
+/** A peer has a newer configuration: return whether to pull it now.  The first
+ * call starts a waiting time; false until it ends, while the store is likely
+ * to deliver the configuration just as soon. */
 bool platform_source_should_pull (struct platform_source *source);
 
 /** Return whether a configuration and the endpoint list have been read. */
--- a/gatewayd/quarantine_records.c
+++ b/gatewayd/quarantine_records.c
@@ -70,8 +70,8 @@
   if (result->code == BERYL_ERROR_CONFLICT)
     record->existing_version = result->version;
   else
-    g_warning ("record of fingerprint=%016" G_GINT64_MODIFIER
-               "x not written: %s",
+    g_warning ("quarantine record of fingerprint=%016" G_GINT64_MODIFIER
+               "x not written, retrying: %s",
                record->fingerprint, beryl_error_code_name (result->code));
   q->retry_timer = loop_timer_start (q->loop, RETRY_MS, 0, retry_due, q);
 }
@@ -200,6 +200,8 @@
 
       if (!read_fingerprint (objects[i].name, &fingerprint))
         continue;
+      /* Remove records that have expired, and those of requests that have been
+         cleared since. */
       remaining_ms = read_remaining_ms (&objects[i]);
       if (remaining_ms == 0
           || !beryl_quarantine_record_read (q->quarantine, fingerprint,
--- a/gatewayd/registry.c
+++ b/gatewayd/registry.c
@@ -8,8 +8,8 @@
 #define CALL_TIMEOUT_MS 3000
 #define RETRY_MS 200
 /* The first lists follow each other quickly, since the nodes of a fleet start
- * together.  Later changes spread between the nodes, and the list only
- * repairs. */
+ * together.  Later changes spread by gossip, and the list only corrects what
+ * gossip has missed. */
 #define INITIAL_LIST_MS 1000
 #define INITIAL_LIST_COUNT 2
 /* With more nodes each one lists less often. */
@@ -133,6 +133,7 @@
   return item->address[0] != '\0' && item->port != 0;
 }
 
+/* OBJECTS counts node records and quarantine records. */
 static int64_t
 list_delay_ms (const struct registry *r, size_t objects)
 {
@@ -147,7 +148,9 @@
   ((struct registry *)user)->delete_request = 0;
 }
 
-/* Removes one record at a time; the next list shows the others again. */
+/* Removes one record at a time; the next list shows the others again.  Names
+ * of quarantine records are not those of nodes, so should_remove is false for
+ * them. */
 static void
 remove_stale_record (struct registry *r, const struct beryl_object *objects,
                      size_t count)
--- a/gatewayd/registry.h
+++ b/gatewayd/registry.h
@@ -1,9 +1,9 @@
 /** @file
  * This node's record in the platform's API, and those of the other nodes.
  *
- * The API expires nothing, so one node removes the records of nodes that are
- * gone for good.  The version of the record is the incarnation of this
- * process: it only grows, whatever the clock does, and needs no disk.
+ * Node records do not expire, so one node removes those of nodes that are gone
+ * for good.  The version of the record as this process first writes it is its
+ * incarnation: versions only grow, whatever the clock does, and need no disk.
  */
 #ifndef GATEWAYD_REGISTRY_H
 #define GATEWAYD_REGISTRY_H
@@ -13,7 +13,8 @@
 #include "common/platform_client.h"
 #include "settings.h"
 
-/** Kind of the node records and of others that concern the whole fleet. */
+/** Kind of the node records and of the quarantine records
+ * (quarantine_records.h). */
 #define REGISTRY_KIND "gateway-nodes"
 
 struct registry;
--- a/gatewayd/relay.c
+++ b/gatewayd/relay.c
@@ -14,9 +14,10 @@
  * all of its followers at once. */
 #define WATCHER_COUNT 2
 #define ROLE_NAME "endpoint-watcher"
-/* Bytes of changes in one message: a datagram's, less the other fields. */
+/* Maximum size of the changes in one message, which must fit into a datagram
+ * together with its other fields. */
 #define MESSAGE_MAX_BYTES (DATAGRAM_MAX_BYTES - 64)
-/* Bytes of one change beside its name and value. */
+/* Encoded size of a change, less its name and value. */
 #define CHANGE_OVERHEAD_BYTES 24
 
 struct relay
@@ -26,7 +27,7 @@
   struct platform_source *source;
   struct members *members;
   struct counters *counters;
-  struct beryl_relay *core;
+  struct beryl_relay *core; /* decides the role */
   enum beryl_relay_role role;
   struct loop_timer *role_timer;
 };
@@ -125,6 +126,7 @@
   struct changes_message message = { .after = after };
   size_t sent = 0;
 
+  /* AFTER is 0 for the first full list, which is not relayed. */
   if (r->role != BERYL_RELAY_WATCHER || after == 0)
     return;
   if (!complete || !has_distinct_versions (changes, count))
--- a/gatewayd/settings.c
+++ b/gatewayd/settings.c
@@ -57,8 +57,11 @@
   {                                                                           \
     .key = #member, .type = type_, OFFSET (member), .min = low, .max = high   \
   }
-/* A limit filled in by the platform, which may write it as a fraction or in
- * scientific notation; rounded to the side on which the limit still holds. */
+/* A number whose value the platform puts into the settings file, perhaps as a
+ * fraction or in scientific notation.  ROUNDING is the safe direction: up
+ * for leases, windows and the longest delay of an order, otherwise down.  Keys
+ * with a unit (repeat_window_s, stop_s) set the same member as those in
+ * milliseconds. */
 #define BOUND(key_, type_, member, unit_, low, high, rounding_)               \
   {                                                                           \
     .key = key_, .type = type_, OFFSET (member), .unit = unit_, .min = low,   \
--- a/gatewayd/settings.h
+++ b/gatewayd/settings.h
@@ -34,14 +34,15 @@
   uint32_t repeat_slack;        /**< retries allowed beyond the ratio */
   int64_t repeat_window_ms;     /**< period that the retry budget covers */
   int64_t address_keep_ms;   /**< how long callers may cache node addresses */
-  int64_t endpoint_leave_ms; /**< grace period of an endpoint that left */
+  int64_t endpoint_leave_ms; /**< how long after leaving an endpoint may still
+                                get work */
   int64_t stop_ms;           /**< time from the stop signal to the kill */
   int64_t record_keep_ms;    /**< how long a silent node's record is kept */
-  int64_t lease_ms;
+  int64_t lease_ms;          /**< duration of the planner's lease */
   int64_t thaw_ms; /**< longest delay of an order on its way to an engine */
   bool engines_check_fence;
   uint32_t descriptors_max;
-  uint32_t memory_mb;
+  uint32_t memory_mb; /**< memory limit; a quarter is for request bodies */
   char log_level[16];
   uint32_t log_lines_per_s;
 };
@@ -51,8 +52,9 @@
 bool gateway_settings_load (struct gateway_settings *settings,
                             const char *path, struct beryl_findings *findings);
 
-/** Return whether OLD and NEW differ in settings that take effect only at a
- * start. */
+/** Return whether OLD and NEW differ in a setting that a reload reports as
+ * taking effect only at a start: node, data_centre, addresses, ports,
+ * lease_ms, thaw_ms, engines_check_fence or descriptors_max. */
 bool gateway_settings_need_restart (const struct gateway_settings *old,
                                     const struct gateway_settings *new);
 
--- a/gatewayd/store.c
+++ b/gatewayd/store.c
@@ -1,18 +1,21 @@
 #include "store.h"
 
-/* Store calls are short; if one takes longer, the store does not respond. */
+/* Time limit of one HTTP call: calls are short, so a store that takes longer
+ * is not responding.  A platform_client_options.timeout_ms is longer because
+ * it covers retries. */
 #define CALL_TIMEOUT_MS 700
-/* How long a watch waits until it is renewed; a dead connection is detected by
- * the missing response.  The time grows with the number of nodes, since one of
- * them still notices a change as soon and informs the others: the call rate of
- * the fleet stays the same. */
+/* How long a watch call waits for a change; a dead connection is detected by
+ * the missing response.  The time grows with the number of nodes up to
+ * WATCH_MAX_MS, so that the call rate of the fleet stays the same up to there.
+ * With more nodes, one of them still notices a change as early and informs the
+ * others. */
 #define WATCH_MIN_MS 2000
 #define WATCH_PER_NODE_MS 500
 #define WATCH_MAX_MS 25000
 #define BACKOFF_MIN_MS 50
+/* The maximum backoff grows likewise between these limits, to bound the call
+ * rate of the fleet while the store is unreachable. */
 #define BACKOFF_MAX_LOW_MS 400
-/* The longest backoff grows likewise, so that the call rate of the fleet stays
- * the same while the store is unreachable. */
 #define BACKOFF_PER_NODE_MS 15
 #define BACKOFF_MAX_HIGH_MS 1300
 /* Number of nodes that are assumed to share the rates until the nodes have
--- a/gatewayd/store.h
+++ b/gatewayd/store.h
@@ -1,6 +1,6 @@
 /** @file
- * The client of the platform's API, with limits that depend on the size of the
- * fleet.
+ * Creates the client of the platform's API (the store) and sets its limits,
+ * which depend on the size of the fleet.
  */
 #ifndef GATEWAYD_STORE_H
 #define GATEWAYD_STORE_H
--- a/gatewayd/survey.c
+++ b/gatewayd/survey.c
@@ -4,11 +4,11 @@
 
 #include "engine_call.h"
 
-/* Interval at which the node checks whether the endpoint list has arrived; it
- * arrives whole within some tens of milliseconds of a start. */
+/* Interval at which the node checks whether the endpoint list has arrived.  It
+ * arrives as a whole, so one endpoint in it means that all are there. */
 #define LIST_CHECK_MS 50
-/* Engines that one node asks: enough for all of a small fleet, and a bound
- * where hundreds of nodes and thousands of engines start together. */
+/* Maximum number of engines that one node asks, a bound on the load if
+ * hundreds of nodes start together with thousands of engines. */
 #define ENGINES_MAX 32
 #define RESPONSE_MAX_BYTES (256U << 10)
 
@@ -16,7 +16,7 @@
 {
   struct survey *survey;
   struct engine_call *call;
-  uint32_t engine_hash;
+  uint32_t engine_hash; /* beryl_live_hash of the engine */
 };
 
 struct survey
@@ -27,8 +27,8 @@
   struct beryl_live_set *endpoints;
   struct loop_timer *timer;
   GPtrArray *queries;
-  size_t engine_count;
-  size_t prompt_count;
+  size_t engine_count; /* engines asked, with or without a response */
+  size_t prompt_count; /* prompts reported */
 };
 
 static void
--- a/gatewayd/survey.h
+++ b/gatewayd/survey.h
@@ -1,9 +1,10 @@
 /** @file
- * After a start, asks the decode engines which prompts they have cached.
+ * After a start, asks decode engines which prompts they have cached, so that
+ * repeated prompts go to the engines that have them.
  *
- * When nodes lose power, their callers return with the same prompts within
- * seconds, all at once, and the engines still have most of them.  Nodes that
- * kept running know where those prompts ran, a restarted one does not.
+ * When nodes restart, for instance after a power failure, their callers repeat
+ * most prompts within seconds, while the engines still have them cached.  A
+ * restarted node does not know where they ran.
  */
 #ifndef GATEWAYD_SURVEY_H
 #define GATEWAYD_SURVEY_H
--- a/include/gateway/wire.h
+++ b/include/gateway/wire.h
@@ -2,7 +2,13 @@
  * Translation between gatewayd and a deployment: the HTTP messages of its
  * callers and endpoints, and the objects in its platform's API.
  *
- * An implementation only translates; it makes no decisions.
+ * An implementation only translates; it makes no decisions.  The messages
+ * between nodes are not part of it (include/wire/).
+ *
+ * An engine is an endpoint that runs a model; it has a stage, prefill or
+ * decode.  The platform's API is an object store, called the store.  The kinds
+ * of exchanges (RUN, PREFILL, ...) are those of enum beryl_exchange_kind; RUN
+ * is the caller's request itself, forwarded to an endpoint.
  */
 #ifndef GATEWAY_WIRE_H
 #define GATEWAY_WIRE_H
@@ -97,7 +103,7 @@
                           const struct h1_head *head, size_t body_bytes,
                           const struct beryl_exchange_start *start,
                           GString *out);
-  /** Format the head and body of any other call to an engine. */
+  /** Format the head and body of any other exchange with an engine. */
   void (*format_engine_call) (const struct gateway_wire *wire,
                               const struct beryl_exchange_start *start,
                               GString *head, GString *body);
@@ -138,7 +144,8 @@
   enum gateway_order_result (*read_order_result) (
       const struct gateway_wire *wire, const struct h1_head *head);
   /** Append the header fields (struct h1_field) of a response that refuses a
-   * request. */
+   * request.  The caller frees each struct and its value with g_free, but not
+   * its name, which must be static. */
   void (*format_refusal) (const struct gateway_wire *wire,
                           const struct beryl_refusal *refusal,
                           const char *request_id, GPtrArray *fields);
@@ -159,7 +166,7 @@
 struct gateway_wire
 {
   const struct gateway_wire_impl *impl;
-  struct platform_wire store; /**< translation of the platform's object API */
+  struct platform_wire store; /**< translation of the calls to the store */
 };
 
 #endif
