--- a/gatewayd/frontend.c
+++ b/gatewayd/frontend.c
@@ -9,7 +9,7 @@
   const struct gateway_wire *wire;
   struct beryl_forward *forward;
   struct h1_server *server;
-  GHashTable *requests; /* number to h1_exchange */
+  GHashTable *requests; /* request number to h1_exchange */
   uint64_t last_request;
 };
 
--- a/gatewayd/planner.c
+++ b/gatewayd/planner.c
@@ -272,6 +272,7 @@
   GHashTableIter iter;
   void *name, *stages;
 
+  /* Settled implies held. */
   if (!stored_lease_settled (p->lease))
     return;
   pending_expire (p);
