--- a/gatewayd/quarantine_records.c
+++ b/gatewayd/quarantine_records.c
@@ -70,7 +70,7 @@
   if (result->code == BERYL_ERROR_CONFLICT)
     record->existing_version = result->version;
   else
-    g_warning ("quarantine record of fingerprint=%016" G_GINT64_MODIFIER
+    g_warning ("record of fingerprint=%016" G_GINT64_MODIFIER
                "x not written, retrying: %s",
                record->fingerprint, beryl_error_code_name (result->code));
   q->retry_timer = loop_timer_start (q->loop, RETRY_MS, 0, retry_due, q);
