--- a/gatewayd/gateway.c
+++ b/gatewayd/gateway.c
@@ -27,21 +27,23 @@
  * their callers get a response from this node. */
 #define STOP_MARGIN_MS 700
 /* Delay by which changes of this node's runs are batched into one
- * announcement; other nodes place a request every few tens of milliseconds. */
+ * announcement.  Other nodes choose an engine every few tens of milliseconds,
+ * by the runs announced so far. */
 #define ANNOUNCE_DELAY_MS 30
-/* Minimum interval between announcements of generation profiles, which change
- * slowly and go to all peers. */
+/* Minimum interval between announcements of generation profiles (token counts
+ * and speeds of each service, which the planner uses).  They change slowly and
+ * go to all peers. */
 #define PROFILE_INTERVAL_MS 500
 
-/* Request bodies may take one part in BODY_MEMORY_DIVISOR of the memory. */
+/* Request bodies may use 1 / BODY_MEMORY_DIVISOR of memory_mb. */
 #define BODY_MEMORY_DIVISOR 4
 /* Number of nodes that are assumed to share the retry budget until the nodes
  * have been listed. */
 #define ASSUMED_NODES 50
-/* Number of nodes that compete for the planner's lease, and interval at which
- * they are determined. */
+/* Number of nodes that compete for the planner's lease. */
 #define PLANNER_CANDIDATES 2
-#define ROLE_CHECK_MS 1000
+/* Interval of check_fleet. */
+#define FLEET_CHECK_MS 1000
 
 struct gateway
 {
@@ -71,7 +73,7 @@
   struct relay *relay;
   struct planner *planner;
   struct survey *survey;
-  struct loop_timer *role_timer;     /* runs check_roles */
+  struct loop_timer *fleet_timer;    /* runs check_fleet */
   struct loop_timer *announce_timer; /* pending announcement; NULL if none */
   struct loop_timer *tick_timer;
   int64_t tick_due_ms;
@@ -169,7 +171,7 @@
 }
 
 static void
-forward_cut (struct beryl_forward_owner *owner, uint64_t request)
+forward_truncate (struct beryl_forward_owner *owner, uint64_t request)
 {
   frontend_truncate (gateway_from_forward (owner)->frontend, request);
 }
@@ -196,22 +198,24 @@
                               body, body_bytes);
 }
 
+/* Logs that a request entered quarantine for REMAINING_MS, or left it (0). */
 static void
 forward_quarantine_changed (struct beryl_forward_owner *owner,
-                            uint64_t fingerprint, int64_t left_ms,
+                            uint64_t fingerprint, int64_t remaining_ms,
                             enum beryl_quarantine_cause cause)
 {
   struct gateway *g = gateway_from_forward (owner);
 
   g_info ("quarantine fingerprint=%016" G_GINT64_MODIFIER
           "x left_ms=%" G_GINT64_FORMAT " cause=%s",
-          fingerprint, left_ms, beryl_quarantine_cause_name (cause));
+          fingerprint, remaining_ms, beryl_quarantine_cause_name (cause));
   metrics_count_quarantine (g->metrics, beryl_quarantine_cause_name (cause));
   if (cause == BERYL_QUARANTINE_CRASHES)
-    quarantine_records_add (g->quarantine_records, fingerprint, left_ms);
+    quarantine_records_add (g->quarantine_records, fingerprint, remaining_ms);
 }
 
-/* Only requests whose run has broken off have a fingerprint. */
+/* FINGERPRINT is 0 if the quarantine has not needed it, for example because no
+ * RUN exchange of the request was interrupted. */
 static const char *
 format_fingerprint (uint64_t fingerprint, char *text, size_t text_bytes)
 {
@@ -222,8 +226,8 @@
 }
 
 static void
-forward_decided (struct beryl_forward_owner *owner,
-                 const struct beryl_request_step *d)
+forward_log_decision (struct beryl_forward_owner *owner,
+                      const struct beryl_request_step *d)
 {
   char fingerprint[20];
 
@@ -242,13 +246,15 @@
       format_fingerprint (d->fingerprint, fingerprint, sizeof fingerprint));
 }
 
+/* Logs a STATE that the endpoint list does not show yet; SOURCE is the peer
+ * that reported it, or this node. */
 static void
-forward_learned (struct beryl_forward_owner *owner,
-                 const struct beryl_live_endpoint *endpoint, const char *what,
-                 const char *from)
+forward_log_endpoint_state (struct beryl_forward_owner *owner,
+                            const struct beryl_live_endpoint *endpoint,
+                            const char *state, const char *source)
 {
   g_info ("endpoint id=%s revision=%" G_GUINT64_FORMAT " %s from=%s",
-          endpoint->info.id, endpoint->info.revision, what, from);
+          endpoint->info.id, endpoint->info.revision, state, source);
 }
 
 static const struct beryl_forward_owner_impl forward_impl = {
@@ -258,12 +264,12 @@
   .answer_begin = forward_begin,
   .answer_data = forward_data,
   .answer_end = forward_end,
-  .answer_abort = forward_cut,
+  .answer_abort = forward_truncate,
   .refuse = forward_refuse,
   .fingerprint = forward_fingerprint,
   .quarantine_changed = forward_quarantine_changed,
-  .log_step = forward_decided,
-  .log_endpoint_state = forward_learned,
+  .log_step = forward_log_decision,
+  .log_endpoint_state = forward_log_endpoint_state,
 };
 
 static void
@@ -280,6 +286,7 @@
     .body_bytes = caller_limits->body_bytes,
     .header_timeout_ms = caller_limits->header_timeout_ms,
     .idle_timeout_ms = caller_limits->idle_timeout_ms,
+    /* The other half is left to connections to endpoints. */
     .connections = g->settings.descriptors_max / 2,
     .all_bodies_bytes
     = ((uint64_t)g->settings.memory_mb << 20) / BODY_MEMORY_DIVISOR,
@@ -494,9 +501,9 @@
                              objects, count);
 }
 
-/* A silent node is back within seconds, or never.  Until its record is
- * removed, the other nodes leave its share of the retry budget unused: it may
- * be running, partitioned from this node. */
+/* The planner's node removes the record of a node that has been silent for
+ * record_keep_ms.  Until then the others leave the silent node's share of the
+ * retry budget unused, because it may be running, partitioned from them. */
 static bool
 registry_should_remove (struct registry_owner *owner, const char *node)
 {
@@ -524,6 +531,8 @@
   g->announce_timer = NULL;
   message.run_count = beryl_forward_runs (g->forward, message.runs,
                                           BERYL_ENGINE_RUNS_MAX, now_ms);
+  /* Engines that are ordered to change their stage are added for the peers
+     and applied at this node too; the forwarder then adds its own reports. */
   planner_add_pending (g->planner, &message.news.changing);
   beryl_forward_peer_endpoint_reports (g->forward, g->settings.node,
                                        &message.news, now_ms);
@@ -539,8 +548,10 @@
   members_announce_loads (g->members, &message);
 }
 
+/* Announces engines with pending orders, applies whether this node is isolated
+ * and determines whether it competes for the planner's lease. */
 static void
-check_roles (void *user)
+check_fleet (void *user)
 {
   struct gateway *g = user;
   struct beryl_endpoint_set changing = { 0 };
@@ -568,11 +579,12 @@
   beryl_forward_tick (g->forward, loop_now_ms (g->loop));
 }
 
-/* Runs once per loop iteration, before it waits.  The timer is only re-armed
- * for an earlier time: a timer that fires too early costs an empty tick,
- * moving it for each event would cost more. */
+/* Runs once per loop iteration, before it waits: schedules announcements,
+ * notices and the forwarder's next tick.  The tick timer is only re-armed for
+ * an earlier time: a timer that fires too early costs an empty tick, moving it
+ * for each event would cost more. */
 static void
-schedule_tick (uv_prepare_t *prepare)
+schedule_pending_work (uv_prepare_t *prepare)
 {
   struct gateway *g = prepare->data;
   int64_t next_ms = beryl_forward_next_tick_ms (g->forward);
@@ -582,7 +594,7 @@
       && beryl_forward_report_due (g->forward))
     g->announce_timer
         = loop_timer_start (g->loop, ANNOUNCE_DELAY_MS, 0, announce, g);
-  /* An isolated node may have missed quarantines that are on record. */
+  /* An isolated node may have missed quarantines that the store records. */
   if (g->notices != NULL && notices_schedule (g->notices)
       && g->registry != NULL && members_isolated (g->members))
     registry_refresh (g->registry);
@@ -603,7 +615,7 @@
   g->prepare = g_new0 (uv_prepare_t, 1);
   uv_prepare_init (loop_uv (g->loop), g->prepare);
   g->prepare->data = g;
-  uv_prepare_start (g->prepare, schedule_tick);
+  uv_prepare_start (g->prepare, schedule_pending_work);
 }
 
 static void
@@ -699,8 +711,8 @@
       g->planner = planner_create (loop, wire, &g->settings, g->store,
                                    g->forward, g->endpoints);
       g->survey = survey_create (loop, wire, g->forward, g->endpoints);
-      g->role_timer = loop_timer_start (loop, ROLE_CHECK_MS, ROLE_CHECK_MS,
-                                        check_roles, g);
+      g->fleet_timer = loop_timer_start (loop, FLEET_CHECK_MS, FLEET_CHECK_MS,
+                                         check_fleet, g);
       return g;
     }
   gateway_destroy (g);
@@ -715,7 +727,7 @@
   loop_timer_stop (g->tick_timer);
   loop_timer_stop (g->announce_timer);
   loop_timer_stop (g->stop_timer);
-  loop_timer_stop (g->role_timer);
+  loop_timer_stop (g->fleet_timer);
   survey_destroy (g->survey);
   planner_destroy (g->planner);
   cluster_key_destroy (g->cluster_key);
--- a/gatewayd/notices.c
+++ b/gatewayd/notices.c
@@ -2,8 +2,8 @@
 
 /* Delay by which changes are batched into one message. */
 #define SEND_DELAY_MS 20
-/* Interval at which new notices are repeated and older ones are sent in
- * turns. */
+/* Interval at which new notices are repeated and some of the older ones are
+ * sent, in rotation. */
 #define REPEAT_MS 500
 /* Number of peers that older notices go to. */
 #define OLDER_NOTICE_PEERS 2
@@ -18,21 +18,21 @@
   struct loop_timer *send_timer;
 };
 
-/* Fills MESSAGE with new notices, and WITH_OLDER in turns with older ones;
- * returns false if there are none. */
+/* Fills MESSAGE with new notices and, if WITH_OLDER, some of the older ones in
+ * rotation; returns false if there are none. */
 static bool
 write_message (struct notices *n, struct notices_message *message,
                bool with_older)
 {
   int64_t now_ms = loop_now_ms (n->loop);
-  bool crashes = beryl_quarantine_build_update (
+  bool quarantine_changed = beryl_quarantine_build_update (
       beryl_forward_quarantine (n->forward), &message->quarantine, with_older,
       now_ms);
   bool limits = beryl_limits_build_update (
       beryl_forward_limits (n->forward), &message->limits, with_older, now_ms);
 
   message->limits.node = n->node;
-  return crashes || limits;
+  return quarantine_changed || limits;
 }
 
 static void
@@ -95,13 +95,14 @@
 bool
 notices_schedule (struct notices *n)
 {
-  bool crashes
+  bool quarantine_changed
       = beryl_quarantine_take_changed (beryl_forward_quarantine (n->forward));
 
-  if ((crashes || beryl_limits_has_changes (beryl_forward_limits (n->forward)))
+  if ((quarantine_changed
+       || beryl_limits_has_changes (beryl_forward_limits (n->forward)))
       && n->send_timer == NULL)
     n->send_timer = loop_timer_start (n->loop, SEND_DELAY_MS, 0, send_due, n);
-  return crashes;
+  return quarantine_changed;
 }
 
 void
--- a/gatewayd/outbound.c
+++ b/gatewayd/outbound.c
@@ -4,7 +4,8 @@
 
 #include "h1/client.h"
 
-/* Limit of the response body of an engine call; valid ones are small. */
+/* Maximum response body that is kept of an exchange other than RUN; pieces
+ * that exceed it are dropped.  Valid responses are smaller. */
 #define ENGINE_RESPONSE_MAX_BYTES 65536
 
 struct outbound
@@ -68,7 +69,8 @@
     g_string_append_len (call->body, bytes, (gssize)bytes_count);
 }
 
-/* Removes CALL from the table; it is freed after its event was reported. */
+/* Removes CALL, whose HTTP call has ended, from the table.  The caller frees
+ * it with call_free after reporting the event. */
 static void
 call_detach (struct call *call)
 {
@@ -114,7 +116,7 @@
 }
 
 static enum beryl_exchange_failure
-break_from_failure (enum h1_failure failure)
+convert_failure (enum h1_failure failure)
 {
   switch (failure)
     {
@@ -140,7 +142,7 @@
 
   call_detach (call);
   beryl_forward_exchange_failed (o->forward, call->exchange,
-                                 break_from_failure (failure), sent,
+                                 convert_failure (failure), sent,
                                  loop_now_ms (o->loop));
   call_free (call);
 }
--- a/gatewayd/registry.c
+++ b/gatewayd/registry.c
@@ -8,8 +8,8 @@
 #define CALL_TIMEOUT_MS 3000
 #define RETRY_MS 200
 /* The first lists follow each other quickly, since the nodes of a fleet start
- * together.  Later changes spread between the nodes, and the list only
- * repairs. */
+ * together.  Later changes spread by gossip, and the list only corrects what
+ * gossip has missed. */
 #define INITIAL_LIST_MS 1000
 #define INITIAL_LIST_COUNT 2
 /* With more nodes each one lists less often. */
@@ -30,7 +30,7 @@
   uint32_t list_count;
 };
 
-static const struct platform_client_options write_options
+static const struct platform_client_options call_options
     = { .use = BERYL_USE_STATUS, .timeout_ms = CALL_TIMEOUT_MS, .wait = true };
 
 static void write_record (struct registry *r);
@@ -105,7 +105,7 @@
   write.value = text;
   write.value_bytes = strlen (text);
   r->request
-      = platform_client_put (r->client, &write_options, &write, write_done, r);
+      = platform_client_put (r->client, &call_options, &write, write_done, r);
   free (text);
 }
 
@@ -134,12 +134,13 @@
   return item->address[0] != '\0' && item->port != 0;
 }
 
+/* OBJECTS counts node records and quarantine records. */
 static int64_t
-list_delay_ms (const struct registry *r, size_t nodes)
+list_delay_ms (const struct registry *r, size_t objects)
 {
   if (r->list_count < INITIAL_LIST_COUNT)
     return INITIAL_LIST_MS;
-  return MAX (LIST_MIN_MS, (int64_t)nodes * LIST_PER_NODE_MS);
+  return MAX (LIST_MIN_MS, (int64_t)objects * LIST_PER_NODE_MS);
 }
 
 static void
@@ -148,7 +149,9 @@
   ((struct registry *)user)->delete_request = 0;
 }
 
-/* Removes one record at a time; the next list shows the others again. */
+/* Removes one record at a time; the next list shows the others again.  Names
+ * of quarantine records are not those of nodes, so should_remove is false for
+ * them. */
 static void
 remove_stale_record (struct registry *r, const struct beryl_object *objects,
                      size_t count)
@@ -162,7 +165,7 @@
         continue;
       g_info ("record of node=%s is being removed", node);
       r->delete_request
-          = platform_client_delete (r->client, &write_options, REGISTRY_KIND,
+          = platform_client_delete (r->client, &call_options, REGISTRY_KIND,
                                     node, objects[i].version, delete_done, r);
     }
 }
@@ -210,7 +213,7 @@
 list_records (void *user)
 {
   struct registry *r = user;
-  struct platform_client_options options = write_options;
+  struct platform_client_options options = call_options;
 
   options.wait = false;
   r->request = platform_client_list (r->client, &options, REGISTRY_KIND, "",
@@ -272,7 +275,7 @@
     platform_client_forget (r->client, r->request);
   r->request = 0;
   if (r->version != 0)
-    r->request = platform_client_delete (r->client, &write_options,
+    r->request = platform_client_delete (r->client, &call_options,
                                          REGISTRY_KIND, r->settings->node,
                                          r->version, withdraw_done, r);
 }
--- a/gatewayd/survey.c
+++ b/gatewayd/survey.c
@@ -4,11 +4,11 @@
 
 #include "engine_call.h"
 
-/* Interval at which the node checks whether the endpoint list has arrived; it
- * arrives whole within some tens of milliseconds of a start. */
+/* Interval at which the node checks whether the endpoint list has arrived.  It
+ * arrives as a whole, so one endpoint in it means that all are there. */
 #define LIST_CHECK_MS 50
-/* Engines that one node asks: enough for all of a small fleet, and a bound
- * where hundreds of nodes and thousands of engines start together. */
+/* Maximum number of engines that one node asks, a bound on the load if
+ * hundreds of nodes start together with thousands of engines. */
 #define ENGINES_MAX 32
 #define RESPONSE_MAX_BYTES (256U << 10)
 
@@ -16,7 +16,7 @@
 {
   struct survey *survey;
   struct engine_call *call;
-  uint32_t engine;
+  uint32_t engine_hash; /* beryl_live_hash of the engine */
 };
 
 struct survey
@@ -27,8 +27,8 @@
   struct beryl_live_set *endpoints;
   struct loop_timer *timer;
   GPtrArray *queries;
-  size_t engine_count;
-  size_t prompt_count;
+  size_t engine_count; /* engines asked, with or without a response */
+  size_t prompt_count; /* prompts reported */
 };
 
 static void
@@ -53,9 +53,9 @@
                                       response->body, response->body_bytes,
                                       keys);
   for (guint i = 0; i < keys->len; i++)
-    beryl_forward_prompt_cached (survey->forward,
-                                 g_array_index (keys, uint32_t, i),
-                                 query->engine, loop_now_ms (survey->loop));
+    beryl_forward_prompt_cached (
+        survey->forward, g_array_index (keys, uint32_t, i), query->engine_hash,
+        loop_now_ms (survey->loop));
   survey->prompt_count += keys->len;
   g_array_free (keys, TRUE);
   g_ptr_array_remove_fast (survey->queries, query);
@@ -72,7 +72,7 @@
   GString *head = g_string_new (NULL);
 
   query->survey = survey;
-  query->engine = beryl_live_hash (endpoint);
+  query->engine_hash = beryl_live_hash (endpoint);
   survey->wire->impl->format_prompts_request (survey->wire, &endpoint->info,
                                               head);
   query->call = engine_call_start (survey->loop, &endpoint->info, head, NULL,
