--- a/common/stored_lease.c
+++ b/common/stored_lease.c
@@ -186,7 +186,7 @@
 void
 stored_lease_want (struct stored_lease *s, bool wanted)
 {
-  beryl_lease_want (s->lease, wanted, now_ms (s));
+  beryl_lease_set_candidate (s->lease, wanted, now_ms (s));
   arm (s);
 }
 
--- a/controld/cleanup_task.c
+++ b/controld/cleanup_task.c
@@ -74,7 +74,7 @@
   json_t *held = json_object_get (json, "held");
 
   if (http_call_status (call) == 200 && json_is_integer (held)
-      && beryl_hold_cleanup_answered (
+      && beryl_hold_cleanup_on_reply (
           task->cleanup, c->window.endpoint, c->window.incarnation,
           (uint64_t)json_integer_value (held), control_now_ms (task->control)))
     g_info ("%s holds no stream of %016" G_GINT64_MODIFIER
@@ -133,7 +133,7 @@
     {
       if (task->control->config != NULL
           && config_task_parsed (task->control->config) != NULL)
-        beryl_hold_cleanup_forget (task->cleanup, window->endpoint);
+        beryl_hold_cleanup_remove_endpoint (task->cleanup, window->endpoint);
       return;
     }
   c = g_new0 (struct cancel, 1);
@@ -162,8 +162,8 @@
   struct cleanup_task *task = user;
   struct beryl_hold_window window;
 
-  while (beryl_hold_cleanup_due (task->cleanup, &window,
-                                 control_now_ms (task->control)))
+  while (beryl_hold_cleanup_take_due (task->cleanup, &window,
+                                      control_now_ms (task->control)))
     cancel_start (task, &window);
   counters_set (task->control->counters, "beryl_cleanup_windows", "",
                 beryl_hold_cleanup_count (task->cleanup));
--- a/controld/entry_task.c
+++ b/controld/entry_task.c
@@ -52,7 +52,8 @@
   g_warning ("entryd %016" G_GINT64_MODIFIER "x is dead (%s), %zu windows of "
              "streams to cancel",
              task->hello.incarnation,
-             beryl_death_name (BERYL_DEATH_LINK_BROKEN), task->holds.count);
+             beryl_death_proof_name (BERYL_DEATH_LINK_BROKEN),
+             task->holds.count);
   cleanup_task_dead (task->control->cleanup, &task->holds);
   holds_clear (task);
   memset (&task->hello, 0, sizeof task->hello);
--- a/entryd/calls.c
+++ b/entryd/calls.c
@@ -182,7 +182,7 @@
   char *text;
 
   counters_set (entry->counters, "beryl_open_requests", "",
-                beryl_requests_open (entry->requests));
+                beryl_requests_open_count (entry->requests));
   counters_set (entry->counters, "beryl_open_exchanges", "",
                 http_server_open (entry->server));
   counters_set (entry->counters, "beryl_endpoint_exchanges", "",
--- a/entryd/claims_link.c
+++ b/entryd/claims_link.c
@@ -67,8 +67,8 @@
   while ((node = g_queue_pop_head (&link->lost)) != NULL)
     {
       if (link->claims != NULL)
-        beryl_claims_unreachable (link->claims, node,
-                                  loop_now_ms (link->entry->loop));
+        beryl_claims_node_down (link->claims, node,
+                                loop_now_ms (link->entry->loop));
       g_free (node);
     }
 }
@@ -156,8 +156,9 @@
   struct call *call = user;
   struct claims_link *link = call->link;
 
-  beryl_claims_read (link->claims, call->call, result->code, result->objects,
-                     result->object_count, loop_now_ms (link->entry->loop));
+  beryl_claims_read_done (link->claims, call->call, result->code,
+                          result->objects, result->object_count,
+                          loop_now_ms (link->entry->loop));
   g_hash_table_remove (link->calls, call);
   arm (link);
 }
@@ -168,8 +169,8 @@
   struct call *call = user;
   struct claims_link *link = call->link;
 
-  beryl_claims_written (link->claims, call->call, result->code,
-                        loop_now_ms (link->entry->loop));
+  beryl_claims_write_done (link->claims, call->call, result->code,
+                           loop_now_ms (link->entry->loop));
   g_hash_table_remove (link->calls, call);
   arm (link);
 }
@@ -359,8 +360,8 @@
 {
   if (link->claims == NULL)
     return;
-  beryl_claims_message (link->claims, node, message,
-                        loop_now_ms (link->entry->loop));
+  beryl_claims_handle_message (link->claims, node, message,
+                               loop_now_ms (link->entry->loop));
   arm (link);
 }
 
--- a/entryd/engine.c
+++ b/entryd/engine.c
@@ -96,7 +96,7 @@
   event.prefill.kv_handle = answer.kv_handle;
   event.prefill.kv_bytes = answer.kv_bytes;
   event.prefill.cached_tokens = answer.cached_tokens;
-  event.prefill.kv_lives_ms = answer.kv_lives_ms;
+  event.prefill.kv_ttl_ms = answer.kv_lives_ms;
   outbound_event (out, &event);
   engine_prefill_clear (&answer);
 }
--- a/entryd/entry.c
+++ b/entryd/entry.c
@@ -111,7 +111,8 @@
 void
 entry_event (struct entry *entry, const struct beryl_event *event)
 {
-  beryl_requests_event (entry->requests, event, loop_now_ms (entry->loop));
+  beryl_requests_handle_event (entry->requests, event,
+                               loop_now_ms (entry->loop));
   entry->tick_stale = true;
 }
 
@@ -126,7 +127,7 @@
     case BERYL_ACTION_REPLY_DATA:
     case BERYL_ACTION_REPLY_END:
     case BERYL_ACTION_REPLY_ERROR:
-    case BERYL_ACTION_REPLY_CUT:
+    case BERYL_ACTION_REPLY_TRUNCATE:
       reply_act (entry, action);
       return;
     case BERYL_ACTION_HOLD_RECORD:
@@ -323,7 +324,7 @@
   int64_t now_ms = loop_now_ms (entry->loop);
 
   if (now_ms < entry->drain_accept_until_ms || !entry->drained
-      || beryl_requests_open (entry->requests) > 0
+      || beryl_requests_open_count (entry->requests) > 0
       || http_server_open (entry->server) > 0)
     return;
   g_info ("drained");
--- a/entryd/hold_keeper.c
+++ b/entryd/hold_keeper.c
@@ -54,7 +54,7 @@
   struct beryl_hold_window narrowed[NARROWED_MAX];
   bool changed = false;
 
-  while (beryl_hold_windows_narrow (keeper->windows, narrowed, NARROWED_MAX)
+  while (beryl_hold_windows_shrink (keeper->windows, narrowed, NARROWED_MAX)
          > 0)
     changed = true;
   if (changed && keeper->entry->link != NULL)
--- a/entryd/peers_ask.c
+++ b/entryd/peers_ask.c
@@ -238,7 +238,7 @@
       action.error.detail = m->error.detail;
       break;
     default:
-      action.type = BERYL_ACTION_REPLY_CUT;
+      action.type = BERYL_ACTION_REPLY_TRUNCATE;
     }
   reply_act (peers->entry, &action);
 }
--- a/examples/lease_race.c
+++ b/examples/lease_race.c
@@ -82,7 +82,7 @@
   w->owner.impl = &owner_impl;
   w->name = name;
   w->lease = beryl_lease_create (&settings, &w->owner);
-  beryl_lease_want (w->lease, true, 0);
+  beryl_lease_set_candidate (w->lease, true, 0);
 }
 
 /** Let W run at NOW_MS. */
--- a/fuzz/fuzz_claims.c
+++ b/fuzz/fuzz_claims.c
@@ -72,7 +72,7 @@
                                           (const char *)data, size };
     }
   d->call = 0;
-  beryl_claims_read (claims, call, BERYL_OK, objects, 2, now_ms);
+  beryl_claims_read_done (claims, call, BERYL_OK, objects, 2, now_ms);
 }
 
 int
--- a/include/beryl/claims.h
+++ b/include/beryl/claims.h
@@ -36,7 +36,7 @@
 /** Messages between two nodes. */
 enum beryl_claim_message_type
 {
-  BERYL_CLAIM_ASK = 1, /**< to the shard's home */
+  BERYL_CLAIM_REQUEST = 1, /**< to the shard's home */
   BERYL_CLAIM_REPLY,
 };
 
@@ -60,7 +60,7 @@
   /** REQUEST's claim ended. */
   void (*result) (struct beryl_claims_owner *owner, uint64_t request,
                   enum beryl_claim_result result, uint64_t incarnation);
-  /** Send to NODE; if it refuses the connection, beryl_claims_unreachable. */
+  /** Send to NODE; if it refuses the connection, beryl_claims_node_down. */
   void (*send) (struct beryl_claims_owner *owner, const char *node,
                 const struct beryl_claim_message *message);
   /** Read all objects whose names begin with PREFIX. */
@@ -100,8 +100,8 @@
                                    the log is safe from homes that pause, and
                                    from reads that lag, up to half of this
                                    [600000] */
-  uint32_t fold_segments;     /**< fewest segments that are folded [16] */
-  int64_t ask_timeout_ms;     /**< until another home is asked again [500] */
+  uint32_t compact_min_segments; /**< fewest segments that are folded [16] */
+  int64_t request_timeout_ms; /**< until another home is asked again [500] */
 };
 
 /** Create; OWNER must outlive it. */
@@ -125,24 +125,25 @@
                          uint64_t body_hash, int64_t now_ms);
 
 /** A message came from NODE. */
-void beryl_claims_message (struct beryl_claims *claims, const char *node,
-                           const struct beryl_claim_message *message,
-                           int64_t now_ms);
+void beryl_claims_handle_message (struct beryl_claims *claims,
+                                  const char *node,
+                                  const struct beryl_claim_message *message,
+                                  int64_t now_ms);
 
 /** NODE refuses connections: its process is gone.  Not to be called when a
  * node merely does not answer. */
-void beryl_claims_unreachable (struct beryl_claims *claims, const char *node,
-                               int64_t now_ms);
+void beryl_claims_node_down (struct beryl_claims *claims, const char *node,
+                             int64_t now_ms);
 
 /** A list or get ended; CODE as in struct beryl_platform_result. */
-void beryl_claims_read (struct beryl_claims *claims, uint64_t call,
-                        enum beryl_error_code code,
-                        const struct beryl_object *objects,
-                        size_t object_count, int64_t now_ms);
+void beryl_claims_read_done (struct beryl_claims *claims, uint64_t call,
+                             enum beryl_error_code code,
+                             const struct beryl_object *objects,
+                             size_t object_count, int64_t now_ms);
 
 /** A create or remove ended. */
-void beryl_claims_written (struct beryl_claims *claims, uint64_t call,
-                           enum beryl_error_code code, int64_t now_ms);
+void beryl_claims_write_done (struct beryl_claims *claims, uint64_t call,
+                              enum beryl_error_code code, int64_t now_ms);
 
 /** Let time pass. */
 void beryl_claims_tick (struct beryl_claims *claims, int64_t now_ms);
@@ -161,12 +162,13 @@
   uint64_t taken;
   uint64_t unavailable;
   uint64_t unknown;
-  uint64_t segments;   /**< written */
-  uint64_t races_lost; /**< creates that found the number taken */
-  uint64_t settled;    /**< writes whose reply was lost and became known */
-  uint64_t reads;      /**< lists and gets */
-  uint64_t deleted;    /**< objects */
-  uint64_t keys;       /**< in memory now */
+  uint64_t segments;              /**< written */
+  uint64_t create_conflicts;      /**< creates that found the number taken */
+  uint64_t lost_replies_resolved; /**< writes whose reply was lost and became
+                                     known */
+  uint64_t reads;                 /**< lists and gets */
+  uint64_t deleted;               /**< objects */
+  uint64_t keys;                  /**< in memory now */
 };
 
 /** Return the counts, owned by CLAIMS. */
--- a/include/beryl/holds.h
+++ b/include/beryl/holds.h
@@ -51,7 +51,7 @@
 
 /** Narrow the windows to what is held and copy up to MAX that changed to
  * OUT, for a lazy message now and then.  Returns their number. */
-size_t beryl_hold_windows_narrow (struct beryl_hold_windows *windows,
+size_t beryl_hold_windows_shrink (struct beryl_hold_windows *windows,
                                   struct beryl_hold_window *out, size_t max);
 
 /** Copy up to MAX told windows to OUT, for a new connection to the keeper.
@@ -60,7 +60,7 @@
                                 struct beryl_hold_window *out, size_t max);
 
 /** Proofs that a process has died. */
-enum beryl_death
+enum beryl_death_proof
 {
   BERYL_DEATH_NONE,              /**< alive, unreachable or not known */
   BERYL_DEATH_LINK_BROKEN,       /**< its loopback connection broke */
@@ -88,12 +88,12 @@
 #define BERYL_DEATH_DELISTED_MS 10000
 
 /** Return the proof that EVIDENCE holds at NOW_MS, if any. */
-enum beryl_death
-beryl_death_judge (const struct beryl_death_evidence *evidence,
-                   int64_t now_ms);
+enum beryl_death_proof
+beryl_death_evaluate (const struct beryl_death_evidence *evidence,
+                      int64_t now_ms);
 
 /** Return the stable name of DEATH, for logs. */
-const char *beryl_death_name (enum beryl_death death);
+const char *beryl_death_proof_name (enum beryl_death_proof death);
 
 /** Cancels windows of the dead until the engines confirm. */
 struct beryl_hold_cleanup;
@@ -112,18 +112,19 @@
 
 /** Copy a window that is to be cancelled now to OUT; false if there is
  * none.  Call until false; each call counts as one try. */
-bool beryl_hold_cleanup_due (struct beryl_hold_cleanup *cleanup,
-                             struct beryl_hold_window *out, int64_t now_ms);
+bool beryl_hold_cleanup_take_due (struct beryl_hold_cleanup *cleanup,
+                                  struct beryl_hold_window *out,
+                                  int64_t now_ms);
 
 /** The engine answered a cancel: HELD streams of the window remain.  True
  * if the window is now finished. */
-bool beryl_hold_cleanup_answered (struct beryl_hold_cleanup *cleanup,
+bool beryl_hold_cleanup_on_reply (struct beryl_hold_cleanup *cleanup,
                                   const char *endpoint, uint64_t incarnation,
                                   uint64_t held, int64_t now_ms);
 
 /** ENDPOINT no longer exists. */
-void beryl_hold_cleanup_forget (struct beryl_hold_cleanup *cleanup,
-                                const char *endpoint);
+void beryl_hold_cleanup_remove_endpoint (struct beryl_hold_cleanup *cleanup,
+                                         const char *endpoint);
 
 /** Return when a cancel is due, or BERYL_NEVER_MS. */
 int64_t beryl_hold_cleanup_next_ms (const struct beryl_hold_cleanup *cleanup);
--- a/include/beryl/lease.h
+++ b/include/beryl/lease.h
@@ -87,7 +87,8 @@
 
 /** Whether this node competes for the role.  Ending it while held writes
  * the release. */
-void beryl_lease_want (struct beryl_lease *lease, bool wanted, int64_t now_ms);
+void beryl_lease_set_candidate (struct beryl_lease *lease, bool wanted,
+                                int64_t now_ms);
 
 /** The read ended.  RECORD has version 0 if there is no object.  It may come
  * from a replica that lags. */
--- a/include/beryl/requests.h
+++ b/include/beryl/requests.h
@@ -126,7 +126,7 @@
       const char *kv_handle;
       uint64_t kv_bytes;
       uint32_t cached_tokens;
-      int64_t kv_lives_ms; /**< how long the KV cache is kept; 0: unknown */
+      int64_t kv_ttl_ms; /**< how long the KV cache is kept; 0: unknown */
     } prefill;
     struct
     {
@@ -179,20 +179,20 @@
 /** Actions. */
 enum beryl_action_type
 {
-  BERYL_ACTION_REPLY_HEAD,  /**< begin the answer */
-  BERYL_ACTION_REPLY_DATA,  /**< next bytes of the answer */
-  BERYL_ACTION_REPLY_END,   /**< the answer is whole */
-  BERYL_ACTION_REPLY_ERROR, /**< the only answer: a problem */
-  BERYL_ACTION_REPLY_CUT,   /**< end a begun answer as incomplete */
-  BERYL_ACTION_PREFILL,     /**< start a prefill at an engine */
-  BERYL_ACTION_DECODE,      /**< import the KV cache and decode */
-  BERYL_ACTION_SERVICE,     /**< call a plain service */
-  BERYL_ACTION_ABORT,       /**< close an exchange's connection */
-  BERYL_ACTION_PAUSE,       /**< stop or restart reading an exchange */
-  BERYL_ACTION_CANCEL,      /**< ask an engine to drop a stream */
-  BERYL_ACTION_HOLD_RECORD, /**< tell the hold keeper, before it is made */
-  BERYL_ACTION_HOLD_ERASE,  /**< the engine has confirmed it is gone */
-  BERYL_ACTION_CLAIM,       /**< make a free key's claim durable */
+  BERYL_ACTION_REPLY_HEAD,     /**< begin the answer */
+  BERYL_ACTION_REPLY_DATA,     /**< next bytes of the answer */
+  BERYL_ACTION_REPLY_END,      /**< the answer is whole */
+  BERYL_ACTION_REPLY_ERROR,    /**< the only answer: a problem */
+  BERYL_ACTION_REPLY_TRUNCATE, /**< end a begun answer as incomplete */
+  BERYL_ACTION_PREFILL,        /**< start a prefill at an engine */
+  BERYL_ACTION_DECODE,         /**< import the KV cache and decode */
+  BERYL_ACTION_SERVICE,        /**< call a plain service */
+  BERYL_ACTION_ABORT,          /**< close an exchange's connection */
+  BERYL_ACTION_PAUSE,          /**< stop or restart reading an exchange */
+  BERYL_ACTION_CANCEL,         /**< ask an engine to drop a stream */
+  BERYL_ACTION_HOLD_RECORD,    /**< tell the hold keeper, before it is made */
+  BERYL_ACTION_HOLD_ERASE,     /**< the engine has confirmed it is gone */
+  BERYL_ACTION_CLAIM,          /**< make a free key's claim durable */
   /** Pass the call to the node of that incarnation, as an exchange: its
    * answer comes back by EXCHANGE_HEAD, DATA, END or FORWARD_ERROR.  If that
    * node is gone or cannot be reached, EXCHANGE_FAILED. */
@@ -314,8 +314,9 @@
                                 int64_t now_ms);
 
 /** Take one event. */
-void beryl_requests_event (struct beryl_requests *requests,
-                           const struct beryl_event *event, int64_t now_ms);
+void beryl_requests_handle_event (struct beryl_requests *requests,
+                                  const struct beryl_event *event,
+                                  int64_t now_ms);
 
 /** Return when the next BERYL_EVENT_TICK is due.  It is due twice a second at
  * least: a longer gap shows that the process was stopped, and it then rests a
@@ -323,7 +324,7 @@
 int64_t beryl_requests_next_ms (const struct beryl_requests *requests);
 
 /** Return the number of requests without a final answer. */
-uint32_t beryl_requests_open (const struct beryl_requests *requests);
+uint32_t beryl_requests_open_count (const struct beryl_requests *requests);
 
 /** Return the stable problem type, for example "key-in-use". */
 const char *beryl_problem_name (enum beryl_problem problem);
--- a/include/common/stored_lease.h
+++ b/include/common/stored_lease.h
@@ -36,7 +36,8 @@
 /** Release the memory; NULL is allowed.  Nothing is written. */
 void stored_lease_destroy (struct stored_lease *lease);
 
-/** As beryl_lease_want, _held, _settled and _name, at the present time. */
+/** As beryl_lease_set_candidate, _held, _settled and _name, at the present
+ * time. */
 void stored_lease_want (struct stored_lease *lease, bool wanted);
 bool stored_lease_held (const struct stored_lease *lease, uint64_t *fence);
 bool stored_lease_settled (const struct stored_lease *lease);
--- a/libberyl/lease/lease.c
+++ b/libberyl/lease/lease.c
@@ -225,7 +225,8 @@
 }
 
 void
-beryl_lease_want (struct beryl_lease *lease, bool wanted, int64_t now_ms)
+beryl_lease_set_candidate (struct beryl_lease *lease, bool wanted,
+                           int64_t now_ms)
 {
   if (lease->wanted == wanted)
     return;
--- a/libberyl/requests/admit.c
+++ b/libberyl/requests/admit.c
@@ -23,8 +23,8 @@
       return NULL;
     }
   request->slow_since_ms = BERYL_NEVER_MS;
-  request->decode_at_ms = BERYL_NEVER_MS;
-  request->number = ++requests->last_number;
+  request->decode_retry_at_ms = BERYL_NEVER_MS;
+  request->arrival_number = ++requests->last_arrival_number;
   request->previous = requests->last;
   if (requests->last != NULL)
     requests->last->next = request;
@@ -58,7 +58,7 @@
 {
   const struct beryl_call *call = &request->call;
   const struct beryl_call_rule *rule = NULL;
-  int64_t allowed_ms = service->deadline_ms;
+  int64_t timeout_ms = service->deadline_ms;
 
   if (call->method != NULL && call->path != NULL)
     rule = beryl_service_rule (service, call->method, call->path);
@@ -70,10 +70,10 @@
   request->answer.status = 200;
   request->answer.prompt_tokens = call->prompt_tokens;
   if (rule != NULL && rule->deadline_ms > 0)
-    allowed_ms = rule->deadline_ms;
+    timeout_ms = rule->deadline_ms;
   if (call->deadline_ms == 0)
     request->call.deadline_ms
-        = allowed_ms > 0 ? now_ms + allowed_ms : BERYL_NEVER_MS;
+        = timeout_ms > 0 ? now_ms + timeout_ms : BERYL_NEVER_MS;
 }
 
 /* Returns whether the prompt fits the model. */
@@ -99,24 +99,24 @@
 /* Tells the caller about a key that may not be run, and returns true; or
  * false if it may. */
 static bool
-refuse_known_key (struct beryl_requests *requests,
+reject_known_key (struct beryl_requests *requests,
                   const struct beryl_call *call, const struct record *record)
 {
-  if (record_owned (record)
+  if (record_authoritative (record)
       && !BERYL_GUARD (BERYL_GUARD_KEY_BODY,
                        record->body_hash == call_body_hash (call)))
     {
-      requests_refuse (requests, call->request, BERYL_PROBLEM_KEY_MISMATCH,
-                       BERYL_OUTCOME_NOT_RUN, 0,
-                       "the key was used for another request");
+      requests_reply_error (requests, call->request,
+                            BERYL_PROBLEM_KEY_MISMATCH, BERYL_OUTCOME_NOT_RUN,
+                            0, "the key was used for another request");
       return true;
     }
   if (!BERYL_GUARD (BERYL_GUARD_KEY_RUNNING,
                     record->outcome != BERYL_OUTCOME_PENDING))
     {
-      requests_refuse (requests, call->request, BERYL_PROBLEM_KEY_IN_USE,
-                       BERYL_OUTCOME_PENDING, KEY_RETRY_MS,
-                       "a call with this key is running");
+      requests_reply_error (requests, call->request, BERYL_PROBLEM_KEY_IN_USE,
+                            BERYL_OUTCOME_PENDING, KEY_RETRY_MS,
+                            "a call with this key is running");
       return true;
     }
   if (BERYL_GUARD (BERYL_GUARD_KEY_ENDED,
@@ -124,14 +124,14 @@
                        || record->outcome == BERYL_OUTCOME_PENDING))
     return false;
   if (record->outcome == BERYL_OUTCOME_ANSWERED)
-    requests_refuse (requests, call->request, BERYL_PROBLEM_KEY_ANSWERED,
-                     BERYL_OUTCOME_ANSWERED, 0,
-                     "a call with this key was "
-                     "answered");
+    requests_reply_error (requests, call->request, BERYL_PROBLEM_KEY_ANSWERED,
+                          BERYL_OUTCOME_ANSWERED, 0,
+                          "a call with this key was "
+                          "answered");
   else
-    requests_refuse (requests, call->request, BERYL_PROBLEM_KEY_UNKNOWN,
-                     BERYL_OUTCOME_UNKNOWN, 0,
-                     "a call with this key may have run");
+    requests_reply_error (requests, call->request, BERYL_PROBLEM_KEY_UNKNOWN,
+                          BERYL_OUTCOME_UNKNOWN, 0,
+                          "a call with this key may have run");
   return true;
 }
 
@@ -147,7 +147,7 @@
   action.claim.organisation = request->call.organisation;
   action.claim.key = request->call.key;
   action.claim.body_hash = call_body_hash (&request->call);
-  requests_act (requests, &action);
+  requests_emit (requests, &action);
 }
 
 void
@@ -166,15 +166,15 @@
   action.exchange = exchange->id;
   action.forward.incarnation = incarnation;
   action.forward.call = &request->call;
-  requests_act (requests, &action);
+  requests_emit (requests, &action);
 }
 
 /* Whether the call's key was made for another incarnation than this.  That
  * one alone knows whether the key has run: it may be alive at another node,
  * or be this node before a restart. */
 static bool
-bound_elsewhere (const struct beryl_requests *requests,
-                 const struct beryl_call *call)
+bound_to_other_incarnation (const struct beryl_requests *requests,
+                            const struct beryl_call *call)
 {
   return call->key_kind == BERYL_KEY_BOUND
          && !BERYL_GUARD (BERYL_GUARD_KEY_INCARNATION,
@@ -185,7 +185,8 @@
 /* A free key arrives by forwarding because its claim names this incarnation;
  * without a record here its run cannot be ruled out. */
 static bool
-forwarded_unknown (const struct beryl_call *call, const struct record *record)
+forwarded_without_record (const struct beryl_call *call,
+                          const struct record *record)
 {
   return call->forwarded && call->key_kind == BERYL_KEY_FREE
          && !BERYL_GUARD (BERYL_GUARD_FORWARDED_KEY, record != NULL);
@@ -194,30 +195,30 @@
 /* Decides about the key before anything is kept for the call.  True if the
  * call has got its final answer. */
 static bool
-requests_refuse_key (struct beryl_requests *requests,
+requests_reject_key (struct beryl_requests *requests,
                      const struct beryl_call *call)
 {
   struct record *record;
 
   if (call->key_kind == BERYL_KEY_NONE)
     return false;
-  if (bound_elsewhere (requests, call))
+  if (bound_to_other_incarnation (requests, call))
     {
       if (call->forwarded)
-        requests_refuse (requests, call->request, BERYL_PROBLEM_KEY_UNKNOWN,
-                         BERYL_OUTCOME_UNKNOWN, 0,
-                         "the node of this key is gone");
+        requests_reply_error (requests, call->request,
+                              BERYL_PROBLEM_KEY_UNKNOWN, BERYL_OUTCOME_UNKNOWN,
+                              0, "the node of this key is gone");
       return call->forwarded;
     }
-  record = record_of_key (requests, call->organisation, call->key);
-  if (forwarded_unknown (call, record))
+  record = record_find (requests, call->organisation, call->key);
+  if (forwarded_without_record (call, record))
     {
-      requests_refuse (requests, call->request, BERYL_PROBLEM_KEY_UNKNOWN,
-                       BERYL_OUTCOME_UNKNOWN, 0,
-                       "what became of this key is not known");
+      requests_reply_error (requests, call->request, BERYL_PROBLEM_KEY_UNKNOWN,
+                            BERYL_OUTCOME_UNKNOWN, 0,
+                            "what became of this key is not known");
       return true;
     }
-  return record != NULL && refuse_known_key (requests, call, record);
+  return record != NULL && reject_known_key (requests, call, record);
 }
 
 /* A free key of an idempotent call needs no claim: a repeat does no harm,
@@ -234,11 +235,11 @@
                const struct beryl_service *service, int64_t now_ms)
 {
   const struct beryl_call *call = &request->call;
-  bool elsewhere = bound_elsewhere (requests, call);
+  bool other_incarnation = bound_to_other_incarnation (requests, call);
   bool keyed = call->key_kind == BERYL_KEY_BOUND
                || (call->key_kind == BERYL_KEY_FREE && !request->idempotent);
 
-  request->record = record_open (requests, call, keyed && !elsewhere);
+  request->record = record_open (requests, call, keyed && !other_incarnation);
   if (request->record == NULL && keyed)
     {
       request_fail (requests, request, BERYL_PROBLEM_NO_CAPACITY, KEY_RETRY_MS,
@@ -247,7 +248,7 @@
     }
   retry_budget_earn (&requests->budgets, service->name,
                      service->retry_budget_percent);
-  if (elsewhere)
+  if (other_incarnation)
     request_forward (requests, request, call->key_incarnation);
   else if (!BERYL_GUARD (BERYL_GUARD_CLAIM_FIRST, !needs_claim (request)))
     request_claim (requests, request);
@@ -266,21 +267,22 @@
     service = beryl_config_service (requests->config, call->service);
   if (service == NULL)
     {
-      requests_refuse (requests, call->request, BERYL_PROBLEM_NO_SERVICE,
-                       BERYL_OUTCOME_NOT_RUN, 0, "no such service");
+      requests_reply_error (requests, call->request, BERYL_PROBLEM_NO_SERVICE,
+                            BERYL_OUTCOME_NOT_RUN, 0, "no such service");
       return;
     }
-  if (requests_refuse_key (requests, call))
+  if (requests_reject_key (requests, call))
     return;
   request = request_create (requests, call);
   if (request == NULL)
     {
-      requests_refuse (requests, call->request, BERYL_PROBLEM_NO_CAPACITY,
-                       BERYL_OUTCOME_NOT_RUN, KEY_RETRY_MS, "out of memory");
+      requests_reply_error (requests, call->request, BERYL_PROBLEM_NO_CAPACITY,
+                            BERYL_OUTCOME_NOT_RUN, KEY_RETRY_MS,
+                            "out of memory");
       return;
     }
   request_configure (request, service, now_ms);
-  requests_due_by (requests, request->call.deadline_ms);
+  requests_schedule_due (requests, request->call.deadline_ms);
   if (!request_check_model (requests, request, service))
     {
       request_fail (requests, request, BERYL_PROBLEM_CONTEXT_LENGTH, 0,
@@ -304,14 +306,15 @@
       request_plan (requests, request, now_ms);
       return;
     }
-  record_end (requests, request, BERYL_OUTCOME_NOT_RUN, now_ms);
+  record_close (requests, request, BERYL_OUTCOME_NOT_RUN, now_ms);
   request->record = NULL;
   request_forward (requests, request, incarnation);
 }
 
 void
-request_claim_result (struct beryl_requests *requests, struct request *request,
-                      const struct beryl_event *event, int64_t now_ms)
+request_on_claim_result (struct beryl_requests *requests,
+                         struct request *request,
+                         const struct beryl_event *event, int64_t now_ms)
 {
   if (request->phase != PHASE_CLAIM)
     return;
@@ -326,20 +329,21 @@
                            now_ms);
       return;
     case BERYL_CLAIM_MISMATCH:
-      request_fail_as (requests, request, BERYL_PROBLEM_KEY_MISMATCH,
-                       BERYL_OUTCOME_NOT_RUN, 0,
-                       "the key was used for another request", now_ms);
+      request_fail_with_outcome (
+          requests, request, BERYL_PROBLEM_KEY_MISMATCH, BERYL_OUTCOME_NOT_RUN,
+          0, "the key was used for another request", now_ms);
       return;
     case BERYL_CLAIM_UNAVAILABLE:
-      request_fail_as (requests, request, BERYL_PROBLEM_CLAIM_UNAVAILABLE,
-                       BERYL_OUTCOME_NOT_RUN, CLAIM_RETRY_MS,
-                       "the key could not be claimed", now_ms);
+      request_fail_with_outcome (requests, request,
+                                 BERYL_PROBLEM_CLAIM_UNAVAILABLE,
+                                 BERYL_OUTCOME_NOT_RUN, CLAIM_RETRY_MS,
+                                 "the key could not be claimed", now_ms);
       return;
     case BERYL_CLAIM_UNKNOWN:
-      request_fail_as (requests, request, BERYL_PROBLEM_KEY_UNKNOWN,
-                       BERYL_OUTCOME_UNKNOWN, CLAIM_RETRY_MS,
-                       "an earlier call with this key cannot be ruled out",
-                       now_ms);
+      request_fail_with_outcome (
+          requests, request, BERYL_PROBLEM_KEY_UNKNOWN, BERYL_OUTCOME_UNKNOWN,
+          CLAIM_RETRY_MS, "an earlier call with this key cannot be ruled out",
+          now_ms);
       return;
     }
 }
--- a/libberyl/requests/answer.c
+++ b/libberyl/requests/answer.c
@@ -6,9 +6,9 @@
 
 /* An answer that is not streamed is held back until it is whole, so that a
  * failed attempt can be repeated unseen; beyond this size it is streamed. */
-#define HELD_BACK_BYTES (256U * 1024)
+#define BUFFERED_ANSWER_MAX_BYTES (256U * 1024)
 /* How long a service's answer is awaited after its caller has gone. */
-#define DETACHED_MS 10000
+#define DETACHED_TIMEOUT_MS 10000
 /* When to come back after a failure that may be gone by then. */
 #define RETRY_AFTER_MS 1000
 
@@ -23,7 +23,7 @@
 
   action.head.status = answer->status;
   action.head.content_type = answer->content_type;
-  requests_act (requests, &action);
+  requests_emit (requests, &action);
 }
 
 static void
@@ -41,7 +41,7 @@
   action.data.bytes = bytes;
   action.data.bytes_count = bytes_count;
   action.data.tokens = tokens;
-  requests_act (requests, &action);
+  requests_emit (requests, &action);
 }
 
 static void
@@ -57,7 +57,7 @@
       = answer->finish_reason[0] != '\0' ? answer->finish_reason : NULL;
   action.end.prompt_tokens = answer->prompt_tokens;
   action.end.completion_tokens = answer->completion_tokens;
-  requests_act (requests, &action);
+  requests_emit (requests, &action);
 }
 
 void
@@ -71,9 +71,9 @@
 }
 
 void
-requests_refuse (struct beryl_requests *requests, uint64_t handle,
-                 enum beryl_problem problem, enum beryl_outcome outcome,
-                 int64_t retry_after_ms, const char *detail)
+requests_reply_error (struct beryl_requests *requests, uint64_t handle,
+                      enum beryl_problem problem, enum beryl_outcome outcome,
+                      int64_t retry_after_ms, const char *detail)
 {
   struct beryl_action action = {
     .type = BERYL_ACTION_REPLY_ERROR,
@@ -84,7 +84,7 @@
   action.error.outcome = outcome;
   action.error.retry_after_ms = retry_after_ms;
   action.error.detail = detail;
-  requests_act (requests, &action);
+  requests_emit (requests, &action);
 }
 
 /* A caller that reads slowly would make this node keep its whole answer in
@@ -99,7 +99,7 @@
       || request->slow_since_ms != BERYL_NEVER_MS)
     return;
   request->slow_since_ms = now_ms;
-  requests_due_by (requests, now_ms + requests->settings.slow_reader_ms);
+  requests_schedule_due (requests, now_ms + requests->settings.slow_reader_ms);
   attempt_pause (requests, request, true);
 }
 
@@ -108,9 +108,9 @@
               const void *bytes, size_t bytes_count, uint32_t tokens,
               int64_t now_ms)
 {
-  if (!request->begun)
+  if (!request->reply_started)
     reply_head (requests, request->call.request, &request->answer);
-  request->begun = true;
+  request->reply_started = true;
   reply_data (requests, request->call.request, request->replied_bytes, bytes,
               bytes_count, tokens);
   request->replied_bytes += bytes_count;
@@ -121,7 +121,7 @@
 static bool
 request_keeps_body (const struct request *request)
 {
-  return !request->begun
+  return !request->reply_started
          || (request->record != NULL && request->record->keyed);
 }
 
@@ -130,7 +130,7 @@
                  const void *bytes, size_t bytes_count, uint32_t tokens,
                  int64_t now_ms)
 {
-  bool streamed = request->call.stream || request->begun;
+  bool streamed = request->call.stream || request->reply_started;
 
   request->answer.completion_tokens += tokens;
   if (!streamed || (request->record != NULL && request->record->keyed))
@@ -139,7 +139,7 @@
     return;
   if (streamed)
     request_send (requests, request, bytes, bytes_count, tokens, now_ms);
-  else if (request->answer.body.count > HELD_BACK_BYTES)
+  else if (request->answer.body.count > BUFFERED_ANSWER_MAX_BYTES)
     {
       request_send (requests, request, request->answer.body.bytes,
                     request->answer.body.count, 0, now_ms);
@@ -149,35 +149,36 @@
 }
 
 void
-request_answered (struct beryl_requests *requests, struct request *request,
+request_complete (struct beryl_requests *requests, struct request *request,
                   int64_t now_ms)
 {
-  if (!request->caller_gone && !request->begun)
+  if (!request->caller_gone && !request->reply_started)
     request_send (requests, request, request->answer.body.bytes,
                   request->answer.body.count, 0, now_ms);
   if (!request->caller_gone)
     reply_end (requests, request->call.request, &request->answer);
-  record_end (requests, request, BERYL_OUTCOME_ANSWERED, now_ms);
+  record_close (requests, request, BERYL_OUTCOME_ANSWERED, now_ms);
   request_unlink (requests, request);
 }
 
 void
-request_fail_as (struct beryl_requests *requests, struct request *request,
-                 enum beryl_problem problem, enum beryl_outcome outcome,
-                 int64_t retry_after_ms, const char *detail, int64_t now_ms)
+request_fail_with_outcome (struct beryl_requests *requests,
+                           struct request *request, enum beryl_problem problem,
+                           enum beryl_outcome outcome, int64_t retry_after_ms,
+                           const char *detail, int64_t now_ms)
 {
   struct beryl_action cut = {
-    .type = BERYL_ACTION_REPLY_CUT,
+    .type = BERYL_ACTION_REPLY_TRUNCATE,
     .request = request->call.request,
   };
 
   attempt_stop (requests, request, BERYL_RELEASE_CANCELLED, NULL, now_ms);
-  if (!request->caller_gone && request->begun)
-    requests_act (requests, &cut);
+  if (!request->caller_gone && request->reply_started)
+    requests_emit (requests, &cut);
   else if (!request->caller_gone)
-    requests_refuse (requests, request->call.request, problem, outcome,
-                     retry_after_ms, detail);
-  record_end (requests, request, outcome, now_ms);
+    requests_reply_error (requests, request->call.request, problem, outcome,
+                          retry_after_ms, detail);
+  record_close (requests, request, outcome, now_ms);
   request_unlink (requests, request);
 }
 
@@ -187,7 +188,7 @@
 static enum beryl_outcome
 request_outcome (const struct request *request)
 {
-  if (request->begun || request->exchange != NULL
+  if (request->reply_started || request->exchange != NULL
       || request->phase == PHASE_DECODE)
     return BERYL_OUTCOME_UNKNOWN;
   /* Whether another node has run the key is only known with its claim. */
@@ -209,8 +210,8 @@
 
   if (again && retry_after_ms == 0)
     retry_after_ms = RETRY_AFTER_MS;
-  request_fail_as (requests, request, problem, outcome, retry_after_ms, detail,
-                   now_ms);
+  request_fail_with_outcome (requests, request, problem, outcome,
+                             retry_after_ms, detail, now_ms);
 }
 
 /* A service's call with a key cannot be taken back: its answer is read to
@@ -227,16 +228,16 @@
     return false;
   map_remove (&requests->by_handle, map_key_number (request->call.request));
   request->caller_gone = true;
-  request->call.deadline_ms = now_ms + DETACHED_MS;
-  requests_due_by (requests, request->call.deadline_ms);
+  request->call.deadline_ms = now_ms + DETACHED_TIMEOUT_MS;
+  requests_schedule_due (requests, request->call.deadline_ms);
   request->slow_since_ms = BERYL_NEVER_MS;
   attempt_pause (requests, request, false);
   return true;
 }
 
 void
-request_caller_gone (struct beryl_requests *requests, struct request *request,
-                     int64_t now_ms)
+request_on_caller_gone (struct beryl_requests *requests,
+                        struct request *request, int64_t now_ms)
 {
   if (request_detach (requests, request, now_ms))
     return;
@@ -247,24 +248,24 @@
 }
 
 void
-request_deadline (struct beryl_requests *requests, struct request *request,
-                  int64_t now_ms)
+request_on_deadline (struct beryl_requests *requests, struct request *request,
+                     int64_t now_ms)
 {
   uint64_t handle = request->call.request;
 
-  if (!request->caller_gone && !request->begun
+  if (!request->caller_gone && !request->reply_started
       && request_detach (requests, request, now_ms))
-    requests_refuse (requests, handle, BERYL_PROBLEM_DEADLINE,
-                     BERYL_OUTCOME_UNKNOWN, 0,
-                     "deadline passed while it was running");
+    requests_reply_error (requests, handle, BERYL_PROBLEM_DEADLINE,
+                          BERYL_OUTCOME_UNKNOWN, 0,
+                          "deadline passed while it was running");
   else
     request_fail (requests, request, BERYL_PROBLEM_DEADLINE, 0,
                   "deadline passed", now_ms);
 }
 
 void
-request_caller_drained (struct beryl_requests *requests,
-                        struct request *request)
+request_on_caller_drained (struct beryl_requests *requests,
+                           struct request *request)
 {
   request->queued_bytes = 0;
   if (request->slow_since_ms == BERYL_NEVER_MS)
--- a/libberyl/requests/attempt.c
+++ b/libberyl/requests/attempt.c
@@ -54,7 +54,7 @@
   action.request = request->call.request;
   action.exchange = exchange->id;
   action.pause.paused = paused;
-  requests_act (requests, &action);
+  requests_emit (requests, &action);
 }
 
 static bool
@@ -80,7 +80,7 @@
   action.start.offset = request->reassembly.next;
   action.start.call = &request->call;
   action.start.deadline_ms = request->call.deadline_ms;
-  requests_act (requests, &action);
+  requests_emit (requests, &action);
   return true;
 }
 
@@ -114,8 +114,8 @@
   request->decode_refusals = 0;
   request->first_token_seen = false;
   request->decode[0] = '\0';
-  request->decode_at_ms = BERYL_NEVER_MS;
-  request->unsettled = false;
+  request->decode_retry_at_ms = BERYL_NEVER_MS;
+  request->engine_call_in_flight = false;
   if (!hold_record (requests, request->prefill, request->stream)
       || !attempt_start (requests, request, BERYL_ACTION_PREFILL,
                          request->prefill))
@@ -127,7 +127,7 @@
                 int64_t now_ms)
 {
   request_set_phase (requests, request, PHASE_DECODE);
-  request->decode_at_ms = BERYL_NEVER_MS;
+  request->decode_retry_at_ms = BERYL_NEVER_MS;
   if (!hold_record (requests, request->decode, request->stream)
       || !attempt_start (requests, request, BERYL_ACTION_DECODE,
                          request->decode))
@@ -153,7 +153,7 @@
   /* Left set, the next event would look for a decode engine for a request
    * that waits to be planned again; finding no ticket, it would count as one
    * more refusal, until the caller is told that every endpoint is full. */
-  request->decode_at_ms = BERYL_NEVER_MS;
+  request->decode_retry_at_ms = BERYL_NEVER_MS;
   if (request->phase == PHASE_PLAN)
     beryl_router_forget (requests->router, request->call.request);
   if (request->exchange != NULL)
@@ -164,16 +164,16 @@
         .exchange = request->exchange->id,
       };
 
-      requests_act (requests, &action);
+      requests_emit (requests, &action);
       exchange_close (requests, request);
-      request->unsettled = true;
+      request->engine_call_in_flight = true;
     }
   if (request->stream.counter != 0)
     {
       hold_cancel (requests, request->prefill, request->stream,
-                   request->unsettled, now_ms);
+                   request->engine_call_in_flight, now_ms);
       hold_cancel (requests, request->decode, request->stream,
-                   request->unsettled, now_ms);
+                   request->engine_call_in_flight, now_ms);
     }
   attempt_release (requests, request, how, endpoint, now_ms);
 }
@@ -181,9 +181,9 @@
 static void
 request_reset (struct request *request)
 {
-  reassembly_drop_early (&request->reassembly);
+  reassembly_discard_buffered (&request->reassembly);
   request->stream = (struct beryl_stream_id){ 0 };
-  if (request->begun)
+  if (request->reply_started)
     return;
   request->reassembly.next = 0;
   request->answer.body.count = 0;
@@ -192,8 +192,8 @@
 
 /* Why a failed attempt ends the request; NULL if it may be tried again. */
 static const char *
-retry_obstacle (struct beryl_requests *requests, struct request *request,
-                enum beryl_outcome outcome, bool refused)
+retry_denied_reason (struct beryl_requests *requests, struct request *request,
+                     enum beryl_outcome outcome, bool refused)
 {
   bool safe = beryl_outcome_allows_retry (outcome, request->idempotent);
 
@@ -201,7 +201,7 @@
     return "caller gone";
   /* Another engine's continuation differs: after the first byte has gone
    * out, the caller would read two texts as one. */
-  if (!BERYL_GUARD (BERYL_GUARD_MIX, !request->begun))
+  if (!BERYL_GUARD (BERYL_GUARD_MIX, !request->reply_started))
     return "the answer had begun";
   /* A call that may have run must not run again: a station would be billed
    * twice. */
@@ -222,7 +222,7 @@
                 int64_t retry_after_ms, int64_t now_ms)
 {
   char name[BERYL_NAME_BYTES];
-  const char *obstacle;
+  const char *denied_reason;
 
   snprintf (name, sizeof name, "%s", endpoint);
   attempt_stop (requests, request,
@@ -230,13 +230,13 @@
                 name[0] != '\0' ? name : NULL, now_ms);
   if (outcome == BERYL_OUTCOME_UNKNOWN)
     request->may_have_run = true;
-  obstacle = retry_obstacle (requests, request, outcome, refused);
-  if (obstacle != NULL)
+  denied_reason = retry_denied_reason (requests, request, outcome, refused);
+  if (denied_reason != NULL)
     {
       request_fail (requests, request,
                     refused ? BERYL_PROBLEM_NO_CAPACITY
                             : BERYL_PROBLEM_ENDPOINT_FAILED,
-                    retry_after_ms, obstacle, now_ms);
+                    retry_after_ms, denied_reason, now_ms);
       return;
     }
   if (name[0] != '\0')
@@ -256,7 +256,7 @@
       || !retry_budget_spend (&requests->budgets, request->call.service))
     return false;
   request->resumes++;
-  reassembly_drop_early (&request->reassembly);
+  reassembly_discard_buffered (&request->reassembly);
   exchange_close (requests, request);
   attempt_decode (requests, request, now_ms);
   return true;
@@ -266,21 +266,21 @@
  * engine that has just said that it is full, or NULL: it has not run the call,
  * so that asking another one, or the same later, is no second run. */
 void
-attempt_bind (struct beryl_requests *requests, struct request *request,
-              const char *refused_by, int64_t now_ms)
+attempt_bind_decode (struct beryl_requests *requests, struct request *request,
+                     const char *refused_by, int64_t now_ms)
 {
   struct beryl_plan plan = { .verdict = BERYL_VERDICT_REFUSE };
 
   beryl_router_bind_decode (requests->router, request->ticket,
                             request->kv_expires_ms, refused_by, now_ms, &plan);
   if (plan.verdict != BERYL_VERDICT_WAIT)
-    plan_log (requests, request, &plan);
+    plan_emit_decision (requests, request, &plan);
   if (plan.verdict == BERYL_VERDICT_WAIT)
     {
       request_set_phase (requests, request, PHASE_DECODE);
-      request->decode_at_ms
+      request->decode_retry_at_ms
           = plan.retry_at_ms > now_ms ? plan.retry_at_ms : now_ms + 1;
-      requests_due_by (requests, request->decode_at_ms);
+      requests_schedule_due (requests, request->decode_retry_at_ms);
     }
   else if (plan.verdict == BERYL_VERDICT_START)
     {
--- a/libberyl/requests/attempt_event.c
+++ b/libberyl/requests/attempt_event.c
@@ -5,16 +5,16 @@
 #include "private.h"
 
 /* How long a KV cache is counted on if the engine does not say. */
-#define KV_LIVES_MS 600
+#define KV_TTL_DEFAULT_MS 600
 
 static void
 on_forward_failed (struct beryl_requests *requests, struct request *request,
                    const char *reason, int64_t now_ms)
 {
   exchange_close (requests, request);
-  request_fail_as (requests, request, BERYL_PROBLEM_KEY_UNKNOWN,
-                   BERYL_OUTCOME_UNKNOWN, 1000,
-                   reason != NULL ? reason : "the key's node is away", now_ms);
+  request_fail_with_outcome (
+      requests, request, BERYL_PROBLEM_KEY_UNKNOWN, BERYL_OUTCOME_UNKNOWN,
+      1000, reason != NULL ? reason : "the key's node is away", now_ms);
 }
 
 static void
@@ -26,7 +26,7 @@
   const char *endpoint
       = request->phase == PHASE_PREFILL ? request->prefill : request->decode;
 
-  request->unsettled |= sent;
+  request->engine_call_in_flight |= sent;
   if (request->phase == PHASE_FORWARD)
     {
       on_forward_failed (requests, request, reason, now_ms);
@@ -37,7 +37,7 @@
   if (request->phase == PHASE_DECODE)
     outcome = BERYL_OUTCOME_UNKNOWN;
   if (request->phase == PHASE_PREFILL && !sent)
-    hold_end (requests, request->prefill, request->stream);
+    hold_release (requests, request->prefill, request->stream);
   exchange_close (requests, request);
   attempt_failed (requests, request, outcome, false, endpoint, 0, now_ms);
 }
@@ -52,9 +52,9 @@
 
   exchange_close (requests, request);
   if (strcmp (request->prefill, request->decode) != 0)
-    hold_end (requests, request->decode, request->stream);
+    hold_release (requests, request->decode, request->stream);
   memcpy (refused_by, request->decode, sizeof refused_by);
-  attempt_bind (requests, request, refused_by, now_ms);
+  attempt_bind_decode (requests, request, refused_by, now_ms);
 }
 
 /* The endpoint says that it did not run it.  Of a model's call the prefill
@@ -80,10 +80,10 @@
   if (request->phase == PHASE_DECODE)
     outcome = BERYL_OUTCOME_UNKNOWN;
   if (request->phase == PHASE_PREFILL)
-    hold_end (requests, request->prefill, request->stream);
+    hold_release (requests, request->prefill, request->stream);
   if (request->phase == PHASE_DECODE && request->resumes == 0
       && strcmp (request->prefill, request->decode) != 0)
-    hold_end (requests, request->decode, request->stream);
+    hold_release (requests, request->decode, request->stream);
   exchange_close (requests, request);
   attempt_failed (requests, request, outcome, true, endpoint, retry_after_ms,
                   now_ms);
@@ -114,9 +114,9 @@
                              event->prefill.kv_bytes, now_ms);
   request->kv_expires_ms
       = now_ms
-        + (event->prefill.kv_lives_ms > 0 ? event->prefill.kv_lives_ms
-                                          : KV_LIVES_MS);
-  attempt_bind (requests, request, NULL, now_ms);
+        + (event->prefill.kv_ttl_ms > 0 ? event->prefill.kv_ttl_ms
+                                        : KV_TTL_DEFAULT_MS);
+  attempt_bind_decode (requests, request, NULL, now_ms);
 }
 
 /* The decode engine has imported the KV cache; its export need not wait for
@@ -148,8 +148,8 @@
 }
 
 static void
-note_tokens (struct beryl_requests *requests, struct request *request,
-             uint32_t tokens, int64_t now_ms)
+count_tokens (struct beryl_requests *requests, struct request *request,
+              uint32_t tokens, int64_t now_ms)
 {
   if (request->phase != PHASE_DECODE)
     return;
@@ -176,7 +176,7 @@
   if (!BERYL_GUARD (BERYL_GUARD_ATTEMPT,
                     attempt == 0 || attempt == exchange->attempt))
     return;
-  note_tokens (requests, request, event->data.tokens, now_ms);
+  count_tokens (requests, request, event->data.tokens, now_ms);
   if (!reassembly_add (&request->reassembly, event->data.offset,
                        event->data.bytes, event->data.bytes_count,
                        event->data.tokens, deliver_piece, &delivery))
@@ -189,13 +189,13 @@
         const struct beryl_event *event, int64_t now_ms)
 {
   struct answer *answer = &request->answer;
-  uint64_t whole = event->end.answer_bytes;
-  bool sized = whole != 0 || request->phase == PHASE_DECODE;
+  uint64_t expected_bytes = event->end.answer_bytes;
+  bool sized = expected_bytes != 0 || request->phase == PHASE_DECODE;
 
   /* An end before all bytes are there would pass a part for the whole; it
    * is a cut, and the rest is asked for. */
   if (!BERYL_GUARD (BERYL_GUARD_WHOLE,
-                    !sized || request->reassembly.next == whole))
+                    !sized || request->reassembly.next == expected_bytes))
     {
       on_failed (requests, request, true, "bytes are missing", now_ms);
       return;
@@ -205,10 +205,10 @@
               event->end.finish_reason);
   release_export (requests, request, now_ms);
   if (request->phase == PHASE_DECODE)
-    hold_end (requests, request->decode, request->stream);
+    hold_release (requests, request->decode, request->stream);
   exchange_close (requests, request);
   attempt_release (requests, request, BERYL_RELEASE_DONE, NULL, now_ms);
-  request_answered (requests, request, now_ms);
+  request_complete (requests, request, now_ms);
 }
 
 static void
@@ -218,15 +218,16 @@
   if (request->phase != PHASE_FORWARD)
     return;
   exchange_close (requests, request);
-  request_fail_as (requests, request, event->forward_error.problem,
-                   event->forward_error.outcome,
-                   event->forward_error.retry_after_ms,
-                   event->forward_error.detail, now_ms);
+  request_fail_with_outcome (requests, request, event->forward_error.problem,
+                             event->forward_error.outcome,
+                             event->forward_error.retry_after_ms,
+                             event->forward_error.detail, now_ms);
 }
 
 void
-attempt_event (struct beryl_requests *requests, struct exchange *exchange,
-               const struct beryl_event *event, int64_t now_ms)
+attempt_handle_event (struct beryl_requests *requests,
+                      struct exchange *exchange,
+                      const struct beryl_event *event, int64_t now_ms)
 {
   struct request *request = exchange->request;
 
--- a/libberyl/requests/call.c
+++ b/libberyl/requests/call.c
@@ -7,56 +7,56 @@
 #include <xxhash.h>
 
 static bool
-copy_text (const char **copy, const char *text, bool *whole)
+copy_text (const char **copy, const char *text, bool *complete)
 {
   if (text == NULL)
     return true;
   *copy = strdup (text);
   if (*copy == NULL)
-    *whole = false;
-  return *whole;
+    *complete = false;
+  return *complete;
 }
 
 /* A NUL follows the bytes, so that a prompt is also a string. */
 static void
-copy_bytes (const void **copy, const void *bytes, size_t count, bool *whole)
+copy_bytes (const void **copy, const void *bytes, size_t count, bool *complete)
 {
-  char *mine;
+  char *duplicate;
 
   *copy = NULL;
   if (bytes == NULL)
     return;
-  mine = malloc (count + 1);
-  if (mine == NULL)
+  duplicate = malloc (count + 1);
+  if (duplicate == NULL)
     {
-      *whole = false;
+      *complete = false;
       return;
     }
-  memcpy (mine, bytes, count);
-  mine[count] = '\0';
-  *copy = mine;
+  memcpy (duplicate, bytes, count);
+  duplicate[count] = '\0';
+  *copy = duplicate;
 }
 
 bool
 call_copy (struct beryl_call *copy, const struct beryl_call *call)
 {
   const void *prompt = NULL;
-  bool whole = true;
+  bool complete = true;
 
   *copy = *call;
   copy->request_id = copy->organisation = copy->service = NULL;
   copy->method = copy->path = copy->content_type = copy->key = NULL;
-  copy_text (&copy->request_id, call->request_id, &whole);
-  copy_text (&copy->organisation, call->organisation, &whole);
-  copy_text (&copy->service, call->service, &whole);
-  copy_text (&copy->method, call->method, &whole);
-  copy_text (&copy->path, call->path, &whole);
-  copy_text (&copy->content_type, call->content_type, &whole);
-  copy_text (&copy->key, call->key, &whole);
-  copy_bytes (&copy->body, call->body, call->body_bytes, &whole);
-  copy_bytes (&prompt, call->prompt, call->prompt_bytes, &whole);
+  copy_text (&copy->request_id, call->request_id, &complete);
+  copy_text (&copy->organisation, call->organisation, &complete);
+  copy_text (&copy->service, call->service, &complete);
+  copy_text (&copy->method, call->method, &complete);
+  copy_text (&copy->path, call->path, &complete);
+  copy_text (&copy->content_type, call->content_type, &complete);
+  copy_text (&copy->key, call->key, &complete);
+  copy_bytes (&copy->body, call->body, call->body_bytes, &complete);
+  copy_bytes (&prompt, call->prompt, call->prompt_bytes, &complete);
   copy->prompt = prompt;
-  return whole;
+  return complete;
 }
 
 void
--- a/libberyl/requests/claim_log.c
+++ b/libberyl/requests/claim_log.c
@@ -14,17 +14,17 @@
 bool
 log_put (struct shard *shard, struct map_key key, const struct claim *claim)
 {
-  struct claim *mine = map_get (&shard->index, key);
+  struct claim *stored = map_get (&shard->index, key);
 
-  if (mine != NULL)
+  if (stored != NULL)
     return true;
-  mine = malloc (sizeof *mine);
-  if (mine == NULL)
+  stored = malloc (sizeof *stored);
+  if (stored == NULL)
     return false;
-  *mine = *claim;
-  if (!map_put (&shard->index, key, mine))
+  *stored = *claim;
+  if (!map_put (&shard->index, key, stored))
     {
-      free (mine);
+      free (stored);
       return false;
     }
   shard->claims->counts.keys++;
@@ -58,7 +58,7 @@
 }
 
 void
-log_forget (struct shard *shard)
+log_clear (struct shard *shard)
 {
   for (size_t i = 0; i < shard->index.capacity; i++)
     free (shard->index.slots[i].value);
@@ -66,7 +66,7 @@
   map_clear (&shard->index);
   shard->segment_count = 0;
   shard->next = 0;
-  shard->read = false;
+  shard->loaded = false;
 }
 
 static int
@@ -173,9 +173,10 @@
       = entries_sorted (shard, objects, object_count, &count);
   bool applied = entries != NULL && entries_contiguous (entries, count);
 
-  if (applied && count > 0 && (!shard->read || entries[0].from > shard->next))
+  if (applied && count > 0
+      && (!shard->loaded || entries[0].from > shard->next))
     {
-      log_forget (shard);
+      log_clear (shard);
       shard->next = entries[0].from;
     }
   for (size_t i = 0; applied && i < count; i++)
@@ -195,7 +196,7 @@
 
   if (segment != NULL)
     segment->claims = shard->batch.count;
-  for (struct waiting *w = shard->batch.first; w != NULL; w = w->next)
+  for (struct pending_claim *w = shard->batch.first; w != NULL; w = w->next)
     {
       struct claim claim = { w->body_hash, w->incarnation, shard->next };
 
--- a/libberyl/requests/claim_private.h
+++ b/libberyl/requests/claim_private.h
@@ -14,7 +14,7 @@
 #define SEGMENT_CLAIMS_MAX 2000
 /** Claims in one folded segment; with 67 bytes each it stays below the
  * object API's limit of a megabyte. */
-#define FOLD_CLAIMS_MAX 8000
+#define COMPACTED_CLAIMS_MAX 8000
 
 /** A durable claim. */
 struct claim
@@ -35,23 +35,23 @@
 };
 
 /** A claim that is asked for. */
-struct waiting
+struct pending_claim
 {
-  struct waiting *next;
+  struct pending_claim *next;
   struct map_key key;
   uint64_t body_hash;
   uint64_t incarnation;
   uint64_t id; /**< local: the request; else of the asker's message */
   bool remote;
-  bool forced; /**< its home's process is gone: write here */
+  bool home_down; /**< its home's process is gone: write here */
   char node[BERYL_NAME_BYTES];
 };
 
 /** A queue of them. */
-struct waiting_queue
+struct pending_queue
 {
-  struct waiting *first;
-  struct waiting *last;
+  struct pending_claim *first;
+  struct pending_claim *last;
   uint32_t count;
 };
 
@@ -65,11 +65,11 @@
 };
 
 /** What the folding of a shard is doing. */
-enum fold_call
+enum compaction_state
 {
-  FOLD_IDLE,
-  FOLD_CREATE,
-  FOLD_REMOVE,
+  COMPACTION_IDLE,
+  COMPACTION_CREATE,
+  COMPACTION_REMOVE,
 };
 
 /** One shard of the log as this node knows it. */
@@ -77,16 +77,16 @@
 {
   struct beryl_claims *claims;
   uint32_t number;
-  bool read;        /**< the log up to NEXT is in the index */
-  bool sole;        /**< home, and its last write met nobody else's */
-  bool catch_up;    /**< NEXT is known to be taken by another's segment */
-  struct map index; /**< struct claim */
-  uint64_t next;    /**< sequence number of the next segment */
+  bool loaded;        /**< the log up to NEXT is in the index */
+  bool sole_writer;   /**< home, and its last write met nobody else's */
+  bool must_catch_up; /**< NEXT is known to be taken by another's segment */
+  struct map index;   /**< struct claim */
+  uint64_t next;      /**< sequence number of the next segment */
   struct segment *segments;
   size_t segment_count;
   size_t segment_capacity;
-  struct waiting_queue queue;
-  struct waiting_queue batch; /**< in the segment that is being written */
+  struct pending_queue queue;
+  struct pending_queue batch; /**< in the segment that is being written */
   char *value;                /**< that segment */
   char nonce[33];
   uint32_t lost_replies; /**< of its creation */
@@ -96,18 +96,18 @@
   int64_t verified_ms; /**< NEXT was the end of the log at this time */
   int64_t next_ms;     /**< no call before this */
   int64_t backoff_ms;
-  enum fold_call fold;
-  uint64_t fold_id;
-  uint64_t fold_from;
-  uint64_t fold_to;
-  int64_t fold_next_ms;
+  enum compaction_state compaction;
+  uint64_t compaction_call_id;
+  uint64_t compaction_from;
+  uint64_t compaction_to;
+  int64_t compaction_next_ms;
 };
 
 /** A claim that was sent to another node. */
-struct asked
+struct remote_claim
 {
-  struct asked *next;
-  struct waiting *waiting;
+  struct remote_claim *next;
+  struct pending_claim *pending;
   uint64_t id;
   char home[BERYL_NAME_BYTES];
   int64_t due_ms;
@@ -123,15 +123,15 @@
   uint32_t *homes;        /**< by shard: the number of its home */
   int64_t *home_since_ms; /**< by shard; BERYL_NEVER_MS: not ours */
   struct shard **shards;  /**< NULL until used */
-  struct asked *asked;
+  struct remote_claim *remotes;
   int64_t last_tick_ms;
-  int64_t write_from_ms;    /**< no new segment before this */
-  uint32_t home_count;      /**< shards that this node is home of */
-  bool in_turn;             /**< the tick is serving the shards */
-  uint32_t turn;            /**< the shard that is served first */
-  int64_t commits_until_us; /**< the rate is used up to here */
+  int64_t write_not_before_ms; /**< no new segment before this */
+  uint32_t home_count;         /**< shards that this node is home of */
+  bool serving_shards;         /**< the tick is serving the shards */
+  uint32_t next_shard;         /**< the shard that is served first */
+  int64_t rate_used_until_us;  /**< the rate is used up to here */
   uint64_t last_call;
-  uint64_t last_ask;
+  uint64_t last_remote_id;
   uint64_t random;
   struct map calls; /**< struct shard, by call */
   struct beryl_claims_counts counts;
@@ -159,7 +159,8 @@
 /* claim_shard.c */
 struct shard *shard_create (struct beryl_claims *claims, uint32_t number);
 void shard_destroy (struct shard *shard);
-void shard_ask (struct shard *shard, struct waiting *waiting, int64_t now_ms);
+void shard_claim (struct shard *shard, struct pending_claim *pending,
+                  int64_t now_ms);
 void shard_load (struct shard *shard, int64_t now_ms);
 void shard_step (struct shard *shard, int64_t now_ms);
 void shard_on_read (struct shard *shard, enum beryl_error_code code,
@@ -173,44 +174,47 @@
 bool log_apply (struct shard *shard, const struct beryl_object *objects,
                 size_t object_count, int64_t now_ms);
 void log_append (struct shard *shard, int64_t now_ms);
-void log_forget (struct shard *shard);
+void log_clear (struct shard *shard);
 struct segment *log_add_segment (struct shard *shard, uint64_t from,
                                  uint64_t to, int64_t now_ms);
 bool log_put (struct shard *shard, struct map_key key,
               const struct claim *claim);
 
 /* claim_fold.c */
-void fold_step (struct shard *shard, int64_t now_ms);
-void fold_on_written (struct shard *shard, enum beryl_error_code code,
-                      int64_t now_ms);
-int64_t fold_next_ms (const struct shard *shard);
+void compaction_step (struct shard *shard, int64_t now_ms);
+void compaction_on_written (struct shard *shard, enum beryl_error_code code,
+                            int64_t now_ms);
+int64_t compaction_next_ms (const struct shard *shard);
 
 /* claim_ask.c */
-void ask_home (struct beryl_claims *claims, struct waiting *waiting,
-               const char *home, int64_t now_ms);
-void ask_on_reply (struct beryl_claims *claims,
-                   const struct beryl_claim_message *message);
-void ask_clear (struct beryl_claims *claims);
-void ask_step (struct beryl_claims *claims, int64_t now_ms);
+void remote_claim_send (struct beryl_claims *claims,
+                        struct pending_claim *pending, const char *home,
+                        int64_t now_ms);
+void remote_claims_on_reply (struct beryl_claims *claims,
+                             const struct beryl_claim_message *message);
+void remote_claims_clear (struct beryl_claims *claims);
+void remote_claims_retry (struct beryl_claims *claims, int64_t now_ms);
 
 /* claims.c */
 struct shard *claims_shard (struct beryl_claims *claims, uint32_t number);
 uint32_t claims_shard_number (const struct beryl_claims *claims,
                               struct map_key key);
 
-uint64_t claims_call (struct beryl_claims *claims, struct shard *shard);
-int64_t claims_commit_ms (const struct beryl_claims *claims);
-bool claims_settled_home (const struct beryl_claims *claims, uint32_t shard,
-                          int64_t now_ms);
+uint64_t claims_register_call (struct beryl_claims *claims,
+                               struct shard *shard);
+int64_t claims_next_commit_ms (const struct beryl_claims *claims);
+bool claims_is_established_home (const struct beryl_claims *claims,
+                                 uint32_t shard, int64_t now_ms);
 bool claims_may_commit (const struct beryl_claims *claims, int64_t now_ms);
-void claims_count_commit (struct beryl_claims *claims,
-                          const struct shard *shard, int64_t now_ms);
+void claims_charge_commit (struct beryl_claims *claims,
+                           const struct shard *shard, int64_t now_ms);
 void claims_nonce (struct beryl_claims *claims, char nonce[33]);
-void claims_answer (struct beryl_claims *claims, struct waiting *waiting,
-                    enum beryl_claim_result result, uint64_t incarnation);
-bool claims_is_alone (const struct beryl_claims *claims);
+void claims_complete (struct beryl_claims *claims,
+                      struct pending_claim *pending,
+                      enum beryl_claim_result result, uint64_t incarnation);
+bool claims_is_isolated (const struct beryl_claims *claims);
 bool claims_is_home (const struct beryl_claims *claims, uint32_t shard);
-void queue_add (struct waiting_queue *queue, struct waiting *waiting);
-struct waiting *queue_take (struct waiting_queue *queue);
+void queue_add (struct pending_queue *queue, struct pending_claim *pending);
+struct pending_claim *queue_take (struct pending_queue *queue);
 
 #endif
--- a/libberyl/requests/claim_shard.c
+++ b/libberyl/requests/claim_shard.c
@@ -25,12 +25,12 @@
 }
 
 static void
-queue_free (struct waiting_queue *queue)
+queue_free (struct pending_queue *queue)
 {
-  struct waiting *waiting;
+  struct pending_claim *pending;
 
-  while ((waiting = queue_take (queue)) != NULL)
-    free (waiting);
+  while ((pending = queue_take (queue)) != NULL)
+    free (pending);
 }
 
 void
@@ -38,7 +38,7 @@
 {
   if (shard == NULL)
     return;
-  log_forget (shard);
+  log_clear (shard);
   queue_free (&shard->queue);
   queue_free (&shard->batch);
   free (shard->segments);
@@ -48,41 +48,41 @@
 
 /* Answers a claim from the index; false if the key is not in it. */
 static bool
-answer_known (struct shard *shard, struct waiting *waiting)
+answer_from_index (struct shard *shard, struct pending_claim *pending)
 {
-  const struct claim *claim = map_get (&shard->index, waiting->key);
+  const struct claim *claim = map_get (&shard->index, pending->key);
 
   if (claim == NULL)
     return false;
-  if (claim->body_hash != waiting->body_hash)
-    claims_answer (shard->claims, waiting, BERYL_CLAIM_MISMATCH,
-                   claim->incarnation);
+  if (claim->body_hash != pending->body_hash)
+    claims_complete (shard->claims, pending, BERYL_CLAIM_MISMATCH,
+                     claim->incarnation);
   else
-    claims_answer (shard->claims, waiting, BERYL_CLAIM_TAKEN,
-                   claim->incarnation);
+    claims_complete (shard->claims, pending, BERYL_CLAIM_TAKEN,
+                     claim->incarnation);
   return true;
 }
 
 static void
-answer_all_known (struct shard *shard)
+answer_queue_from_index (struct shard *shard)
 {
-  struct waiting_queue kept = { 0 };
-  struct waiting *waiting;
+  struct pending_queue kept = { 0 };
+  struct pending_claim *pending;
 
-  while ((waiting = queue_take (&shard->queue)) != NULL)
-    if (!shard->read || !answer_known (shard, waiting))
-      queue_add (&kept, waiting);
+  while ((pending = queue_take (&shard->queue)) != NULL)
+    if (!shard->loaded || !answer_from_index (shard, pending))
+      queue_add (&kept, pending);
   shard->queue = kept;
 }
 
 static void
-answer_all (struct shard *shard, struct waiting_queue *queue,
+answer_all (struct shard *shard, struct pending_queue *queue,
             enum beryl_claim_result result)
 {
-  struct waiting *waiting;
+  struct pending_claim *pending;
 
-  while ((waiting = queue_take (queue)) != NULL)
-    claims_answer (shard->claims, waiting, result, 0);
+  while ((pending = queue_take (queue)) != NULL)
+    claims_complete (shard->claims, pending, result, 0);
 }
 
 static void
@@ -98,7 +98,7 @@
 begin_call (struct shard *shard, enum shard_call call, int64_t now_ms)
 {
   shard->call = call;
-  shard->call_id = claims_call (shard->claims, shard);
+  shard->call_id = claims_register_call (shard->claims, shard);
   shard->call_ms = now_ms;
 }
 
@@ -139,9 +139,9 @@
 }
 
 static bool
-queue_has (const struct waiting_queue *queue, struct map_key key)
+queue_has (const struct pending_queue *queue, struct map_key key)
 {
-  for (const struct waiting *w = queue->first; w != NULL; w = w->next)
+  for (const struct pending_claim *w = queue->first; w != NULL; w = w->next)
     if (w->key.high == key.high && w->key.low == key.low)
       return true;
   return false;
@@ -153,18 +153,18 @@
 static void
 form_batch (struct shard *shard)
 {
-  struct waiting_queue later = { 0 };
-  struct waiting *waiting;
+  struct pending_queue later = { 0 };
+  struct pending_claim *pending;
 
   while (shard->batch.count < SEGMENT_CLAIMS_MAX
-         && (waiting = queue_take (&shard->queue)) != NULL)
+         && (pending = queue_take (&shard->queue)) != NULL)
     if (BERYL_GUARD (BERYL_GUARD_CLAIM_DUPLICATE,
-                     !queue_has (&shard->batch, waiting->key)))
-      queue_add (&shard->batch, waiting);
+                     !queue_has (&shard->batch, pending->key)))
+      queue_add (&shard->batch, pending);
     else
-      queue_add (&later, waiting);
-  while ((waiting = queue_take (&shard->queue)) != NULL)
-    queue_add (&later, waiting);
+      queue_add (&later, pending);
+  while ((pending = queue_take (&shard->queue)) != NULL)
+    queue_add (&later, pending);
   shard->queue = later;
 }
 
@@ -181,7 +181,7 @@
       answer_all (shard, &shard->batch, BERYL_CLAIM_UNAVAILABLE);
       return;
     }
-  for (struct waiting *w = shard->batch.first; w != NULL; w = w->next)
+  for (struct pending_claim *w = shard->batch.first; w != NULL; w = w->next)
     {
       struct claim claim = { w->body_hash, w->incarnation, shard->next };
 
@@ -191,7 +191,7 @@
   shard->value = segment_writer_finish (writer);
   shard->lost_replies = 0;
   shard->next_ms = now_ms + shard->claims->settings.commit_interval_ms;
-  claims_count_commit (shard->claims, shard, now_ms);
+  claims_charge_commit (shard->claims, shard, now_ms);
   begin_create (shard, now_ms);
 }
 
@@ -200,7 +200,7 @@
  * a home that slept longer could create one of them and believe that it had
  * won the race. */
 static bool
-verified (const struct shard *shard, int64_t now_ms)
+log_end_is_current (const struct shard *shard, int64_t now_ms)
 {
   return BERYL_GUARD (BERYL_GUARD_CLAIM_VERIFIED,
                       now_ms - shard->verified_ms
@@ -212,22 +212,22 @@
  * call their keys "not run".  Its callers' claims go to the new home; other
  * nodes ask that one by themselves. */
 static void
-hand_over (struct shard *shard, int64_t now_ms)
+hand_over_queue (struct shard *shard, int64_t now_ms)
 {
   struct beryl_claims *claims = shard->claims;
-  struct waiting_queue kept = { 0 };
-  struct waiting *waiting;
-
-  while ((waiting = queue_take (&shard->queue)) != NULL)
-    if (waiting->forced && !claims_is_alone (claims))
-      queue_add (&kept, waiting);
-    else if (waiting->remote)
-      free (waiting);
-    else if (claims_is_alone (claims))
-      claims_answer (claims, waiting, BERYL_CLAIM_UNKNOWN, 0);
+  struct pending_queue kept = { 0 };
+  struct pending_claim *pending;
+
+  while ((pending = queue_take (&shard->queue)) != NULL)
+    if (pending->home_down && !claims_is_isolated (claims))
+      queue_add (&kept, pending);
+    else if (pending->remote)
+      free (pending);
+    else if (claims_is_isolated (claims))
+      claims_complete (claims, pending, BERYL_CLAIM_UNKNOWN, 0);
     else
-      ask_home (claims, waiting, beryl_claims_home (claims, shard->number),
-                now_ms);
+      remote_claim_send (claims, pending,
+                         beryl_claims_home (claims, shard->number), now_ms);
   shard->queue = kept;
 }
 
@@ -235,7 +235,7 @@
 may_write (const struct shard *shard)
 {
   return BERYL_GUARD (BERYL_GUARD_CLAIM_HOME,
-                      !claims_is_alone (shard->claims)
+                      !claims_is_isolated (shard->claims)
                           && claims_is_home (shard->claims, shard->number));
 }
 
@@ -244,16 +244,16 @@
 {
   if (shard->call != SHARD_IDLE || now_ms < shard->next_ms)
     return;
-  answer_all_known (shard);
+  answer_queue_from_index (shard);
   if (shard->batch.count == 0 && !may_write (shard))
-    hand_over (shard, now_ms);
+    hand_over_queue (shard, now_ms);
   if (shard->batch.count > 0)
     begin_create (shard, now_ms);
   else if (shard->queue.count == 0)
     return;
-  else if (!shard->read || !verified (shard, now_ms))
+  else if (!shard->loaded || !log_end_is_current (shard, now_ms))
     begin_list (shard, now_ms);
-  else if (shard->catch_up)
+  else if (shard->must_catch_up)
     begin_get (shard, now_ms);
   else if (claims_may_commit (shard->claims, now_ms))
     begin_commit (shard, now_ms);
@@ -262,16 +262,17 @@
 void
 shard_load (struct shard *shard, int64_t now_ms)
 {
-  if (shard->call == SHARD_IDLE && !shard->read && now_ms >= shard->next_ms)
+  if (shard->call == SHARD_IDLE && !shard->loaded && now_ms >= shard->next_ms)
     begin_list (shard, now_ms);
 }
 
 void
-shard_ask (struct shard *shard, struct waiting *waiting, int64_t now_ms)
+shard_claim (struct shard *shard, struct pending_claim *pending,
+             int64_t now_ms)
 {
-  if (shard->read && answer_known (shard, waiting))
+  if (shard->loaded && answer_from_index (shard, pending))
     return;
-  queue_add (&shard->queue, waiting);
+  queue_add (&shard->queue, pending);
   shard_step (shard, now_ms);
 }
 
@@ -281,9 +282,10 @@
  * has read it knows that the key is new; a node that is cut off from the
  * others cannot know what they have written. */
 static enum beryl_claim_result
-result_of_outage (const struct shard *shard)
+outage_result (const struct shard *shard)
 {
-  bool certain = shard->read && shard->sole && !claims_is_alone (shard->claims)
+  bool certain = shard->loaded && shard->sole_writer
+                 && !claims_is_isolated (shard->claims)
                  && claims_is_home (shard->claims, shard->number);
 
   return BERYL_GUARD (BERYL_GUARD_CLAIM_OUTAGE, certain)
@@ -292,10 +294,10 @@
 }
 
 static void
-give_up (struct shard *shard)
+fail_queue (struct shard *shard)
 {
-  answer_all_known (shard);
-  answer_all (shard, &shard->queue, result_of_outage (shard));
+  answer_queue_from_index (shard);
+  answer_all (shard, &shard->queue, outage_result (shard));
 }
 
 static void
@@ -307,12 +309,12 @@
       back_off (shard, now_ms);
       return;
     }
-  shard->read = true;
-  shard->sole = false; /* the list may lag; the next write tells */
+  shard->loaded = true;
+  shard->sole_writer = false; /* the list may lag; the next write tells */
   shard->verified_ms = shard->call_ms;
-  if (shard->catch_up)
+  if (shard->must_catch_up)
     back_off (shard, now_ms);
-  shard->catch_up = false;
+  shard->must_catch_up = false;
 }
 
 void
@@ -324,7 +326,7 @@
 
   shard->call = SHARD_IDLE;
   if (code == BERYL_OK && get && object_count == 1)
-    shard->catch_up = !log_apply (shard, objects, 1, now_ms);
+    shard->must_catch_up = !log_apply (shard, objects, 1, now_ms);
   else if (code == BERYL_OK && !get)
     on_listed (shard, objects, object_count, now_ms);
   else if (get && code == BERYL_ERROR_NOT_FOUND)
@@ -332,61 +334,62 @@
   else
     {
       back_off (shard, now_ms);
-      give_up (shard);
+      fail_queue (shard);
     }
   shard_step (shard, now_ms);
 }
 
 /* Puts the batch back in front of the queue. */
 static void
-batch_back (struct shard *shard)
+requeue_batch (struct shard *shard)
 {
-  struct waiting *waiting;
+  struct pending_claim *pending;
 
-  while ((waiting = queue_take (&shard->queue)) != NULL)
-    queue_add (&shard->batch, waiting);
+  while ((pending = queue_take (&shard->queue)) != NULL)
+    queue_add (&shard->batch, pending);
   shard->queue = shard->batch;
-  shard->batch = (struct waiting_queue){ 0 };
+  shard->batch = (struct pending_queue){ 0 };
 }
 
 static void
-on_durable (struct shard *shard, int64_t now_ms)
+on_created (struct shard *shard, int64_t now_ms)
 {
-  struct waiting *waiting;
+  struct pending_claim *pending;
 
   /* This process was stopped while its write was on the way: what the write
    * has met may be an old number that had been deleted. */
-  if (!verified (shard, now_ms))
+  if (!log_end_is_current (shard, now_ms))
     {
-      batch_back (shard);
-      shard->read = false;
+      requeue_batch (shard);
+      shard->loaded = false;
       return;
     }
   shard->claims->counts.segments++;
   if (shard->lost_replies > 0)
-    shard->claims->counts.settled++;
+    shard->claims->counts.lost_replies_resolved++;
   log_append (shard, now_ms);
-  shard->sole = claims_settled_home (shard->claims, shard->number, now_ms);
+  shard->sole_writer
+      = claims_is_established_home (shard->claims, shard->number, now_ms);
   shard->verified_ms = shard->call_ms;
   shard->backoff_ms = BACKOFF_FIRST_MS;
-  while ((waiting = queue_take (&shard->batch)) != NULL)
-    claims_answer (shard->claims, waiting, BERYL_CLAIM_GRANTED,
-                   waiting->incarnation);
+  while ((pending = queue_take (&shard->batch)) != NULL)
+    claims_complete (shard->claims, pending, BERYL_CLAIM_GRANTED,
+                     pending->incarnation);
 }
 
 /* Another home has written this number, or this node did and the reply was
  * lost.  Which one it was is read from the segment itself. */
 static void
-on_race_lost (struct shard *shard)
+on_create_conflict (struct shard *shard)
 {
-  shard->claims->counts.races_lost++;
-  shard->sole = false;
-  batch_back (shard);
+  shard->claims->counts.create_conflicts++;
+  shard->sole_writer = false;
+  requeue_batch (shard);
   shard->next_ms = 0;
   if (BERYL_GUARD (BERYL_GUARD_CLAIM_REREAD, false))
     shard->next++;
   else
-    shard->catch_up = true;
+    shard->must_catch_up = true;
 }
 
 static void
@@ -396,16 +399,16 @@
   back_off (shard, now_ms);
   if (shard->lost_replies < LOST_REPLIES_MAX)
     return;
-  answer_all (shard, &shard->batch, result_of_outage (shard));
-  give_up (shard);
+  answer_all (shard, &shard->batch, outage_result (shard));
+  fail_queue (shard);
 }
 
 static void
 on_not_written (struct shard *shard, int64_t now_ms)
 {
   back_off (shard, now_ms);
-  answer_all (shard, &shard->batch, result_of_outage (shard));
-  give_up (shard);
+  answer_all (shard, &shard->batch, outage_result (shard));
+  fail_queue (shard);
 }
 
 void
@@ -422,9 +425,9 @@
   written |= code == BERYL_ERROR_CONFLICT
              && BERYL_GUARD (BERYL_GUARD_CLAIM_CREATE, false);
   if (written)
-    on_durable (shard, now_ms);
+    on_created (shard, now_ms);
   else if (code == BERYL_ERROR_CONFLICT)
-    on_race_lost (shard);
+    on_create_conflict (shard);
   else if (code == BERYL_ERROR_UNKNOWN)
     on_reply_lost (shard, now_ms);
   else
@@ -439,8 +442,8 @@
       || (shard->queue.count == 0 && shard->batch.count == 0))
     return BERYL_NEVER_MS;
   /* Only a new batch waits for the rate. */
-  if (shard->batch.count == 0 && shard->read && !shard->catch_up
-      && claims_commit_ms (shard->claims) > shard->next_ms)
-    return claims_commit_ms (shard->claims);
+  if (shard->batch.count == 0 && shard->loaded && !shard->must_catch_up
+      && claims_next_commit_ms (shard->claims) > shard->next_ms)
+    return claims_next_commit_ms (shard->claims);
   return shard->next_ms;
 }
--- a/libberyl/requests/claims.c
+++ b/libberyl/requests/claims.c
@@ -11,22 +11,22 @@
 #include <xxhash.h>
 
 #define SHARDS_DEFAULT 16
-#define FOLD_SEGMENTS_DEFAULT 16
+#define COMPACT_MIN_SEGMENTS_DEFAULT 16
 #define COMMIT_INTERVAL_DEFAULT_MS 20
 #define COMMITS_PER_S_DEFAULT 120
 /* Commits that a quiet node may make at once. */
 #define COMMIT_BURST 8
 #define RETENTION_DEFAULT_MS 3600000
 #define DELETE_AFTER_DEFAULT_MS 600000
-#define ASK_TIMEOUT_DEFAULT_MS 500
+#define REQUEST_TIMEOUT_DEFAULT_MS 500
 /* Ticks come at least this often; a far longer gap is a stopped process.  It
  * must be noticed before the others could have replaced this home. */
-#define HEARTBEAT_MS 200
-#define GAP_MS (3 * HEARTBEAT_MS)
+#define TICK_INTERVAL_MAX_MS 200
+#define PAUSE_DETECTED_MS (3 * TICK_INTERVAL_MAX_MS)
 /* How long a woken process waits for the members that it missed. */
-#define CATCH_UP_MS 100
+#define PAUSE_RECOVERY_MS 100
 /* How long a new home is not certain of its log. */
-#define TENURE_MS 2000
+#define HOME_ESTABLISHED_MS 2000
 
 static void
 default_to (int64_t *setting, int64_t value)
@@ -49,8 +49,8 @@
   snprintf (claims->node, sizeof claims->node, "%s", settings->node);
   if (claims->settings.shards == 0)
     claims->settings.shards = SHARDS_DEFAULT;
-  if (claims->settings.fold_segments == 0)
-    claims->settings.fold_segments = FOLD_SEGMENTS_DEFAULT;
+  if (claims->settings.compact_min_segments == 0)
+    claims->settings.compact_min_segments = COMPACT_MIN_SEGMENTS_DEFAULT;
   if (claims->settings.shards > BERYL_CLAIM_SHARDS_MAX)
     claims->settings.shards = BERYL_CLAIM_SHARDS_MAX;
   if (claims->settings.commits_per_s == 0)
@@ -59,7 +59,8 @@
               COMMIT_INTERVAL_DEFAULT_MS);
   default_to (&claims->settings.retention_ms, RETENTION_DEFAULT_MS);
   default_to (&claims->settings.delete_after_ms, DELETE_AFTER_DEFAULT_MS);
-  default_to (&claims->settings.ask_timeout_ms, ASK_TIMEOUT_DEFAULT_MS);
+  default_to (&claims->settings.request_timeout_ms,
+              REQUEST_TIMEOUT_DEFAULT_MS);
   claims->shards = calloc (claims->settings.shards, sizeof (struct shard *));
   claims->homes = calloc (claims->settings.shards, sizeof *claims->homes);
   claims->home_since_ms
@@ -85,7 +86,7 @@
     return;
   for (uint32_t i = 0; i < claims->settings.shards; i++)
     shard_destroy (claims->shards[i]);
-  ask_clear (claims);
+  remote_claims_clear (claims);
   map_clear (&claims->calls);
   free (claims->shards);
   free (claims->homes);
@@ -95,33 +96,33 @@
 }
 
 void
-queue_add (struct waiting_queue *queue, struct waiting *waiting)
+queue_add (struct pending_queue *queue, struct pending_claim *pending)
 {
-  waiting->next = NULL;
+  pending->next = NULL;
   if (queue->last != NULL)
-    queue->last->next = waiting;
+    queue->last->next = pending;
   else
-    queue->first = waiting;
-  queue->last = waiting;
+    queue->first = pending;
+  queue->last = pending;
   queue->count++;
 }
 
-struct waiting *
-queue_take (struct waiting_queue *queue)
+struct pending_claim *
+queue_take (struct pending_queue *queue)
 {
-  struct waiting *waiting = queue->first;
+  struct pending_claim *pending = queue->first;
 
-  if (waiting == NULL)
+  if (pending == NULL)
     return NULL;
-  queue->first = waiting->next;
+  queue->first = pending->next;
   if (queue->first == NULL)
     queue->last = NULL;
   queue->count--;
-  return waiting;
+  return pending;
 }
 
 uint64_t
-claims_call (struct beryl_claims *claims, struct shard *shard)
+claims_register_call (struct beryl_claims *claims, struct shard *shard)
 {
   uint64_t call = ++claims->last_call;
 
@@ -140,7 +141,7 @@
 }
 
 static void
-count_result (struct beryl_claims *claims, enum beryl_claim_result result)
+update_counts (struct beryl_claims *claims, enum beryl_claim_result result)
 {
   switch (result)
     {
@@ -162,26 +163,26 @@
 
 /* Ends WAITING, which is released. */
 void
-claims_answer (struct beryl_claims *claims, struct waiting *waiting,
-               enum beryl_claim_result result, uint64_t incarnation)
+claims_complete (struct beryl_claims *claims, struct pending_claim *pending,
+                 enum beryl_claim_result result, uint64_t incarnation)
 {
   struct beryl_claims_owner *owner = claims->owner;
   struct beryl_claim_message reply = {
     .type = BERYL_CLAIM_REPLY,
-    .id = waiting->id,
-    .key_high = waiting->key.high,
-    .key_low = waiting->key.low,
-    .body_hash = waiting->body_hash,
+    .id = pending->id,
+    .key_high = pending->key.high,
+    .key_low = pending->key.low,
+    .body_hash = pending->body_hash,
     .incarnation = incarnation,
     .result = result,
   };
 
-  count_result (claims, result);
-  if (waiting->remote)
-    owner->impl->send (owner, waiting->node, &reply);
+  update_counts (claims, result);
+  if (pending->remote)
+    owner->impl->send (owner, pending->node, &reply);
   else
-    owner->impl->result (owner, waiting->id, result, incarnation);
-  free (waiting);
+    owner->impl->result (owner, pending->id, result, incarnation);
+  free (pending);
 }
 
 struct shard *
@@ -231,7 +232,7 @@
 
 /* Whether no other node is known to be there. */
 bool
-claims_is_alone (const struct beryl_claims *claims)
+claims_is_isolated (const struct beryl_claims *claims)
 {
   return claims->member_count == 0;
 }
@@ -248,24 +249,25 @@
  * predecessor any more: when a home dies, nodes whose asks it refused write by
  * themselves for a moment. */
 bool
-claims_settled_home (const struct beryl_claims *claims, uint32_t shard,
-                     int64_t now_ms)
+claims_is_established_home (const struct beryl_claims *claims, uint32_t shard,
+                            int64_t now_ms)
 {
   int64_t since_ms = claims->home_since_ms[shard];
 
-  return since_ms != BERYL_NEVER_MS && now_ms - since_ms >= TENURE_MS;
+  return since_ms != BERYL_NEVER_MS
+         && now_ms - since_ms >= HOME_ESTABLISHED_MS;
 }
 
 /* Whoever is home now may write what this node does not see. */
 static void
-claims_count_shards (struct beryl_claims *claims, int64_t now_ms)
+claims_assign_homes (struct beryl_claims *claims, int64_t now_ms)
 {
   claims->home_count = 0;
   for (uint32_t i = 0; i < claims->settings.shards; i++)
     claims->homes[i] = home_of (claims, i);
   for (uint32_t i = 0; i < claims->settings.shards; i++)
     {
-      bool home = !claims_is_alone (claims) && claims_is_home (claims, i);
+      bool home = !claims_is_isolated (claims) && claims_is_home (claims, i);
 
       if (home)
         claims->home_count++;
@@ -274,7 +276,7 @@
       else if (claims->home_since_ms[i] == BERYL_NEVER_MS)
         claims->home_since_ms[i] = now_ms;
       if (!home && claims->shards[i] != NULL)
-        claims->shards[i]->sole = false;
+        claims->shards[i]->sole_writer = false;
     }
 }
 
@@ -290,13 +292,14 @@
 }
 
 int64_t
-claims_commit_ms (const struct beryl_claims *claims)
+claims_next_commit_ms (const struct beryl_claims *claims)
 {
   int64_t burst_us = COMMIT_BURST * commit_cost_us (claims);
 
-  int64_t rate_ms = (claims->commits_until_us - burst_us + 999) / 1000;
+  int64_t rate_ms = (claims->rate_used_until_us - burst_us + 999) / 1000;
 
-  return rate_ms > claims->write_from_ms ? rate_ms : claims->write_from_ms;
+  return rate_ms > claims->write_not_before_ms ? rate_ms
+                                               : claims->write_not_before_ms;
 }
 
 /* Whether SHARD may write now.  Once the burst is used up, shards take turns
@@ -304,23 +307,23 @@
 bool
 claims_may_commit (const struct beryl_claims *claims, int64_t now_ms)
 {
-  int64_t spare_us = now_ms * 1000 - claims->commits_until_us;
+  int64_t spare_us = now_ms * 1000 - claims->rate_used_until_us;
 
-  if (now_ms < claims->write_from_ms)
+  if (now_ms < claims->write_not_before_ms)
     return false;
-  if (claims->in_turn)
-    return now_ms >= claims_commit_ms (claims);
+  if (claims->serving_shards)
+    return now_ms >= claims_next_commit_ms (claims);
   return spare_us >= -COMMIT_BURST / 2 * commit_cost_us (claims);
 }
 
 void
-claims_count_commit (struct beryl_claims *claims, const struct shard *shard,
-                     int64_t now_ms)
+claims_charge_commit (struct beryl_claims *claims, const struct shard *shard,
+                      int64_t now_ms)
 {
-  if (claims->commits_until_us < now_ms * 1000)
-    claims->commits_until_us = now_ms * 1000;
-  claims->commits_until_us += commit_cost_us (claims);
-  claims->turn = shard->number + 1;
+  if (claims->rate_used_until_us < now_ms * 1000)
+    claims->rate_used_until_us = now_ms * 1000;
+  claims->rate_used_until_us += commit_cost_us (claims);
+  claims->next_shard = shard->number + 1;
 }
 
 void
@@ -337,29 +340,29 @@
   free (claims->members);
   claims->members = members;
   claims->member_count = node_count;
-  claims_count_shards (claims, now_ms);
+  claims_assign_homes (claims, now_ms);
   beryl_claims_tick (claims, now_ms);
 }
 
 /* A process that was stopped may have lost its shards to another home
  * meanwhile. */
 static void
-claims_note_time (struct beryl_claims *claims, int64_t now_ms)
+claims_detect_pause (struct beryl_claims *claims, int64_t now_ms)
 {
   int64_t gap_ms = now_ms - claims->last_tick_ms;
 
   claims->last_tick_ms = now_ms;
-  if (gap_ms < GAP_MS)
+  if (gap_ms < PAUSE_DETECTED_MS)
     return;
   /* It may also have lost its members' view: what it wrote now as home would
    * escape the node that has become home. */
-  claims->write_from_ms = now_ms + CATCH_UP_MS;
+  claims->write_not_before_ms = now_ms + PAUSE_RECOVERY_MS;
   for (uint32_t i = 0; i < claims->settings.shards; i++)
     {
       if (claims->home_since_ms[i] != BERYL_NEVER_MS)
         claims->home_since_ms[i] = now_ms;
       if (claims->shards[i] != NULL)
-        claims->shards[i]->sole = false;
+        claims->shards[i]->sole_writer = false;
     }
 }
 
@@ -368,57 +371,59 @@
                     const char *organisation, const char *key,
                     uint64_t body_hash, int64_t now_ms)
 {
-  struct waiting *waiting = calloc (1, sizeof *waiting);
+  struct pending_claim *pending = calloc (1, sizeof *pending);
   uint32_t number;
 
-  claims_note_time (claims, now_ms);
-  if (waiting == NULL)
+  claims_detect_pause (claims, now_ms);
+  if (pending == NULL)
     {
       claims->owner->impl->result (claims->owner, request,
                                    BERYL_CLAIM_UNAVAILABLE, 0);
       return;
     }
-  waiting->key = map_key_digest (organisation, key);
-  waiting->body_hash = body_hash;
-  waiting->incarnation = claims->settings.incarnation;
-  waiting->id = request;
-  number = claims_shard_number (claims, waiting->key);
-  if (claims_is_alone (claims))
-    claims_answer (claims, waiting, BERYL_CLAIM_UNKNOWN, 0);
+  pending->key = map_key_digest (organisation, key);
+  pending->body_hash = body_hash;
+  pending->incarnation = claims->settings.incarnation;
+  pending->id = request;
+  number = claims_shard_number (claims, pending->key);
+  if (claims_is_isolated (claims))
+    claims_complete (claims, pending, BERYL_CLAIM_UNKNOWN, 0);
   else if (claims_is_home (claims, number))
-    shard_ask (claims_shard (claims, number), waiting, now_ms);
+    shard_claim (claims_shard (claims, number), pending, now_ms);
   else
-    ask_home (claims, waiting, beryl_claims_home (claims, number), now_ms);
+    remote_claim_send (claims, pending, beryl_claims_home (claims, number),
+                       now_ms);
 }
 
 static void
-on_ask (struct beryl_claims *claims, const char *node,
-        const struct beryl_claim_message *message, int64_t now_ms)
+on_claim_request (struct beryl_claims *claims, const char *node,
+                  const struct beryl_claim_message *message, int64_t now_ms)
 {
-  struct waiting *waiting = calloc (1, sizeof *waiting);
+  struct pending_claim *pending = calloc (1, sizeof *pending);
 
-  if (waiting == NULL)
+  if (pending == NULL)
     return;
-  waiting->key = (struct map_key){ message->key_high, message->key_low };
-  waiting->body_hash = message->body_hash;
-  waiting->incarnation = message->incarnation;
-  waiting->id = message->id;
-  waiting->remote = true;
-  snprintf (waiting->node, sizeof waiting->node, "%s", node);
-  shard_ask (claims_shard (claims, claims_shard_number (claims, waiting->key)),
-             waiting, now_ms);
+  pending->key = (struct map_key){ message->key_high, message->key_low };
+  pending->body_hash = message->body_hash;
+  pending->incarnation = message->incarnation;
+  pending->id = message->id;
+  pending->remote = true;
+  snprintf (pending->node, sizeof pending->node, "%s", node);
+  shard_claim (
+      claims_shard (claims, claims_shard_number (claims, pending->key)),
+      pending, now_ms);
 }
 
 void
-beryl_claims_message (struct beryl_claims *claims, const char *node,
-                      const struct beryl_claim_message *message,
-                      int64_t now_ms)
+beryl_claims_handle_message (struct beryl_claims *claims, const char *node,
+                             const struct beryl_claim_message *message,
+                             int64_t now_ms)
 {
-  claims_note_time (claims, now_ms);
+  claims_detect_pause (claims, now_ms);
   if (message->type == BERYL_CLAIM_REPLY)
-    ask_on_reply (claims, message);
+    remote_claims_on_reply (claims, message);
   else
-    on_ask (claims, node, message, now_ms);
+    on_claim_request (claims, node, message, now_ms);
 }
 
 static struct shard *
@@ -431,31 +436,31 @@
 }
 
 void
-beryl_claims_read (struct beryl_claims *claims, uint64_t call,
-                   enum beryl_error_code code,
-                   const struct beryl_object *objects, size_t object_count,
-                   int64_t now_ms)
+beryl_claims_read_done (struct beryl_claims *claims, uint64_t call,
+                        enum beryl_error_code code,
+                        const struct beryl_object *objects,
+                        size_t object_count, int64_t now_ms)
 {
   struct shard *shard = call_take (claims, call);
 
-  claims_note_time (claims, now_ms);
+  claims_detect_pause (claims, now_ms);
   if (shard != NULL && shard->call_id == call)
     shard_on_read (shard, code, objects, object_count, now_ms);
 }
 
 void
-beryl_claims_written (struct beryl_claims *claims, uint64_t call,
-                      enum beryl_error_code code, int64_t now_ms)
+beryl_claims_write_done (struct beryl_claims *claims, uint64_t call,
+                         enum beryl_error_code code, int64_t now_ms)
 {
   struct shard *shard = call_take (claims, call);
 
-  claims_note_time (claims, now_ms);
+  claims_detect_pause (claims, now_ms);
   if (shard == NULL)
     return;
   if (shard->call_id == call)
     shard_on_created (shard, code, now_ms);
-  else if (shard->fold_id == call)
-    fold_on_written (shard, code, now_ms);
+  else if (shard->compaction_call_id == call)
+    compaction_on_written (shard, code, now_ms);
 }
 
 /* Reads the shards that this node is home of before they are needed, one
@@ -474,7 +479,7 @@
     {
       struct shard *shard = claims->shards[i];
 
-      if ((shard != NULL && (shard->read || now_ms < shard->next_ms))
+      if ((shard != NULL && (shard->loaded || now_ms < shard->next_ms))
           || !claims_is_home (claims, i))
         continue;
       shard_load (claims_shard (claims, i), now_ms);
@@ -485,10 +490,11 @@
 void
 beryl_claims_tick (struct beryl_claims *claims, int64_t now_ms)
 {
-  claims_note_time (claims, now_ms);
-  ask_step (claims, now_ms);
-  claims->in_turn = true;
-  for (uint32_t n = 0, turn = claims->turn; n < claims->settings.shards; n++)
+  claims_detect_pause (claims, now_ms);
+  remote_claims_retry (claims, now_ms);
+  claims->serving_shards = true;
+  for (uint32_t n = 0, turn = claims->next_shard; n < claims->settings.shards;
+       n++)
     {
       uint32_t i = (turn + n) % claims->settings.shards;
       struct shard *shard = claims->shards[i];
@@ -497,9 +503,9 @@
         continue;
       shard_step (shard, now_ms);
       if (claims_is_home (claims, i))
-        fold_step (shard, now_ms);
+        compaction_step (shard, now_ms);
     }
-  claims->in_turn = false;
+  claims->serving_shards = false;
   if (claims->member_count > 0)
     claims_preload (claims, now_ms);
 }
@@ -513,9 +519,9 @@
 int64_t
 beryl_claims_next_ms (const struct beryl_claims *claims)
 {
-  int64_t next_ms = claims->last_tick_ms + HEARTBEAT_MS;
+  int64_t next_ms = claims->last_tick_ms + TICK_INTERVAL_MAX_MS;
 
-  for (const struct asked *a = claims->asked; a != NULL; a = a->next)
+  for (const struct remote_claim *a = claims->remotes; a != NULL; a = a->next)
     next_ms = earlier (next_ms, a->due_ms);
   for (uint32_t i = 0; i < claims->settings.shards; i++)
     {
@@ -525,8 +531,8 @@
         continue;
       next_ms = earlier (next_ms, shard_next_ms (shard));
       if (claims_is_home (claims, i))
-        next_ms = earlier (next_ms, fold_next_ms (shard));
-      if (!shard->read && shard->call == SHARD_IDLE
+        next_ms = earlier (next_ms, compaction_next_ms (shard));
+      if (!shard->loaded && shard->call == SHARD_IDLE
           && claims_is_home (claims, i))
         next_ms = earlier (next_ms, shard->next_ms);
     }
--- a/libberyl/requests/death.c
+++ b/libberyl/requests/death.c
@@ -22,8 +22,9 @@
                              >= BERYL_DEATH_DELISTED_MS);
 }
 
-enum beryl_death
-beryl_death_judge (const struct beryl_death_evidence *evidence, int64_t now_ms)
+enum beryl_death_proof
+beryl_death_evaluate (const struct beryl_death_evidence *evidence,
+                      int64_t now_ms)
 {
   if (evidence->address_incarnation > evidence->incarnation)
     return BERYL_DEATH_NEWER_INCARNATION;
@@ -35,7 +36,7 @@
 }
 
 const char *
-beryl_death_name (enum beryl_death death)
+beryl_death_proof_name (enum beryl_death_proof death)
 {
   switch (death)
     {
--- a/libberyl/requests/hold.c
+++ b/libberyl/requests/hold.c
@@ -36,7 +36,7 @@
 
   action.hold.endpoint = hold->endpoint;
   action.hold.stream = hold->stream;
-  requests_act (requests, &action);
+  requests_emit (requests, &action);
 }
 
 /* Recorded first, made afterwards: if this process dies in between, its
@@ -74,8 +74,8 @@
 }
 
 void
-hold_end (struct beryl_requests *requests, const char *endpoint,
-          struct beryl_stream_id stream)
+hold_release (struct beryl_requests *requests, const char *endpoint,
+              struct beryl_stream_id stream)
 {
   struct hold **at = hold_find (requests, endpoint, stream);
 
@@ -104,7 +104,7 @@
   if (hold == NULL || hold->cancelling)
     return;
   hold->cancelling = true;
-  hold->settled_ms = in_flight ? now_ms + CANCEL_SETTLE_MS : now_ms;
+  hold->final_from_ms = in_flight ? now_ms + CANCEL_SETTLE_MS : now_ms;
   hold->backoff_ms = CANCEL_FIRST_BACKOFF_MS;
   hold_send_cancel (requests, hold, now_ms);
 }
@@ -117,14 +117,14 @@
 
   if (*at == NULL || !(*at)->cancelling)
     return;
-  if (BERYL_GUARD (BERYL_GUARD_CANCEL_SETTLE, now_ms >= (*at)->settled_ms))
+  if (BERYL_GUARD (BERYL_GUARD_CANCEL_SETTLE, now_ms >= (*at)->final_from_ms))
     hold_erase (requests, at);
   else
-    (*at)->next_ms = (*at)->settled_ms;
+    (*at)->next_ms = (*at)->final_from_ms;
 }
 
 void
-holds_repeat (struct beryl_requests *requests, int64_t now_ms)
+holds_retry_cancels (struct beryl_requests *requests, int64_t now_ms)
 {
   for (struct hold *h = requests->holds; h != NULL; h = h->next)
     {
@@ -148,7 +148,7 @@
 /* An endpoint that the accepted configuration no longer names will never
  * confirm. */
 void
-holds_forget_absent (struct beryl_requests *requests)
+holds_drop_removed_endpoints (struct beryl_requests *requests)
 {
   struct hold **at = &requests->holds;
 
--- a/libberyl/requests/hold_cleanup.c
+++ b/libberyl/requests/hold_cleanup.c
@@ -15,7 +15,7 @@
 {
   struct cleanup *next;
   struct beryl_hold_window window;
-  int64_t settled_ms;
+  int64_t final_from_ms;
   int64_t next_ms;
   int64_t backoff_ms;
 };
@@ -93,15 +93,15 @@
     item->window.from = window->from;
   if (window->to > item->window.to)
     item->window.to = window->to;
-  item->settled_ms = now_ms + CLEANUP_SETTLE_MS;
+  item->final_from_ms = now_ms + CLEANUP_SETTLE_MS;
   item->next_ms = now_ms;
   item->backoff_ms = CLEANUP_FIRST_BACKOFF_MS;
   return true;
 }
 
 bool
-beryl_hold_cleanup_due (struct beryl_hold_cleanup *cleanup,
-                        struct beryl_hold_window *out, int64_t now_ms)
+beryl_hold_cleanup_take_due (struct beryl_hold_cleanup *cleanup,
+                             struct beryl_hold_window *out, int64_t now_ms)
 {
   for (struct cleanup *c = cleanup->items; c != NULL; c = c->next)
     {
@@ -118,7 +118,7 @@
 }
 
 bool
-beryl_hold_cleanup_answered (struct beryl_hold_cleanup *cleanup,
+beryl_hold_cleanup_on_reply (struct beryl_hold_cleanup *cleanup,
                              const char *endpoint, uint64_t incarnation,
                              uint64_t held, int64_t now_ms)
 {
@@ -126,9 +126,10 @@
 
   if (*at == NULL || held > 0)
     return false;
-  if (!BERYL_GUARD (BERYL_GUARD_CLEANUP_SETTLE, now_ms >= (*at)->settled_ms))
+  if (!BERYL_GUARD (BERYL_GUARD_CLEANUP_SETTLE,
+                    now_ms >= (*at)->final_from_ms))
     {
-      (*at)->next_ms = (*at)->settled_ms;
+      (*at)->next_ms = (*at)->final_from_ms;
       return false;
     }
   cleanup_remove (cleanup, at);
@@ -136,8 +137,8 @@
 }
 
 void
-beryl_hold_cleanup_forget (struct beryl_hold_cleanup *cleanup,
-                           const char *endpoint)
+beryl_hold_cleanup_remove_endpoint (struct beryl_hold_cleanup *cleanup,
+                                    const char *endpoint)
 {
   struct cleanup **at = &cleanup->items;
 
--- a/libberyl/requests/hold_windows.c
+++ b/libberyl/requests/hold_windows.c
@@ -6,11 +6,11 @@
 
 /* Counters a told window reaches ahead of the newest hold: at 13 requests a
  * second a node tells each busy engine's window about every 20 s. */
-#define REACH_AHEAD 256
+#define WINDOW_AHEAD_COUNTERS 256
 
 struct window
 {
-  struct beryl_hold_window told;
+  struct beryl_hold_window reported;
   uint64_t *held; /* counters, in no order */
   size_t held_count;
   size_t held_capacity;
@@ -49,7 +49,7 @@
 window_find (const struct beryl_hold_windows *windows, const char *endpoint)
 {
   for (size_t i = 0; i < windows->count; i++)
-    if (strcmp (windows->items[i].told.endpoint, endpoint) == 0)
+    if (strcmp (windows->items[i].reported.endpoint, endpoint) == 0)
       return &windows->items[i];
   return NULL;
 }
@@ -72,15 +72,15 @@
     }
   window = &windows->items[windows->count++];
   *window = (struct window){ 0 };
-  snprintf (window->told.endpoint, sizeof window->told.endpoint, "%s",
+  snprintf (window->reported.endpoint, sizeof window->reported.endpoint, "%s",
             endpoint);
-  window->told.incarnation = windows->incarnation;
-  window->told.from = 1;
+  window->reported.incarnation = windows->incarnation;
+  window->reported.from = 1;
   return window;
 }
 
 static bool
-window_hold (struct window *window, uint64_t counter)
+window_add_counter (struct window *window, uint64_t counter)
 {
   if (window->held_count == window->held_capacity)
     {
@@ -102,19 +102,19 @@
                            const char *endpoint, uint64_t counter)
 {
   struct window *window = window_find (windows, endpoint);
-  struct beryl_hold_window *told;
+  struct beryl_hold_window *reported;
 
   if (window == NULL)
     window = window_add (windows, endpoint);
-  if (window == NULL || !window_hold (window, counter))
+  if (window == NULL || !window_add_counter (window, counter))
     return true;
-  told = &window->told;
-  if (told->from <= counter && counter <= told->to)
+  reported = &window->reported;
+  if (reported->from <= counter && counter <= reported->to)
     return false;
-  if (told->to < told->from || counter < told->from)
-    told->from = counter;
-  if (counter > told->to)
-    told->to = counter + REACH_AHEAD;
+  if (reported->to < reported->from || counter < reported->from)
+    reported->from = counter;
+  if (counter > reported->to)
+    reported->to = counter + WINDOW_AHEAD_COUNTERS;
   return true;
 }
 
@@ -140,41 +140,41 @@
 {
   const struct window *window = window_find (windows, endpoint);
 
-  return window != NULL ? &window->told : NULL;
+  return window != NULL ? &window->reported : NULL;
 }
 
 /* Returns whether what is told changed. */
 static bool
-window_narrow (struct window *window)
+window_shrink (struct window *window)
 {
-  struct beryl_hold_window *told = &window->told;
-  uint64_t least = UINT64_MAX;
-  bool empty = told->to < told->from;
+  struct beryl_hold_window *reported = &window->reported;
+  uint64_t lowest = UINT64_MAX;
+  bool empty = reported->to < reported->from;
 
   for (size_t i = 0; i < window->held_count; i++)
-    if (window->held[i] < least)
-      least = window->held[i];
+    if (window->held[i] < lowest)
+      lowest = window->held[i];
   if (window->held_count == 0)
     {
-      told->from = 1;
-      told->to = 0;
+      reported->from = 1;
+      reported->to = 0;
       return !empty;
     }
-  if (least == told->from)
+  if (lowest == reported->from)
     return false;
-  told->from = least;
+  reported->from = lowest;
   return true;
 }
 
 size_t
-beryl_hold_windows_narrow (struct beryl_hold_windows *windows,
+beryl_hold_windows_shrink (struct beryl_hold_windows *windows,
                            struct beryl_hold_window *out, size_t max)
 {
   size_t n = 0;
 
   for (size_t i = 0; i < windows->count && n < max; i++)
-    if (window_narrow (&windows->items[i]))
-      out[n++] = windows->items[i].told;
+    if (window_shrink (&windows->items[i]))
+      out[n++] = windows->items[i].reported;
   return n;
 }
 
@@ -183,6 +183,6 @@
                          struct beryl_hold_window *out, size_t max)
 {
   for (size_t i = 0; i < windows->count && i < max; i++)
-    out[i] = windows->items[i].told;
+    out[i] = windows->items[i].reported;
   return windows->count;
 }
--- a/libberyl/requests/plan.c
+++ b/libberyl/requests/plan.c
@@ -5,12 +5,12 @@
 
 #define REFUSED_RETRY_MS 1000
 /* How long endpoints that turned a request away are left in peace. */
-#define EXCLUSION_MS 100
+#define EXCLUSION_RESET_DELAY_MS 100
 /* An event that comes so much later than the heartbeat shows that the process
  * was stopped. */
-#define GAP_MS (3 * HEARTBEAT_MS)
+#define PAUSE_DETECTED_MS (3 * TICK_INTERVAL_MAX_MS)
 /* How long a process that was stopped reads what has happened meanwhile. */
-#define CATCH_UP_MS 100
+#define PAUSE_RECOVERY_MS 100
 /* How many waiting requests are planned again after one event. */
 #define PLANS_PER_EVENT 64
 
@@ -26,8 +26,9 @@
 }
 
 void
-plan_log (struct beryl_requests *requests, const struct request *request,
-          const struct beryl_plan *plan)
+plan_emit_decision (struct beryl_requests *requests,
+                    const struct request *request,
+                    const struct beryl_plan *plan)
 {
   struct beryl_action action = {
     .type = BERYL_ACTION_DECISION,
@@ -36,7 +37,7 @@
 
   action.decision.request_id = request->call.request_id;
   action.decision.plan = plan;
-  requests_act (requests, &action);
+  requests_emit (requests, &action);
 }
 
 static void
@@ -73,13 +74,13 @@
  * that left seconds ago; the new configuration is waiting in the same loop
  * and comes first after a short rest. */
 void
-requests_note_time (struct beryl_requests *requests, int64_t now_ms)
+requests_detect_pause (struct beryl_requests *requests, int64_t now_ms)
 {
   bool steady = requests->last_event_ms == INT64_MIN
-                || now_ms - requests->last_event_ms < GAP_MS;
+                || now_ms - requests->last_event_ms < PAUSE_DETECTED_MS;
 
   if (!BERYL_GUARD (BERYL_GUARD_WAKE_REST, steady))
-    requests->plan_from_ms = now_ms + CATCH_UP_MS;
+    requests->plan_not_before_ms = now_ms + PAUSE_RECOVERY_MS;
   requests->last_event_ms = now_ms;
 }
 
@@ -108,9 +109,9 @@
   for (uint32_t i = 0; i < request->excluded_count; i++)
     excluded[i] = request->excluded[i];
   request_set_phase (requests, request, PHASE_PLAN);
-  if (now_ms < requests->plan_from_ms)
+  if (now_ms < requests->plan_not_before_ms)
     {
-      request->retry_at_ms = requests->plan_from_ms;
+      request->retry_at_ms = requests->plan_not_before_ms;
       return;
     }
   beryl_router_plan (requests->router, &job, now_ms, &plan);
@@ -120,14 +121,14 @@
       && plan.reason != NULL && strcmp (plan.reason, "no_endpoint") == 0)
     {
       request->excluded_count = 0;
-      plan.retry_at_ms = now_ms + EXCLUSION_MS;
+      plan.retry_at_ms = now_ms + EXCLUSION_RESET_DELAY_MS;
     }
   if (plan.verdict == BERYL_VERDICT_WAIT)
     {
       request->retry_at_ms = plan.retry_at_ms;
       return;
     }
-  plan_log (requests, request, &plan);
+  plan_emit_decision (requests, request, &plan);
   if (plan.verdict == BERYL_VERDICT_START)
     plan_start (requests, request, &plan, now_ms);
   else
@@ -162,7 +163,7 @@
              || now_ms >= beryl_router_next_ms (requests->router);
   int planned = 0;
 
-  if (now_ms < requests->plan_from_ms)
+  if (now_ms < requests->plan_not_before_ms)
     return;
   requests->capacity_freed = false;
   for (int c = BERYL_CLASS_URGENT; c <= BERYL_CLASS_BATCH; c++)
--- a/libberyl/requests/private.h
+++ b/libberyl/requests/private.h
@@ -20,7 +20,7 @@
 /** Times that endpoints may turn a request away before the caller hears. */
 #define REFUSALS_MAX 4
 /** Time passes at least this often. */
-#define HEARTBEAT_MS 500
+#define TICK_INTERVAL_MAX_MS 500
 
 /** What a kept answer consists of. */
 struct answer
@@ -71,8 +71,8 @@
   char endpoint[BERYL_NAME_BYTES];
   struct beryl_stream_id stream;
   bool cancelling;
-  int64_t settled_ms; /**< a confirmation before this is not final */
-  int64_t next_ms;    /**< when CANCEL is repeated */
+  int64_t final_from_ms; /**< a confirmation before this is not final */
+  int64_t next_ms;       /**< when CANCEL is repeated */
   int64_t backoff_ms;
   uint32_t cancels;
 };
@@ -97,15 +97,15 @@
   struct request *previous;
   struct request *next_waiting; /**< in PHASE_PLAN: of the same class */
   struct request *previous_waiting;
-  uint64_t number;        /**< in the order of arrival */
-  struct beryl_call call; /**< strings are owned */
+  uint64_t arrival_number; /**< in the order of arrival */
+  struct beryl_call call;  /**< strings are owned */
   enum request_phase phase;
   enum beryl_class call_class;
   bool plain;
   bool idempotent;
   bool caller_gone;
-  bool begun;        /**< REPLY_HEAD went out */
-  bool may_have_run; /**< an attempt's outcome is unknown */
+  bool reply_started; /**< REPLY_HEAD went out */
+  bool may_have_run;  /**< an attempt's outcome is unknown */
   int64_t arrived_ms;
   struct record *record;
   struct exchange *exchange;
@@ -122,10 +122,11 @@
   uint32_t refusals;
   uint32_t decode_refusals; /**< of this plan's KV cache */
   bool first_token_seen;
-  bool unsettled; /**< a call to an engine was cut: it may still arrive */
+  bool engine_call_in_flight; /**< a call to an engine was cut: it may still
+                                 arrive */
   int64_t retry_at_ms;
   int64_t kv_expires_ms;
-  int64_t decode_at_ms; /**< when a decode engine is looked for again */
+  int64_t decode_retry_at_ms; /**< when a decode engine is looked for again */
   char excluded[ENDPOINT_EXCLUDED_MAX][BERYL_NAME_BYTES];
   uint32_t excluded_count;
 
@@ -155,8 +156,8 @@
   struct waiting_list waiting[BERYL_CLASS_BATCH + 1];
   /** No open request's deadline, binding or slow reader is due before this;
    * it may lie too early, since it is not raised when one ends. */
-  int64_t due_ms;
-  uint64_t last_number;
+  int64_t earliest_due_ms;
+  uint64_t last_arrival_number;
   uint32_t open;
   struct map by_handle;   /**< struct request, of callers still there */
   struct map by_exchange; /**< struct exchange */
@@ -165,21 +166,21 @@
   struct map by_id;       /**< struct record, until it expires */
   struct record *expiring_first;
   struct record *expiring_last;
-  uint64_t kept_bytes;
+  uint64_t retained_bytes;
   struct hold *holds;
   struct retry_budgets budgets;
   uint64_t last_exchange;
   uint64_t last_stream;
-  bool capacity_freed;   /**< waiting requests are worth planning again */
-  int64_t last_event_ms; /**< INT64_MIN: none yet */
-  int64_t plan_from_ms;  /**< no plan is made before this */
+  bool capacity_freed;        /**< waiting requests are worth planning again */
+  int64_t last_event_ms;      /**< INT64_MIN: none yet */
+  int64_t plan_not_before_ms; /**< no plan is made before this */
   bool draining;
-  bool drained_told;
+  bool drained_reported;
 };
 
 /* requests.c */
-void requests_act (struct beryl_requests *requests,
-                   const struct beryl_action *action);
+void requests_emit (struct beryl_requests *requests,
+                    const struct beryl_action *action);
 void request_unlink (struct beryl_requests *requests, struct request *request);
 
 /* call.c: a call's copy and its settings */
@@ -190,25 +191,26 @@
 /* admit.c */
 void requests_admit (struct beryl_requests *requests,
                      const struct beryl_call *call, int64_t now_ms);
-void request_claim_result (struct beryl_requests *requests,
-                           struct request *request,
-                           const struct beryl_event *event, int64_t now_ms);
+void request_on_claim_result (struct beryl_requests *requests,
+                              struct request *request,
+                              const struct beryl_event *event, int64_t now_ms);
 void request_forward (struct beryl_requests *requests, struct request *request,
                       uint64_t incarnation);
 
 /* due.c: which requests time is up for, and which wait for a plan */
 /** Hand a decision to the owner, who logs it. */
-void plan_log (struct beryl_requests *requests, const struct request *request,
-               const struct beryl_plan *plan);
+void plan_emit_decision (struct beryl_requests *requests,
+                         const struct request *request,
+                         const struct beryl_plan *plan);
 void request_set_phase (struct beryl_requests *requests,
                         struct request *request, enum request_phase phase);
-void requests_due_by (struct beryl_requests *requests, int64_t due_ms);
-void requests_take_due (struct beryl_requests *requests, int64_t now_ms);
+void requests_schedule_due (struct beryl_requests *requests, int64_t due_ms);
+void requests_handle_due (struct beryl_requests *requests, int64_t now_ms);
 
 /* plan.c */
 void request_plan (struct beryl_requests *requests, struct request *request,
                    int64_t now_ms);
-void requests_note_time (struct beryl_requests *requests, int64_t now_ms);
+void requests_detect_pause (struct beryl_requests *requests, int64_t now_ms);
 void requests_plan_waiting (struct beryl_requests *requests, int64_t now_ms);
 void request_exclude (struct request *request, const char *endpoint);
 
@@ -220,8 +222,9 @@
 void attempt_stop (struct beryl_requests *requests, struct request *request,
                    enum beryl_release how, const char *endpoint,
                    int64_t now_ms);
-void attempt_bind (struct beryl_requests *requests, struct request *request,
-                   const char *refused_by, int64_t now_ms);
+void attempt_bind_decode (struct beryl_requests *requests,
+                          struct request *request, const char *refused_by,
+                          int64_t now_ms);
 bool attempt_resume (struct beryl_requests *requests, struct request *request,
                      bool sent, int64_t now_ms);
 void attempt_failed (struct beryl_requests *requests, struct request *request,
@@ -232,9 +235,10 @@
                       enum beryl_release how, const char *endpoint,
                       int64_t now_ms);
 
-/* attempt_event.c */
-void attempt_event (struct beryl_requests *requests, struct exchange *exchange,
-                    const struct beryl_event *event, int64_t now_ms);
+/* attempt_handle_event.c */
+void attempt_handle_event (struct beryl_requests *requests,
+                           struct exchange *exchange,
+                           const struct beryl_event *event, int64_t now_ms);
 void attempt_pause (struct beryl_requests *requests, struct request *request,
                     bool paused);
 struct exchange *exchange_open (struct beryl_requests *requests,
@@ -245,37 +249,40 @@
 void request_deliver (struct beryl_requests *requests, struct request *request,
                       const void *bytes, size_t bytes_count, uint32_t tokens,
                       int64_t now_ms);
-void request_answered (struct beryl_requests *requests,
+void request_complete (struct beryl_requests *requests,
                        struct request *request, int64_t now_ms);
 void request_fail (struct beryl_requests *requests, struct request *request,
                    enum beryl_problem problem, int64_t retry_after_ms,
                    const char *detail, int64_t now_ms);
-void request_fail_as (struct beryl_requests *requests, struct request *request,
-                      enum beryl_problem problem, enum beryl_outcome outcome,
-                      int64_t retry_after_ms, const char *detail,
-                      int64_t now_ms);
-void request_caller_gone (struct beryl_requests *requests,
+void request_fail_with_outcome (struct beryl_requests *requests,
+                                struct request *request,
+                                enum beryl_problem problem,
+                                enum beryl_outcome outcome,
+                                int64_t retry_after_ms, const char *detail,
+                                int64_t now_ms);
+void request_on_caller_gone (struct beryl_requests *requests,
+                             struct request *request, int64_t now_ms);
+void request_on_caller_drained (struct beryl_requests *requests,
+                                struct request *request);
+void request_on_deadline (struct beryl_requests *requests,
                           struct request *request, int64_t now_ms);
-void request_caller_drained (struct beryl_requests *requests,
-                             struct request *request);
-void request_deadline (struct beryl_requests *requests,
-                       struct request *request, int64_t now_ms);
 void answer_send (struct beryl_requests *requests, uint64_t handle,
                   const struct answer *answer, uint64_t offset);
-void requests_refuse (struct beryl_requests *requests, uint64_t handle,
-                      enum beryl_problem problem, enum beryl_outcome outcome,
-                      int64_t retry_after_ms, const char *detail);
+void requests_reply_error (struct beryl_requests *requests, uint64_t handle,
+                           enum beryl_problem problem,
+                           enum beryl_outcome outcome, int64_t retry_after_ms,
+                           const char *detail);
 
 /* records.c: keys, outcomes and kept answers */
 struct record *record_open (struct beryl_requests *requests,
                             const struct beryl_call *call, bool keyed);
-bool record_owned (const struct record *record);
-struct record *record_of_key (struct beryl_requests *requests,
-                              const char *organisation, const char *key);
-void record_end (struct beryl_requests *requests, struct request *request,
-                 enum beryl_outcome outcome, int64_t now_ms);
-void record_reader_event (struct beryl_requests *requests,
-                          const struct beryl_event *event);
+bool record_authoritative (const struct record *record);
+struct record *record_find (struct beryl_requests *requests,
+                            const char *organisation, const char *key);
+void record_close (struct beryl_requests *requests, struct request *request,
+                   enum beryl_outcome outcome, int64_t now_ms);
+void record_on_reader_event (struct beryl_requests *requests,
+                             const struct beryl_event *event);
 void records_expire (struct beryl_requests *requests, int64_t now_ms);
 void records_clear (struct beryl_requests *requests);
 void requests_fetch (struct beryl_requests *requests,
@@ -284,15 +291,15 @@
 /* hold.c */
 bool hold_record (struct beryl_requests *requests, const char *endpoint,
                   struct beryl_stream_id stream);
-void hold_end (struct beryl_requests *requests, const char *endpoint,
-               struct beryl_stream_id stream);
+void hold_release (struct beryl_requests *requests, const char *endpoint,
+                   struct beryl_stream_id stream);
 void hold_cancel (struct beryl_requests *requests, const char *endpoint,
                   struct beryl_stream_id stream, bool in_flight,
                   int64_t now_ms);
 void hold_confirmed (struct beryl_requests *requests, const char *endpoint,
                      struct beryl_stream_id stream, int64_t now_ms);
-void holds_repeat (struct beryl_requests *requests, int64_t now_ms);
-void holds_forget_absent (struct beryl_requests *requests);
+void holds_retry_cancels (struct beryl_requests *requests, int64_t now_ms);
+void holds_drop_removed_endpoints (struct beryl_requests *requests);
 int64_t holds_next_ms (const struct beryl_requests *requests);
 bool holds_cancelling (const struct beryl_requests *requests);
 void holds_clear (struct beryl_requests *requests);
--- a/libberyl/requests/reassembly.c
+++ b/libberyl/requests/reassembly.c
@@ -21,16 +21,16 @@
          size_t bytes_count, uint32_t tokens, reassembly_sink sink, void *data)
 {
   uint64_t end = offset + bytes_count;
-  size_t seen = 0;
+  size_t delivered = 0;
 
   if (offset < reassembly->next)
-    seen = (size_t)(reassembly->next - offset);
-  if (seen > bytes_count)
-    seen = bytes_count;
-  if (!BERYL_GUARD (BERYL_GUARD_OFFSET_DEDUPE, seen == 0))
+    delivered = (size_t)(reassembly->next - offset);
+  if (delivered > bytes_count)
+    delivered = bytes_count;
+  if (!BERYL_GUARD (BERYL_GUARD_OFFSET_DEDUPE, delivered == 0))
     {
-      bytes += seen;
-      bytes_count -= seen;
+      bytes += delivered;
+      bytes_count -= delivered;
     }
   if (bytes_count == 0)
     return;
@@ -39,13 +39,13 @@
 }
 
 static bool
-keep_early (struct reassembly *reassembly, uint64_t offset, const void *bytes,
-            size_t bytes_count, uint32_t tokens)
+buffer_piece (struct reassembly *reassembly, uint64_t offset,
+              const void *bytes, size_t bytes_count, uint32_t tokens)
 {
-  struct piece **at = &reassembly->early;
+  struct piece **at = &reassembly->buffered;
   struct piece *piece;
 
-  if (reassembly->early_bytes + bytes_count > REASSEMBLY_EARLY_BYTES)
+  if (reassembly->buffered_bytes + bytes_count > REASSEMBLY_BUFFER_MAX_BYTES)
     return false;
   piece = malloc (sizeof *piece + bytes_count);
   if (piece == NULL)
@@ -58,7 +58,7 @@
   piece->tokens = tokens;
   memcpy (piece->bytes, bytes, bytes_count);
   *at = piece;
-  reassembly->early_bytes += bytes_count;
+  reassembly->buffered_bytes += bytes_count;
   return true;
 }
 
@@ -72,13 +72,13 @@
   if (bytes_count == 0)
     return true;
   if (!BERYL_GUARD (BERYL_GUARD_OFFSET_ORDER, offset <= reassembly->next))
-    return keep_early (reassembly, offset, bytes, bytes_count, tokens);
+    return buffer_piece (reassembly, offset, bytes, bytes_count, tokens);
   deliver (reassembly, offset, bytes, bytes_count, tokens, sink, data);
-  while ((piece = reassembly->early) != NULL
+  while ((piece = reassembly->buffered) != NULL
          && piece->offset <= reassembly->next)
     {
-      reassembly->early = piece->next;
-      reassembly->early_bytes -= piece->bytes_count;
+      reassembly->buffered = piece->next;
+      reassembly->buffered_bytes -= piece->bytes_count;
       deliver (reassembly, piece->offset, piece->bytes, piece->bytes_count,
                piece->tokens, sink, data);
       free (piece);
@@ -87,14 +87,14 @@
 }
 
 void
-reassembly_drop_early (struct reassembly *reassembly)
+reassembly_discard_buffered (struct reassembly *reassembly)
 {
   struct piece *piece;
 
-  while ((piece = reassembly->early) != NULL)
+  while ((piece = reassembly->buffered) != NULL)
     {
-      reassembly->early = piece->next;
+      reassembly->buffered = piece->next;
       free (piece);
     }
-  reassembly->early_bytes = 0;
+  reassembly->buffered_bytes = 0;
 }
--- a/libberyl/requests/reassembly.h
+++ b/libberyl/requests/reassembly.h
@@ -9,7 +9,7 @@
 #include <stdint.h>
 
 /** Bytes that may wait for a gap to close. */
-#define REASSEMBLY_EARLY_BYTES (256U * 1024)
+#define REASSEMBLY_BUFFER_MAX_BYTES (256U * 1024)
 
 /** A piece that came before the bytes in front of it. */
 struct piece;
@@ -17,9 +17,9 @@
 /** State of one answer; zero-initialise. */
 struct reassembly
 {
-  uint64_t next;       /**< offset of the next byte to deliver */
-  struct piece *early; /**< in the order of offsets */
-  size_t early_bytes;
+  uint64_t next;          /**< offset of the next byte to deliver */
+  struct piece *buffered; /**< in the order of offsets */
+  size_t buffered_bytes;
 };
 
 /** Where bytes go that are next in order. */
@@ -33,6 +33,6 @@
                      reassembly_sink sink, void *data);
 
 /** Forget the pieces that wait, for a new attempt. */
-void reassembly_drop_early (struct reassembly *reassembly);
+void reassembly_discard_buffered (struct reassembly *reassembly);
 
 #endif
--- a/libberyl/requests/records.c
+++ b/libberyl/requests/records.c
@@ -4,11 +4,11 @@
 #include "private.h"
 
 /* One answer may not push all others out. */
-#define KEPT_SHARE_MAX 4
+#define RETAINED_ANSWERS_MIN 4
 
 struct record *
-record_of_key (struct beryl_requests *requests, const char *organisation,
-               const char *key)
+record_find (struct beryl_requests *requests, const char *organisation,
+             const char *key)
 {
   /* A key is looked up together with its organisation: otherwise whoever
    * guesses a key could fetch somebody else's answer. */
@@ -32,7 +32,7 @@
  * call with another body: this node's record of a try says neither whether
  * the key has run nor which request it belongs to. */
 bool
-record_owned (const struct record *record)
+record_authoritative (const struct record *record)
 {
   return !record->free_key
          || BERYL_GUARD (BERYL_GUARD_KEY_OWNED, record->claimed);
@@ -46,7 +46,7 @@
   bool existed;
 
   if (keyed)
-    record = record_of_key (requests, call->organisation, call->key);
+    record = record_find (requests, call->organisation, call->key);
   existed = record != NULL;
   if (!existed)
     {
@@ -66,7 +66,7 @@
     }
   else
     map_remove (&requests->by_id, record->id);
-  if (keyed && !(existed && record_owned (record)))
+  if (keyed && !(existed && record_authoritative (record)))
     record->body_hash = call_body_hash (call);
   record->outcome = BERYL_OUTCOME_PENDING;
   record->delivered = false;
@@ -83,28 +83,28 @@
   record->reader = 0;
   if (record->answer == NULL)
     return;
-  requests->kept_bytes -= record->answer->body.count;
+  requests->retained_bytes -= record->answer->body.count;
   buffer_clear (&record->answer->body);
   free (record->answer);
   record->answer = NULL;
 }
 
 static void
-record_keep_answer (struct beryl_requests *requests, struct record *record,
-                    struct answer *answer)
+record_retain_answer (struct beryl_requests *requests, struct record *record,
+                      struct answer *answer)
 {
   uint64_t limit = requests->settings.answer_retention_bytes;
 
-  if (answer->body.count > limit / KEPT_SHARE_MAX)
+  if (answer->body.count > limit / RETAINED_ANSWERS_MIN)
     return;
   record->answer = malloc (sizeof *answer);
   if (record->answer == NULL)
     return;
   *record->answer = *answer;
   answer->body = (struct buffer){ 0 };
-  requests->kept_bytes += record->answer->body.count;
+  requests->retained_bytes += record->answer->body.count;
   for (struct record *old = requests->expiring_first;
-       old != NULL && requests->kept_bytes > limit; old = old->next)
+       old != NULL && requests->retained_bytes > limit; old = old->next)
     if (old != record)
       record_drop_answer (requests, old);
 }
@@ -127,8 +127,8 @@
 }
 
 void
-record_end (struct beryl_requests *requests, struct request *request,
-            enum beryl_outcome outcome, int64_t now_ms)
+record_close (struct beryl_requests *requests, struct request *request,
+              enum beryl_outcome outcome, int64_t now_ms)
 {
   struct record *record = request->record;
 
@@ -142,7 +142,7 @@
   if (outcome == BERYL_OUTCOME_ANSWERED && record->keyed)
     {
       record_drop_answer (requests, record);
-      record_keep_answer (requests, record, &request->answer);
+      record_retain_answer (requests, record, &request->answer);
       if (record->answer != NULL && !request->caller_gone)
         {
           record->reader = request->call.request;
@@ -155,8 +155,8 @@
 
 /* Whoever was reading an answer has read it or gone away. */
 void
-record_reader_event (struct beryl_requests *requests,
-                     const struct beryl_event *event)
+record_on_reader_event (struct beryl_requests *requests,
+                        const struct beryl_event *event)
 {
   struct record *record
       = map_get (&requests->by_reader, map_key_number (event->request));
@@ -238,17 +238,17 @@
 }
 
 static struct record *
-record_of_fetch (struct beryl_requests *requests,
-                 const struct beryl_event *event)
+record_for_fetch (struct beryl_requests *requests,
+                  const struct beryl_event *event)
 {
   struct record *record
       = map_get (&requests->by_id, map_key_digest (event->fetch.organisation,
                                                    event->fetch.request_id));
 
   if (record == NULL)
-    record = record_of_key (requests, event->fetch.organisation,
-                            event->fetch.request_id);
-  if (record != NULL && record->keyed && !record_owned (record))
+    record = record_find (requests, event->fetch.organisation,
+                          event->fetch.request_id);
+  if (record != NULL && record->keyed && !record_authoritative (record))
     return NULL;
   return record;
 }
@@ -261,18 +261,19 @@
 
   if (record->reader != 0)
     {
-      requests_refuse (requests, event->request, BERYL_PROBLEM_KEY_IN_USE,
-                       BERYL_OUTCOME_ANSWERED, 1000,
-                       "the answer is being read on another connection");
+      requests_reply_error (requests, event->request, BERYL_PROBLEM_KEY_IN_USE,
+                            BERYL_OUTCOME_ANSWERED, 1000,
+                            "the answer is being read on another connection");
       return;
     }
   if (answer == NULL || record->delivered
       || event->fetch.offset > answer->body.count)
     {
-      requests_refuse (requests, event->request, BERYL_PROBLEM_KEY_ANSWERED,
-                       BERYL_OUTCOME_ANSWERED, 0,
-                       record->delivered ? "the answer was delivered whole"
-                                         : "the answer is not kept");
+      requests_reply_error (
+          requests, event->request, BERYL_PROBLEM_KEY_ANSWERED,
+          BERYL_OUTCOME_ANSWERED, 0,
+          record->delivered ? "the answer was delivered whole"
+                            : "the answer is not kept");
       return;
     }
   record->reader = event->request;
@@ -284,31 +285,32 @@
 requests_fetch (struct beryl_requests *requests,
                 const struct beryl_event *event, int64_t now_ms)
 {
-  struct record *record = record_of_fetch (requests, event);
+  struct record *record = record_for_fetch (requests, event);
 
   (void)now_ms;
   if (record == NULL)
     {
-      requests_refuse (requests, event->request, BERYL_PROBLEM_NOT_FOUND,
-                       BERYL_OUTCOME_UNKNOWN, 0, "no such request here");
+      requests_reply_error (requests, event->request, BERYL_PROBLEM_NOT_FOUND,
+                            BERYL_OUTCOME_UNKNOWN, 0, "no such request here");
       return;
     }
   switch (record->outcome)
     {
     case BERYL_OUTCOME_PENDING:
-      requests_refuse (requests, event->request, BERYL_PROBLEM_KEY_IN_USE,
-                       BERYL_OUTCOME_PENDING, 1000, "it is running");
+      requests_reply_error (requests, event->request, BERYL_PROBLEM_KEY_IN_USE,
+                            BERYL_OUTCOME_PENDING, 1000, "it is running");
       return;
     case BERYL_OUTCOME_ANSWERED:
       fetch_answer (requests, record, event);
       return;
     case BERYL_OUTCOME_NOT_RUN:
-      requests_refuse (requests, event->request, BERYL_PROBLEM_NOT_FOUND,
-                       BERYL_OUTCOME_NOT_RUN, 0, "it did not run");
+      requests_reply_error (requests, event->request, BERYL_PROBLEM_NOT_FOUND,
+                            BERYL_OUTCOME_NOT_RUN, 0, "it did not run");
       return;
     case BERYL_OUTCOME_UNKNOWN:
-      requests_refuse (requests, event->request, BERYL_PROBLEM_KEY_UNKNOWN,
-                       BERYL_OUTCOME_UNKNOWN, 0, "it may have run");
+      requests_reply_error (requests, event->request,
+                            BERYL_PROBLEM_KEY_UNKNOWN, BERYL_OUTCOME_UNKNOWN,
+                            0, "it may have run");
       return;
     }
 }
--- a/libberyl/requests/requests.c
+++ b/libberyl/requests/requests.c
@@ -4,8 +4,8 @@
 #include "private.h"
 
 void
-requests_act (struct beryl_requests *requests,
-              const struct beryl_action *action)
+requests_emit (struct beryl_requests *requests,
+               const struct beryl_action *action)
 {
   requests->owner->impl->act (requests->owner, action);
 }
@@ -22,7 +22,7 @@
   requests->settings = *settings;
   requests->router = router;
   requests->owner = owner;
-  requests->due_ms = BERYL_NEVER_MS;
+  requests->earliest_due_ms = BERYL_NEVER_MS;
   beryl_router_set_late_binding (router, true);
   requests->last_event_ms = INT64_MIN;
   return requests;
@@ -31,7 +31,7 @@
 static void
 request_free (struct request *request)
 {
-  reassembly_drop_early (&request->reassembly);
+  reassembly_discard_buffered (&request->reassembly);
   buffer_clear (&request->answer.body);
   call_clear (&request->call);
   free (request->block_hashes);
@@ -84,16 +84,16 @@
 beryl_requests_set_config (struct beryl_requests *requests,
                            const struct beryl_config *config, int64_t now_ms)
 {
-  requests_note_time (requests, now_ms);
+  requests_detect_pause (requests, now_ms);
   requests->config = config;
   requests->capacity_freed = true;
-  holds_forget_absent (requests);
+  holds_drop_removed_endpoints (requests);
   requests_plan_waiting (requests, now_ms);
 }
 
 static struct request *
-request_of (const struct beryl_requests *requests,
-            const struct beryl_event *event)
+request_for_event (const struct beryl_requests *requests,
+                   const struct beryl_event *event)
 {
   return map_get (&requests->by_handle, map_key_number (event->request));
 }
@@ -102,33 +102,33 @@
  * answer of an older attempt would be taken for the current one's.  Ids are
  * never used twice, so that it finds nothing here. */
 static struct exchange *
-exchange_of (const struct beryl_requests *requests,
-             const struct beryl_event *event)
+exchange_for_event (const struct beryl_requests *requests,
+                    const struct beryl_event *event)
 {
   return map_get (&requests->by_exchange, map_key_number (event->exchange));
 }
 
 static void
-requests_tell_drained (struct beryl_requests *requests)
+requests_report_drained (struct beryl_requests *requests)
 {
   struct beryl_action action = { .type = BERYL_ACTION_DRAINED };
 
-  if (!requests->draining || requests->drained_told)
+  if (!requests->draining || requests->drained_reported)
     return;
   /* A stop that does not wait cuts off whoever is still being answered, and
    * leaves engine memory held that nobody cancels any more. */
   if (!BERYL_GUARD (BERYL_GUARD_DRAIN_WAIT,
                     requests->open == 0 && !holds_cancelling (requests)))
     return;
-  requests->drained_told = true;
-  requests_act (requests, &action);
+  requests->drained_reported = true;
+  requests_emit (requests, &action);
 }
 
 static void
 requests_tick (struct beryl_requests *requests, int64_t now_ms)
 {
-  requests_take_due (requests, now_ms);
-  holds_repeat (requests, now_ms);
+  requests_handle_due (requests, now_ms);
+  holds_retry_cancels (requests, now_ms);
   records_expire (requests, now_ms);
 }
 
@@ -136,37 +136,37 @@
 requests_caller_event (struct beryl_requests *requests,
                        const struct beryl_event *event, int64_t now_ms)
 {
-  struct request *request = request_of (requests, event);
+  struct request *request = request_for_event (requests, event);
 
   if (request == NULL)
     {
-      record_reader_event (requests, event);
+      record_on_reader_event (requests, event);
       return;
     }
   switch (event->type)
     {
     case BERYL_EVENT_CALLER_GONE:
-      request_caller_gone (requests, request, now_ms);
+      request_on_caller_gone (requests, request, now_ms);
       return;
     case BERYL_EVENT_CALLER_DRAINED:
-      request_caller_drained (requests, request);
+      request_on_caller_drained (requests, request);
       return;
     default:
-      request_claim_result (requests, request, event, now_ms);
+      request_on_claim_result (requests, request, event, now_ms);
       return;
     }
 }
 
 static void
-requests_take (struct beryl_requests *requests,
-               const struct beryl_event *event, int64_t now_ms)
+requests_dispatch (struct beryl_requests *requests,
+                   const struct beryl_event *event, int64_t now_ms)
 {
   struct exchange *exchange;
 
   switch (event->type)
     {
     case BERYL_EVENT_CALL:
-      requests->drained_told = false;
+      requests->drained_reported = false;
       requests_admit (requests, &event->call, now_ms);
       return;
     case BERYL_EVENT_CALLER_GONE:
@@ -187,25 +187,25 @@
       requests->draining = true;
       return;
     default:
-      exchange = exchange_of (requests, event);
+      exchange = exchange_for_event (requests, event);
       if (exchange != NULL)
-        attempt_event (requests, exchange, event, now_ms);
+        attempt_handle_event (requests, exchange, event, now_ms);
     }
 }
 
 void
-beryl_requests_event (struct beryl_requests *requests,
-                      const struct beryl_event *event, int64_t now_ms)
+beryl_requests_handle_event (struct beryl_requests *requests,
+                             const struct beryl_event *event, int64_t now_ms)
 {
-  requests_note_time (requests, now_ms);
-  requests_take (requests, event, now_ms);
+  requests_detect_pause (requests, now_ms);
+  requests_dispatch (requests, event, now_ms);
   requests_tick (requests, now_ms);
   requests_plan_waiting (requests, now_ms);
-  requests_tell_drained (requests);
+  requests_report_drained (requests);
 }
 
 uint32_t
-beryl_requests_open (const struct beryl_requests *requests)
+beryl_requests_open_count (const struct beryl_requests *requests)
 {
   return requests->open;
 }
--- a/libberyl/requests/due.c
+++ b/libberyl/requests/timers.c
@@ -24,7 +24,7 @@
   struct waiting_list *list = &requests->waiting[request->call_class];
   struct request *before = list->last;
 
-  while (before != NULL && before->number > request->number)
+  while (before != NULL && before->arrival_number > request->arrival_number)
     before = before->previous_waiting;
   request->previous_waiting = before;
   request->next_waiting = before != NULL ? before->next_waiting : list->first;
@@ -59,9 +59,9 @@
 }
 
 void
-requests_due_by (struct beryl_requests *requests, int64_t due_ms)
+requests_schedule_due (struct beryl_requests *requests, int64_t due_ms)
 {
-  requests->due_ms = earlier (requests->due_ms, due_ms);
+  requests->earliest_due_ms = earlier (requests->earliest_due_ms, due_ms);
 }
 
 static int64_t
@@ -74,39 +74,39 @@
 }
 
 static void
-request_take_due (struct beryl_requests *requests, struct request *request,
+request_handle_due (struct beryl_requests *requests, struct request *request,
                   int64_t now_ms)
 {
   if (now_ms >= request->call.deadline_ms)
-    request_deadline (requests, request, now_ms);
+    request_on_deadline (requests, request, now_ms);
   else if (now_ms >= reader_due_ms (requests, request))
     request_fail (requests, request, BERYL_PROBLEM_DEADLINE, 0,
                   "caller does not read its answer", now_ms);
-  else if (now_ms >= request->decode_at_ms)
-    attempt_bind (requests, request, NULL, now_ms);
+  else if (now_ms >= request->decode_retry_at_ms)
+    attempt_bind_decode (requests, request, NULL, now_ms);
 }
 
 /* Walks over the open requests only when one of them may be due: a walk for
  * each event would make the cost of a token grow with the number of open
  * requests. */
 void
-requests_take_due (struct beryl_requests *requests, int64_t now_ms)
+requests_handle_due (struct beryl_requests *requests, int64_t now_ms)
 {
   struct request *request, *next;
 
-  if (now_ms < requests->due_ms)
+  if (now_ms < requests->earliest_due_ms)
     return;
-  requests->due_ms = BERYL_NEVER_MS;
+  requests->earliest_due_ms = BERYL_NEVER_MS;
   for (request = requests->first; request != NULL; request = next)
     {
       next = request->next;
-      request_take_due (requests, request, now_ms);
+      request_handle_due (requests, request, now_ms);
     }
   for (request = requests->first; request != NULL; request = request->next)
     {
-      requests_due_by (requests, request->call.deadline_ms);
-      requests_due_by (requests, request->decode_at_ms);
-      requests_due_by (requests, reader_due_ms (requests, request));
+      requests_schedule_due (requests, request->call.deadline_ms);
+      requests_schedule_due (requests, request->decode_retry_at_ms);
+      requests_schedule_due (requests, reader_due_ms (requests, request));
     }
 }
 
@@ -127,7 +127,7 @@
   if (!waiting)
     return BERYL_NEVER_MS;
   due_ms = earlier (due_ms, beryl_router_next_ms (requests->router));
-  return due_ms < requests->plan_from_ms ? requests->plan_from_ms : due_ms;
+  return due_ms < requests->plan_not_before_ms ? requests->plan_not_before_ms : due_ms;
 }
 
 int64_t
@@ -135,11 +135,11 @@
 {
   int64_t next_ms = holds_next_ms (requests);
 
-  next_ms = earlier (next_ms, requests->due_ms);
+  next_ms = earlier (next_ms, requests->earliest_due_ms);
   next_ms = earlier (next_ms, plan_due_ms (requests));
   if (requests->expiring_first != NULL)
     next_ms = earlier (next_ms, requests->expiring_first->expires_ms);
   if (requests->last_event_ms != INT64_MIN)
-    next_ms = earlier (next_ms, requests->last_event_ms + HEARTBEAT_MS);
+    next_ms = earlier (next_ms, requests->last_event_ms + TICK_INTERVAL_MAX_MS);
   return next_ms;
 }
--- a/tests/control/test_lease.c
+++ b/tests/control/test_lease.c
@@ -339,7 +339,7 @@
       p->offset_ms = (int64_t)sim_random (w->sim, 1000000);
       p->rate_ppm = (int64_t)sim_random (w->sim, 400) - 200;
       p->lease = beryl_lease_create (&settings, &p->base);
-      beryl_lease_want (p->lease, true, peer_now_ms (p));
+      beryl_lease_set_candidate (p->lease, true, peer_now_ms (p));
       sim_after (w->sim, (int64_t)sim_random (w->sim, 50), peer_step, p, NULL);
     }
   sim_after (w->sim, 1, world_check, w, NULL);
@@ -424,7 +424,8 @@
   sim_run (w.sim, 20000);
   for (int i = 0; i < NODES; i++)
     if (beryl_lease_held (w.peers[i].lease, peer_now_ms (&w.peers[i]), NULL))
-      beryl_lease_want (w.peers[i].lease, false, peer_now_ms (&w.peers[i]));
+      beryl_lease_set_candidate (w.peers[i].lease, false,
+                                 peer_now_ms (&w.peers[i]));
   stopped_ms = sim_now_ms (w.sim);
   while (w.takeovers == 1 && sim_now_ms (w.sim) < stopped_ms + 60000)
     sim_run (w.sim, sim_now_ms (w.sim) + 10);
--- a/tests/http/test_abuse.c
+++ b/tests/http/test_abuse.c
@@ -121,7 +121,7 @@
   while (!raws[0].closed && loop_now_ms (world->loop) < end_ms)
     world_run (world, 50);
   ck_assert (raws[0].closed);
-  ck_assert_uint_eq (beryl_requests_open (world->entry->requests), 0);
+  ck_assert_uint_eq (beryl_requests_open_count (world->entry->requests), 0);
   good_call ();
 }
 
--- a/tests/http/test_entry.c
+++ b/tests/http/test_entry.c
@@ -105,7 +105,7 @@
   world_run (world, 1100);
   ck_assert_uint_eq (world->prefills, 1);
   ck_assert_uint_eq (world->cancels, 0);
-  ck_assert_uint_eq (beryl_requests_open (world->entry->requests), 1);
+  ck_assert_uint_eq (beryl_requests_open_count (world->entry->requests), 1);
   world->decode_mode = DECODE_ANSWER;
   for (int i = 0; i < 50 && answer.status == 0; i++)
     world_run (world, 100);
@@ -153,10 +153,10 @@
                      STREAM);
   world_run (world, 300);
   ck_assert (body_has ("width "));
-  ck_assert_uint_eq (beryl_requests_open (world->entry->requests), 1);
+  ck_assert_uint_eq (beryl_requests_open_count (world->entry->requests), 1);
   http_call_cancel (open);
   world_run (world, 400);
-  ck_assert_uint_eq (beryl_requests_open (world->entry->requests), 0);
+  ck_assert_uint_eq (beryl_requests_open_count (world->entry->requests), 0);
   ck_assert_uint_ge (world->cancels, 1);
   ck_assert_uint_eq (g_hash_table_size (world->entry->exchanges), 0);
   ck_assert_uint_eq (g_hash_table_size (world->entry->open), 0);
--- a/tests/requests/bench_claims.c
+++ b/tests/requests/bench_claims.c
@@ -143,10 +143,11 @@
         return;
       bench->first++;
       if (call.read)
-        beryl_claims_read (bench->claims, call.id, BERYL_OK, NULL, 0,
-                           bench->now_ms);
+        beryl_claims_read_done (bench->claims, call.id, BERYL_OK, NULL, 0,
+                                bench->now_ms);
       else
-        beryl_claims_written (bench->claims, call.id, BERYL_OK, bench->now_ms);
+        beryl_claims_write_done (bench->claims, call.id, BERYL_OK,
+                                 bench->now_ms);
     }
 }
 
--- a/tests/requests/bench_keys.c
+++ b/tests/requests/bench_keys.c
@@ -58,25 +58,25 @@
     .key = keyed ? key : NULL,
     .key_incarnation = INCARNATION,
   };
-  beryl_requests_event (requests, &event, now_ms);
+  beryl_requests_handle_event (requests, &event, now_ms);
   event = (struct beryl_event){ .type = BERYL_EVENT_EXCHANGE_HEAD,
                                 .exchange = bench->exchange };
   event.head.status = 200;
-  beryl_requests_event (requests, &event, now_ms);
+  beryl_requests_handle_event (requests, &event, now_ms);
   event.type = BERYL_EVENT_EXCHANGE_DATA;
   event.data.offset = 0;
   event.data.bytes = body;
   event.data.bytes_count = sizeof body - 1;
   event.data.tokens = 0;
   event.data.attempt = 0;
-  beryl_requests_event (requests, &event, now_ms);
+  beryl_requests_handle_event (requests, &event, now_ms);
   event = (struct beryl_event){ .type = BERYL_EVENT_EXCHANGE_END,
                                 .exchange = bench->exchange };
   event.end.answer_bytes = sizeof body - 1;
-  beryl_requests_event (requests, &event, now_ms);
+  beryl_requests_handle_event (requests, &event, now_ms);
   event = (struct beryl_event){ .type = BERYL_EVENT_CALLER_DRAINED,
                                 .request = n };
-  beryl_requests_event (requests, &event, now_ms);
+  beryl_requests_handle_event (requests, &event, now_ms);
 }
 
 static void
@@ -104,7 +104,7 @@
     play_call (requests, &bench, n, keyed, (int64_t)n / 10);
   clock_gettime (CLOCK_PROCESS_CPUTIME_ID, &b);
   for (uint64_t n = 0; n < CALLS; n++)
-    beryl_requests_event (requests, &tick, CALLS + (int64_t)n);
+    beryl_requests_handle_event (requests, &tick, CALLS + (int64_t)n);
   after = mallinfo2 ();
   if (bench.ended != CALLS)
     abort ();
--- a/tests/requests/test_claims.c
+++ b/tests/requests/test_claims.c
@@ -168,9 +168,9 @@
 
   free (call.value);
   if (call.operation == OPERATION_LIST || call.operation == OPERATION_GET)
-    beryl_claims_read (home->claims, call.id, code, NULL, 0, now_ms);
+    beryl_claims_read_done (home->claims, call.id, code, NULL, 0, now_ms);
   else
-    beryl_claims_written (home->claims, call.id, code, now_ms);
+    beryl_claims_write_done (home->claims, call.id, code, now_ms);
 }
 
 static void
@@ -182,8 +182,8 @@
   found_count = 0;
   if (call.operation == OPERATION_CREATE || call.operation == OPERATION_REMOVE)
     {
-      beryl_claims_written (home->claims, call.id, take_effect (&call),
-                            now_ms);
+      beryl_claims_write_done (home->claims, call.id, take_effect (&call),
+                               now_ms);
       return;
     }
   store_list (objects, BERYL_CLAIMS_KIND, call.name, "", now_ms, collect,
@@ -192,7 +192,8 @@
     code = BERYL_ERROR_NOT_FOUND;
   if (call.operation == OPERATION_GET && found_count > 0)
     found_count = 1;
-  beryl_claims_read (home->claims, call.id, code, found, found_count, now_ms);
+  beryl_claims_read_done (home->claims, call.id, code, found, found_count,
+                          now_ms);
 }
 
 static void
@@ -222,7 +223,7 @@
     .shards = 1,
     .retention_ms = RETENTION_MS,
     .delete_after_ms = DELETE_AFTER_MS,
-    .fold_segments = 4,
+    .compact_min_segments = 4,
   };
 
   memset (home, 0, sizeof *home);
@@ -284,7 +285,7 @@
   ck_assert_int_eq (b.results[1], BERYL_CLAIM_TAKEN);
   ck_assert_uint_eq (b.grantees[1], 1);
   ck_assert_int_eq (b.results[2], BERYL_CLAIM_GRANTED);
-  ck_assert_uint_eq (beryl_claims_counts (b.claims)->races_lost, 1);
+  ck_assert_uint_eq (beryl_claims_counts (b.claims)->create_conflicts, 1);
 }
 END_TEST
 
@@ -297,7 +298,7 @@
   claim (&a, 1, "k");
   call = take (&a);
   ck_assert_int_eq (take_effect (&call), BERYL_OK);
-  beryl_claims_written (a.claims, call.id, BERYL_ERROR_UNKNOWN, now_ms);
+  beryl_claims_write_done (a.claims, call.id, BERYL_ERROR_UNKNOWN, now_ms);
   ck_assert (!a.ended[1]);
   pass (&a, 500);
   ck_assert (a.ended[1]);
@@ -388,7 +389,7 @@
   pass (&b, DELETE_AFTER_MS * 12);
   ck_assert_uint_gt (beryl_claims_counts (b.claims)->deleted, 4);
   ck_assert_int_eq (take_effect (&call), BERYL_OK);
-  beryl_claims_written (a.claims, call.id, BERYL_OK, now_ms);
+  beryl_claims_write_done (a.claims, call.id, BERYL_OK, now_ms);
   ck_assert (!a.ended[1]);
   pass (&a, 300);
   ck_assert_int_eq (a.results[1], BERYL_CLAIM_TAKEN);
@@ -458,13 +459,13 @@
     beryl_claims_set_members (b.claims, nodes, 1, now_ms);
   sends_allowed = true;
   claim (&b, 1, "k");
-  beryl_claims_message (b.claims, "a", &reply, now_ms);
+  beryl_claims_handle_message (b.claims, "a", &reply, now_ms);
   ck_assert (!b.ended[1]);
   ck_assert_uint_eq (asked.id, 1);
   reply = asked;
   reply.type = BERYL_CLAIM_REPLY;
   reply.result = BERYL_CLAIM_GRANTED;
-  beryl_claims_message (b.claims, "a", &reply, now_ms);
+  beryl_claims_handle_message (b.claims, "a", &reply, now_ms);
   ck_assert_int_eq (b.results[1], BERYL_CLAIM_GRANTED);
 }
 END_TEST
@@ -487,7 +488,7 @@
   now_ms += 100;
   beryl_claims_tick (a.claims, now_ms);
   ck_assert_int_eq (a.call_count, 0);
-  ck_assert_int_eq (asked.type, BERYL_CLAIM_ASK);
+  ck_assert_int_eq (asked.type, BERYL_CLAIM_REQUEST);
   ck_assert (!a.ended[1]);
 }
 END_TEST
--- a/tests/requests/test_claims_budget.c
+++ b/tests/requests/test_claims_budget.c
@@ -104,9 +104,10 @@
         return;
       home.first++;
       if (call.read)
-        beryl_claims_read (claims, call.id, BERYL_OK, NULL, 0, home.now_ms);
+        beryl_claims_read_done (claims, call.id, BERYL_OK, NULL, 0,
+                                home.now_ms);
       else
-        beryl_claims_written (claims, call.id, BERYL_OK, home.now_ms);
+        beryl_claims_write_done (claims, call.id, BERYL_OK, home.now_ms);
     }
 }
 
--- a/tests/requests/test_holds.c
+++ b/tests/requests/test_holds.c
@@ -38,11 +38,11 @@
   ck_assert (beryl_hold_windows_record (windows, "e1", 3));
   ck_assert (!beryl_hold_windows_record (windows, "e1", 9));
   beryl_hold_windows_erase (windows, "e1", 3);
-  ck_assert_uint_eq (beryl_hold_windows_narrow (windows, out, 4), 1);
+  ck_assert_uint_eq (beryl_hold_windows_shrink (windows, out, 4), 1);
   ck_assert_uint_eq (out[0].from, 9);
-  ck_assert_uint_eq (beryl_hold_windows_narrow (windows, out, 4), 0);
+  ck_assert_uint_eq (beryl_hold_windows_shrink (windows, out, 4), 0);
   beryl_hold_windows_erase (windows, "e1", 9);
-  ck_assert_uint_eq (beryl_hold_windows_narrow (windows, out, 4), 1);
+  ck_assert_uint_eq (beryl_hold_windows_shrink (windows, out, 4), 1);
   ck_assert_uint_lt (out[0].to, out[0].from);
   ck_assert (beryl_hold_windows_record (windows, "e1", 10));
   ck_assert_uint_eq (beryl_hold_windows_list (windows, out, 4), 1);
@@ -61,7 +61,8 @@
     .listed = true,
   };
 
-  ck_assert_int_eq (beryl_death_judge (&evidence, 3600000), BERYL_DEATH_NONE);
+  ck_assert_int_eq (beryl_death_evaluate (&evidence, 3600000),
+                    BERYL_DEATH_NONE);
 }
 END_TEST
 
@@ -75,12 +76,12 @@
     .last_heard_ms = 59000,
   };
 
-  ck_assert_int_eq (beryl_death_judge (&evidence, 60000), BERYL_DEATH_NONE);
+  ck_assert_int_eq (beryl_death_evaluate (&evidence, 60000), BERYL_DEATH_NONE);
   evidence.last_heard_ms = 1000;
-  ck_assert_int_eq (beryl_death_judge (&evidence, 60000),
+  ck_assert_int_eq (beryl_death_evaluate (&evidence, 60000),
                     BERYL_DEATH_DELISTED);
   evidence.list_current = false;
-  ck_assert_int_eq (beryl_death_judge (&evidence, 60000), BERYL_DEATH_NONE);
+  ck_assert_int_eq (beryl_death_evaluate (&evidence, 60000), BERYL_DEATH_NONE);
 }
 END_TEST
 
@@ -93,11 +94,11 @@
     .link_broken_ms = 100,
   };
 
-  ck_assert_int_eq (beryl_death_judge (&evidence, 200), BERYL_DEATH_NONE);
-  ck_assert_int_eq (beryl_death_judge (&evidence, 600),
+  ck_assert_int_eq (beryl_death_evaluate (&evidence, 200), BERYL_DEATH_NONE);
+  ck_assert_int_eq (beryl_death_evaluate (&evidence, 600),
                     BERYL_DEATH_LINK_BROKEN);
   evidence.address_incarnation = DEAD + 1;
-  ck_assert_int_eq (beryl_death_judge (&evidence, 200),
+  ck_assert_int_eq (beryl_death_evaluate (&evidence, 200),
                     BERYL_DEATH_NEWER_INCARNATION);
 }
 END_TEST
@@ -111,14 +112,14 @@
   struct beryl_hold_window window = { "e1", DEAD, 1, 20 }, due;
 
   ck_assert (beryl_hold_cleanup_add (cleanup, &window, 0));
-  ck_assert (beryl_hold_cleanup_due (cleanup, &due, 0));
-  ck_assert (!beryl_hold_cleanup_due (cleanup, &due, 0));
-  ck_assert (!beryl_hold_cleanup_answered (cleanup, "e1", DEAD, 0, 5));
+  ck_assert (beryl_hold_cleanup_take_due (cleanup, &due, 0));
+  ck_assert (!beryl_hold_cleanup_take_due (cleanup, &due, 0));
+  ck_assert (!beryl_hold_cleanup_on_reply (cleanup, "e1", DEAD, 0, 5));
   ck_assert_int_eq (beryl_hold_cleanup_next_ms (cleanup), 300);
-  ck_assert (beryl_hold_cleanup_due (cleanup, &due, 300));
+  ck_assert (beryl_hold_cleanup_take_due (cleanup, &due, 300));
   ck_assert_str_eq (due.endpoint, "e1");
   ck_assert_uint_eq (due.to, 20);
-  ck_assert (beryl_hold_cleanup_answered (cleanup, "e1", DEAD, 0, 305));
+  ck_assert (beryl_hold_cleanup_on_reply (cleanup, "e1", DEAD, 0, 305));
   ck_assert_uint_eq (beryl_hold_cleanup_count (cleanup), 0);
   beryl_hold_cleanup_destroy (cleanup);
 }
@@ -134,12 +135,12 @@
 
   beryl_hold_cleanup_add (cleanup, &window, 0);
   for (int64_t now_ms = 0; now_ms < 10000; now_ms++)
-    if (beryl_hold_cleanup_due (cleanup, &due, now_ms))
+    if (beryl_hold_cleanup_take_due (cleanup, &due, now_ms))
       tries++;
   ck_assert_int_ge (tries, 6);
-  ck_assert (!beryl_hold_cleanup_answered (cleanup, "e1", DEAD, 2, 10000));
+  ck_assert (!beryl_hold_cleanup_on_reply (cleanup, "e1", DEAD, 2, 10000));
   ck_assert_uint_eq (beryl_hold_cleanup_count (cleanup), 1);
-  beryl_hold_cleanup_forget (cleanup, "e1");
+  beryl_hold_cleanup_remove_endpoint (cleanup, "e1");
   ck_assert_uint_eq (beryl_hold_cleanup_count (cleanup), 0);
   ck_assert_int_eq (beryl_hold_cleanup_next_ms (cleanup), BERYL_NEVER_MS);
   beryl_hold_cleanup_destroy (cleanup);
--- a/tests/requests/test_parts.c
+++ b/tests/requests/test_parts.c
@@ -50,7 +50,7 @@
   ck_assert (reassembly_add (&r, 0, "abcdefgh", 8, 0, append, out));
   ck_assert_str_eq (out, "abcdefgh");
   ck_assert_uint_eq (r.next, 8);
-  ck_assert_uint_eq (r.early_bytes, 0);
+  ck_assert_uint_eq (r.buffered_bytes, 0);
 }
 END_TEST
 
@@ -67,9 +67,9 @@
     taken = reassembly_add (&r, 1 + i * sizeof piece, piece, sizeof piece, 0,
                             append, out);
   ck_assert (!taken);
-  ck_assert_uint_le (r.early_bytes, REASSEMBLY_EARLY_BYTES);
-  reassembly_drop_early (&r);
-  ck_assert_uint_eq (r.early_bytes, 0);
+  ck_assert_uint_le (r.buffered_bytes, REASSEMBLY_BUFFER_MAX_BYTES);
+  reassembly_discard_buffered (&r);
+  ck_assert_uint_eq (r.buffered_bytes, 0);
 }
 END_TEST
 
--- a/tests/requests/test_peer.c
+++ b/tests/requests/test_peer.c
@@ -139,7 +139,7 @@
   ck_assert (!pass (&message, &read));
   message = (struct peer_message){ .type = PEER_CLAIM };
   message.claim.result = (enum beryl_claim_result)17;
-  message.claim.type = BERYL_CLAIM_ASK;
+  message.claim.type = BERYL_CLAIM_REQUEST;
   ck_assert (!pass (&message, &read));
   message.claim.result = BERYL_CLAIM_GRANTED;
   message.claim.type = (enum beryl_claim_message_type)0;
--- a/tests/requests/transcript.c
+++ b/tests/requests/transcript.c
@@ -110,7 +110,7 @@
                beryl_outcome_name (a->error.outcome), a->error.retry_after_ms,
                a->error.detail);
       return;
-    case BERYL_ACTION_REPLY_CUT:
+    case BERYL_ACTION_REPLY_TRUNCATE:
       fprintf (out, "cut request=%" PRIu64, a->request);
       return;
     case BERYL_ACTION_PREFILL:
@@ -373,7 +373,7 @@
   if (!parse (copy, &line) || steer (router, &line))
     return;
   fill_event (&event, &line);
-  beryl_requests_event (requests, &event, line.at_ms);
+  beryl_requests_handle_event (requests, &event, line.at_ms);
 }
 
 char *
@@ -428,7 +428,7 @@
         play_line (requests, router, text);
     }
   fprintf (session.out, "= open=%u reserved=%u\n",
-           beryl_requests_open (requests), fake_router_open (router));
+           beryl_requests_open_count (requests), fake_router_open (router));
   fclose (session.out);
   fclose (in);
   beryl_requests_destroy (requests);
--- a/tests/requests/world_act.c
+++ b/tests/requests/world_act.c
@@ -178,7 +178,7 @@
     case BERYL_ACTION_REPLY_DATA:
     case BERYL_ACTION_REPLY_END:
     case BERYL_ACTION_REPLY_ERROR:
-    case BERYL_ACTION_REPLY_CUT:
+    case BERYL_ACTION_REPLY_TRUNCATE:
       if (!peer_reply (node, action))
         caller_reply (node, action);
       return;
--- a/tests/requests/world_caller.c
+++ b/tests/requests/world_caller.c
@@ -157,7 +157,7 @@
     .max_tokens = 50,
   };
   later (world, allowed_ms + SLACK_MS, wait_ends, job, attempt);
-  beryl_requests_event (node->requests, &event, world->now_ms);
+  beryl_requests_handle_event (node->requests, &event, world->now_ms);
 }
 
 static void
@@ -174,7 +174,7 @@
     event.fetch.offset = j->tries[attempt - 1].received;
   j->tries[attempt].received = 0;
   later (world, SLACK_MS, wait_ends, job, attempt);
-  beryl_requests_event (node->requests, &event, world->now_ms);
+  beryl_requests_handle_event (node->requests, &event, world->now_ms);
 }
 
 static void
@@ -386,7 +386,7 @@
     case BERYL_ACTION_REPLY_ERROR:
       on_problem (node, job, attempt, action);
       return;
-    case BERYL_ACTION_REPLY_CUT:
+    case BERYL_ACTION_REPLY_TRUNCATE:
       node->world->jobs[job].tries[attempt].final = true;
       note (node->world, HISTORY_CUT, job, attempt);
       come_back (node->world, job, 70);
--- a/tests/requests/world_faults.c
+++ b/tests/requests/world_faults.c
@@ -206,7 +206,7 @@
   endpoint_cancel (world, n, window->incarnation, window->from, window->to);
   held = endpoint_held (world, n, window->incarnation, window->from,
                         window->to);
-  beryl_hold_cleanup_answered (node->cleanup, window->endpoint,
+  beryl_hold_cleanup_on_reply (node->cleanup, window->endpoint,
                                window->incarnation, held, world->now_ms);
 }
 
@@ -216,7 +216,7 @@
   struct node *node = &world->nodes[task->a];
   struct beryl_hold_window due;
 
-  while (beryl_hold_cleanup_due (node->cleanup, &due, world->now_ms))
+  while (beryl_hold_cleanup_take_due (node->cleanup, &due, world->now_ms))
     keeper_cancels (world, node, &due);
   if (beryl_hold_cleanup_count (node->cleanup) > 0)
     at (world, KEEPER_STEP_MS, keeper_step, task->a, 0);
@@ -256,7 +256,7 @@
   struct history_event event = { .type = HISTORY_CLEANED };
 
   if (!node->up
-      || beryl_death_judge (&evidence, world->now_ms) == BERYL_DEATH_NONE)
+      || beryl_death_evaluate (&evidence, world->now_ms) == BERYL_DEATH_NONE)
     return;
   event.text = "a living node was taken for dead";
   world_note (world, &event);
--- a/tests/requests/world_node.c
+++ b/tests/requests/world_node.c
@@ -40,7 +40,7 @@
     node->tick_ms = 0;
   if (node->tick_ms == task->at_ms)
     node->tick_ms = 0;
-  beryl_requests_event (node->requests, &event, world->now_ms);
+  beryl_requests_handle_event (node->requests, &event, world->now_ms);
   beryl_claims_tick (node->claims, world->now_ms);
   node_schedule (node);
 }
@@ -87,7 +87,7 @@
     event.prefill.kv_handle = "kv";
   else if (event.type == BERYL_EVENT_CANCEL_CONFIRMED)
     event.cancel.endpoint = task->text;
-  beryl_requests_event (node->requests, &event, world->now_ms);
+  beryl_requests_handle_event (node->requests, &event, world->now_ms);
   node_schedule (node);
 }
 
@@ -150,13 +150,13 @@
   struct beryl_claims_settings claims = {
     .seed = world_random (world, UINT32_MAX),
     .shards = 1,
-    .fold_segments = 2,
+    .compact_min_segments = 2,
     .commit_interval_ms = 20,
     /* As when the recorded seeds were found. */
     .commits_per_s = 160,
     .retention_ms = 300000,
     .delete_after_ms = DELETE_AFTER_MS,
-    .ask_timeout_ms = 100,
+    .request_timeout_ms = 100,
   };
 
   node->world = world;
--- a/tests/requests/world_peer.c
+++ b/tests/requests/world_peer.c
@@ -68,7 +68,7 @@
     .prompt_tokens = 100,
     .max_tokens = 50,
   };
-  beryl_requests_event (peer->requests, &event, world->now_ms);
+  beryl_requests_handle_event (peer->requests, &event, world->now_ms);
   node_schedule (peer);
 }
 
@@ -141,7 +141,7 @@
     case BERYL_ACTION_REPLY_END:
       event->type = BERYL_EVENT_EXCHANGE_END;
       return;
-    case BERYL_ACTION_REPLY_CUT:
+    case BERYL_ACTION_REPLY_TRUNCATE:
       event->type = BERYL_EVENT_EXCHANGE_FAILED;
       event->failed.sent = true;
       return;
--- a/tests/requests/world_platform.c
+++ b/tests/requests/world_platform.c
@@ -59,7 +59,8 @@
     }
   if (task->a == OPERATION_CREATE || task->a == OPERATION_REMOVE)
     {
-      beryl_claims_written (node->claims, task->number, code, world->now_ms);
+      beryl_claims_write_done (node->claims, task->number, code,
+                               world->now_ms);
       node_schedule (node);
       return;
     }
@@ -73,8 +74,8 @@
     visit (&objects, &revision);
   else if (code == BERYL_OK)
     code = BERYL_ERROR_NOT_FOUND;
-  beryl_claims_read (node->claims, task->number, code, objects.items,
-                     objects.count, world->now_ms);
+  beryl_claims_read_done (node->claims, task->number, code, objects.items,
+                          objects.count, world->now_ms);
   node_schedule (node);
 }
 
@@ -212,8 +213,8 @@
 
   if (!from->up || from->paused_until_ms > world->now_ms)
     return;
-  beryl_claims_unreachable (from->claims, world->nodes[task->a].name,
-                            world->now_ms);
+  beryl_claims_node_down (from->claims, world->nodes[task->a].name,
+                          world->now_ms);
   node_schedule (from);
 }
 
@@ -237,7 +238,8 @@
       return;
     }
   snprintf (from, sizeof from, "n%u", task->node);
-  beryl_claims_message (node->claims, from, &task->claim, world->now_ms);
+  beryl_claims_handle_message (node->claims, from, &task->claim,
+                               world->now_ms);
   node_schedule (node);
 }
 
