--- a/include/beryl/requests.h
+++ b/include/beryl/requests.h
@@ -1,17 +1,17 @@
 /** @file
- * The life of every request at one node, from its arrival to its one final
- * answer.
+ * State machine of the requests of one node, from arrival to the single final
+ * reply.
  *
- * Events go in with the time, actions come out through a vtable; nothing
- * here does I/O.  Not thread-safe; any number of instances may live in one
- * process.  Pointers inside an event or action are valid during the call.
- * An owner's act must not call back into the instance.
+ * Events are passed in with the current time and actions come out through a
+ * vtable; the module does no I/O.  It is not thread-safe; several instances
+ * may exist in one process.  Pointers inside an event or action are valid only
+ * during the call.  The owner's act must not call back into the instance.
  *
- * Every call ends by exactly one of REPLY_END, REPLY_ERROR and REPLY_CUT,
- * unless its caller has gone.  A caller's handle may be used again after
- * that.  An answer counts as delivered when BERYL_EVENT_CALLER_DRAINED comes
- * after REPLY_END; until then, or after BERYL_EVENT_CALLER_GONE, the answer
- * of a call with a key may be fetched.
+ * Every call ends with exactly one of REPLY_END, REPLY_ERROR and
+ * REPLY_TRUNCATE, unless its caller has disconnected.  A caller's handle may
+ * be reused after that.  An answer counts as delivered when
+ * BERYL_EVENT_CALLER_DRAINED follows REPLY_END; until then, or after
+ * BERYL_EVENT_CALLER_GONE, the answer of a call with a key can be fetched.
  */
 #ifndef BERYL_REQUESTS_H
 #define BERYL_REQUESTS_H
@@ -27,46 +27,54 @@
 
 struct beryl_requests;
 
-/** How a call is protected against being run twice. */
+/** Idempotency key kinds: how a call is protected against running twice. */
 enum beryl_key_kind
 {
   BERYL_KEY_NONE,
-  BERYL_KEY_BOUND, /**< names the incarnation that alone may run it */
-  BERYL_KEY_FREE,  /**< the caller's own; claimed in the object API */
+  BERYL_KEY_BOUND, /**< names the one incarnation that may run the call */
+  BERYL_KEY_FREE,  /**< chosen by the caller; claimed in the object API */
 };
 
-/** Events. */
+/** Types of input events. */
 enum beryl_event_type
 {
-  BERYL_EVENT_CALL,             /**< a caller's request arrived whole */
-  BERYL_EVENT_CALLER_GONE,      /**< its connection closed */
-  BERYL_EVENT_CALLER_DRAINED,   /**< the caller has read what was queued */
+  BERYL_EVENT_CALL,             /**< a complete request arrived */
+  BERYL_EVENT_CALLER_GONE,      /**< the caller's connection closed */
+  BERYL_EVENT_CALLER_DRAINED,   /**< the caller has read all queued bytes */
   BERYL_EVENT_EXCHANGE_SENT,    /**< a byte was handed to the socket */
-  BERYL_EVENT_EXCHANGE_REFUSED, /**< the endpoint says it did not run it */
-  BERYL_EVENT_EXCHANGE_HEAD,    /**< plain service: status and content type */
-  BERYL_EVENT_PREFILL_DONE,     /**< KV cache is exported */
-  BERYL_EVENT_EXCHANGE_DATA,    /**< answer bytes at an offset */
-  BERYL_EVENT_EXCHANGE_END,     /**< the answer is whole */
+  BERYL_EVENT_EXCHANGE_REFUSED, /**< the endpoint rejected the call without
+                                     running it */
+  BERYL_EVENT_EXCHANGE_HEAD,    /**< plain service: status and content type
+                                     received */
+  BERYL_EVENT_PREFILL_DONE,     /**< prefill finished; KV cache exported */
+  BERYL_EVENT_EXCHANGE_DATA,    /**< answer bytes received, with their
+                                     offset */
+  BERYL_EVENT_EXCHANGE_END,     /**< the answer is complete */
   BERYL_EVENT_EXCHANGE_FAILED,  /**< reset, timeout or error */
-  BERYL_EVENT_FORWARD_ERROR,    /**< the other node's final problem */
-  BERYL_EVENT_CANCEL_CONFIRMED, /**< the endpoint holds nothing of a stream */
-  BERYL_EVENT_CLAIM_RESULT,     /**< answer to BERYL_ACTION_CLAIM */
-  BERYL_EVENT_FETCH,            /**< caller wants an outcome or the rest */
-  BERYL_EVENT_TICK,             /**< time passed */
-  BERYL_EVENT_DRAIN,            /**< planned stop has begun */
+  BERYL_EVENT_FORWARD_ERROR,    /**< the node forwarded to replied with an
+                                     error */
+  BERYL_EVENT_CANCEL_CONFIRMED, /**< the endpoint has freed a stream's
+                                     memory */
+  BERYL_EVENT_CLAIM_RESULT,     /**< result of BERYL_ACTION_CLAIM */
+  BERYL_EVENT_FETCH,            /**< a caller asks for an outcome or the
+                                     rest of an answer */
+  BERYL_EVENT_TICK,             /**< timer expired */
+  BERYL_EVENT_DRAIN,            /**< graceful shutdown started */
 };
 
-/** Results of a claim. */
+/** Results of BERYL_ACTION_CLAIM. */
 enum beryl_claim_result
 {
-  BERYL_CLAIM_GRANTED,     /**< durable: this node may run the call */
-  BERYL_CLAIM_TAKEN,       /**< another call with this key was granted */
-  BERYL_CLAIM_MISMATCH,    /**< the key was used for another request body */
-  BERYL_CLAIM_UNAVAILABLE, /**< not granted, and it will never be */
-  BERYL_CLAIM_UNKNOWN,     /**< the write may have taken effect */
+  BERYL_CLAIM_GRANTED,     /**< durably recorded: this node may run the call */
+  BERYL_CLAIM_TAKEN,       /**< the key was already granted to another call */
+  BERYL_CLAIM_MISMATCH,    /**< the key was used with a different request
+                                body */
+  BERYL_CLAIM_UNAVAILABLE, /**< not granted; the call has not run */
+  BERYL_CLAIM_UNKNOWN,     /**< outcome unknown: the write may have taken
+                                effect */
 };
 
-/** Problems told to callers; each has a stable type in problem+json. */
+/** Errors reported to callers; each has a stable type in problem+json. */
 enum beryl_problem
 {
   BERYL_PROBLEM_NO_SERVICE,
@@ -75,44 +83,52 @@
   BERYL_PROBLEM_DEADLINE,
   BERYL_PROBLEM_ENDPOINT_FAILED,
   BERYL_PROBLEM_KEY_IN_USE,        /**< a call with this key is running */
-  BERYL_PROBLEM_KEY_ANSWERED,      /**< it was answered; fetch the rest */
-  BERYL_PROBLEM_KEY_MISMATCH,      /**< the key belongs to another body */
-  BERYL_PROBLEM_KEY_UNKNOWN,       /**< its node is gone: outcome unknown */
-  BERYL_PROBLEM_CLAIM_UNAVAILABLE, /**< object API away: not run */
+  BERYL_PROBLEM_KEY_ANSWERED,      /**< the call was answered; the answer
+                                        may be fetched */
+  BERYL_PROBLEM_KEY_MISMATCH,      /**< the key was used with a different
+                                        request body */
+  BERYL_PROBLEM_KEY_UNKNOWN,       /**< the node that ran it is gone:
+                                        outcome unknown */
+  BERYL_PROBLEM_CLAIM_UNAVAILABLE, /**< object API unavailable: not run */
   BERYL_PROBLEM_NOT_FOUND,
-  BERYL_PROBLEM_CONTEXT_LENGTH, /**< prompt longer than the model takes */
+  BERYL_PROBLEM_CONTEXT_LENGTH, /**< prompt and answer exceed the model's
+                                     context */
 };
 
-/** A caller's request. */
+/** A request as received from a caller. */
 struct beryl_call
 {
-  uint64_t request;       /**< the shell's handle, unique per process */
-  const char *request_id; /**< echoed and logged */
+  uint64_t request;       /**< handle chosen by the owner, unique per
+                               process */
+  const char *request_id; /**< echoed in the reply and logged */
   const char *organisation;
   const char *service;
-  const char *method; /**< plain services */
-  const char *path;   /**< plain services, with the query */
+  const char *method; /**< plain services only */
+  const char *path;   /**< plain services only; includes the query */
   const char *content_type;
   const void *body; /**< copied */
   size_t body_bytes;
   enum beryl_key_kind key_kind;
   const char *key;          /**< NULL for BERYL_KEY_NONE */
-  uint64_t key_incarnation; /**< of a bound key */
-  bool forwarded;           /**< came from another node */
-  int64_t deadline_ms;      /**< absolute; 0: from the configuration */
-  bool stream;              /**< answer as it is made */
-  const char *prompt;       /**< model services */
+  uint64_t key_incarnation; /**< for BERYL_KEY_BOUND: the incarnation that
+                                 may run it */
+  bool forwarded;           /**< forwarded by another node */
+  int64_t deadline_ms;      /**< absolute; 0: take the timeout from the
+                                 configuration */
+  bool stream;              /**< send the answer as it is generated */
+  const char *prompt;       /**< model services only */
   size_t prompt_bytes;
   uint32_t prompt_tokens;
   uint32_t max_tokens;
 };
 
-/** One event; EXCHANGE fields name what an action started. */
+/** One input event.  Exchange events name the exchange that an action
+ * started. */
 struct beryl_event
 {
   enum beryl_event_type type;
-  uint64_t request;  /**< caller events and claim results */
-  uint64_t exchange; /**< exchange events */
+  uint64_t request;  /**< for caller events and claim results */
+  uint64_t exchange; /**< for exchange events */
   union
   {
     struct beryl_call call;
@@ -126,20 +142,22 @@
       const char *kv_handle;
       uint64_t kv_bytes;
       uint32_t cached_tokens;
-      int64_t kv_ttl_ms; /**< how long the KV cache is kept; 0: unknown */
+      int64_t kv_ttl_ms; /**< time until the KV cache expires; 0: unknown */
     } prefill;
     struct
     {
-      uint64_t offset; /**< of the first byte in the whole answer */
+      uint64_t offset; /**< position of the first byte in the complete
+                            answer */
       const void *bytes;
       size_t bytes_count;
       uint32_t tokens;
-      uint32_t attempt; /**< as the engine says; 0: it does not */
+      uint32_t attempt; /**< attempt number reported by the engine; 0: not
+                             reported */
     } data;
     struct
     {
-      const char *finish_reason; /**< model services; may be NULL */
-      uint64_t answer_bytes;     /**< whole length as the endpoint says */
+      const char *finish_reason; /**< model services only; may be NULL */
+      uint64_t answer_bytes;     /**< total length reported by the endpoint */
     } end;
     struct
     {
@@ -158,12 +176,13 @@
     struct
     {
       enum beryl_claim_result result;
-      uint64_t incarnation; /**< TAKEN: who was granted it */
+      uint64_t incarnation; /**< TAKEN: the incarnation that was granted the
+                                 key */
     } claim;
     struct
     {
       const char *organisation;
-      const char *request_id; /**< or the key */
+      const char *request_id; /**< request id or key */
       uint64_t offset;
     } fetch;
     struct
@@ -176,32 +195,35 @@
   };
 };
 
-/** Actions. */
+/** Types of output actions. */
 enum beryl_action_type
 {
-  BERYL_ACTION_REPLY_HEAD,     /**< begin the answer */
-  BERYL_ACTION_REPLY_DATA,     /**< next bytes of the answer */
-  BERYL_ACTION_REPLY_END,      /**< the answer is whole */
-  BERYL_ACTION_REPLY_ERROR,    /**< the only answer: a problem */
-  BERYL_ACTION_REPLY_TRUNCATE, /**< end a begun answer as incomplete */
+  BERYL_ACTION_REPLY_HEAD,     /**< start the reply: status and content type */
+  BERYL_ACTION_REPLY_DATA,     /**< send the next bytes of the answer */
+  BERYL_ACTION_REPLY_END,      /**< the answer is complete */
+  BERYL_ACTION_REPLY_ERROR,    /**< reply with an error only */
+  BERYL_ACTION_REPLY_TRUNCATE, /**< close a started reply as incomplete */
   BERYL_ACTION_PREFILL,        /**< start a prefill at an engine */
   BERYL_ACTION_DECODE,         /**< import the KV cache and decode */
   BERYL_ACTION_SERVICE,        /**< call a plain service */
   BERYL_ACTION_ABORT,          /**< close an exchange's connection */
-  BERYL_ACTION_PAUSE,          /**< stop or restart reading an exchange */
-  BERYL_ACTION_CANCEL,         /**< ask an engine to drop a stream */
-  BERYL_ACTION_HOLD_RECORD,    /**< tell the hold keeper, before it is made */
-  BERYL_ACTION_HOLD_ERASE,     /**< the engine has confirmed it is gone */
-  BERYL_ACTION_CLAIM,          /**< make a free key's claim durable */
-  /** Pass the call to the node of that incarnation, as an exchange: its
-   * answer comes back by EXCHANGE_HEAD, DATA, END or FORWARD_ERROR.  If that
-   * node is gone or cannot be reached, EXCHANGE_FAILED. */
+  BERYL_ACTION_PAUSE,          /**< pause or resume reading from an exchange */
+  BERYL_ACTION_CANCEL,         /**< ask an engine to drop a stream and free
+                                    its memory */
+  BERYL_ACTION_HOLD_RECORD,    /**< report a hold to the keeper, before it
+                                    is created */
+  BERYL_ACTION_HOLD_ERASE,     /**< the engine confirmed that the hold is
+                                    released */
+  BERYL_ACTION_CLAIM,          /**< claim a free key durably */
+  /** Forward the call to the node of that incarnation, as an exchange.  Its
+   * reply arrives as EXCHANGE_HEAD, EXCHANGE_DATA, EXCHANGE_END or
+   * FORWARD_ERROR; if the node is gone or unreachable, as EXCHANGE_FAILED. */
   BERYL_ACTION_FORWARD,
-  BERYL_ACTION_DECISION, /**< log line of a routing decision */
-  BERYL_ACTION_DRAINED,  /**< after DRAIN: no request is open */
+  BERYL_ACTION_DECISION, /**< log a routing decision */
+  BERYL_ACTION_DRAINED,  /**< after DRAIN: no request is open any more */
 };
 
-/** One action. */
+/** One output action. */
 struct beryl_action
 {
   enum beryl_action_type type;
@@ -231,7 +253,7 @@
     {
       enum beryl_problem problem;
       enum beryl_outcome outcome;
-      int64_t retry_after_ms; /**< 0: no later try makes sense */
+      int64_t retry_after_ms; /**< 0: retrying is pointless */
       const char *detail;
     } error;
     struct
@@ -240,8 +262,8 @@
       struct beryl_stream_id stream;
       uint32_t attempt;
       const char *kv_handle;   /**< DECODE */
-      const char *kv_endpoint; /**< DECODE: where the KV cache is */
-      uint64_t offset;         /**< DECODE: resume from this byte */
+      const char *kv_endpoint; /**< DECODE: endpoint that holds the KV cache */
+      uint64_t offset;         /**< DECODE: first byte of the answer to send */
       const struct beryl_call *call;
       int64_t deadline_ms;
     } start;
@@ -275,58 +297,64 @@
 
 struct beryl_requests_owner;
 
-/** Where actions go. */
+/** Receiver of actions. */
 struct beryl_requests_owner_impl
 {
   void (*act) (struct beryl_requests_owner *owner,
                const struct beryl_action *action);
 };
 
-/** The owner; the first member selects the implementation. */
+/** Base of the owner; the owner's struct starts with it. */
 struct beryl_requests_owner
 {
   const struct beryl_requests_owner_impl *impl;
 };
 
-/** Settings. */
+/** Settings of one instance. */
 struct beryl_requests_settings
 {
   uint64_t incarnation;
   uint64_t seed;
-  uint32_t slow_reader_bytes;  /**< pause the engine above this */
-  int64_t slow_reader_ms;      /**< cancel a caller that reads nothing */
-  int64_t answer_retention_ms; /**< how long a cut answer may be fetched */
+  uint32_t slow_reader_bytes;  /**< unread bytes above which the engine is
+                                    paused */
+  int64_t slow_reader_ms;      /**< time a slow caller has to catch up
+                                    before its call fails */
+  int64_t answer_retention_ms; /**< how long a finished answer can be
+                                    fetched */
   uint32_t answer_retention_bytes;
 };
 
-/** Create; ROUTER and OWNER must outlive it. */
+/** Create an instance; ROUTER and OWNER must outlive it.  Returns NULL without
+ * memory. */
 struct beryl_requests *
 beryl_requests_create (const struct beryl_requests_settings *settings,
                        struct beryl_router *router,
                        struct beryl_requests_owner *owner);
 
-/** Release; NULL is allowed. */
+/** Free REQUESTS; NULL is allowed. */
 void beryl_requests_destroy (struct beryl_requests *requests);
 
-/** Use CONFIG, which must stay valid until the next call of this. */
+/** Use CONFIG, which must stay valid until the next call of this function. */
 void beryl_requests_set_config (struct beryl_requests *requests,
                                 const struct beryl_config *config,
                                 int64_t now_ms);
 
-/** Take one event. */
+/** Handle one event at time NOW_MS; resulting actions are emitted before it
+ * returns. */
 void beryl_requests_handle_event (struct beryl_requests *requests,
                                   const struct beryl_event *event,
                                   int64_t now_ms);
 
-/** Return when the next BERYL_EVENT_TICK is due.  It is due twice a second at
- * least: a longer gap shows that the process was stopped, and it then rests a
- * moment for the shell to bring the configuration up to date. */
+/** Return when the next BERYL_EVENT_TICK is due, at most 500 ms after the last
+ * event.  A much longer gap between events means that the process was
+ * suspended; planning then waits briefly until the owner has applied
+ * configuration updates. */
 int64_t beryl_requests_next_ms (const struct beryl_requests *requests);
 
-/** Return the number of requests without a final answer. */
+/** Return the number of requests that have no final reply yet. */
 uint32_t beryl_requests_open_count (const struct beryl_requests *requests);
 
-/** Return the stable problem type, for example "key-in-use". */
+/** Return the stable type name of PROBLEM, for example "key-in-use". */
 const char *beryl_problem_name (enum beryl_problem problem);
 
 #endif
--- a/libberyl/lease/lease.c
+++ b/libberyl/lease/lease.c
@@ -6,25 +6,26 @@
 #include "beryl/clock.h"
 #include "../base/guard_control.h"
 
-/* Writes whose outcome may still be unknown.  More are never under way: a
- * write is sent only after the one before was answered. */
-#define SENT_COUNT 8
+/* Latest writes that are remembered, since their outcome may be unknown.  Only
+ * one write is in flight at a time. */
+#define WRITES_REMEMBERED 8
 
-/* Wait after a failure, so that an outage does not become a storm. */
+/* Divides the poll interval to get the delay after a failure, so that an
+ * outage does not cause a burst of retries. */
 #define RETRY_DIVISOR 4
 
-struct sent
+struct sent_write
 {
   uint64_t nonce;
   int64_t sent_ms;
   bool release;
 };
 
-enum work
+enum lease_io
 {
-  WORK_NONE,
-  WORK_READING,
-  WORK_WRITING,
+  LEASE_IO_NONE,
+  LEASE_IO_READ,
+  LEASE_IO_WRITE,
 };
 
 struct beryl_lease
@@ -37,15 +38,15 @@
   int64_t poll_ms;
   int64_t settle_ms;
   uint64_t nonce;
-  bool wanted;
-  enum work work;
-  struct beryl_lease_record seen; /* highest version seen */
-  bool seen_any;                  /* also of there being no object */
-  int64_t seen_ms;                /* when that version was seen first */
-  struct sent sent[SENT_COUNT];
-  size_t sent_next;
-  uint64_t fence;        /* 0: not held */
-  int64_t held_until_ms; /* early end */
+  bool candidate;
+  enum lease_io io;
+  struct beryl_lease_record observed; /* with the highest version so far */
+  bool observed_any;                  /* OBSERVED is valid */
+  int64_t observed_ms;                /* first observation of its version */
+  struct sent_write writes[WRITES_REMEMBERED];
+  size_t writes_next;
+  uint64_t fence;        /* fencing token; 0: not held */
+  int64_t held_until_ms; /* expiry less the margin */
   int64_t acquired_ms;
   int64_t next_ms;
 };
@@ -85,7 +86,7 @@
 const char *
 beryl_lease_holder (const struct beryl_lease *lease)
 {
-  return lease->seen.holder;
+  return lease->observed.holder;
 }
 
 bool
@@ -111,7 +112,8 @@
 int64_t
 beryl_lease_next_ms (const struct beryl_lease *lease)
 {
-  int64_t next_ms = lease->work == WORK_NONE ? lease->next_ms : BERYL_NEVER_MS;
+  int64_t next_ms
+      = lease->io == LEASE_IO_NONE ? lease->next_ms : BERYL_NEVER_MS;
 
   if (lease->fence != 0 && lease->held_until_ms < next_ms)
     next_ms = lease->held_until_ms;
@@ -119,7 +121,7 @@
 }
 
 static void
-lease_lose (struct beryl_lease *lease)
+lease_lost (struct beryl_lease *lease)
 {
   if (lease->fence == 0)
     return;
@@ -128,10 +130,11 @@
 }
 
 static void
-lease_gain (struct beryl_lease *lease, uint64_t version, int64_t sent_ms,
-            int64_t now_ms)
+lease_confirm (struct beryl_lease *lease, uint64_t version, int64_t sent_ms,
+               int64_t now_ms)
 {
-  /* The reply may be late; the others have been waiting since the write. */
+  /* The term starts when the write was sent: the reply may be late, and other
+   * nodes count from the write itself. */
   bool from_reply = BERYL_GUARD (BERYL_GUARD_LEASE_SENT, false);
   int64_t from_ms = from_reply ? now_ms : sent_ms;
   int64_t until_ms = from_ms + lease->ttl_ms - lease->margin_ms;
@@ -150,74 +153,78 @@
 static void
 lease_read (struct beryl_lease *lease)
 {
-  lease->work = WORK_READING;
+  lease->io = LEASE_IO_READ;
   lease->owner->impl->read (lease->owner, lease);
 }
 
 static void
 lease_write (struct beryl_lease *lease, bool release, int64_t now_ms)
 {
-  struct sent *s = &lease->sent[lease->sent_next++ % SENT_COUNT];
-  struct beryl_lease_record record = lease->seen;
+  struct sent_write *write
+      = &lease->writes[lease->writes_next++ % WRITES_REMEMBERED];
+  struct beryl_lease_record record = lease->observed;
 
   memset (record.holder, 0, sizeof record.holder);
   if (!release)
     memcpy (record.holder, lease->holder, sizeof record.holder);
   record.nonce = ++lease->nonce;
   record.ttl_ms = lease->ttl_ms;
-  s->nonce = record.nonce;
-  /* Taken before the write leaves: whatever delays it, the others start
-   * to wait later than this. */
-  s->sent_ms = now_ms;
-  s->release = release;
-  lease->work = WORK_WRITING;
+  write->nonce = record.nonce;
+  /* Taken before the write is sent: whatever delays it, the other nodes start
+   * to count later than this. */
+  write->sent_ms = now_ms;
+  write->release = release;
+  lease->io = LEASE_IO_WRITE;
   lease->owner->impl->write (lease->owner, lease, &record);
 }
 
-static const struct sent *
-lease_find_sent (const struct beryl_lease *lease, uint64_t nonce)
+static const struct sent_write *
+lease_find_write (const struct beryl_lease *lease, uint64_t nonce)
 {
-  for (size_t i = 0; i < SENT_COUNT; i++)
-    if (lease->sent[i].nonce == nonce && nonce != 0)
-      return &lease->sent[i];
+  for (size_t i = 0; i < WRITES_REMEMBERED; i++)
+    if (lease->writes[i].nonce == nonce && nonce != 0)
+      return &lease->writes[i];
   return NULL;
 }
 
-/* Whether the object says that this process holds the role. */
+/* Whether the observed object says that this process holds the role. */
 static bool
-lease_is_mine (const struct beryl_lease *lease)
+lease_is_own (const struct beryl_lease *lease)
 {
-  const struct sent *s = lease_find_sent (lease, lease->seen.nonce);
+  const struct sent_write *write
+      = lease_find_write (lease, lease->observed.nonce);
 
-  return s != NULL && !s->release;
+  return write != NULL && !write->release;
 }
 
-/* When nobody else can hold it for certain.  Waiting starts at the first
- * sight of the version, which is later than the holder's own start. */
+/* Returns when no other node can hold the role any more.  The term is counted
+ * from when this node first observed the version, which is later than the
+ * holder's own start. */
 static int64_t
-lease_free_ms (const struct beryl_lease *lease)
+lease_free_from_ms (const struct beryl_lease *lease)
 {
-  if (lease->seen.holder[0] == '\0' || lease_is_mine (lease))
-    return lease->seen_ms;
-  return lease->seen_ms + lease->seen.ttl_ms + lease->margin_ms;
+  if (lease->observed.holder[0] == '\0' || lease_is_own (lease))
+    return lease->observed_ms;
+  return lease->observed_ms + lease->observed.ttl_ms + lease->margin_ms;
 }
 
 static void
-lease_proceed (struct beryl_lease *lease, int64_t now_ms)
+lease_compete (struct beryl_lease *lease, int64_t now_ms)
 {
-  if (!lease->wanted)
+  if (!lease->candidate)
     {
       lease->next_ms = BERYL_NEVER_MS;
-      if (lease_is_mine (lease))
+      if (lease_is_own (lease))
         lease_write (lease, true, now_ms);
       return;
     }
   if (lease->fence == 0
-      && BERYL_GUARD (BERYL_GUARD_LEASE_WAIT, now_ms >= lease_free_ms (lease)))
+      && BERYL_GUARD (BERYL_GUARD_LEASE_WAIT,
+                      now_ms >= lease_free_from_ms (lease)))
     lease_write (lease, false, now_ms);
   else if (lease->fence == 0)
     {
-      int64_t free_ms = lease_free_ms (lease);
+      int64_t free_ms = lease_free_from_ms (lease);
       int64_t poll_ms = now_ms + lease->poll_ms;
 
       lease->next_ms = free_ms < poll_ms ? free_ms : poll_ms;
@@ -225,63 +232,63 @@
 }
 
 void
-beryl_lease_set_candidate (struct beryl_lease *lease, bool wanted,
+beryl_lease_set_candidate (struct beryl_lease *lease, bool candidate,
                            int64_t now_ms)
 {
-  if (lease->wanted == wanted)
+  if (lease->candidate == candidate)
     return;
-  lease->wanted = wanted;
-  if (wanted)
+  lease->candidate = candidate;
+  if (candidate)
     {
       lease->next_ms = now_ms;
       return;
     }
   if (lease->fence == 0)
     return;
-  lease_lose (lease);
-  if (lease->work == WORK_NONE)
+  lease_lost (lease);
+  if (lease->io == LEASE_IO_NONE)
     lease_write (lease, true, now_ms);
   else
     lease->next_ms = now_ms + lease->poll_ms / RETRY_DIVISOR;
 }
 
-/* Keeps the highest version: a lagging replica may show an old one, which
- * would restart or shorten the wait for the present holder. */
+/* Keeps the record with the highest version: an older one from a lagging
+ * replica would restart or shorten the wait for the current holder. */
 static void
 lease_observe (struct beryl_lease *lease,
                const struct beryl_lease_record *record, int64_t now_ms)
 {
-  if (lease->seen_any
+  if (lease->observed_any
       && !BERYL_GUARD (BERYL_GUARD_LEASE_OLD_READ,
-                       record->version > lease->seen.version))
+                       record->version > lease->observed.version))
     return;
-  lease->seen = *record;
-  lease->seen_any = true;
-  lease->seen_ms = now_ms;
+  lease->observed = *record;
+  lease->observed_any = true;
+  lease->observed_ms = now_ms;
 }
 
 void
 beryl_lease_read_done (struct beryl_lease *lease,
                        const struct beryl_lease_record *record, int64_t now_ms)
 {
-  const struct sent *s;
+  const struct sent_write *write;
 
-  lease->work = WORK_NONE;
+  lease->io = LEASE_IO_NONE;
   lease_observe (lease, record, now_ms);
-  s = lease_find_sent (lease, lease->seen.nonce);
-  /* A write whose reply was lost shows here: its nonce is the proof. */
-  if (s != NULL && !s->release && lease->wanted)
-    lease_gain (lease, lease->seen.version, s->sent_ms, now_ms);
-  else if (s == NULL && lease->seen.version > lease->fence)
-    lease_lose (lease);
+  write = lease_find_write (lease, lease->observed.nonce);
+  /* The nonce proves that a write whose reply was lost has succeeded. */
+  if (write != NULL && !write->release && lease->candidate)
+    lease_confirm (lease, lease->observed.version, write->sent_ms, now_ms);
+  else if (write == NULL && lease->observed.version > lease->fence)
+    lease_lost (lease);
   if (lease->fence == 0)
-    lease_proceed (lease, now_ms);
+    lease_compete (lease, now_ms);
   else if (lease->next_ms <= now_ms)
     lease_write (lease, false, now_ms);
 }
 
 static void
-lease_retry (struct beryl_lease *lease, int64_t now_ms)
+lease_schedule_retry (struct beryl_lease *lease, int64_t now_ms)
 {
   lease->next_ms = now_ms + lease->poll_ms / RETRY_DIVISOR;
 }
@@ -289,36 +296,37 @@
 void
 beryl_lease_read_failed (struct beryl_lease *lease, int64_t now_ms)
 {
-  lease->work = WORK_NONE;
-  lease_retry (lease, now_ms);
+  lease->io = LEASE_IO_NONE;
+  lease_schedule_retry (lease, now_ms);
 }
 
 static void
 lease_written (struct beryl_lease *lease, uint64_t version, int64_t now_ms)
 {
-  const struct sent *s = lease_find_sent (lease, lease->nonce);
+  const struct sent_write *write = lease_find_write (lease, lease->nonce);
   struct beryl_lease_record record
       = { .version = version, .nonce = lease->nonce, .ttl_ms = lease->ttl_ms };
 
-  if (!s->release)
+  if (!write->release)
     memcpy (record.holder, lease->holder, sizeof record.holder);
   lease_observe (lease, &record, now_ms);
-  if (s->release)
-    lease->next_ms = lease->wanted ? now_ms + lease->poll_ms : BERYL_NEVER_MS;
-  else if (lease->wanted)
-    lease_gain (lease, version, s->sent_ms, now_ms);
+  if (write->release)
+    lease->next_ms
+        = lease->candidate ? now_ms + lease->poll_ms : BERYL_NEVER_MS;
+  else if (lease->candidate)
+    lease_confirm (lease, version, write->sent_ms, now_ms);
   else
     lease_write (lease, true, now_ms);
 }
 
-/* Somebody deleted the object.  Its holder does not know yet, so its name
- * and time stay, and the wait starts anew; only the version changes, as the
+/* The object was deleted.  Its holder does not know yet, so the holder's name
+ * and term are kept and the wait starts again; the version is reset, since the
  * next write must create the object. */
 static void
-lease_vanished (struct beryl_lease *lease, int64_t now_ms)
+lease_object_deleted (struct beryl_lease *lease, int64_t now_ms)
 {
-  lease->seen.version = 0;
-  lease->seen_ms = now_ms;
+  lease->observed.version = 0;
+  lease->observed_ms = now_ms;
 }
 
 void
@@ -326,7 +334,7 @@
                         enum beryl_lease_write result, uint64_t version,
                         int64_t now_ms)
 {
-  lease->work = WORK_NONE;
+  lease->io = LEASE_IO_NONE;
   switch (result)
     {
     case BERYL_LEASE_WRITTEN:
@@ -334,14 +342,14 @@
       return;
     case BERYL_LEASE_CONFLICT:
       if (version == 0)
-        lease_vanished (lease, now_ms);
+        lease_object_deleted (lease, now_ms);
       lease_read (lease);
       return;
     case BERYL_LEASE_UNKNOWN:
       lease_read (lease);
       return;
     case BERYL_LEASE_FAILED:
-      lease_retry (lease, now_ms);
+      lease_schedule_retry (lease, now_ms);
       return;
     }
 }
@@ -351,13 +359,13 @@
 {
   if (lease->fence != 0
       && !BERYL_GUARD (BERYL_GUARD_LEASE_EARLY, now_ms < lease->held_until_ms))
-    lease_lose (lease);
-  if (now_ms < lease->next_ms || lease->work != WORK_NONE)
+    lease_lost (lease);
+  if (now_ms < lease->next_ms || lease->io != LEASE_IO_NONE)
     return;
   lease->next_ms = now_ms + lease->poll_ms;
-  if (!lease->wanted)
+  if (!lease->candidate)
     {
-      lease_proceed (lease, now_ms);
+      lease_compete (lease, now_ms);
     }
   else if (lease->fence != 0)
     lease_write (lease, false, now_ms);
--- a/libberyl/requests/admit.c
+++ b/libberyl/requests/admit.c
@@ -3,7 +3,7 @@
 
 #include "private.h"
 
-/* When a caller should ask again about a key that another call is using. */
+/* Retry-after for a key that another call is using. */
 #define KEY_RETRY_MS 1000
 #define CLAIM_RETRY_MS 1000
 
@@ -76,7 +76,7 @@
         = timeout_ms > 0 ? now_ms + timeout_ms : BERYL_NEVER_MS;
 }
 
-/* Returns whether the prompt fits the model. */
+/* Returns false if the request exceeds the model's context. */
 static bool
 request_check_model (struct beryl_requests *requests, struct request *request,
                      const struct beryl_service *service)
@@ -96,7 +96,7 @@
   return true;
 }
 
-/* Tells the caller about a key that may not be run, and returns true; or
+/* Replies with an error and returns true if the key must not run; returns
  * false if it may. */
 static bool
 reject_known_key (struct beryl_requests *requests,
@@ -108,7 +108,9 @@
     {
       requests_reply_error (requests, call->request,
                             BERYL_PROBLEM_KEY_MISMATCH, BERYL_OUTCOME_NOT_RUN,
-                            0, "the key was used for another request");
+                            0,
+                            "the key was already used for a different "
+                            "request");
       return true;
     }
   if (!BERYL_GUARD (BERYL_GUARD_KEY_RUNNING,
@@ -116,7 +118,7 @@
     {
       requests_reply_error (requests, call->request, BERYL_PROBLEM_KEY_IN_USE,
                             BERYL_OUTCOME_PENDING, KEY_RETRY_MS,
-                            "a call with this key is running");
+                            "a call with this key is still running");
       return true;
     }
   if (BERYL_GUARD (BERYL_GUARD_KEY_ENDED,
@@ -126,8 +128,7 @@
   if (record->outcome == BERYL_OUTCOME_ANSWERED)
     requests_reply_error (requests, call->request, BERYL_PROBLEM_KEY_ANSWERED,
                           BERYL_OUTCOME_ANSWERED, 0,
-                          "a call with this key was "
-                          "answered");
+                          "a call with this key was already answered");
   else
     requests_reply_error (requests, call->request, BERYL_PROBLEM_KEY_UNKNOWN,
                           BERYL_OUTCOME_UNKNOWN, 0,
@@ -169,9 +170,9 @@
   requests_emit (requests, &action);
 }
 
-/* Whether the call's key was made for another incarnation than this.  That
- * one alone knows whether the key has run: it may be alive at another node,
- * or be this node before a restart. */
+/* Whether the call's key is bound to another incarnation.  Only that one knows
+ * whether the key has run: it may be alive on another node, or be an earlier
+ * process of this node. */
 static bool
 bound_to_other_incarnation (const struct beryl_requests *requests,
                             const struct beryl_call *call)
@@ -182,8 +183,9 @@
                               == requests->settings.incarnation);
 }
 
-/* A free key arrives by forwarding because its claim names this incarnation;
- * without a record here its run cannot be ruled out. */
+/* A call with a free key is forwarded here because the claim names this
+ * incarnation; without a record here, it cannot be ruled out that the key has
+ * run. */
 static bool
 forwarded_without_record (const struct beryl_call *call,
                           const struct record *record)
@@ -192,8 +194,8 @@
          && !BERYL_GUARD (BERYL_GUARD_FORWARDED_KEY, record != NULL);
 }
 
-/* Decides about the key before anything is kept for the call.  True if the
- * call has got its final answer. */
+/* Checks the call's key before any state is kept for the call.  Returns true
+ * if the final reply was sent. */
 static bool
 requests_reject_key (struct beryl_requests *requests,
                      const struct beryl_call *call)
@@ -215,14 +217,14 @@
     {
       requests_reply_error (requests, call->request, BERYL_PROBLEM_KEY_UNKNOWN,
                             BERYL_OUTCOME_UNKNOWN, 0,
-                            "what became of this key is not known");
+                            "no record of this key: its outcome is unknown");
       return true;
     }
   return record != NULL && reject_known_key (requests, call, record);
 }
 
-/* A free key of an idempotent call needs no claim: a repeat does no harm,
- * and the call goes on during an outage of the object API. */
+/* A free key of an idempotent call needs no claim: running it twice is
+ * harmless, and the call keeps working while the object API is unavailable. */
 static bool
 needs_claim (const struct request *request)
 {
@@ -268,7 +270,7 @@
   if (service == NULL)
     {
       requests_reply_error (requests, call->request, BERYL_PROBLEM_NO_SERVICE,
-                            BERYL_OUTCOME_NOT_RUN, 0, "no such service");
+                            BERYL_OUTCOME_NOT_RUN, 0, "unknown service");
       return;
     }
   if (requests_reject_key (requests, call))
@@ -286,16 +288,16 @@
   if (!request_check_model (requests, request, service))
     {
       request_fail (requests, request, BERYL_PROBLEM_CONTEXT_LENGTH, 0,
-                    "prompt and answer are longer than the model takes",
+                    "prompt and answer exceed the model's context length",
                     now_ms);
       return;
     }
   request_start (requests, request, service, now_ms);
 }
 
-/* The claim names an incarnation that was granted the key.  If it is this
- * one, the key's record here is the authority, and it says that the key has
- * not run: otherwise the call would not have come this far. */
+/* The claim names the incarnation that was granted the key.  If it is this
+ * one, the local record is authoritative, and it says that the key has not
+ * run: otherwise the call would have been rejected before. */
 static void
 request_claim_taken (struct beryl_requests *requests, struct request *request,
                      uint64_t incarnation, int64_t now_ms)
@@ -331,7 +333,7 @@
     case BERYL_CLAIM_MISMATCH:
       request_fail_with_outcome (
           requests, request, BERYL_PROBLEM_KEY_MISMATCH, BERYL_OUTCOME_NOT_RUN,
-          0, "the key was used for another request", now_ms);
+          0, "the key was already used for a different request", now_ms);
       return;
     case BERYL_CLAIM_UNAVAILABLE:
       request_fail_with_outcome (requests, request,
@@ -340,10 +342,10 @@
                                  "the key could not be claimed", now_ms);
       return;
     case BERYL_CLAIM_UNKNOWN:
-      request_fail_with_outcome (
-          requests, request, BERYL_PROBLEM_KEY_UNKNOWN, BERYL_OUTCOME_UNKNOWN,
-          CLAIM_RETRY_MS, "an earlier call with this key cannot be ruled out",
-          now_ms);
+      request_fail_with_outcome (requests, request, BERYL_PROBLEM_KEY_UNKNOWN,
+                                 BERYL_OUTCOME_UNKNOWN, CLAIM_RETRY_MS,
+                                 "an earlier call with this key may have run",
+                                 now_ms);
       return;
     }
 }
--- a/libberyl/requests/answer.c
+++ b/libberyl/requests/answer.c
@@ -4,12 +4,14 @@
 
 #include "private.h"
 
-/* An answer that is not streamed is held back until it is whole, so that a
- * failed attempt can be repeated unseen; beyond this size it is streamed. */
+/* An answer that is not streamed is buffered until it is complete, so that a
+ * failed attempt can be retried without the caller noticing; larger answers
+ * are streamed. */
 #define BUFFERED_ANSWER_MAX_BYTES (256U * 1024)
-/* How long a service's answer is awaited after its caller has gone. */
+/* How long to wait for a service's answer after its caller has
+ * disconnected. */
 #define DETACHED_TIMEOUT_MS 10000
-/* When to come back after a failure that may be gone by then. */
+/* Retry-after for failures that may be transient. */
 #define RETRY_AFTER_MS 1000
 
 static void
@@ -87,8 +89,8 @@
   requests_emit (requests, &action);
 }
 
-/* A caller that reads slowly would make this node keep its whole answer in
- * memory; the engine's connection is paused until it has caught up. */
+/* A slow caller would make this node buffer its whole answer; the endpoint's
+ * connection is paused until the caller has caught up. */
 static void
 request_check_reader (struct beryl_requests *requests, struct request *request,
                       int64_t now_ms)
@@ -182,16 +184,17 @@
   request_unlink (requests, request);
 }
 
-/* An exchange that is still open may have handed bytes to the endpoint that
- * nobody has told of yet, so that only the endpoint's own word or a failed
- * connect makes it "not run". */
+/* An open exchange may have sent bytes to the endpoint without a report yet,
+ * so the outcome is "not run" only if the endpoint said so or the connect
+ * failed. */
 static enum beryl_outcome
 request_outcome (const struct request *request)
 {
   if (request->reply_started || request->exchange != NULL
       || request->phase == PHASE_DECODE)
     return BERYL_OUTCOME_UNKNOWN;
-  /* Whether another node has run the key is only known with its claim. */
+  /* Only the result of the claim tells whether another node has run the
+   * key. */
   if (request->phase == PHASE_CLAIM)
     return BERYL_OUTCOME_UNKNOWN;
   return BERYL_GUARD (BERYL_GUARD_MAY_HAVE_RUN, !request->may_have_run)
@@ -214,9 +217,9 @@
                              retry_after_ms, detail, now_ms);
 }
 
-/* A service's call with a key cannot be taken back: its answer is read to
- * the end and kept, so that the caller may fetch it.  Engine memory is never
- * kept for a caller that has gone. */
+/* A call to a plain service cannot be revoked: with a key, its answer is read
+ * to the end and retained for the caller to fetch.  Engine memory is never
+ * kept for a caller that has disconnected. */
 static bool
 request_detach (struct beryl_requests *requests, struct request *request,
                 int64_t now_ms)
@@ -243,8 +246,8 @@
     return;
   map_remove (&requests->by_handle, map_key_number (request->call.request));
   request->caller_gone = true;
-  request_fail (requests, request, BERYL_PROBLEM_DEADLINE, 0, "caller gone",
-                now_ms);
+  request_fail (requests, request, BERYL_PROBLEM_DEADLINE, 0,
+                "caller disconnected", now_ms);
 }
 
 void
@@ -257,10 +260,10 @@
       && request_detach (requests, request, now_ms))
     requests_reply_error (requests, handle, BERYL_PROBLEM_DEADLINE,
                           BERYL_OUTCOME_UNKNOWN, 0,
-                          "deadline passed while it was running");
+                          "deadline exceeded while the call was running");
   else
     request_fail (requests, request, BERYL_PROBLEM_DEADLINE, 0,
-                  "deadline passed", now_ms);
+                  "deadline exceeded", now_ms);
 }
 
 void
--- a/libberyl/requests/attempt.c
+++ b/libberyl/requests/attempt.c
@@ -4,7 +4,7 @@
 
 #include "private.h"
 
-/* Cuts between us and an engine that one attempt survives. */
+/* Broken engine connections after which a decode is no longer resumed. */
 #define RESUMES_MAX 2
 
 struct exchange *
@@ -150,9 +150,9 @@
 attempt_stop (struct beryl_requests *requests, struct request *request,
               enum beryl_release how, const char *endpoint, int64_t now_ms)
 {
-  /* Left set, the next event would look for a decode engine for a request
-   * that waits to be planned again; finding no ticket, it would count as one
-   * more refusal, until the caller is told that every endpoint is full. */
+  /* If this stayed set, the next event would bind a decode engine for a
+   * request that waits for a new plan; without a ticket that counts as another
+   * refusal, until the caller is told that all endpoints are full. */
   request->decode_retry_at_ms = BERYL_NEVER_MS;
   if (request->phase == PHASE_PLAN)
     beryl_router_forget (requests->router, request->call.request);
@@ -190,7 +190,7 @@
   request->answer.completion_tokens = 0;
 }
 
-/* Why a failed attempt ends the request; NULL if it may be tried again. */
+/* Returns why a failed attempt must not be retried, or NULL if it may be. */
 static const char *
 retry_denied_reason (struct beryl_requests *requests, struct request *request,
                      enum beryl_outcome outcome, bool refused)
@@ -198,24 +198,24 @@
   bool safe = beryl_outcome_allows_retry (outcome, request->idempotent);
 
   if (request->caller_gone)
-    return "caller gone";
-  /* Another engine's continuation differs: after the first byte has gone
-   * out, the caller would read two texts as one. */
+    return "caller disconnected";
+  /* Another engine would continue with different text: after the first byte
+   * was sent, the caller would receive a mix of two answers. */
   if (!BERYL_GUARD (BERYL_GUARD_MIX, !request->reply_started))
-    return "the answer had begun";
-  /* A call that may have run must not run again: a station would be billed
-   * twice. */
+    return "part of the answer was already sent";
+  /* A non-idempotent call that may have run must not run again; a repeated
+   * billing call would charge a customer twice. */
   if (!BERYL_GUARD (BERYL_GUARD_RETRY_SAFE, safe))
-    return "the endpoint failed while the call may have been running";
+    return "the endpoint failed and the call may have run";
   if (refused && ++request->refusals > REFUSALS_MAX)
-    return "every endpoint tried is full";
+    return "all endpoints tried are full";
   if (!refused
       && !retry_budget_spend (&requests->budgets, request->call.service))
     return "the service's retry budget is spent";
   return NULL;
 }
 
-/* An attempt ended without an answer. */
+/* Ends an attempt that produced no answer: retries the request or fails it. */
 void
 attempt_failed (struct beryl_requests *requests, struct request *request,
                 enum beryl_outcome outcome, bool refused, const char *endpoint,
@@ -246,7 +246,7 @@
   request->retry_at_ms = now_ms;
 }
 
-/* Asks the same engine for the rest of the same continuation. */
+/* Reconnects to the same engine for the rest of the same answer. */
 bool
 attempt_resume (struct beryl_requests *requests, struct request *request,
                 bool sent, int64_t now_ms)
@@ -262,9 +262,10 @@
   return true;
 }
 
-/* Chooses where to decode, now that the KV cache is there.  REFUSED_BY is the
- * engine that has just said that it is full, or NULL: it has not run the call,
- * so that asking another one, or the same later, is no second run. */
+/* Chooses a decode engine once the KV cache is exported.  REFUSED_BY is the
+ * engine that has just refused for lack of capacity, or NULL; it has not run
+ * the call, so asking another engine, or the same one later, does not run it
+ * twice. */
 void
 attempt_bind_decode (struct beryl_requests *requests, struct request *request,
                      const char *refused_by, int64_t now_ms)
--- a/libberyl/requests/attempt_event.c
+++ b/libberyl/requests/attempt_event.c
@@ -1,10 +1,10 @@
-/* What endpoints say about an attempt. */
+/* Events of an attempt's exchange. */
 #include <stdio.h>
 #include <string.h>
 
 #include "private.h"
 
-/* How long a KV cache is counted on if the engine does not say. */
+/* Lifetime assumed for a KV cache if the engine reports none. */
 #define KV_TTL_DEFAULT_MS 600
 
 static void
@@ -14,7 +14,9 @@
   exchange_close (requests, request);
   request_fail_with_outcome (
       requests, request, BERYL_PROBLEM_KEY_UNKNOWN, BERYL_OUTCOME_UNKNOWN,
-      1000, reason != NULL ? reason : "the key's node is away", now_ms);
+      1000,
+      reason != NULL ? reason : "the node that owns the key is unreachable",
+      now_ms);
 }
 
 static void
@@ -42,8 +44,8 @@
   attempt_failed (requests, request, outcome, false, endpoint, 0, now_ms);
 }
 
-/* The prefill was not in vain: another engine may take the KV cache, or this
- * one a little later. */
+/* The prefill is still usable: another engine may import the KV cache, or the
+ * same one a little later. */
 static void
 on_decode_refused (struct beryl_requests *requests, struct request *request,
                    int64_t now_ms)
@@ -57,9 +59,9 @@
   attempt_bind_decode (requests, request, refused_by, now_ms);
 }
 
-/* The endpoint says that it did not run it.  Of a model's call the prefill
- * has run when a decode is refused, so that the whole is no longer surely
- * "not run". */
+/* The endpoint refused the call without running it.  When a decode of a
+ * model's call is refused, its prefill has run, so the call as a whole no
+ * longer counts as "not run". */
 static void
 on_refused (struct beryl_requests *requests, struct request *request,
             int64_t retry_after_ms, int64_t now_ms)
@@ -68,8 +70,8 @@
   const char *endpoint
       = request->phase == PHASE_PREFILL ? request->prefill : request->decode;
 
-  /* Full engines say when to come back; one that says nothing has lost the
-   * KV cache or does not serve the model. */
+  /* A full engine sends a retry-after; one that sends none has lost the KV
+   * cache or does not serve the model. */
   if (request->phase == PHASE_DECODE && request->resumes == 0
       && retry_after_ms > 0 && request->decode_refusals < REFUSALS_MAX)
     {
@@ -119,8 +121,8 @@
   attempt_bind_decode (requests, request, NULL, now_ms);
 }
 
-/* The decode engine has imported the KV cache; its export need not wait for
- * its expiry. */
+/* Cancels the prefill engine's export early: the decode engine has imported
+ * the KV cache. */
 static void
 release_export (struct beryl_requests *requests, struct request *request,
                 int64_t now_ms)
@@ -171,8 +173,8 @@
   struct delivery delivery = { requests, request, now_ms };
   uint32_t attempt = event->data.attempt;
 
-  /* An engine that resumes a stream may still flush bytes of the attempt
-   * before it; their offsets are not those of this one. */
+  /* An engine that resumes a stream may still flush bytes of the previous
+   * attempt, whose offsets differ from this one's. */
   if (!BERYL_GUARD (BERYL_GUARD_ATTEMPT,
                     attempt == 0 || attempt == exchange->attempt))
     return;
@@ -192,12 +194,14 @@
   uint64_t expected_bytes = event->end.answer_bytes;
   bool sized = expected_bytes != 0 || request->phase == PHASE_DECODE;
 
-  /* An end before all bytes are there would pass a part for the whole; it
-   * is a cut, and the rest is asked for. */
+  /* An end before all bytes have arrived would pass off a partial answer as
+   * complete; it is treated as a broken connection, and the rest is
+   * requested. */
   if (!BERYL_GUARD (BERYL_GUARD_WHOLE,
                     !sized || request->reassembly.next == expected_bytes))
     {
-      on_failed (requests, request, true, "bytes are missing", now_ms);
+      on_failed (requests, request, true,
+                 "the answer ended before all bytes arrived", now_ms);
       return;
     }
   if (event->end.finish_reason != NULL)
@@ -255,7 +259,7 @@
     case BERYL_EVENT_FORWARD_ERROR:
       on_forward_error (requests, request, event, now_ms);
       return;
-    default: /* EXCHANGE_SENT: the outcome does not depend on it */
+    default: /* EXCHANGE_SENT does not affect the outcome */
       return;
     }
 }
--- a/libberyl/requests/call.c
+++ b/libberyl/requests/call.c
@@ -17,7 +17,7 @@
   return *complete;
 }
 
-/* A NUL follows the bytes, so that a prompt is also a string. */
+/* A NUL is appended, so that a prompt is also a string. */
 static void
 copy_bytes (const void **copy, const void *bytes, size_t count, bool *complete)
 {
@@ -82,7 +82,7 @@
   return XXH3_64bits_withSeed (text, strlen (text) + 1, seed);
 }
 
-/* Covers all that makes two calls different, not only the body. */
+/* Covers everything that distinguishes two calls, not only the body. */
 uint64_t
 call_body_hash (const struct beryl_call *call)
 {
--- a/libberyl/requests/claim_compact.c
+++ b/libberyl/requests/claim_compact.c
@@ -3,7 +3,7 @@
 
 #include "claim_private.h"
 
-/* Least time between two writes of one shard's folding. */
+/* Minimum time between two writes of one shard's compaction. */
 #define WRITE_SPACING_MS 50
 #define WRITE_BACKOFF_MS 1000
 #define CHECK_INTERVAL_MS 5000
@@ -15,7 +15,7 @@
   return now_ms - segment->seen_ms >= shard->claims->settings.delete_after_ms;
 }
 
-/* The newest object is never deleted: it tells where the log ends. */
+/* The newest segment is never deleted: its number tells where the log ends. */
 static bool
 contains_log_end (const struct shard *shard, const struct segment *segment)
 {
@@ -31,9 +31,10 @@
   return x->from < y->from ? -1 : x->from > y->from;
 }
 
-/* Finds a run of old segments that fit one folded segment. */
+/* Finds consecutive old segments that fit into one compacted segment. */
 static bool
-find_compactable (struct shard *shard, int64_t now_ms, uint64_t *from, uint64_t *to)
+find_compactable (struct shard *shard, int64_t now_ms, uint64_t *from,
+                  uint64_t *to)
 {
   uint32_t claims = 0;
   uint32_t n = 0;
@@ -45,7 +46,8 @@
   for (size_t i = 0; i < shard->segment_count; i++)
     {
       const struct segment *s = &shard->segments[i];
-      bool fits = !s->covered && s->from == s->to && !contains_log_end (shard, s)
+      bool fits = !s->covered && s->from == s->to
+                  && !contains_log_end (shard, s)
                   && old_enough (shard, s, now_ms)
                   && claims + s->claims <= COMPACTED_CLAIMS_MAX
                   && (n == 0 || s->from == *to + 1);
@@ -68,7 +70,8 @@
 }
 
 static char *
-compacted_value (struct shard *shard, uint64_t from, uint64_t to, const char *nonce)
+compacted_value (struct shard *shard, uint64_t from, uint64_t to,
+                 const char *nonce)
 {
   struct segment_writer *writer = segment_writer_create (nonce);
 
@@ -99,16 +102,19 @@
   char nonce[33];
   char *value;
 
-  if (!find_compactable (shard, now_ms, &shard->compaction_from, &shard->compaction_to))
+  if (!find_compactable (shard, now_ms, &shard->compaction_from,
+                         &shard->compaction_to))
     return false;
   claims_nonce (shard->claims, nonce);
-  value = compacted_value (shard, shard->compaction_from, shard->compaction_to, nonce);
+  value = compacted_value (shard, shard->compaction_from, shard->compaction_to,
+                           nonce);
   if (value == NULL)
     return false;
-  segment_name (name, shard->number, shard->compaction_from, shard->compaction_to);
+  segment_name (name, shard->number, shard->compaction_from,
+                shard->compaction_to);
   begin_call (shard, COMPACTION_CREATE);
-  owner->impl->create (owner, shard->compaction_call_id, name, value, strlen (value),
-                       nonce);
+  owner->impl->create (owner, shard->compaction_call_id, name, value,
+                       strlen (value), nonce);
   free (value);
   return true;
 }
@@ -127,7 +133,8 @@
   return true;
 }
 
-/* Deletes what a folded segment covers, and what is past the retention. */
+/* Deletes one segment that is covered by a compacted one or past the retention
+ * time.  Returns false if there is none. */
 static bool
 delete_one (struct shard *shard, int64_t now_ms)
 {
@@ -147,7 +154,8 @@
 void
 compaction_step (struct shard *shard, int64_t now_ms)
 {
-  if (shard->compaction != COMPACTION_IDLE || !shard->loaded || now_ms < shard->compaction_next_ms)
+  if (shard->compaction != COMPACTION_IDLE || !shard->loaded
+      || now_ms < shard->compaction_next_ms)
     return;
   if (!delete_one (shard, now_ms) && !begin_create (shard, now_ms))
     shard->compaction_next_ms = now_ms + CHECK_INTERVAL_MS;
@@ -166,13 +174,13 @@
 static void
 on_compacted (struct shard *shard, int64_t now_ms)
 {
-  struct segment *compacted
-      = log_add_segment (shard, shard->compaction_from, shard->compaction_to, now_ms);
+  struct segment *compacted = log_add_segment (shard, shard->compaction_from,
+                                               shard->compaction_to, now_ms);
 
   if (compacted == NULL)
     return;
-  /* It is as old as its youngest claim, or that one would be forgotten
-   * before its time. */
+  /* A compacted segment is as old as its youngest claim; otherwise that claim
+   * would be removed before its retention time. */
   compacted->seen_ms = INT64_MIN;
   for (size_t i = 0; i < shard->segment_count; i++)
     {
@@ -202,7 +210,7 @@
           i++;
           continue;
         }
-      /* Removal may move a later slot to this place. */
+      /* Removing an entry may move a later one into this slot. */
       map_remove (&shard->index, slot.key);
       free (claim);
       shard->claims->counts.keys--;
@@ -224,27 +232,29 @@
 
 void
 compaction_on_written (struct shard *shard, enum beryl_error_code code,
-                 int64_t now_ms)
+                       int64_t now_ms)
 {
   enum compaction_state call = shard->compaction;
-  /* Deleting segments whose folded form was not written would lose claims,
-   * and their keys could run again. */
+  /* Segments may be deleted only after their compacted form was written;
+   * otherwise claims would be lost and their keys could run again. */
   bool done = BERYL_GUARD (BERYL_GUARD_CHECKPOINT_WHOLE, code == BERYL_OK);
 
   shard->compaction = COMPACTION_IDLE;
-  shard->compaction_next_ms = now_ms + (done ? WRITE_SPACING_MS : WRITE_BACKOFF_MS);
+  shard->compaction_next_ms
+      = now_ms + (done ? WRITE_SPACING_MS : WRITE_BACKOFF_MS);
   if (call == COMPACTION_REMOVE && (done || code == BERYL_ERROR_NOT_FOUND))
     on_removed (shard);
   else if (call == COMPACTION_CREATE && done)
     on_compacted (shard, now_ms);
   else if (call == COMPACTION_CREATE && code == BERYL_ERROR_CONFLICT)
-    shard->loaded = false; /* another home folds: read what it has written */
+    shard->loaded = false; /* compacted by another node */
 }
 
 int64_t
 compaction_next_ms (const struct shard *shard)
 {
-  if (shard->compaction != COMPACTION_IDLE || !shard->loaded || shard->segment_count <= 1)
+  if (shard->compaction != COMPACTION_IDLE || !shard->loaded
+      || shard->segment_count <= 1)
     return BERYL_NEVER_MS;
   return shard->compaction_next_ms;
 }
--- a/libberyl/requests/claim_log.c
+++ b/libberyl/requests/claim_log.c
@@ -3,7 +3,7 @@
 
 #include "claim_private.h"
 
-/* An object of the log that was read. */
+/* A segment object that was read. */
 struct entry
 {
   uint64_t from;
@@ -103,9 +103,10 @@
   return entries;
 }
 
-/* Pages of a list may come from replicas that lag differently: between them
- * a segment may be folded and seem to be missing.  A log with a hole must not
- * be written to, because the hole's number is free again after deletion. */
+/* Pages of a list may come from replicas with different lag, so a segment that
+ * is compacted meanwhile may seem to be missing.  A log with a gap must not be
+ * extended: the missing number becomes free again after the segment's
+ * deletion. */
 static bool
 entries_contiguous (const struct entry *entries, size_t count)
 {
@@ -127,9 +128,10 @@
   log_put (data, key, claim);
 }
 
-/* Applies an entry that reaches the end of what is known.  One that lies
- * before it is known already, or was written by a home that had slept so
- * long that its number had been deleted: its claims were never granted. */
+/* Applies a segment that extends the known log.  A segment before its end is
+ * either known already, or was written by a home that was suspended until its
+ * sequence number had been deleted; claims of such a segment were never
+ * granted. */
 static bool
 entry_apply (struct shard *shard, const struct entry *entry, int64_t now_ms)
 {
@@ -187,7 +189,7 @@
   return applied;
 }
 
-/* The batch is durable as segment NEXT. */
+/* Records the batch, which was written as segment NEXT. */
 void
 log_append (struct shard *shard, int64_t now_ms)
 {
--- a/libberyl/requests/claim_private.h
+++ b/libberyl/requests/claim_private.h
@@ -1,5 +1,5 @@
 /** @file
- * What the files of the claim log share.
+ * Internals shared by the files of the claim log.
  */
 #ifndef BERYL_REQUESTS_CLAIM_PRIVATE_H
 #define BERYL_REQUESTS_CLAIM_PRIVATE_H
@@ -10,44 +10,48 @@
 #include "../base/map.h"
 
 #define SEGMENT_NAME_BYTES 64
-/** Claims in one segment. */
+/** Most claims in one segment. */
 #define SEGMENT_CLAIMS_MAX 2000
-/** Claims in one folded segment; with 67 bytes each it stays below the
- * object API's limit of a megabyte. */
+/** Most claims in one compacted segment; at 67 bytes per claim it stays below
+ * the object API's limit of 1 MB. */
 #define COMPACTED_CLAIMS_MAX 8000
 
 /** A durable claim. */
 struct claim
 {
   uint64_t body_hash;
-  uint64_t incarnation; /**< who was granted it */
-  uint64_t sequence;    /**< of its segment, or the first of a folded one */
+  uint64_t incarnation; /**< incarnation that was granted the key */
+  uint64_t sequence;    /**< sequence number of its segment; the first one
+                             if the segment is compacted */
 };
 
-/** An object of the log: sequence numbers FROM to TO. */
+/** A segment object, which holds the sequence numbers FROM to TO. */
 struct segment
 {
   uint64_t from;
   uint64_t to;
-  int64_t seen_ms; /**< its age counts from here: never too old */
+  int64_t seen_ms; /**< when it was first seen; its age is measured from
+                        here, so it is never overestimated */
   uint32_t claims;
-  bool covered; /**< a folded segment holds its claims too */
+  bool covered; /**< a compacted segment contains its claims too */
 };
 
-/** A claim that is asked for. */
+/** A claim that has no result yet. */
 struct pending_claim
 {
   struct pending_claim *next;
   struct map_key key;
   uint64_t body_hash;
   uint64_t incarnation;
-  uint64_t id; /**< local: the request; else of the asker's message */
+  uint64_t id; /**< local: request handle; remote: id in the requester's
+                    message */
   bool remote;
-  bool home_down; /**< its home's process is gone: write here */
+  bool home_down; /**< the home node's process has ended: write from this
+                       node */
   char node[BERYL_NAME_BYTES];
 };
 
-/** A queue of them. */
+/** FIFO of pending claims. */
 struct pending_queue
 {
   struct pending_claim *first;
@@ -55,7 +59,7 @@
   uint32_t count;
 };
 
-/** What is being asked of the object API for a shard. */
+/** Call to the object API that a shard is waiting for. */
 enum shard_call
 {
   SHARD_IDLE,
@@ -64,7 +68,7 @@
   SHARD_CREATE,
 };
 
-/** What the folding of a shard is doing. */
+/** Call to the object API that a shard's compaction is waiting for. */
 enum compaction_state
 {
   COMPACTION_IDLE,
@@ -72,29 +76,33 @@
   COMPACTION_REMOVE,
 };
 
-/** One shard of the log as this node knows it. */
+/** State of one shard of the log on this node. */
 struct shard
 {
   struct beryl_claims *claims;
   uint32_t number;
-  bool loaded;        /**< the log up to NEXT is in the index */
-  bool sole_writer;   /**< home, and its last write met nobody else's */
-  bool must_catch_up; /**< NEXT is known to be taken by another's segment */
+  bool loaded;        /**< the log up to NEXT has been read into INDEX */
+  bool sole_writer;   /**< this node is home, and its last write met no
+                           foreign segment */
+  bool must_catch_up; /**< another node's segment has number NEXT and must
+                           be read */
   struct map index;   /**< struct claim */
   uint64_t next;      /**< sequence number of the next segment */
   struct segment *segments;
   size_t segment_count;
   size_t segment_capacity;
   struct pending_queue queue;
-  struct pending_queue batch; /**< in the segment that is being written */
-  char *value;                /**< that segment */
+  struct pending_queue batch; /**< claims in the segment that is being
+                                   written */
+  char *value;                /**< encoded segment that is being written */
   char nonce[33];
-  uint32_t lost_replies; /**< of its creation */
+  uint32_t lost_replies; /**< lost replies while creating that segment */
   enum shard_call call;
   uint64_t call_id;
-  int64_t call_ms;     /**< when it was made */
-  int64_t verified_ms; /**< NEXT was the end of the log at this time */
-  int64_t next_ms;     /**< no call before this */
+  int64_t call_ms;     /**< when the call was sent */
+  int64_t verified_ms; /**< last time at which NEXT was known to be the end
+                            of the log */
+  int64_t next_ms;     /**< no call is sent before this */
   int64_t backoff_ms;
   enum compaction_state compaction;
   uint64_t compaction_call_id;
@@ -103,7 +111,7 @@
   int64_t compaction_next_ms;
 };
 
-/** A claim that was sent to another node. */
+/** A claim that was sent to its home node. */
 struct remote_claim
 {
   struct remote_claim *next;
@@ -120,43 +128,46 @@
   struct beryl_claims_owner *owner;
   char (*members)[BERYL_NAME_BYTES];
   size_t member_count;
-  uint32_t *homes;        /**< by shard: the number of its home */
-  int64_t *home_since_ms; /**< by shard; BERYL_NEVER_MS: not ours */
-  struct shard **shards;  /**< NULL until used */
+  uint32_t *homes;        /**< by shard: index of its home in MEMBERS */
+  int64_t *home_since_ms; /**< by shard: when this node became home;
+                               BERYL_NEVER_MS: it is not home */
+  struct shard **shards;  /**< by number; NULL until used */
   struct remote_claim *remotes;
   int64_t last_tick_ms;
-  int64_t write_not_before_ms; /**< no new segment before this */
-  uint32_t home_count;         /**< shards that this node is home of */
-  bool serving_shards;         /**< the tick is serving the shards */
-  uint32_t next_shard;         /**< the shard that is served first */
-  int64_t rate_used_until_us;  /**< the rate is used up to here */
+  int64_t write_not_before_ms; /**< no new segment is written before this */
+  uint32_t home_count;         /**< number of shards that this node is home
+                                    of */
+  bool serving_shards;         /**< a tick is stepping through the shards */
+  uint32_t next_shard;         /**< first shard that the next tick serves */
+  int64_t rate_used_until_us;  /**< the commit rate is used up until this
+                                    time */
   uint64_t last_call;
   uint64_t last_remote_id;
   uint64_t random;
-  struct map calls; /**< struct shard, by call */
+  struct map calls; /**< call id to struct shard */
   struct beryl_claims_counts counts;
 };
 
-/* claim_segment.c: names and values of objects */
+/* claim_segment.c: names and encoding of segments */
 void segment_prefix (char *prefix, uint32_t shard);
 void segment_name (char *name, uint32_t shard, uint64_t from, uint64_t to);
 bool segment_parse_name (const char *name, uint32_t shard, uint64_t *from,
                          uint64_t *to);
 
-/** Receives each claim of a segment. */
+/** Called for each claim of a segment. */
 typedef void (*segment_visit) (void *data, struct map_key key,
                                const struct claim *claim);
 bool segment_decode (const struct beryl_object *object, uint64_t sequence,
                      segment_visit visit, void *data, uint32_t *count);
 
-/** Builds a segment's value. */
+/** Encodes a segment. */
 struct segment_writer;
 struct segment_writer *segment_writer_create (const char *nonce);
 void segment_writer_add (struct segment_writer *writer, struct map_key key,
                          const struct claim *claim);
 char *segment_writer_finish (struct segment_writer *writer);
 
-/* claim_shard.c */
+/* claim_shard.c: reads and writes of one shard */
 struct shard *shard_create (struct beryl_claims *claims, uint32_t number);
 void shard_destroy (struct shard *shard);
 void shard_claim (struct shard *shard, struct pending_claim *pending,
@@ -170,7 +181,7 @@
                        int64_t now_ms);
 int64_t shard_next_ms (const struct shard *shard);
 
-/* claim_log.c: what a shard knows of its log */
+/* claim_log.c: in-memory state of a shard's log */
 bool log_apply (struct shard *shard, const struct beryl_object *objects,
                 size_t object_count, int64_t now_ms);
 void log_append (struct shard *shard, int64_t now_ms);
@@ -180,13 +191,13 @@
 bool log_put (struct shard *shard, struct map_key key,
               const struct claim *claim);
 
-/* claim_fold.c */
+/* claim_compact.c: merges and deletes old segments */
 void compaction_step (struct shard *shard, int64_t now_ms);
 void compaction_on_written (struct shard *shard, enum beryl_error_code code,
                             int64_t now_ms);
 int64_t compaction_next_ms (const struct shard *shard);
 
-/* claim_ask.c */
+/* claim_remote.c: claims whose home is another node */
 void remote_claim_send (struct beryl_claims *claims,
                         struct pending_claim *pending, const char *home,
                         int64_t now_ms);
@@ -195,7 +206,7 @@
 void remote_claims_clear (struct beryl_claims *claims);
 void remote_claims_retry (struct beryl_claims *claims, int64_t now_ms);
 
-/* claims.c */
+/* claims.c: dispatch, homes and commit rate */
 struct shard *claims_shard (struct beryl_claims *claims, uint32_t number);
 uint32_t claims_shard_number (const struct beryl_claims *claims,
                               struct map_key key);
--- a/libberyl/requests/claim_remote.c
+++ b/libberyl/requests/claim_remote.c
@@ -33,7 +33,8 @@
 }
 
 static void
-remote_send (struct beryl_claims *claims, struct remote_claim *remote, int64_t now_ms)
+remote_send (struct beryl_claims *claims, struct remote_claim *remote,
+             int64_t now_ms)
 {
   const struct pending_claim *pending = remote->pending;
   struct beryl_claim_message ask = {
@@ -51,7 +52,7 @@
 
 void
 remote_claim_send (struct beryl_claims *claims, struct pending_claim *pending,
-          const char *home, int64_t now_ms)
+                   const char *home, int64_t now_ms)
 {
   struct remote_claim *remote = calloc (1, sizeof *remote);
 
@@ -67,12 +68,14 @@
   remote_send (claims, remote, now_ms);
 }
 
-/* A home that was stopped answers late: to a process that has gone, whose
- * successor at the same node counts its asks from 1 again.  That reply would
- * grant the successor another key. */
+/* A home that was suspended may reply after the requesting process has ended.
+ * Its successor on the same node numbers requests from 1 again, so the late
+ * reply's id may match a new request for a different key, which must not be
+ * granted by it. */
 static bool
-reply_matches (const struct beryl_claims *claims, const struct remote_claim *remote,
-            const struct beryl_claim_message *reply)
+reply_matches (const struct beryl_claims *claims,
+               const struct remote_claim *remote,
+               const struct beryl_claim_message *reply)
 {
   return remote->pending->key.high == reply->key_high
          && remote->pending->key.low == reply->key_low
@@ -82,7 +85,7 @@
 
 void
 remote_claims_on_reply (struct beryl_claims *claims,
-              const struct beryl_claim_message *message)
+                        const struct beryl_claim_message *message)
 {
   struct remote_claim **at = &claims->remotes;
   struct pending_claim *pending;
@@ -97,25 +100,29 @@
   claims_complete (claims, pending, message->result, message->incarnation);
 }
 
-/* The home's process is gone.  Any node may write to any shard: the creation
- * only if absent is the fence, homes only keep the races rare. */
+/* The home's process has ended.  Any node may write to any shard, since
+ * creating a segment only if absent is what excludes double grants; homes only
+ * make races rare. */
 static void
-claim_locally (struct beryl_claims *claims, struct remote_claim *remote, int64_t now_ms)
+claim_locally (struct beryl_claims *claims, struct remote_claim *remote,
+               int64_t now_ms)
 {
   struct pending_claim *pending = remote->pending;
 
   free (remote);
-  shard_claim (claims_shard (claims, claims_shard_number (claims, pending->key)),
-             pending, now_ms);
+  shard_claim (
+      claims_shard (claims, claims_shard_number (claims, pending->key)),
+      pending, now_ms);
 }
 
 void
 beryl_claims_node_down (struct beryl_claims *claims, const char *node,
-                          int64_t now_ms)
+                        int64_t now_ms)
 {
   struct remote_claim *next;
 
-  for (struct remote_claim *a = remote_detach_all (claims); a != NULL; a = next)
+  for (struct remote_claim *a = remote_detach_all (claims); a != NULL;
+       a = next)
     {
       next = a->next;
       if (strcmp (a->home, node) != 0)
@@ -128,13 +135,14 @@
     }
 }
 
-/* The home does not answer, which may be due to the network only.  Writing
- * behind its back would be safe against running a key twice, but the home
- * would go on to believe that it knows every key, and in an outage it would
- * call a key "not run" that has run.  So it is asked again until it answers
- * or until the members have another home. */
+/* The home does not reply, possibly because of the network only.  Writing to
+ * its shard from here would not run a key twice, but the home would still
+ * believe that its index is complete and, in an outage of the object API,
+ * would report "not run" for a key that has run.  So the request is repeated
+ * until the home replies or the members have another home. */
 static void
-retry_remote (struct beryl_claims *claims, struct remote_claim *remote, int64_t now_ms)
+retry_remote (struct beryl_claims *claims, struct remote_claim *remote,
+              int64_t now_ms)
 {
   uint32_t number = claims_shard_number (claims, remote->pending->key);
 
@@ -154,7 +162,8 @@
 {
   struct remote_claim *next;
 
-  for (struct remote_claim *a = remote_detach_all (claims); a != NULL; a = next)
+  for (struct remote_claim *a = remote_detach_all (claims); a != NULL;
+       a = next)
     {
       next = a->next;
       if (now_ms >= a->due_ms)
--- a/libberyl/requests/claim_segment.c
+++ b/libberyl/requests/claim_segment.c
@@ -6,7 +6,8 @@
 
 #include "claim_private.h"
 
-/* Digest, incarnation and body hash, sixteen hex digits for eight bytes. */
+/* Encoded claim: digest (two words), incarnation and body hash, 16 hex digits
+ * for each 8 bytes. */
 #define CLAIM_TEXT_BYTES 64
 #define CLAIM_FORMAT "%016" PRIx64 "%016" PRIx64 "%016" PRIx64 "%016" PRIx64
 
--- a/libberyl/requests/claim_shard.c
+++ b/libberyl/requests/claim_shard.c
@@ -5,9 +5,10 @@
 
 #define BACKOFF_FIRST_MS 50
 #define BACKOFF_MAX_MS 1000
-/* Times that a write whose reply was lost is repeated before its claims are
- * given up.  They have not run and will not; the key may turn out to be this
- * node's when it is claimed again. */
+/* Number of lost replies after which a repeated write is abandoned and its
+ * claims fail.  Those calls have not run and will not run; the write may still
+ * have taken effect, and then a later claim finds the key granted to this
+ * node. */
 #define LOST_REPLIES_MAX 5
 
 struct shard *
@@ -46,7 +47,7 @@
   free (shard);
 }
 
-/* Answers a claim from the index; false if the key is not in it. */
+/* Completes a claim from the index; returns false if the key is not in it. */
 static bool
 answer_from_index (struct shard *shard, struct pending_claim *pending)
 {
@@ -147,9 +148,9 @@
   return false;
 }
 
-/* Two callers may ask for the same key within one commit interval.  Both in
- * one segment would both be granted; the second one waits and finds the key
- * taken. */
+/* Two callers may claim the same key within one commit interval.  In one
+ * segment both would be granted, so the second claim is left for the next
+ * batch, where it finds the key taken. */
 static void
 form_batch (struct shard *shard)
 {
@@ -195,10 +196,10 @@
   begin_create (shard, now_ms);
 }
 
-/* Whether the end of the log that this node knows is young enough to be
- * built on.  Old objects are deleted, so that their numbers are free again:
- * a home that slept longer could create one of them and believe that it had
- * won the race. */
+/* Whether the known end of the log is recent enough to write after it.  Old
+ * segments are deleted, which frees their numbers: a home that was suspended
+ * for longer could create one of them again and believe that it had won the
+ * race. */
 static bool
 log_end_is_current (const struct shard *shard, int64_t now_ms)
 {
@@ -207,10 +208,11 @@
                           < shard->claims->settings.delete_after_ms / 2);
 }
 
-/* A home that its members have replaced must stop to write: the new one would
- * not see these claims until its own next write, and in an outage it would
- * call their keys "not run".  Its callers' claims go to the new home; other
- * nodes ask that one by themselves. */
+/* A home that has been replaced must stop writing: the new home would not see
+ * these claims until its own next write and, in an outage of the object API,
+ * would report their keys as "not run".  Local claims are sent to the new
+ * home; claims of other nodes are dropped, since those nodes retry at the new
+ * home themselves. */
 static void
 hand_over_queue (struct shard *shard, int64_t now_ms)
 {
@@ -276,11 +278,11 @@
   shard_step (shard, now_ms);
 }
 
-/* The object API is away.  This try has not run, but an earlier one with the
- * same key may have, and a caller that is told "not run" then would send its
- * letter again under a new key.  Only who wrote the whole log alone since it
- * has read it knows that the key is new; a node that is cut off from the
- * others cannot know what they have written. */
+/* Result of a claim when the object API is unavailable.  This attempt has not
+ * run, but an earlier one with the same key may have; a caller that is told
+ * "not run" would repeat the call under a new key.  Only a node that has been
+ * the only writer since it read the whole log knows that a key is new; an
+ * isolated node cannot know what the others have written. */
 static enum beryl_claim_result
 outage_result (const struct shard *shard)
 {
@@ -310,7 +312,7 @@
       return;
     }
   shard->loaded = true;
-  shard->sole_writer = false; /* the list may lag; the next write tells */
+  shard->sole_writer = false; /* the list may lag */
   shard->verified_ms = shard->call_ms;
   if (shard->must_catch_up)
     back_off (shard, now_ms);
@@ -330,7 +332,7 @@
   else if (code == BERYL_OK && !get)
     on_listed (shard, objects, object_count, now_ms);
   else if (get && code == BERYL_ERROR_NOT_FOUND)
-    begin_list (shard, now_ms); /* a lagging read, or it was folded */
+    begin_list (shard, now_ms); /* lagging read or compacted */
   else
     {
       back_off (shard, now_ms);
@@ -339,7 +341,7 @@
   shard_step (shard, now_ms);
 }
 
-/* Puts the batch back in front of the queue. */
+/* Puts the batch back at the front of the queue. */
 static void
 requeue_batch (struct shard *shard)
 {
@@ -356,8 +358,8 @@
 {
   struct pending_claim *pending;
 
-  /* This process was stopped while its write was on the way: what the write
-   * has met may be an old number that had been deleted. */
+  /* The process was suspended while the write was in flight: the number that
+   * was created may be an old one whose segment had been deleted. */
   if (!log_end_is_current (shard, now_ms))
     {
       requeue_batch (shard);
@@ -377,8 +379,8 @@
                      pending->incarnation);
 }
 
-/* Another home has written this number, or this node did and the reply was
- * lost.  Which one it was is read from the segment itself. */
+/* Either another node wrote this number, or this node did and the reply was
+ * lost.  Reading the segment tells which. */
 static void
 on_create_conflict (struct shard *shard)
 {
@@ -418,8 +420,8 @@
   bool written = code == BERYL_OK;
 
   shard->call = SHARD_IDLE;
-  /* A conflict after a lost reply looks like one's own first write, but may
-   * be another home's. */
+  /* A conflict after a lost reply looks like this node's own first write, but
+   * may be another node's. */
   written |= code == BERYL_ERROR_CONFLICT && shard->lost_replies > 0
              && BERYL_GUARD (BERYL_GUARD_CLAIM_NONCE, false);
   written |= code == BERYL_ERROR_CONFLICT
@@ -441,7 +443,7 @@
   if (shard->call != SHARD_IDLE
       || (shard->queue.count == 0 && shard->batch.count == 0))
     return BERYL_NEVER_MS;
-  /* Only a new batch waits for the rate. */
+  /* Only a new batch is subject to the commit rate. */
   if (shard->batch.count == 0 && shard->loaded && !shard->must_catch_up
       && claims_next_commit_ms (shard->claims) > shard->next_ms)
     return claims_next_commit_ms (shard->claims);
--- a/libberyl/requests/claims.c
+++ b/libberyl/requests/claims.c
@@ -14,18 +14,20 @@
 #define COMPACT_MIN_SEGMENTS_DEFAULT 16
 #define COMMIT_INTERVAL_DEFAULT_MS 20
 #define COMMITS_PER_S_DEFAULT 120
-/* Commits that a quiet node may make at once. */
+/* Commits that an idle node may make in a burst. */
 #define COMMIT_BURST 8
 #define RETENTION_DEFAULT_MS 3600000
 #define DELETE_AFTER_DEFAULT_MS 600000
 #define REQUEST_TIMEOUT_DEFAULT_MS 500
-/* Ticks come at least this often; a far longer gap is a stopped process.  It
- * must be noticed before the others could have replaced this home. */
+/* Ticks come at least this often; a much longer gap means that the process was
+ * suspended, which must be noticed before other nodes could have replaced this
+ * home. */
 #define TICK_INTERVAL_MAX_MS 200
 #define PAUSE_DETECTED_MS (3 * TICK_INTERVAL_MAX_MS)
-/* How long a woken process waits for the members that it missed. */
+/* How long a process waits after a suspension for the member changes that it
+ * missed. */
 #define PAUSE_RECOVERY_MS 100
-/* How long a new home is not certain of its log. */
+/* How long a new home does not trust its view of the log to be complete. */
 #define HOME_ESTABLISHED_MS 2000
 
 static void
@@ -161,7 +163,7 @@
     }
 }
 
-/* Ends WAITING, which is released. */
+/* Reports the result of PENDING to its requester and frees it. */
 void
 claims_complete (struct beryl_claims *claims, struct pending_claim *pending,
                  enum beryl_claim_result result, uint64_t incarnation)
@@ -199,8 +201,8 @@
   return (uint32_t)(key.low % claims->settings.shards);
 }
 
-/* Rendezvous hashing: when a member comes or goes, only its own shards
- * change their home. */
+/* Rendezvous hashing: when a member joins or leaves, only shards that it is
+ * home of change their home. */
 static uint32_t
 home_of (const struct beryl_claims *claims, uint32_t shard)
 {
@@ -230,7 +232,7 @@
   return claims->members[claims->homes[shard]];
 }
 
-/* Whether no other node is known to be there. */
+/* Whether this node is cut off: it knows no members, not even itself. */
 bool
 claims_is_isolated (const struct beryl_claims *claims)
 {
@@ -245,9 +247,9 @@
   return home == NULL || strcmp (home, claims->node) == 0;
 }
 
-/* Whether this node has been SHARD's home so long that nobody writes for its
- * predecessor any more: when a home dies, nodes whose asks it refused write by
- * themselves for a moment. */
+/* Whether this node has been SHARD's home for long enough that nobody writes
+ * on behalf of the previous home any more: when a home dies, nodes whose
+ * requests are refused write to its shards themselves for a moment. */
 bool
 claims_is_established_home (const struct beryl_claims *claims, uint32_t shard,
                             int64_t now_ms)
@@ -258,7 +260,8 @@
          && now_ms - since_ms >= HOME_ESTABLISHED_MS;
 }
 
-/* Whoever is home now may write what this node does not see. */
+/* Another home may write segments that this node does not see, so sole_writer
+ * is cleared for shards that moved. */
 static void
 claims_assign_homes (struct beryl_claims *claims, int64_t now_ms)
 {
@@ -280,8 +283,8 @@
     }
 }
 
-/* Time that one commit uses up, so that all homes together stay within the
- * rate that the object API can bear. */
+/* Share of the commit rate that one commit uses, in microseconds, so that all
+ * homes together stay within what the object API sustains. */
 static int64_t
 commit_cost_us (const struct beryl_claims *claims)
 {
@@ -302,8 +305,9 @@
                                                : claims->write_not_before_ms;
 }
 
-/* Whether SHARD may write now.  Once the burst is used up, shards take turns
- * in the tick: a busy one would else take each place as it becomes free. */
+/* Whether a shard may write now.  Once the burst is used up, only the tick
+ * commits, which serves the shards in turn; otherwise a busy shard would take
+ * every slot as it becomes free. */
 bool
 claims_may_commit (const struct beryl_claims *claims, int64_t now_ms)
 {
@@ -344,7 +348,7 @@
   beryl_claims_tick (claims, now_ms);
 }
 
-/* A process that was stopped may have lost its shards to another home
+/* A process that was suspended may have lost shards to another home
  * meanwhile. */
 static void
 claims_detect_pause (struct beryl_claims *claims, int64_t now_ms)
@@ -354,8 +358,8 @@
   claims->last_tick_ms = now_ms;
   if (gap_ms < PAUSE_DETECTED_MS)
     return;
-  /* It may also have lost its members' view: what it wrote now as home would
-   * escape the node that has become home. */
+  /* Its view of the members may be old too: a claim that it wrote as home now
+   * would be unknown to the node that has become home. */
   claims->write_not_before_ms = now_ms + PAUSE_RECOVERY_MS;
   for (uint32_t i = 0; i < claims->settings.shards; i++)
     {
@@ -463,8 +467,8 @@
     compaction_on_written (shard, code, now_ms);
 }
 
-/* Reads the shards that this node is home of before they are needed, one
- * after another: in an outage of the object API their keys are then known. */
+/* Reads the shards of this home ahead of need, one after another, so that
+ * their keys are known in an outage of the object API. */
 static void
 claims_preload (struct beryl_claims *claims, int64_t now_ms)
 {
--- a/libberyl/requests/death.c
+++ b/libberyl/requests/death.c
@@ -9,9 +9,10 @@
 }
 
 /* The platform's list lags and flaps: a live instance may be missing from it
- * for a while.  Whoever is missing for long and heard of by nobody in that
- * time is gone; a node that others still hear, or whose list we cannot read,
- * is not, since cancelling its streams would cut off its callers. */
+ * for a while.  An instance counts as dead only if it is missing for long and
+ * nobody has heard of it in that time.  A node that others still hear, or a
+ * list that cannot be read, proves nothing; cancelling the streams of a live
+ * node would cut off its callers. */
 static bool
 list_proves (const struct beryl_death_evidence *evidence, int64_t now_ms)
 {
--- a/libberyl/requests/hold.c
+++ b/libberyl/requests/hold.c
@@ -4,14 +4,15 @@
 
 #include "private.h"
 
-/* A cancel can overtake the call that it is meant for, which then makes the
- * engine hold something after it confirmed that nothing is held.  Calls in
- * flight arrive within this time, so a later confirmation is final. */
+/* A cancel can overtake the call that it is meant for; the engine then
+ * confirms that nothing is held and takes memory afterwards.  Calls in flight
+ * arrive within this time, so a later confirmation is final. */
 #define CANCEL_SETTLE_MS 300
 #define CANCEL_FIRST_BACKOFF_MS 250
 #define CANCEL_MAX_BACKOFF_MS 2000
-/* After so many tries a planned stop no longer waits: the control daemon
- * cancels the window of this incarnation when it has gone. */
+/* Cancels after which a graceful shutdown no longer waits for the
+ * confirmation: the control daemon cancels this incarnation's window once the
+ * process has ended. */
 #define CANCELS_BEFORE_STOP 4
 
 static struct hold **
@@ -39,9 +40,9 @@
   requests_emit (requests, &action);
 }
 
-/* Recorded first, made afterwards: if this process dies in between, its
- * control daemon cancels one stream too many.  The other way round engine
- * memory would stay held by a stream that nobody knows. */
+/* A hold is recorded before it is created.  If the process dies in between,
+ * its control daemon cancels one stream too many; in the opposite order,
+ * engine memory would stay occupied by an unknown stream. */
 bool
 hold_record (struct beryl_requests *requests, const char *endpoint,
              struct beryl_stream_id stream)
@@ -128,8 +129,8 @@
 {
   for (struct hold *h = requests->holds; h != NULL; h = h->next)
     {
-      /* A cancel whose reply or request is lost leaves the stream running
-       * for nobody; it is sent again until the engine says it is gone. */
+      /* If a cancel or its reply is lost, the stream keeps running for nobody;
+       * so it is repeated until the engine confirms. */
       if (BERYL_GUARD (BERYL_GUARD_CANCEL_REPEAT, now_ms < h->next_ms))
         continue;
       hold_send_cancel (requests, h, now_ms);
@@ -145,8 +146,7 @@
   return false;
 }
 
-/* An endpoint that the accepted configuration no longer names will never
- * confirm. */
+/* An endpoint that is no longer in the configuration will never confirm. */
 void
 holds_drop_removed_endpoints (struct beryl_requests *requests)
 {
--- a/libberyl/requests/hold_cleanup.c
+++ b/libberyl/requests/hold_cleanup.c
@@ -5,8 +5,8 @@
 #include "beryl/clock.h"
 #include "beryl/holds.h"
 
-/* The dead process's last calls may still be on their way to the engine: a
- * confirmation from before this time has passed is not final. */
+/* The last calls of a dead process may still be in flight to the engine: a
+ * confirmation before this time is not final. */
 #define CLEANUP_SETTLE_MS 300
 #define CLEANUP_FIRST_BACKOFF_MS 200
 #define CLEANUP_MAX_BACKOFF_MS 2000
--- a/libberyl/requests/hold_windows.c
+++ b/libberyl/requests/hold_windows.c
@@ -4,14 +4,15 @@
 
 #include "beryl/holds.h"
 
-/* Counters a told window reaches ahead of the newest hold: at 13 requests a
- * second a node tells each busy engine's window about every 20 s. */
+/* Counters by which a reported window extends beyond the newest hold: at 13
+ * requests per second, a node reports the window of each busy engine about
+ * every 20 s. */
 #define WINDOW_AHEAD_COUNTERS 256
 
 struct window
 {
   struct beryl_hold_window reported;
-  uint64_t *held; /* counters, in no order */
+  uint64_t *held; /* counters, unordered */
   size_t held_count;
   size_t held_capacity;
 };
@@ -143,7 +144,7 @@
   return window != NULL ? &window->reported : NULL;
 }
 
-/* Returns whether what is told changed. */
+/* Returns whether the reported window changed. */
 static bool
 window_shrink (struct window *window)
 {
--- a/libberyl/requests/plan.c
+++ b/libberyl/requests/plan.c
@@ -4,14 +4,16 @@
 #include "private.h"
 
 #define REFUSED_RETRY_MS 1000
-/* How long endpoints that turned a request away are left in peace. */
+/* How long a request waits before it tries endpoints again that have all
+ * refused it. */
 #define EXCLUSION_RESET_DELAY_MS 100
-/* An event that comes so much later than the heartbeat shows that the process
- * was stopped. */
+/* A gap between two events of this length shows that the process was
+ * suspended. */
 #define PAUSE_DETECTED_MS (3 * TICK_INTERVAL_MAX_MS)
-/* How long a process that was stopped reads what has happened meanwhile. */
+/* How long planning waits after a suspension, so that pending updates are read
+ * first. */
 #define PAUSE_RECOVERY_MS 100
-/* How many waiting requests are planned again after one event. */
+/* Most waiting requests that are planned again after one event. */
 #define PLANS_PER_EVENT 64
 
 void
@@ -69,10 +71,10 @@
   request_fail (requests, request, problem, retry_after_ms, reason, now_ms);
 }
 
-/* A process that was stopped wakes up with an old configuration and with
- * calls that wait in its queue.  Planned at once, they would go to endpoints
- * that left seconds ago; the new configuration is waiting in the same loop
- * and comes first after a short rest. */
+/* A process that resumes after a suspension has an old configuration and
+ * queued calls.  Planned at once, the calls would go to endpoints that left
+ * meanwhile; the new configuration is pending in the same event loop and is
+ * applied during this delay. */
 void
 requests_detect_pause (struct beryl_requests *requests, int64_t now_ms)
 {
@@ -115,8 +117,8 @@
       return;
     }
   beryl_router_plan (requests->router, &job, now_ms, &plan);
-  /* Every endpoint has turned this request away once: better the same again
-   * a little later than to wait for one that is not there. */
+  /* Every endpoint has refused this request once: try the same ones again
+   * after a delay instead of waiting for an endpoint that does not exist. */
   if (plan.verdict == BERYL_VERDICT_WAIT && request->excluded_count > 0
       && plan.reason != NULL && strcmp (plan.reason, "no_endpoint") == 0)
     {
@@ -154,8 +156,8 @@
   return planned;
 }
 
-/* A request that is waiting is planned again at the time that the router
- * named, or when an attempt has ended and its place may be free. */
+/* Plans waiting requests again: at the time that the router named, or all of
+ * them when an attempt has ended and may have freed capacity. */
 void
 requests_plan_waiting (struct beryl_requests *requests, int64_t now_ms)
 {
--- a/libberyl/requests/private.h
+++ b/libberyl/requests/private.h
@@ -1,5 +1,5 @@
 /** @file
- * What the files of this folder share.
+ * Internals shared by the files of this folder.
  */
 #ifndef BERYL_REQUESTS_PRIVATE_H
 #define BERYL_REQUESTS_PRIVATE_H
@@ -17,12 +17,12 @@
 #define CONTENT_TYPE_BYTES 96
 #define FINISH_REASON_BYTES 32
 #define PREFIX_BLOCKS_MAX 256
-/** Times that endpoints may turn a request away before the caller hears. */
+/** Refusals by endpoints after which the request fails. */
 #define REFUSALS_MAX 4
-/** Time passes at least this often. */
+/** Longest time between two events, in ms: a tick is due by then. */
 #define TICK_INTERVAL_MAX_MS 500
 
-/** What a kept answer consists of. */
+/** An answer, complete or partial. */
 struct answer
 {
   unsigned int status;
@@ -33,51 +33,53 @@
   struct buffer body;
 };
 
-/** What is remembered of a call after it has ended.  A call with a key is
- * remembered as long as this incarnation lives, so that its key never runs
- * again; its answer and its request id only for the retention time. */
+/** What is kept of a call after it has ended.  The record of a call with a key
+ * lives as long as this incarnation, so that the key never runs again; its
+ * answer and its request id are kept only for the retention time. */
 struct record
 {
-  struct record *next; /**< in the order in which they expire */
+  struct record *next; /**< next in order of expiry */
   struct map_key key;
   struct map_key id;
-  uint64_t body_hash;    /**< 0: the key belongs to no request yet */
-  struct answer *answer; /**< NULL: not kept */
-  uint64_t reader;       /**< handle of who reads the answer; 0: nobody */
+  uint64_t body_hash;    /**< 0: no request is bound to the key yet */
+  struct answer *answer; /**< NULL: not retained */
+  uint64_t reader;       /**< handle of the caller that is reading the
+                              answer; 0: none */
   int64_t expires_ms;
-  enum beryl_outcome outcome; /**< PENDING while it is open */
+  enum beryl_outcome outcome; /**< PENDING while the call is open */
   bool keyed;
   bool free_key;
-  bool claimed;   /**< a free key that was granted to this incarnation */
-  bool delivered; /**< the caller has read the answer to its end */
+  bool claimed;   /**< a free key whose claim was granted to this
+                       incarnation */
+  bool delivered; /**< the caller has read the complete answer */
 };
 
-/** Where a request is in its life. */
+/** State of a request. */
 enum request_phase
 {
-  PHASE_NEW,   /**< nothing was decided yet */
-  PHASE_CLAIM, /**< waits for its key's claim */
-  PHASE_PLAN,  /**< waits for the router */
+  PHASE_NEW,   /**< not started, or ended */
+  PHASE_CLAIM, /**< waiting for the claim of its key */
+  PHASE_PLAN,  /**< waiting for a plan of the router */
   PHASE_PREFILL,
   PHASE_DECODE,
   PHASE_SERVICE,
   PHASE_FORWARD,
 };
 
-/** Something of ours that may keep engine memory. */
+/** A stream of this process that may occupy memory of an engine. */
 struct hold
 {
   struct hold *next;
   char endpoint[BERYL_NAME_BYTES];
   struct beryl_stream_id stream;
   bool cancelling;
-  int64_t final_from_ms; /**< a confirmation before this is not final */
-  int64_t next_ms;       /**< when CANCEL is repeated */
+  int64_t final_from_ms; /**< a confirmation before this time is not final */
+  int64_t next_ms;       /**< when CANCEL is sent again */
   int64_t backoff_ms;
   uint32_t cancels;
 };
 
-/** One conversation with an endpoint or another node. */
+/** One call to an endpoint or to another node. */
 struct exchange
 {
   uint64_t id;
@@ -85,34 +87,35 @@
   char endpoint[BERYL_NAME_BYTES];
   uint32_t attempt;
   bool paused;
-  bool ended; /**< END came; bytes before it may still be missing */
+  bool ended; /**< END was received; bytes before it may still be missing */
   uint64_t answer_bytes;
 };
 
-/** A call that has no final answer yet, or whose answer is still read from
- * its endpoint after the caller has gone. */
+/** A call that has no final reply yet, or whose answer is still read from its
+ * endpoint after the caller has disconnected. */
 struct request
 {
   struct request *next;
   struct request *previous;
-  struct request *next_waiting; /**< in PHASE_PLAN: of the same class */
+  struct request *next_waiting; /**< in PHASE_PLAN: next request of the same
+                                     class */
   struct request *previous_waiting;
-  uint64_t arrival_number; /**< in the order of arrival */
-  struct beryl_call call;  /**< strings are owned */
+  uint64_t arrival_number; /**< order of arrival */
+  struct beryl_call call;  /**< own copy, including strings */
   enum request_phase phase;
   enum beryl_class call_class;
   bool plain;
   bool idempotent;
   bool caller_gone;
-  bool reply_started; /**< REPLY_HEAD went out */
-  bool may_have_run;  /**< an attempt's outcome is unknown */
+  bool reply_started; /**< REPLY_HEAD was sent */
+  bool may_have_run;  /**< the outcome of an attempt is unknown */
   int64_t arrived_ms;
   struct record *record;
   struct exchange *exchange;
   struct answer answer;
   struct reassembly reassembly;
 
-  uint64_t ticket; /**< 0: none */
+  uint64_t ticket; /**< router reservation; 0: none */
   char prefill[BERYL_NAME_BYTES];
   char decode[BERYL_NAME_BYTES];
   char kv_handle[KV_HANDLE_BYTES];
@@ -120,31 +123,33 @@
   uint32_t attempt;
   uint32_t resumes;
   uint32_t refusals;
-  uint32_t decode_refusals; /**< of this plan's KV cache */
+  uint32_t decode_refusals; /**< refusals of decodes of the current KV cache */
   bool first_token_seen;
-  bool engine_call_in_flight; /**< a call to an engine was cut: it may still
-                                 arrive */
+  bool engine_call_in_flight; /**< a call to an engine was aborted but may
+                                   still arrive there */
   int64_t retry_at_ms;
   int64_t kv_expires_ms;
-  int64_t decode_retry_at_ms; /**< when a decode engine is looked for again */
+  int64_t decode_retry_at_ms; /**< when to look for a decode engine again */
   char excluded[ENDPOINT_EXCLUDED_MAX][BERYL_NAME_BYTES];
   uint32_t excluded_count;
 
-  uint64_t replied_bytes; /**< of the answer's body, handed to the caller */
-  uint64_t queued_bytes;  /**< handed over and not read yet */
-  int64_t slow_since_ms;  /**< BERYL_NEVER_MS: the caller keeps up */
+  uint64_t replied_bytes; /**< bytes of the answer's body passed to the
+                               caller */
+  uint64_t queued_bytes;  /**< passed to the caller, not read yet */
+  int64_t slow_since_ms;  /**< when the reader fell behind; BERYL_NEVER_MS:
+                               it keeps up */
   uint64_t *block_hashes;
   size_t block_count;
 };
 
-/** Requests of one class in PHASE_PLAN, in the order of arrival. */
+/** Requests of one class in PHASE_PLAN, ordered by arrival. */
 struct waiting_list
 {
   struct request *first;
   struct request *last;
 };
 
-/** One instance. */
+/** An instance. */
 struct beryl_requests
 {
   struct beryl_requests_settings settings;
@@ -154,15 +159,17 @@
   struct request *first;
   struct request *last;
   struct waiting_list waiting[BERYL_CLASS_BATCH + 1];
-  /** No open request's deadline, binding or slow reader is due before this;
-   * it may lie too early, since it is not raised when one ends. */
+  /** No open request's deadline, decode retry or slow-reader limit is due
+   * before this time; it may be too early, since it is not raised when a
+   * request ends. */
   int64_t earliest_due_ms;
   uint64_t last_arrival_number;
   uint32_t open;
-  struct map by_handle;   /**< struct request, of callers still there */
+  struct map by_handle;   /**< struct request, of callers that are still
+                               connected */
   struct map by_exchange; /**< struct exchange */
-  struct map by_reader;   /**< struct record, whose answer is being read */
-  struct map by_key;      /**< struct record, never forgotten */
+  struct map by_reader;   /**< struct record, by the reader of its answer */
+  struct map by_key;      /**< struct record, never removed */
   struct map by_id;       /**< struct record, until it expires */
   struct record *expiring_first;
   struct record *expiring_last;
@@ -171,9 +178,10 @@
   struct retry_budgets budgets;
   uint64_t last_exchange;
   uint64_t last_stream;
-  bool capacity_freed;        /**< waiting requests are worth planning again */
-  int64_t last_event_ms;      /**< INT64_MIN: none yet */
-  int64_t plan_not_before_ms; /**< no plan is made before this */
+  bool capacity_freed;        /**< capacity may be free: plan waiting
+                                   requests again */
+  int64_t last_event_ms;      /**< INT64_MIN: no event yet */
+  int64_t plan_not_before_ms; /**< no request is planned before this */
   bool draining;
   bool drained_reported;
 };
@@ -183,7 +191,7 @@
                     const struct beryl_action *action);
 void request_unlink (struct beryl_requests *requests, struct request *request);
 
-/* call.c: a call's copy and its settings */
+/* call.c: copies of calls */
 bool call_copy (struct beryl_call *copy, const struct beryl_call *call);
 void call_clear (struct beryl_call *copy);
 uint64_t call_body_hash (const struct beryl_call *call);
@@ -197,8 +205,8 @@
 void request_forward (struct beryl_requests *requests, struct request *request,
                       uint64_t incarnation);
 
-/* due.c: which requests time is up for, and which wait for a plan */
-/** Hand a decision to the owner, who logs it. */
+/* timers.c: due times and requests waiting for a plan */
+/** Emit a routing decision, for the owner to log. */
 void plan_emit_decision (struct beryl_requests *requests,
                          const struct request *request,
                          const struct beryl_plan *plan);
@@ -214,7 +222,7 @@
 void requests_plan_waiting (struct beryl_requests *requests, int64_t now_ms);
 void request_exclude (struct request *request, const char *endpoint);
 
-/* attempt.c: one try at endpoints */
+/* attempt.c: attempts to run a request at endpoints */
 void attempt_prefill (struct beryl_requests *requests, struct request *request,
                       int64_t now_ms);
 void attempt_service (struct beryl_requests *requests, struct request *request,
@@ -245,7 +253,7 @@
                                 struct request *request, const char *endpoint);
 void exchange_close (struct beryl_requests *requests, struct request *request);
 
-/* answer.c: what the caller is told */
+/* answer.c: replies to callers */
 void request_deliver (struct beryl_requests *requests, struct request *request,
                       const void *bytes, size_t bytes_count, uint32_t tokens,
                       int64_t now_ms);
@@ -273,7 +281,7 @@
                            enum beryl_outcome outcome, int64_t retry_after_ms,
                            const char *detail);
 
-/* records.c: keys, outcomes and kept answers */
+/* records.c: keys, outcomes and retained answers */
 struct record *record_open (struct beryl_requests *requests,
                             const struct beryl_call *call, bool keyed);
 bool record_authoritative (const struct record *record);
--- a/libberyl/requests/reassembly.c
+++ b/libberyl/requests/reassembly.c
@@ -14,8 +14,8 @@
   char bytes[];
 };
 
-/* A resumed or reordered stream sends bytes again; delivering them twice
- * would show as repeated text.  Only what lies beyond NEXT is handed on. */
+/* A resumed or reordered stream may repeat bytes, which would show as repeated
+ * text.  Only bytes beyond NEXT are delivered. */
 static void
 deliver (struct reassembly *reassembly, uint64_t offset, const char *bytes,
          size_t bytes_count, uint32_t tokens, reassembly_sink sink, void *data)
--- a/libberyl/requests/reassembly.h
+++ b/libberyl/requests/reassembly.h
@@ -1,5 +1,5 @@
 /** @file
- * Puts the pieces of one answer in order and drops what was delivered.
+ * Reassembles the pieces of one answer: delivers each byte once and in order.
  */
 #ifndef BERYL_REQUESTS_REASSEMBLY_H
 #define BERYL_REQUESTS_REASSEMBLY_H
@@ -8,31 +8,31 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** Bytes that may wait for a gap to close. */
+/** Most bytes that are buffered behind a gap. */
 #define REASSEMBLY_BUFFER_MAX_BYTES (256U * 1024)
 
-/** A piece that came before the bytes in front of it. */
+/** A piece that arrived before the bytes that precede it. */
 struct piece;
 
 /** State of one answer; zero-initialise. */
 struct reassembly
 {
   uint64_t next;          /**< offset of the next byte to deliver */
-  struct piece *buffered; /**< in the order of offsets */
+  struct piece *buffered; /**< pieces behind a gap, sorted by offset */
   size_t buffered_bytes;
 };
 
-/** Where bytes go that are next in order. */
+/** Receives the next bytes in order. */
 typedef void (*reassembly_sink) (void *data, const void *bytes,
                                  size_t bytes_count, uint32_t tokens);
 
-/** Take a piece, handing SINK what is in order now.  False if too much
- * waits for a gap. */
+/** Add a piece and pass all bytes that are now in order to SINK.  Returns
+ * false if too many bytes wait behind a gap or memory is exhausted. */
 bool reassembly_add (struct reassembly *reassembly, uint64_t offset,
                      const void *bytes, size_t bytes_count, uint32_t tokens,
                      reassembly_sink sink, void *data);
 
-/** Forget the pieces that wait, for a new attempt. */
+/** Discard the buffered pieces, for a new attempt. */
 void reassembly_discard_buffered (struct reassembly *reassembly);
 
 #endif
--- a/libberyl/requests/records.c
+++ b/libberyl/requests/records.c
@@ -3,15 +3,16 @@
 
 #include "private.h"
 
-/* One answer may not push all others out. */
+/* An answer is retained only if at least this many of its size fit the limit,
+ * so that one answer cannot evict all others. */
 #define RETAINED_ANSWERS_MIN 4
 
 struct record *
 record_find (struct beryl_requests *requests, const char *organisation,
              const char *key)
 {
-  /* A key is looked up together with its organisation: otherwise whoever
-   * guesses a key could fetch somebody else's answer. */
+  /* Keys are scoped by organisation; otherwise whoever guesses a key could
+   * fetch another organisation's answer. */
   const char *scope
       = BERYL_GUARD (BERYL_GUARD_KEY_ORGANISATION, false) ? "" : organisation;
 
@@ -28,9 +29,10 @@
   return map_key_digest (scope, call->key);
 }
 
-/* A free key that was not granted to this node may belong to another node's
- * call with another body: this node's record of a try says neither whether
- * the key has run nor which request it belongs to. */
+/* Whether the record says authoritatively what became of its key.  A free key
+ * that was not granted to this node may belong to another node's call with
+ * another body: the record of an attempt here says neither whether the key has
+ * run nor which request it belongs to. */
 bool
 record_authoritative (const struct record *record)
 {
@@ -135,8 +137,8 @@
   if (record == NULL)
     return;
   record->outcome = outcome;
-  /* Here it has not run, whatever its key did elsewhere: it may be claimed
-   * again. */
+  /* The call has not run on this node, whatever became of its key elsewhere,
+   * so the key may be claimed again. */
   if (request->phase == PHASE_CLAIM)
     record->outcome = BERYL_OUTCOME_NOT_RUN;
   if (outcome == BERYL_OUTCOME_ANSWERED && record->keyed)
@@ -153,7 +155,8 @@
   record_schedule (requests, record, now_ms);
 }
 
-/* Whoever was reading an answer has read it or gone away. */
+/* Handles the end of reading a retained answer: fully read, or the reader
+ * disconnected. */
 void
 record_on_reader_event (struct beryl_requests *requests,
                         const struct beryl_event *event)
@@ -180,8 +183,8 @@
     free (record);
 }
 
-/* A record whose key was used again, after it had not run, has a later time
- * than its place in the list says: it goes to the end. */
+/* A record whose key was used again, after it had not run, expires later than
+ * its position in the list implies; it is moved to the end. */
 void
 records_expire (struct beryl_requests *requests, int64_t now_ms)
 {
@@ -272,8 +275,8 @@
       requests_reply_error (
           requests, event->request, BERYL_PROBLEM_KEY_ANSWERED,
           BERYL_OUTCOME_ANSWERED, 0,
-          record->delivered ? "the answer was delivered whole"
-                            : "the answer is not kept");
+          record->delivered ? "the answer was already delivered"
+                            : "the answer is not available");
       return;
     }
   record->reader = event->request;
@@ -291,26 +294,28 @@
   if (record == NULL)
     {
       requests_reply_error (requests, event->request, BERYL_PROBLEM_NOT_FOUND,
-                            BERYL_OUTCOME_UNKNOWN, 0, "no such request here");
+                            BERYL_OUTCOME_UNKNOWN, 0, "unknown request");
       return;
     }
   switch (record->outcome)
     {
     case BERYL_OUTCOME_PENDING:
       requests_reply_error (requests, event->request, BERYL_PROBLEM_KEY_IN_USE,
-                            BERYL_OUTCOME_PENDING, 1000, "it is running");
+                            BERYL_OUTCOME_PENDING, 1000,
+                            "the request is still running");
       return;
     case BERYL_OUTCOME_ANSWERED:
       fetch_answer (requests, record, event);
       return;
     case BERYL_OUTCOME_NOT_RUN:
       requests_reply_error (requests, event->request, BERYL_PROBLEM_NOT_FOUND,
-                            BERYL_OUTCOME_NOT_RUN, 0, "it did not run");
+                            BERYL_OUTCOME_NOT_RUN, 0,
+                            "the request did not run");
       return;
     case BERYL_OUTCOME_UNKNOWN:
       requests_reply_error (requests, event->request,
                             BERYL_PROBLEM_KEY_UNKNOWN, BERYL_OUTCOME_UNKNOWN,
-                            0, "it may have run");
+                            0, "the request may have run");
       return;
     }
 }
--- a/libberyl/requests/requests.c
+++ b/libberyl/requests/requests.c
@@ -98,9 +98,9 @@
   return map_get (&requests->by_handle, map_key_number (event->request));
 }
 
-/* An exchange that was closed may still have events on their way: the late
- * answer of an older attempt would be taken for the current one's.  Ids are
- * never used twice, so that it finds nothing here. */
+/* A closed exchange may still have events in flight, and the late answer of an
+ * earlier attempt must not be taken for the current one's.  Exchange ids are
+ * never reused, so such an event finds nothing here. */
 static struct exchange *
 exchange_for_event (const struct beryl_requests *requests,
                     const struct beryl_event *event)
@@ -115,8 +115,8 @@
 
   if (!requests->draining || requests->drained_reported)
     return;
-  /* A stop that does not wait cuts off whoever is still being answered, and
-   * leaves engine memory held that nobody cancels any more. */
+  /* A shutdown that does not wait would cut off callers whose answers are
+   * still in progress, and leave engine memory held that nobody cancels. */
   if (!BERYL_GUARD (BERYL_GUARD_DRAIN_WAIT,
                     requests->open == 0 && !holds_cancelling (requests)))
     return;
--- a/libberyl/requests/retry_budget.h
+++ b/libberyl/requests/retry_budget.h
@@ -1,8 +1,8 @@
 /** @file
- * Limits retries to a share of first tries, service by service.
+ * Limits the retries of each service to a share of its first attempts.
  *
- * Without it a sick service is hit hardest when it can bear least: every
- * failed call comes back several times.
+ * Without a limit, a failing service receives several times its normal load
+ * when it can sustain the least, since every failed call is retried.
  */
 #ifndef BERYL_REQUESTS_RETRY_BUDGET_H
 #define BERYL_REQUESTS_RETRY_BUDGET_H
@@ -13,31 +13,32 @@
 
 #include "beryl/ids.h"
 
-/** Retries that a quiet service may save up. */
+/** Most retries that an idle service may accumulate. */
 #define RETRY_BUDGET_BURST 10
 
-/** The budget of one service, in hundredths of a retry. */
+/** Retry budget of one service, in hundredths of a retry. */
 struct retry_budget
 {
   char service[BERYL_NAME_BYTES];
   uint32_t hundredths;
 };
 
-/** All budgets of a node; zero-initialise. */
+/** Budgets of all services of a node; zero-initialise. */
 struct retry_budgets
 {
   struct retry_budget *items;
   size_t count;
 };
 
-/** Count a first try of SERVICE, which earns PERCENT hundredths. */
+/** Count a first attempt of SERVICE, which adds PERCENT hundredths of a
+ * retry. */
 void retry_budget_earn (struct retry_budgets *budgets, const char *service,
                         uint32_t percent);
 
-/** Spend one retry of SERVICE; false if there is none. */
+/** Use one retry of SERVICE; false if the budget is exhausted. */
 bool retry_budget_spend (struct retry_budgets *budgets, const char *service);
 
-/** Release the budgets. */
+/** Free the budgets. */
 void retry_budgets_clear (struct retry_budgets *budgets);
 
 #endif
--- a/libberyl/requests/timers.c
+++ b/libberyl/requests/timers.c
@@ -17,7 +17,8 @@
   request->previous_waiting = NULL;
 }
 
-/* A request that is tried again waits before those that arrived later. */
+/* Inserts by arrival order, so that a request that is retried goes before
+ * those that arrived later. */
 static void
 waiting_insert (struct beryl_requests *requests, struct request *request)
 {
@@ -75,20 +76,19 @@
 
 static void
 request_handle_due (struct beryl_requests *requests, struct request *request,
-                  int64_t now_ms)
+                    int64_t now_ms)
 {
   if (now_ms >= request->call.deadline_ms)
     request_on_deadline (requests, request, now_ms);
   else if (now_ms >= reader_due_ms (requests, request))
     request_fail (requests, request, BERYL_PROBLEM_DEADLINE, 0,
-                  "caller does not read its answer", now_ms);
+                  "the caller stopped reading its answer", now_ms);
   else if (now_ms >= request->decode_retry_at_ms)
     attempt_bind_decode (requests, request, NULL, now_ms);
 }
 
-/* Walks over the open requests only when one of them may be due: a walk for
- * each event would make the cost of a token grow with the number of open
- * requests. */
+/* Scans the open requests only when one may be due: a scan on each event would
+ * make the cost of a token grow with the number of open requests. */
 void
 requests_handle_due (struct beryl_requests *requests, int64_t now_ms)
 {
@@ -110,7 +110,7 @@
     }
 }
 
-/* When a waiting request should be planned again. */
+/* Time at which some waiting request should be planned again. */
 static int64_t
 plan_due_ms (const struct beryl_requests *requests)
 {
@@ -127,7 +127,8 @@
   if (!waiting)
     return BERYL_NEVER_MS;
   due_ms = earlier (due_ms, beryl_router_next_ms (requests->router));
-  return due_ms < requests->plan_not_before_ms ? requests->plan_not_before_ms : due_ms;
+  return due_ms < requests->plan_not_before_ms ? requests->plan_not_before_ms
+                                               : due_ms;
 }
 
 int64_t
@@ -140,6 +141,7 @@
   if (requests->expiring_first != NULL)
     next_ms = earlier (next_ms, requests->expiring_first->expires_ms);
   if (requests->last_event_ms != INT64_MIN)
-    next_ms = earlier (next_ms, requests->last_event_ms + TICK_INTERVAL_MAX_MS);
+    next_ms
+        = earlier (next_ms, requests->last_event_ms + TICK_INTERVAL_MAX_MS);
   return next_ms;
 }
