--- a/libberyl/requests/answer.c
+++ b/libberyl/requests/answer.c
@@ -92,8 +92,8 @@
 /* A slow caller would make this node buffer its whole answer; the endpoint's
  * connection is paused until the caller has caught up. */
 static void
-request_check_reader (struct beryl_requests *requests, struct request *request,
-                      int64_t now_ms)
+request_check_slow_reader (struct beryl_requests *requests,
+                           struct request *request, int64_t now_ms)
 {
   uint32_t limit = requests->settings.slow_reader_bytes;
 
@@ -117,7 +117,7 @@
               bytes_count, tokens);
   request->replied_bytes += bytes_count;
   request->queued_bytes += bytes_count;
-  request_check_reader (requests, request, now_ms);
+  request_check_slow_reader (requests, request, now_ms);
 }
 
 static bool
--- a/libberyl/requests/attempt.c
+++ b/libberyl/requests/attempt.c
@@ -179,7 +179,7 @@
 }
 
 static void
-request_reset (struct request *request)
+request_reset_attempt (struct request *request)
 {
   reassembly_discard_buffered (&request->reassembly);
   request->stream = (struct beryl_stream_id){ 0 };
@@ -241,7 +241,7 @@
     }
   if (name[0] != '\0')
     request_exclude (request, name);
-  request_reset (request);
+  request_reset_attempt (request);
   request_set_phase (requests, request, PHASE_PLAN);
   request->retry_at_ms = now_ms;
 }
--- a/libberyl/requests/claims.c
+++ b/libberyl/requests/claims.c
@@ -31,7 +31,7 @@
 #define HOME_ESTABLISHED_MS 2000
 
 static void
-default_to (int64_t *setting, int64_t value)
+set_default (int64_t *setting, int64_t value)
 {
   if (*setting == 0)
     *setting = value;
@@ -57,12 +57,12 @@
     claims->settings.shards = BERYL_CLAIM_SHARDS_MAX;
   if (claims->settings.commits_per_s == 0)
     claims->settings.commits_per_s = COMMITS_PER_S_DEFAULT;
-  default_to (&claims->settings.commit_interval_ms,
-              COMMIT_INTERVAL_DEFAULT_MS);
-  default_to (&claims->settings.retention_ms, RETENTION_DEFAULT_MS);
-  default_to (&claims->settings.delete_after_ms, DELETE_AFTER_DEFAULT_MS);
-  default_to (&claims->settings.request_timeout_ms,
-              REQUEST_TIMEOUT_DEFAULT_MS);
+  set_default (&claims->settings.commit_interval_ms,
+               COMMIT_INTERVAL_DEFAULT_MS);
+  set_default (&claims->settings.retention_ms, RETENTION_DEFAULT_MS);
+  set_default (&claims->settings.delete_after_ms, DELETE_AFTER_DEFAULT_MS);
+  set_default (&claims->settings.request_timeout_ms,
+               REQUEST_TIMEOUT_DEFAULT_MS);
   claims->shards = calloc (claims->settings.shards, sizeof (struct shard *));
   claims->homes = calloc (claims->settings.shards, sizeof *claims->homes);
   claims->home_since_ms
--- a/tests/control/test_lease.c
+++ b/tests/control/test_lease.c
@@ -11,17 +11,20 @@
 #define NODES 4
 #define TTL_MS 6000
 #define MARGIN_MS 500
-#define PAUSE_MS 4000    /* longest pause between a check and its order */
-#define DELIVERY_MS 1000 /* longest way of an order */
+#define SUSPENSION_MS                                                         \
+  4000                   /* longest suspension between a check and its order */
+#define DELIVERY_MS 1000 /* longest delivery time of an order */
 #define RUN_MS 120000
 #define SEEDS 400
 
-/* The platform's object and two engines at the interface. */
-struct world
+/* Simulates the lease object of the platform, the nodes that compete for it,
+ * and two engines that receive orders. */
+struct lease_sim
 {
   struct sim *sim;
   struct beryl_lease_record object;
-  struct beryl_lease_record old; /* what a lagging replica shows */
+  struct beryl_lease_record previous; /* previous version, as shown by a
+                                       * lagging replica */
   uint64_t revision;
   bool outage;
   uint32_t lost_replies_percent;
@@ -29,16 +32,17 @@
   struct peer
   {
     struct beryl_lease_owner base;
-    struct world *world;
+    struct lease_sim *lease_sim;
     struct beryl_lease *lease;
-    int64_t offset_ms; /* its clock against the others' */
+    int64_t offset_ms; /* offset of its clock */
     int64_t rate_ppm;
-    int64_t paused_until_ms;
+    int64_t suspended_until_ms;
     uint64_t fence;
     int index;
   } peers[NODES];
   uint64_t checking_engine_fence;
-  uint64_t ignoring_engine_fence; /* highest whose order was taken */
+  uint64_t
+      ignoring_engine_fence; /* highest fencing token of an accepted order */
   uint32_t orders;
   uint32_t stale_orders_refused;
   uint32_t takeovers;
@@ -50,29 +54,30 @@
 static int64_t
 peer_now_ms (const struct peer *p)
 {
-  int64_t now_ms = sim_now_ms (p->world->sim);
+  int64_t now_ms = sim_now_ms (p->lease_sim->sim);
 
   return p->offset_ms + now_ms + now_ms * p->rate_ppm / 1000000;
 }
 
-/* A paused process handles nothing; what arrives waits for its waking. */
+/* Defers an event of a suspended process until it resumes; returns false if it
+ * is running. */
 static bool
-peer_put_off (struct peer *p, sim_cb *cb, const void *data, size_t bytes)
+peer_defer (struct peer *p, sim_cb *cb, const void *data, size_t bytes)
 {
-  int64_t now_ms = sim_now_ms (p->world->sim);
+  int64_t now_ms = sim_now_ms (p->lease_sim->sim);
   void *copy;
 
-  if (now_ms >= p->paused_until_ms)
+  if (now_ms >= p->suspended_until_ms)
     return false;
   copy = malloc (bytes + 1);
   if (bytes > 0)
     memcpy (copy, data, bytes);
-  sim_after (p->world->sim, p->paused_until_ms - now_ms, cb, p, copy);
+  sim_after (p->lease_sim->sim, p->suspended_until_ms - now_ms, cb, p, copy);
   return true;
 }
 
 static int64_t
-network_ms (struct world *w)
+network_delay_ms (struct lease_sim *w)
 {
   return sim_chance (w->sim, 5) ? (int64_t)sim_random (w->sim, 3000)
                                 : 1 + (int64_t)sim_random (w->sim, 20);
@@ -90,7 +95,7 @@
   struct peer *p = user;
   struct read_reply *reply = data;
 
-  if (peer_put_off (p, read_arrives, reply, sizeof *reply))
+  if (peer_defer (p, read_arrives, reply, sizeof *reply))
     return;
   if (reply->failed)
     beryl_lease_read_failed (p->lease, peer_now_ms (p));
@@ -102,13 +107,14 @@
 read_served (void *user, void *data)
 {
   struct peer *p = user;
-  struct world *w = p->world;
+  struct lease_sim *w = p->lease_sim;
   struct read_reply *reply = calloc (1, sizeof *reply);
 
   (void)data;
   reply->failed = w->outage || sim_chance (w->sim, w->lost_replies_percent);
-  reply->record = sim_chance (w->sim, w->stale_percent) ? w->old : w->object;
-  sim_after (w->sim, network_ms (w), read_arrives, p, reply);
+  reply->record
+      = sim_chance (w->sim, w->stale_percent) ? w->previous : w->object;
+  sim_after (w->sim, network_delay_ms (w), read_arrives, p, reply);
 }
 
 static void
@@ -117,7 +123,8 @@
   struct peer *p = (struct peer *)owner;
 
   (void)lease;
-  sim_after (p->world->sim, network_ms (p->world), read_served, p, NULL);
+  sim_after (p->lease_sim->sim, network_delay_ms (p->lease_sim), read_served,
+             p, NULL);
 }
 
 struct write_reply
@@ -132,7 +139,7 @@
   struct peer *p = user;
   struct write_reply *reply = data;
 
-  if (peer_put_off (p, write_arrives, reply, sizeof *reply))
+  if (peer_defer (p, write_arrives, reply, sizeof *reply))
     return;
   beryl_lease_write_done (p->lease, reply->result, reply->version,
                           peer_now_ms (p));
@@ -142,7 +149,7 @@
 write_served (void *user, void *data)
 {
   struct peer *p = user;
-  struct world *w = p->world;
+  struct lease_sim *w = p->lease_sim;
   const struct beryl_lease_record *record = data;
   struct write_reply *reply = calloc (1, sizeof *reply);
 
@@ -155,14 +162,14 @@
     }
   else
     {
-      w->old = w->object;
+      w->previous = w->object;
       w->object = *record;
       w->object.version = ++w->revision;
       reply->version = w->revision;
     }
   if (sim_chance (w->sim, w->lost_replies_percent))
     reply->result = BERYL_LEASE_UNKNOWN;
-  sim_after (w->sim, network_ms (w), write_arrives, p, reply);
+  sim_after (w->sim, network_delay_ms (w), write_arrives, p, reply);
 }
 
 static void
@@ -174,7 +181,8 @@
 
   (void)lease;
   *copy = *record;
-  sim_after (p->world->sim, network_ms (p->world), write_served, p, copy);
+  sim_after (p->lease_sim->sim, network_delay_ms (p->lease_sim), write_served,
+             p, copy);
 }
 
 static void
@@ -186,8 +194,8 @@
   (void)lease;
   if (fence != 0)
     {
-      p->world->takeovers++;
-      p->world->fence_regressions += fence <= p->fence;
+      p->lease_sim->takeovers++;
+      p->lease_sim->fence_regressions += fence <= p->fence;
       p->fence = fence;
     }
 }
@@ -204,12 +212,13 @@
   bool settled;
 };
 
-/* The order reaches an engine that checks and one that does not. */
+/* Delivers an order to an engine that checks the fencing token and to one that
+ * ignores it. */
 static void
 order_arrives (void *user, void *data)
 {
   struct peer *p = user;
-  struct world *w = p->world;
+  struct lease_sim *w = p->lease_sim;
   const struct order *o = data;
 
   w->orders++;
@@ -231,17 +240,18 @@
   struct order *copy = malloc (sizeof *copy);
 
   *copy = *(struct order *)data;
-  sim_after (p->world->sim, 1 + (int64_t)sim_random (p->world->sim, 999),
-             order_arrives, p, copy);
+  sim_after (p->lease_sim->sim,
+             1 + (int64_t)sim_random (p->lease_sim->sim, 999), order_arrives,
+             p, copy);
 }
 
-/* Checks the lease, then may be paused before the order leaves. */
+/* Checks the lease, then may be suspended before the order is sent. */
 static void
 peer_order (struct peer *p)
 {
-  struct world *w = p->world;
+  struct lease_sim *w = p->lease_sim;
   struct order *o;
-  int64_t pause_ms;
+  int64_t suspension_ms;
 
   o = calloc (1, sizeof *o);
   if (!beryl_lease_held (p->lease, peer_now_ms (p), &o->fence))
@@ -250,22 +260,23 @@
       return;
     }
   o->settled = beryl_lease_settled (p->lease, peer_now_ms (p));
-  pause_ms
-      = sim_chance (w->sim, 10) ? (int64_t)sim_random (w->sim, PAUSE_MS) : 0;
-  if (pause_ms > 0)
-    p->paused_until_ms = sim_now_ms (w->sim) + pause_ms;
-  sim_after (w->sim, pause_ms, order_leaves, p, o);
+  suspension_ms = sim_chance (w->sim, 10)
+                      ? (int64_t)sim_random (w->sim, SUSPENSION_MS)
+                      : 0;
+  if (suspension_ms > 0)
+    p->suspended_until_ms = sim_now_ms (w->sim) + suspension_ms;
+  sim_after (w->sim, suspension_ms, order_leaves, p, o);
 }
 
 static void
 peer_step (void *user, void *data)
 {
   struct peer *p = user;
-  struct world *w = p->world;
+  struct lease_sim *w = p->lease_sim;
 
   (void)data;
   sim_after (w->sim, 50, peer_step, p, NULL);
-  if (sim_now_ms (w->sim) < p->paused_until_ms)
+  if (sim_now_ms (w->sim) < p->suspended_until_ms)
     return;
   if (beryl_lease_next_ms (p->lease) <= peer_now_ms (p))
     beryl_lease_tick (p->lease, peer_now_ms (p));
@@ -273,11 +284,11 @@
     peer_order (p);
 }
 
-/* Invariant: at no moment do two nodes hold the role by their own clocks. */
+/* Invariant: at no time do two nodes hold the role by their own clocks. */
 static void
-world_check (void *user, void *data)
+check_single_holder (void *user, void *data)
 {
-  struct world *w = user;
+  struct lease_sim *w = user;
   int holders = 0;
 
   (void)data;
@@ -285,20 +296,20 @@
     holders += beryl_lease_held (w->peers[i].lease, peer_now_ms (&w->peers[i]),
                                  NULL);
   w->two_holders += holders > 1;
-  sim_after (w->sim, 20, world_check, w, NULL);
+  sim_after (w->sim, 20, check_single_holder, w, NULL);
 }
 
 static void
-world_trouble (void *user, void *data)
+inject_fault (void *user, void *data)
 {
-  struct world *w = user;
+  struct lease_sim *w = user;
   struct peer *p = &w->peers[sim_random (w->sim, NODES)];
 
   (void)data;
   switch (sim_random (w->sim, 4))
     {
     case 0:
-      p->paused_until_ms
+      p->suspended_until_ms
           = sim_now_ms (w->sim) + (int64_t)sim_random (w->sim, 15000);
       break;
     case 1:
@@ -311,12 +322,12 @@
       w->stale_percent = (uint32_t)sim_random (w->sim, 50);
       break;
     }
-  sim_after (w->sim, 500 + (int64_t)sim_random (w->sim, 6000), world_trouble,
-             w, NULL);
+  sim_after (w->sim, 500 + (int64_t)sim_random (w->sim, 6000), inject_fault, w,
+             NULL);
 }
 
 static void
-world_init (struct world *w, uint64_t seed)
+lease_sim_init (struct lease_sim *w, uint64_t seed)
 {
   memset (w, 0, sizeof *w);
   w->sim = sim_create (seed);
@@ -331,10 +342,10 @@
                                                .poll_ms = 1000 };
 
       snprintf (name, sizeof name, "node-%d", i);
-      settings.settle_ms = PAUSE_MS + DELIVERY_MS;
+      settings.settle_ms = SUSPENSION_MS + DELIVERY_MS;
       settings.seed = (uint64_t)(i + 1) << 32;
       p->base.impl = &peer_impl;
-      p->world = w;
+      p->lease_sim = w;
       p->index = i;
       p->offset_ms = (int64_t)sim_random (w->sim, 1000000);
       p->rate_ppm = (int64_t)sim_random (w->sim, 400) - 200;
@@ -342,22 +353,22 @@
       beryl_lease_set_candidate (p->lease, true, peer_now_ms (p));
       sim_after (w->sim, (int64_t)sim_random (w->sim, 50), peer_step, p, NULL);
     }
-  sim_after (w->sim, 1, world_check, w, NULL);
+  sim_after (w->sim, 1, check_single_holder, w, NULL);
 }
 
 static void
-world_end (struct world *w)
+lease_sim_free (struct lease_sim *w)
 {
   for (int i = 0; i < NODES; i++)
     beryl_lease_destroy (w->peers[i].lease);
   sim_destroy (w->sim);
 }
 
-/* Story: a holder is paused, its lease lapses, another node takes over, and
- * the first wakes between its check and its order.  Replies of conditional
- * writes are lost, replicas lag, the platform goes away, clocks differ.  A
- * user would see an engine switched back to an old model. */
-START_TEST (one_holder_in_every_history)
+/* A holder is suspended between its check and its order; its lease expires and
+ * another node takes over.  Replies of conditional writes are lost, replicas
+ * lag, the platform becomes unavailable and clocks differ.  Guards against a
+ * stale order that switches an engine back to an old model. */
+START_TEST (at_most_one_holder_under_faults)
 {
   uint32_t takeovers = 0;
   uint32_t refused = 0;
@@ -365,10 +376,10 @@
 
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
     {
-      struct world w;
+      struct lease_sim w;
 
-      world_init (&w, seed);
-      sim_after (w.sim, 2000, world_trouble, &w, NULL);
+      lease_sim_init (&w, seed);
+      sim_after (w.sim, 2000, inject_fault, &w, NULL);
       sim_run (w.sim, RUN_MS);
       ck_assert_msg (w.two_holders == 0, "seed %lu: two holders", seed);
       ck_assert_msg (w.stale_orders_taken == 0,
@@ -377,7 +388,7 @@
       takeovers += w.takeovers;
       refused += w.stale_orders_refused;
       orders += w.orders;
-      world_end (&w);
+      lease_sim_free (&w);
     }
   printf ("%d seeds: %u takeovers, %u orders, %u late orders refused by the "
           "fence\n",
@@ -387,40 +398,40 @@
 }
 END_TEST
 
-/* Story: without faults the role must not wander, and after its holder's
- * death someone must have it within the time to live, the margin and a
- * poll; until then nothing is planned and demand waits. */
+/* Without faults the role must not move, and after its holder's death another
+ * node must have it within the TTL, the margin and a poll; until then nothing
+ * is planned and demand waits. */
 START_TEST (role_is_taken_over_in_time)
 {
-  struct world w;
+  struct lease_sim w;
   int holder = -1;
   int64_t died_ms;
 
-  world_init (&w, 7);
+  lease_sim_init (&w, 7);
   sim_run (w.sim, 30000);
   ck_assert_uint_eq (w.takeovers, 1);
   for (int i = 0; i < NODES; i++)
     if (beryl_lease_held (w.peers[i].lease, peer_now_ms (&w.peers[i]), NULL))
       holder = i;
   ck_assert_int_ge (holder, 0);
-  w.peers[holder].paused_until_ms = INT64_MAX / 4;
+  w.peers[holder].suspended_until_ms = INT64_MAX / 4;
   died_ms = sim_now_ms (w.sim);
   while (w.takeovers == 1 && sim_now_ms (w.sim) < died_ms + 60000)
     sim_run (w.sim, sim_now_ms (w.sim) + 10);
   ck_assert_int_le (sim_now_ms (w.sim) - died_ms,
                     TTL_MS + MARGIN_MS + 1000 + 3000 + 100);
-  world_end (&w);
+  lease_sim_free (&w);
 }
 END_TEST
 
-/* Story: a planned stop releases the role; the next holder must not wait
- * for the time to live. */
+/* A graceful shutdown releases the role; the next holder must not wait for the
+ * TTL. */
 START_TEST (release_is_quick)
 {
-  struct world w;
+  struct lease_sim w;
   int64_t stopped_ms;
 
-  world_init (&w, 3);
+  lease_sim_init (&w, 3);
   sim_run (w.sim, 20000);
   for (int i = 0; i < NODES; i++)
     if (beryl_lease_held (w.peers[i].lease, peer_now_ms (&w.peers[i]), NULL))
@@ -431,26 +442,26 @@
     sim_run (w.sim, sim_now_ms (w.sim) + 10);
   ck_assert_uint_eq (w.takeovers, 2);
   ck_assert_int_le (sim_now_ms (w.sim) - stopped_ms, 5000);
-  world_end (&w);
+  lease_sim_free (&w);
 }
 END_TEST
 
-/* Story: an operator deletes the lease object while its holder works.  The
- * others must neither spin on the conflict nor take over before the holder
- * has stopped by itself. */
+/* An operator deletes the lease object while its holder is active.  The others
+ * must neither loop on the conflict nor take over before the holder has
+ * stopped by itself. */
 START_TEST (deleted_object_is_survived)
 {
-  struct world w;
+  struct lease_sim w;
 
-  world_init (&w, 5);
+  lease_sim_init (&w, 5);
   sim_run (w.sim, 20000);
   memset (&w.object, 0, sizeof w.object);
-  memset (&w.old, 0, sizeof w.old);
+  memset (&w.previous, 0, sizeof w.previous);
   sim_run (w.sim, 60000);
   ck_assert_uint_eq (w.two_holders, 0);
   ck_assert_uint_gt (w.object.version, 0);
   ck_assert_uint_lt (w.revision, 100);
-  world_end (&w);
+  lease_sim_free (&w);
 }
 END_TEST
 
@@ -464,7 +475,7 @@
 
   mutant_choose ();
   tcase_set_timeout (t, 50);
-  tcase_add_test (t, one_holder_in_every_history);
+  tcase_add_test (t, at_most_one_holder_under_faults);
   tcase_add_test (t, role_is_taken_over_in_time);
   tcase_add_test (t, release_is_quick);
   tcase_add_test (t, deleted_object_is_survived);
--- a/tests/requests/bench_claims.c
+++ b/tests/requests/bench_claims.c
@@ -1,9 +1,9 @@
-/* What a claim costs: added milliseconds, writes and bytes a second, against
- * the rate of claims, the commits allowed and the shards.  One node is home of
- * every shard, in virtual time; the object API answers each call after 3 to 9
- * ms. Objects are deleted after one minute and keys forgotten after two, so
- * that folding and deletion are at their steady rate in the last two minutes.
- */
+/* Benchmark of the cost of claims: added latency in ms, writes and bytes per
+ * second, by the rate of claims, the commit limit and the number of shards.
+ * One node is home of every shard, in virtual time; the object API replies
+ * after 3 to 9 ms.  Objects are deleted after one minute and keys after two,
+ * so that compaction and deletion run at their steady rate in the last two
+ * minutes. */
 #include <inttypes.h>
 #include <malloc.h>
 #include <stdio.h>
@@ -17,7 +17,7 @@
 #define MEASURE_FROM_MS 240000
 #define CALLS_MAX 65536
 
-/* One run. */
+/* Parameters of one run. */
 struct load
 {
   uint32_t claims_per_s;
@@ -38,9 +38,9 @@
   struct beryl_claims *claims;
   uint64_t random;
   int64_t now_ms;
-  struct call calls[CALLS_MAX]; /* a ring: the oldest first */
+  struct call calls[CALLS_MAX]; /* ring buffer, oldest first */
   uint32_t first, last;
-  int64_t *asked_ms; /* by request */
+  int64_t *sent_ms; /* by request */
   uint32_t *delays_ms;
   size_t delay_count;
   uint64_t creates, removes, bytes;
@@ -72,7 +72,7 @@
     abort ();
   if (measured (bench))
     bench->delays_ms[bench->delay_count++]
-        = (uint32_t)(bench->now_ms - bench->asked_ms[request]);
+        = (uint32_t)(bench->now_ms - bench->sent_ms[request]);
 }
 
 static void
@@ -131,7 +131,8 @@
   .remove = on_remove,
 };
 
-/* Answers what is due; answers a few ms out of turn do not matter. */
+/* Answers the calls that are due, in order; an answer that is a few ms late
+ * does not matter. */
 static void
 answer (struct bench *bench)
 {
@@ -189,7 +190,7 @@
            kbytes_per_s, bytes_per_key, cpu_us_per_claim, last ? "" : ",");
 }
 
-/* What is allocated, also in pages of its own. */
+/* Allocated bytes, including separately mapped blocks. */
 static size_t
 allocated_bytes (void)
 {
@@ -198,7 +199,7 @@
   return info.uordblks + info.hblkhd;
 }
 
-/* One virtual ms. */
+/* Simulates one millisecond. */
 static void
 step (struct bench *bench, uint32_t claims_per_s, uint64_t *requests)
 {
@@ -208,7 +209,7 @@
       {
         char key[32];
 
-        bench->asked_ms[++*requests] = bench->now_ms;
+        bench->sent_ms[++*requests] = bench->now_ms;
         snprintf (key, sizeof key, "key-%" PRIu64, *requests);
         beryl_claims_claim (bench->claims, *requests, "o", key, 1,
                             bench->now_ms);
@@ -231,15 +232,15 @@
     .retention_ms = 120000,
     .delete_after_ms = 60000,
   };
-  size_t most = (size_t)load->claims_per_s * RUN_MS / 1000 * 2 + 1000;
+  size_t request_limit = (size_t)load->claims_per_s * RUN_MS / 1000 * 2 + 1000;
   uint64_t requests = 0;
   clock_t cpu;
   size_t heap_bytes;
 
   bench->base.impl = &impl;
   bench->random = 7;
-  bench->asked_ms = calloc (most, sizeof *bench->asked_ms);
-  bench->delays_ms = calloc (most, sizeof *bench->delays_ms);
+  bench->sent_ms = calloc (request_limit, sizeof *bench->sent_ms);
+  bench->delays_ms = calloc (request_limit, sizeof *bench->delays_ms);
   heap_bytes = allocated_bytes ();
   bench->claims = beryl_claims_create (&settings, &bench->base);
   beryl_claims_set_members (bench->claims, &self, 1, 0);
@@ -251,7 +252,7 @@
           (double)cpu * 1e6 / CLOCKS_PER_SEC / (double)requests,
           allocated_bytes () - heap_bytes, last);
   beryl_claims_destroy (bench->claims);
-  free (bench->asked_ms);
+  free (bench->sent_ms);
   free (bench->delays_ms);
   free (bench);
 }
--- a/tests/requests/bench_keys.c
+++ b/tests/requests/bench_keys.c
@@ -1,6 +1,6 @@
-/* What remembering keys costs: processor time of one whole call of a plain
- * service through beryl_requests, and bytes that stay for each bound key
- * after its answer is no longer kept. */
+/* Benchmark of the cost of keeping keys: CPU time of one complete call of a
+ * plain service through beryl_requests, and bytes kept for each bound key
+ * after its answer has expired. */
 #include <inttypes.h>
 #include <malloc.h>
 #include <stdio.h>
--- a/tests/requests/world_act.c
+++ b/tests/requests/cluster_actions.c
@@ -1,22 +1,22 @@
-/* A node's actions towards endpoints and its hold keeper. */
+/* Actions of a node on endpoints and its hold keeper. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "world.h"
+#include "cluster.h"
 
 static uint32_t
-conversation_open (struct node *node, const struct beryl_action *action)
+connection_open (struct node *node, const struct beryl_action *action)
 {
-  struct world *world = node->world;
-  struct conversation *c;
+  struct cluster *cluster = node->cluster;
+  struct connection *c;
   unsigned int job = 0;
   unsigned int attempt = 0;
 
-  world->conversations
-      = realloc (world->conversations, (world->conversation_count + 1)
-                                           * sizeof *world->conversations);
-  c = &world->conversations[world->conversation_count];
+  cluster->connections
+      = realloc (cluster->connections, (cluster->connection_count + 1)
+                                           * sizeof *cluster->connections);
+  c = &cluster->connections[cluster->connection_count];
   memset (c, 0, sizeof *c);
   sscanf (action->start.call->request_id, "j%ut%u", &job, &attempt);
   c->node = node->number;
@@ -32,102 +32,103 @@
     snprintf (c->kv_endpoint, sizeof c->kv_endpoint, "%s",
               action->start.kv_endpoint);
   c->open = true;
-  return world->conversation_count++;
+  return cluster->connection_count++;
 }
 
-/* Calls to endpoints are on their way for some time now and then. */
+/* Some calls to endpoints stay in flight for long. */
 int64_t
-world_flight_ms (struct world *world)
+cluster_call_delay_ms (struct cluster *cluster)
 {
-  if (world_chance (world, 10))
-    return 50 + (int64_t)world_random (world, 200);
-  return world_delay_ms (world);
+  if (cluster_chance (cluster, 10))
+    return 50 + (int64_t)cluster_random (cluster, 200);
+  return cluster_delay_ms (cluster);
 }
 
 static void
 act_start (struct node *node, const struct beryl_action *action)
 {
-  struct task task = { .run = endpoint_arrive, .b = action->type };
+  struct task task = { .run = endpoint_receive, .b = action->type };
 
-  task.a = conversation_open (node, action);
-  world_after (node->world, world_flight_ms (node->world), &task);
+  task.a = connection_open (node, action);
+  cluster_schedule (node->cluster, cluster_call_delay_ms (node->cluster),
+                    &task);
 }
 
-static struct conversation *
-conversation_of (struct node *node, uint64_t exchange)
+static struct connection *
+connection_find (struct node *node, uint64_t exchange)
 {
-  struct world *world = node->world;
+  struct cluster *cluster = node->cluster;
 
-  for (uint32_t i = world->conversation_count; i-- > 0;)
-    if (world->conversations[i].node == node->number
-        && world->conversations[i].incarnation == node->incarnation
-        && world->conversations[i].exchange == exchange)
-      return &world->conversations[i];
+  for (uint32_t i = cluster->connection_count; i-- > 0;)
+    if (cluster->connections[i].node == node->number
+        && cluster->connections[i].incarnation == node->incarnation
+        && cluster->connections[i].exchange == exchange)
+      return &cluster->connections[i];
   return NULL;
 }
 
 static void
 act_abort (struct node *node, const struct beryl_action *action)
 {
-  struct conversation *c = conversation_of (node, action->exchange);
+  struct connection *c = connection_find (node, action->exchange);
 
   if (c == NULL)
     return;
   c->open = false;
   if (c->endpoint == ENDPOINTS)
-    peer_caller_gone (node->world, c);
+    peer_caller_gone (node->cluster, c);
 }
 
 static void
 act_pause (struct node *node, const struct beryl_action *action)
 {
-  struct conversation *c = conversation_of (node, action->exchange);
+  struct connection *c = connection_find (node, action->exchange);
 
   if (c == NULL)
     return;
   c->paused = action->pause.paused;
   if (!c->paused && c->endpoint != ENDPOINTS)
-    endpoint_resume_reading (node->world,
-                             (uint32_t)(c - node->world->conversations));
+    endpoint_resume_reading (node->cluster,
+                             (uint32_t)(c - node->cluster->connections));
 }
 
 static void
-cancel_arrives (struct world *world, const struct task *task)
+cancel_arrives (struct cluster *cluster, const struct task *task)
 {
-  struct task reply = { .run = node_event,
+  struct task reply = { .run = node_deliver_event,
                         .node = task->node,
                         .incarnation = task->incarnation };
 
-  if (!world->endpoints[task->a].up)
+  if (!cluster->endpoints[task->a].up)
     return;
-  endpoint_cancel (world, task->a, task->event.cancel.stream.incarnation,
+  endpoint_cancel (cluster, task->a, task->event.cancel.stream.incarnation,
                    task->event.cancel.stream.counter,
                    task->event.cancel.stream.counter);
-  if (world_chance (world, world->faults.lose_percent))
+  if (cluster_chance (cluster, cluster->faults.loss_percent))
     return;
   reply.event.type = BERYL_EVENT_CANCEL_CONFIRMED;
   reply.event.cancel.stream = task->event.cancel.stream;
   snprintf (reply.text, sizeof reply.text, "%s",
-            world->endpoints[task->a].name);
-  world_after (world, world_delay_ms (world), &reply);
+            cluster->endpoints[task->a].name);
+  cluster_schedule (cluster, cluster_delay_ms (cluster), &reply);
 }
 
 static void
 act_cancel (struct node *node, const struct beryl_action *action)
 {
-  struct world *world = node->world;
+  struct cluster *cluster = node->cluster;
   struct task task = { .run = cancel_arrives,
                        .node = node->number,
                        .incarnation = node->incarnation };
 
-  if (world_chance (world, world->faults.lose_percent))
+  if (cluster_chance (cluster, cluster->faults.loss_percent))
     return;
   task.a = endpoint_number (action->hold.endpoint);
   task.event.cancel.stream = action->hold.stream;
-  world_after (world, world_delay_ms (world), &task);
+  cluster_schedule (cluster, cluster_delay_ms (cluster), &task);
 }
 
-/* The window is in the keeper's socket buffer before the hold is made. */
+/* The window reaches the keeper's socket buffer before the hold is created. */
 static void
 act_hold (struct node *node, const struct beryl_action *action)
 {
@@ -138,7 +139,7 @@
   if (action->type == BERYL_ACTION_HOLD_ERASE)
     beryl_hold_windows_erase (node->windows, endpoint, counter);
   else if (beryl_hold_windows_record (node->windows, endpoint, counter))
-    node->told[n] = *beryl_hold_windows_get (node->windows, endpoint);
+    node->reported[n] = *beryl_hold_windows_get (node->windows, endpoint);
 }
 
 static void
@@ -146,13 +147,13 @@
 {
   beryl_claims_claim (node->claims, action->request,
                       action->claim.organisation, action->claim.key,
-                      action->claim.body_hash, node->world->now_ms);
+                      action->claim.body_hash, node->cluster->now_ms);
 }
 
 static void
 act_decision (struct node *node, const struct beryl_action *action)
 {
-  struct history_event event = { .type = HISTORY_NODE };
+  struct history_event event = { .type = HISTORY_NOTE };
   const struct beryl_plan *plan = action->decision.plan;
   char text[128];
 
@@ -161,12 +162,12 @@
   snprintf (text, sizeof text, "%s refuses %s: %s", node->name,
             action->decision.request_id, plan->reason);
   event.text = text;
-  world_note (node->world, &event);
+  cluster_record (node->cluster, &event);
 }
 
 static void
-world_act (struct beryl_requests_owner *owner,
-           const struct beryl_action *action)
+cluster_act (struct beryl_requests_owner *owner,
+             const struct beryl_action *action)
 {
   struct node *node
       = (struct node *)((char *)owner
@@ -215,5 +216,5 @@
     }
 }
 
-const struct beryl_requests_owner_impl world_requests_impl
-    = { .act = world_act };
+const struct beryl_requests_owner_impl cluster_requests_impl
+    = { .act = cluster_act };
--- a/tests/requests/world_peer.c
+++ b/tests/requests/cluster_peers.c
@@ -1,49 +1,52 @@
-/* Calls that one node passes to another. */
+/* Calls that one node forwards to another. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "world.h"
+#include "cluster.h"
 
 static void
-tell_failed (struct world *world, const struct conversation *c, bool sent)
+send_failed (struct cluster *cluster, const struct connection *c, bool sent)
 {
-  struct task task
-      = { .run = node_event, .node = c->node, .incarnation = c->incarnation };
+  struct task task = { .run = node_deliver_event,
+                       .node = c->node,
+                       .incarnation = c->incarnation };
 
   task.event.type = BERYL_EVENT_EXCHANGE_FAILED;
   task.event.exchange = c->exchange;
   task.event.failed.sent = sent;
   task.event.failed.reason = "the node cannot be reached";
-  world_after (world, world_delay_ms (world), &task);
+  cluster_schedule (cluster, cluster_delay_ms (cluster), &task);
 }
 
 static bool
-reachable (const struct world *world, const struct conversation *c)
+reachable (const struct cluster *cluster, const struct connection *c)
 {
-  return !node_cut_off (world, c->node) && !node_cut_off (world, c->peer);
+  return !node_is_isolated (cluster, c->node)
+         && !node_is_isolated (cluster, c->peer);
 }
 
 static void
-forward_arrives (struct world *world, const struct task *task)
+forward_arrives (struct cluster *cluster, const struct task *task)
 {
-  struct conversation *c = &world->conversations[task->a];
-  struct node *peer = node_of (world, c->peer, c->peer_incarnation);
-  struct task later = *task;
+  struct connection *c = &cluster->connections[task->a];
+  struct node *peer = node_find (cluster, c->peer, c->peer_incarnation);
+  struct task deferred = *task;
   struct beryl_event event = { .type = BERYL_EVENT_CALL };
-  struct job *job = &world->jobs[c->job];
+  struct job *job = &cluster->jobs[c->job];
   char request_id[32];
 
   if (!c->open)
     return;
-  if (peer == NULL || !reachable (world, c))
+  if (peer == NULL || !reachable (cluster, c))
     {
-      tell_failed (world, c, false);
+      send_failed (cluster, c, false);
       return;
     }
-  if (peer->paused_until_ms > world->now_ms)
+  if (peer->suspended_until_ms > cluster->now_ms)
     {
-      world_after (world, peer->paused_until_ms - world->now_ms, &later);
+      cluster_schedule (cluster, peer->suspended_until_ms - cluster->now_ms,
+                        &deferred);
       return;
     }
   c->peer_handle = ++peer->last_handle;
@@ -68,23 +71,23 @@
     .prompt_tokens = 100,
     .max_tokens = 50,
   };
-  beryl_requests_handle_event (peer->requests, &event, world->now_ms);
+  beryl_requests_handle_event (peer->requests, &event, cluster->now_ms);
   node_schedule (peer);
 }
 
 void
 peer_forward (struct node *node, const struct beryl_action *action)
 {
-  struct world *world = node->world;
+  struct cluster *cluster = node->cluster;
   struct task task = { .run = forward_arrives };
-  struct conversation *c;
+  struct connection *c;
   unsigned int job = 0;
   unsigned int attempt = 0;
 
-  world->conversations
-      = realloc (world->conversations, (world->conversation_count + 1)
-                                           * sizeof *world->conversations);
-  c = &world->conversations[world->conversation_count];
+  cluster->connections
+      = realloc (cluster->connections, (cluster->connection_count + 1)
+                                           * sizeof *cluster->connections);
+  c = &cluster->connections[cluster->connection_count];
   memset (c, 0, sizeof *c);
   sscanf (action->forward.call->request_id, "j%ut%u", &job, &attempt);
   c->node = node->number;
@@ -97,21 +100,21 @@
   c->peer = NODES - 1;
   c->peer_incarnation = action->forward.incarnation;
   for (uint32_t i = 0; i < NODES; i++)
-    if (world->nodes[i].incarnation == action->forward.incarnation)
+    if (cluster->nodes[i].incarnation == action->forward.incarnation)
       c->peer = i;
-  task.a = world->conversation_count++;
+  task.a = cluster->connection_count++;
   task.number = (uint64_t)action->forward.call->deadline_ms;
-  world_after (world, world_delay_ms (world), &task);
+  cluster_schedule (cluster, cluster_delay_ms (cluster), &task);
 }
 
-static struct conversation *
-forwarded (struct node *node, uint64_t handle)
+static struct connection *
+forwarded_connection (struct node *node, uint64_t handle)
 {
-  struct world *world = node->world;
+  struct cluster *cluster = node->cluster;
 
-  for (uint32_t i = 0; i < world->conversation_count; i++)
+  for (uint32_t i = 0; i < cluster->connection_count; i++)
     {
-      struct conversation *c = &world->conversations[i];
+      struct connection *c = &cluster->connections[i];
 
       if (c->endpoint == ENDPOINTS && c->peer_handle == handle
           && c->peer == node->number
@@ -150,21 +153,21 @@
       event->forward_error.problem = action->error.problem;
       event->forward_error.outcome = action->error.outcome;
       event->forward_error.retry_after_ms = action->error.retry_after_ms;
-      event->forward_error.detail = "told by the other node";
+      event->forward_error.detail = "reported by the other node";
       return;
     }
 }
 
 static void
-drained_arrives (struct world *world, const struct task *task)
+drained_arrives (struct cluster *cluster, const struct task *task)
 {
-  node_event (world, task);
+  node_deliver_event (cluster, task);
 }
 
-/* The whole answer is on its way: the node that made it may forget it when
- * the other one has passed it on. */
+/* The complete answer was sent: the node that produced it may drop it once the
+ * other node has passed it on. */
 static void
-tell_drained (struct world *world, const struct conversation *c)
+send_drained (struct cluster *cluster, const struct connection *c)
 {
   struct task task = { .run = drained_arrives,
                        .node = c->peer,
@@ -172,25 +175,25 @@
 
   task.event.type = BERYL_EVENT_CALLER_DRAINED;
   task.event.request = c->peer_handle;
-  world_after (world, 8, &task);
+  cluster_schedule (cluster, 8, &task);
 }
 
 bool
 peer_reply (struct node *node, const struct beryl_action *action)
 {
-  struct world *world = node->world;
-  struct conversation *c = forwarded (node, action->request);
-  struct task task = { .run = node_event };
+  struct cluster *cluster = node->cluster;
+  struct connection *c = forwarded_connection (node, action->request);
+  struct task task = { .run = node_deliver_event };
 
   if (c == NULL)
     return false;
   if (!c->open)
     return true;
-  if (!reachable (world, c))
+  if (!reachable (cluster, c))
     {
       c->open = false;
-      tell_failed (world, c, true);
-      peer_caller_gone (world, c);
+      send_failed (cluster, c, true);
+      peer_caller_gone (cluster, c);
       return true;
     }
   task.node = c->node;
@@ -200,17 +203,17 @@
   if (action->type == BERYL_ACTION_REPLY_END)
     {
       for (uint32_t i = 0; i < 1; i++)
-        tell_drained (world, c);
+        send_drained (cluster, c);
       c->open = false;
     }
-  world_after (world, 2, &task);
+  cluster_schedule (cluster, 2, &task);
   return true;
 }
 
 void
-peer_caller_gone (struct world *world, struct conversation *c)
+peer_caller_gone (struct cluster *cluster, struct connection *c)
 {
-  struct task task = { .run = node_event,
+  struct task task = { .run = node_deliver_event,
                        .node = c->peer,
                        .incarnation = c->peer_incarnation };
 
@@ -218,20 +221,21 @@
     return;
   task.event.type = BERYL_EVENT_CALLER_GONE;
   task.event.request = c->peer_handle;
-  world_after (world, world_delay_ms (world), &task);
+  cluster_schedule (cluster, cluster_delay_ms (cluster), &task);
 }
 
 void
-peer_broken (struct world *world, uint32_t number, uint64_t incarnation)
+peer_connections_lost (struct cluster *cluster, uint32_t number,
+                       uint64_t incarnation)
 {
-  for (uint32_t i = 0; i < world->conversation_count; i++)
+  for (uint32_t i = 0; i < cluster->connection_count; i++)
     {
-      struct conversation *c = &world->conversations[i];
+      struct connection *c = &cluster->connections[i];
 
       if (!c->open || c->endpoint != ENDPOINTS || c->peer != number
           || c->peer_incarnation != incarnation || c->peer_handle == 0)
         continue;
-      tell_failed (world, c, true);
+      send_failed (cluster, c, true);
       c->open = false;
     }
 }
--- a/tests/requests/world_platform.c
+++ b/tests/requests/cluster_platform.c
@@ -1,9 +1,9 @@
-/* The object API as the claim log meets it. */
+/* The object API as seen by the claim log. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "world.h"
+#include "cluster.h"
 
 enum operation
 {
@@ -26,7 +26,7 @@
 }
 
 static bool
-visit (void *user, const struct store_revision *revision)
+collect (void *user, const struct store_revision *revision)
 {
   struct objects *objects = user;
 
@@ -39,12 +39,12 @@
   return objects->count < 512;
 }
 
-/* The answer reaches the node; a paused one finds it when it wakes up. */
+/* Delivers a reply; a suspended node receives it when it resumes. */
 static void
-answer_arrives (struct world *world, const struct task *task)
+answer_arrives (struct cluster *cluster, const struct task *task)
 {
-  struct node *node = node_of (world, task->node, task->incarnation);
-  struct task later = *task;
+  struct node *node = node_find (cluster, task->node, task->incarnation);
+  struct task deferred = *task;
   struct objects objects = { .count = 0 };
   struct store_revision revision;
   enum beryl_error_code code = (enum beryl_error_code)task->b;
@@ -52,46 +52,47 @@
 
   if (node == NULL)
     return;
-  if (node->paused_until_ms > world->now_ms)
+  if (node->suspended_until_ms > cluster->now_ms)
     {
-      world_after (world, node->paused_until_ms - world->now_ms, &later);
+      cluster_schedule (cluster, node->suspended_until_ms - cluster->now_ms,
+                        &deferred);
       return;
     }
   if (task->a == OPERATION_CREATE || task->a == OPERATION_REMOVE)
     {
       beryl_claims_write_done (node->claims, task->number, code,
-                               world->now_ms);
+                               cluster->now_ms);
       node_schedule (node);
       return;
     }
   if (code == BERYL_OK && task->a == OPERATION_LIST)
-    store_list (world->store, BERYL_CLAIMS_KIND, task->text, "", at_ms, visit,
-                &objects);
+    store_list (cluster->store, BERYL_CLAIMS_KIND, task->text, "", at_ms,
+                collect, &objects);
   else if (code == BERYL_OK
-           && store_get (world->store, BERYL_CLAIMS_KIND, task->text, at_ms,
+           && store_get (cluster->store, BERYL_CLAIMS_KIND, task->text, at_ms,
                          &revision)
                   == STORE_OK)
-    visit (&objects, &revision);
+    collect (&objects, &revision);
   else if (code == BERYL_OK)
     code = BERYL_ERROR_NOT_FOUND;
   beryl_claims_read_done (node->claims, task->number, code, objects.items,
-                          objects.count, world->now_ms);
+                          objects.count, cluster->now_ms);
   node_schedule (node);
 }
 
 static enum beryl_error_code
-write_object (struct world *world, const struct task *task)
+write_object (struct cluster *cluster, const struct task *task)
 {
   uint64_t version = 0;
   enum store_status status;
 
   if (task->a == OPERATION_REMOVE)
-    status = store_delete (world->store, BERYL_CLAIMS_KIND, task->text,
-                           STORE_IF_ANY, &version, world->now_ms);
+    status = store_delete (cluster->store, BERYL_CLAIMS_KIND, task->text,
+                           STORE_IF_ANY, &version, cluster->now_ms);
   else
-    status = store_put (world->store, BERYL_CLAIMS_KIND, task->text,
+    status = store_put (cluster->store, BERYL_CLAIMS_KIND, task->text,
                         STORE_IF_ABSENT, &version, task->value,
-                        strlen (task->value), world->now_ms);
+                        strlen (task->value), cluster->now_ms);
   switch (status)
     {
     case STORE_OK:
@@ -106,43 +107,43 @@
 }
 
 static void
-note_write (struct world *world, const struct task *task,
-            enum beryl_error_code code)
+record_write (struct cluster *cluster, const struct task *task,
+              enum beryl_error_code code)
 {
-  struct history_event event = { .type = HISTORY_NODE };
+  struct history_event event = { .type = HISTORY_NOTE };
   char text[160];
 
   snprintf (text, sizeof text, "n%u %s %s: %s", task->node,
             task->a == OPERATION_CREATE ? "creates" : "deletes", task->text,
             beryl_error_code_name (code));
   event.text = text;
-  world_note (world, &event);
+  cluster_record (cluster, &event);
 }
 
-/* The call reaches the platform, or does not.  A reply that is lost leaves
- * the caller without knowing whether the write took effect. */
+/* Delivers a call to the platform, unless it is unreachable.  If the reply is
+ * lost, the caller does not know whether the write took effect. */
 static void
-operation_arrives (struct world *world, const struct task *task)
+operation_arrives (struct cluster *cluster, const struct task *task)
 {
   struct task reply = *task;
-  bool away = world->outage || node_cut_off (world, task->node);
+  bool unavailable = cluster->outage || node_is_isolated (cluster, task->node);
   bool writes = task->a == OPERATION_CREATE || task->a == OPERATION_REMOVE;
   int64_t lag_ms = 0;
 
   reply.run = answer_arrives;
   reply.value = NULL;
-  reply.b = away ? BERYL_ERROR_UNAVAILABLE : BERYL_OK;
-  if (!away && writes)
-    reply.b = write_object (world, task);
+  reply.b = unavailable ? BERYL_ERROR_UNAVAILABLE : BERYL_OK;
+  if (!unavailable && writes)
+    reply.b = write_object (cluster, task);
   if (writes)
-    note_write (world, task, (enum beryl_error_code)reply.b);
-  if (writes && world->faults.lost_replies && world_chance (world, 15))
+    record_write (cluster, task, (enum beryl_error_code)reply.b);
+  if (writes && cluster->faults.lost_replies && cluster_chance (cluster, 15))
     reply.b = BERYL_ERROR_UNKNOWN;
-  if (world->faults.stale_reads)
-    lag_ms = (int64_t)world_random (world, world->stale_ms + 1);
-  reply.event.data.offset = (uint64_t)(world->now_ms - lag_ms);
+  if (cluster->faults.stale_reads)
+    lag_ms = (int64_t)cluster_random (cluster, cluster->stale_ms + 1);
+  reply.event.data.offset = (uint64_t)(cluster->now_ms - lag_ms);
   free (task->value);
-  world_after (world, world_delay_ms (world), &reply);
+  cluster_schedule (cluster, cluster_delay_ms (cluster), &reply);
 }
 
 static void
@@ -159,7 +160,7 @@
   snprintf (task.text, sizeof task.text, "%s", name);
   if (value != NULL)
     task.value = strdup (value);
-  world_after (node->world, world_delay_ms (node->world), &task);
+  cluster_schedule (node->cluster, cluster_delay_ms (node->cluster), &task);
 }
 
 static void
@@ -195,7 +196,7 @@
                enum beryl_claim_result result, uint64_t incarnation)
 {
   struct node *node = node_of_claims (owner);
-  struct task task = { .run = node_event,
+  struct task task = { .run = node_deliver_event,
                        .node = node->number,
                        .incarnation = node->incarnation };
 
@@ -203,43 +204,45 @@
   task.event.request = request;
   task.event.claim.result = result;
   task.event.claim.incarnation = incarnation;
-  world_after (node->world, 0, &task);
+  cluster_schedule (node->cluster, 0, &task);
 }
 
 static void
-connection_refused (struct world *world, const struct task *task)
+connection_refused (struct cluster *cluster, const struct task *task)
 {
-  struct node *from = &world->nodes[task->node];
+  struct node *from = &cluster->nodes[task->node];
 
-  if (!from->up || from->paused_until_ms > world->now_ms)
+  if (!from->up || from->suspended_until_ms > cluster->now_ms)
     return;
-  beryl_claims_node_down (from->claims, world->nodes[task->a].name,
-                          world->now_ms);
+  beryl_claims_node_down (from->claims, cluster->nodes[task->a].name,
+                          cluster->now_ms);
   node_schedule (from);
 }
 
 static void
-message_arrives (struct world *world, const struct task *task)
+message_arrives (struct cluster *cluster, const struct task *task)
 {
-  struct node *node = &world->nodes[task->a];
-  struct task later = *task;
+  struct node *node = &cluster->nodes[task->a];
+  struct task deferred = *task;
   char from[BERYL_NAME_BYTES];
 
-  if (node_cut_off (world, task->a) || node_cut_off (world, task->node))
+  if (node_is_isolated (cluster, task->a)
+      || node_is_isolated (cluster, task->node))
     return;
   if (!node->up)
     {
-      connection_refused (world, task);
+      connection_refused (cluster, task);
       return;
     }
-  if (node->paused_until_ms > world->now_ms)
+  if (node->suspended_until_ms > cluster->now_ms)
     {
-      world_after (world, node->paused_until_ms - world->now_ms, &later);
+      cluster_schedule (cluster, node->suspended_until_ms - cluster->now_ms,
+                        &deferred);
       return;
     }
   snprintf (from, sizeof from, "n%u", task->node);
   beryl_claims_handle_message (node->claims, from, &task->claim,
-                               world->now_ms);
+                               cluster->now_ms);
   node_schedule (node);
 }
 
@@ -248,18 +251,18 @@
              const struct beryl_claim_message *message)
 {
   struct node *node = node_of_claims (owner);
-  struct world *world = node->world;
+  struct cluster *cluster = node->cluster;
   struct task task = { .run = message_arrives,
                        .node = node->number,
                        .a = (uint32_t)(to[1] - '0'),
                        .claim = *message };
 
-  if (world_chance (world, world->faults.lose_percent))
+  if (cluster_chance (cluster, cluster->faults.loss_percent))
     return;
-  world_after (world, world_delay_ms (world), &task);
+  cluster_schedule (cluster, cluster_delay_ms (cluster), &task);
 }
 
-const struct beryl_claims_owner_impl world_claims_impl = {
+const struct beryl_claims_owner_impl cluster_claims_impl = {
   .result = claims_result,
   .send = claims_send,
   .list = claims_list,
--- a/tests/requests/fake_router.c
+++ b/tests/requests/fake_router.c
@@ -1,11 +1,11 @@
-/* A router for tests of request life: the first endpoint of the service that
- * is not excluded, with a limit on reservations that a test sets. */
+/* A router for tests of beryl_requests: it picks the first endpoint of the
+ * service that is not excluded, and a test can limit its reservations. */
 #include "fake_router.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* More than exist at a time. */
+/* More than are open at a time. */
 #define TICKETS 1024
 
 struct beryl_router
@@ -89,7 +89,7 @@
   return NULL;
 }
 
-/* The job's service by a name that outlives the job. */
+/* Returns the name of the job's service with a lifetime beyond the job. */
 static const char *
 config_name (const struct beryl_router *router, const struct beryl_job *job)
 {
@@ -143,7 +143,8 @@
 {
 }
 
-/* A ticket's decode engine is the first one, and another if that is full. */
+/* A ticket's decode engine is the first one, or another one if that
+ * refused. */
 void
 beryl_router_bind_decode (struct beryl_router *router, uint64_t ticket,
                           int64_t kv_expires_ms, const char *refused_by,
--- a/tests/requests/history.c
+++ b/tests/requests/history.c
@@ -5,8 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* After this long an endpoint that leaves gets no new work. */
-#define LEAVING_MS 2000
+/* Time after which a leaving endpoint must receive no new work. */
+#define LEAVING_GRACE_MS 2000
 
 struct history *
 history_create (void)
@@ -54,44 +54,44 @@
 history_invariant_name (enum history_invariant invariant)
 {
   static const char *const names[] = {
-    [INVARIANT_RUNS_ONCE] = "runs once",
-    [INVARIANT_NOT_RUN_IS_TRUE] = "not run is true",
+    [INVARIANT_AT_MOST_ONCE] = "at most once",
+    [INVARIANT_NOT_RUN_CORRECT] = "not run is correct",
     [INVARIANT_ANSWERED_ONCE] = "answered once",
-    [INVARIANT_WHOLE_AND_OWN] = "whole and own",
-    [INVARIANT_KEYS_APART] = "keys apart",
-    [INVARIANT_NOTHING_HELD] = "nothing held",
-    [INVARIANT_HOLD_TOLD] = "hold told first",
-    [INVARIANT_STOP_CUTS_NOBODY] = "stop cuts nobody",
-    [INVARIANT_LEAVING_RESTS] = "leaving rests",
-    [INVARIANT_EVERYONE_HEARS] = "everyone hears",
-    [INVARIANT_LIVING_KEPT] = "living kept",
+    [INVARIANT_ANSWER_CORRECT] = "complete own answer",
+    [INVARIANT_KEYS_ISOLATED] = "keys isolated",
+    [INVARIANT_NO_HOLD_LEAKED] = "no hold leaked",
+    [INVARIANT_HOLD_REPORTED] = "hold reported first",
+    [INVARIANT_GRACEFUL_STOP] = "graceful stop",
+    [INVARIANT_LEAVING_IDLE] = "leaving endpoint idle",
+    [INVARIANT_ALWAYS_ANSWERED] = "always answered",
+    [INVARIANT_LIVE_NODE_KEPT] = "live node kept",
   };
 
   return names[invariant];
 }
 
-/* The checks of one history. */
+/* Context of the checks of one history. */
 struct check
 {
   const struct history *history;
-  struct history_verdict *verdict;
+  struct history_result *result;
 };
 
 static void __attribute__ ((format (printf, 3, 4)))
-broken (struct check *check, enum history_invariant invariant,
-        const char *format, ...)
+violation (struct check *check, enum history_invariant invariant,
+           const char *format, ...)
 {
-  struct history_verdict *verdict = check->verdict;
+  struct history_result *result = check->result;
   char text[160];
   va_list ap;
 
-  verdict->broken[invariant]++;
-  if (verdict->first[0] != '\0')
+  result->violations[invariant]++;
+  if (result->first_violation[0] != '\0')
     return;
   va_start (ap, format);
   vsnprintf (text, sizeof text, format, ap);
   va_end (ap);
-  snprintf (verdict->first, sizeof verdict->first, "%s: %s",
+  snprintf (result->first_violation, sizeof result->first_violation, "%s: %s",
             history_invariant_name (invariant), text);
 }
 
@@ -101,9 +101,10 @@
   return &check->history->events[i];
 }
 
-/* A billing verdict that runs twice bills a station twice. */
+/* A non-idempotent call that runs twice, such as billing, charges a customer
+ * twice. */
 static void
-check_runs_once (struct check *check)
+check_at_most_once (struct check *check)
 {
   size_t jobs = check->history->job_count;
   uint32_t *runs = calloc (jobs + 1, sizeof *runs);
@@ -113,39 +114,42 @@
       runs[event_at (check, i)->job]++;
   for (size_t j = 0; j < jobs; j++)
     if (check->history->jobs[j].non_idempotent && runs[j] > 1)
-      broken (check, INVARIANT_RUNS_ONCE, "job %zu ran %u times", j, runs[j]);
+      violation (check, INVARIANT_AT_MOST_ONCE, "job %zu ran %u times", j,
+                 runs[j]);
   free (runs);
 }
 
-/* A caller that hears "not run" acts on it: it asks elsewhere.  A run of that
- * try at any time, or of its key before that moment, makes it a lie. */
+/* A caller that is told "not run" acts on it and calls elsewhere.  It is wrong
+ * if that attempt runs at any time, or if the call's key ran before. */
 static void
-check_not_run (struct check *check)
+check_not_run_correct (struct check *check)
 {
   const struct history *history = check->history;
 
   for (size_t i = 0; i < history->event_count; i++)
     {
-      const struct history_event *told = event_at (check, i);
+      const struct history_event *error = event_at (check, i);
 
-      if (told->type != HISTORY_TOLD || told->outcome != BERYL_OUTCOME_NOT_RUN)
+      if (error->type != HISTORY_ERROR
+          || error->outcome != BERYL_OUTCOME_NOT_RUN)
         continue;
       for (size_t k = 0; k < history->event_count; k++)
         {
           const struct history_event *run = event_at (check, k);
-          bool same_key = history->jobs[told->job].keyed && k < i;
-
-          if (run->type == HISTORY_RUN && run->job == told->job
-              && (run->attempt == told->attempt || same_key))
-            broken (check, INVARIANT_NOT_RUN_IS_TRUE,
-                    "job %u try %u was told not run (%s) and ran as try %u",
-                    told->job, told->attempt,
-                    beryl_problem_name (told->problem), run->attempt);
+          bool same_key = history->jobs[error->job].keyed && k < i;
+
+          if (run->type == HISTORY_RUN && run->job == error->job
+              && (run->attempt == error->attempt || same_key))
+            violation (check, INVARIANT_NOT_RUN_CORRECT,
+                       "job %u attempt %u was told not run (%s) and ran as "
+                       "attempt %u",
+                       error->job, error->attempt,
+                       beryl_problem_name (error->problem), run->attempt);
         }
     }
 }
 
-/* A doubled status reply confuses the counter and sends two letters. */
+/* A call with a key that is answered twice makes its caller act twice. */
 static void
 check_answered_once (struct check *check)
 {
@@ -153,16 +157,16 @@
   uint32_t *ends = calloc (jobs + 1, sizeof *ends);
 
   for (size_t i = 0; i < check->history->event_count; i++)
-    if (event_at (check, i)->type == HISTORY_ENDED)
+    if (event_at (check, i)->type == HISTORY_COMPLETED)
       ends[event_at (check, i)->job]++;
   for (size_t j = 0; j < jobs; j++)
     if (check->history->jobs[j].keyed && ends[j] > 1)
-      broken (check, INVARIANT_ANSWERED_ONCE, "job %zu was answered %u times",
-              j, ends[j]);
+      violation (check, INVARIANT_ANSWERED_ONCE,
+                 "job %zu was answered %u times", j, ends[j]);
   free (ends);
 }
 
-/* What one try of a job received, from the bytes of its events. */
+/* Returns the bytes that one attempt of a job received. */
 static char *
 received (const struct check *check, uint32_t job, uint32_t attempt,
           uint64_t *start)
@@ -176,7 +180,7 @@
       const struct history_event *e = event_at (check, i);
       size_t more;
 
-      if (e->type != HISTORY_BYTES || e->job != job || e->attempt != attempt)
+      if (e->type != HISTORY_DATA || e->job != job || e->attempt != attempt)
         continue;
       if (count == 0)
         *start = e->offset;
@@ -190,7 +194,7 @@
 
 static bool
 matches_run (const struct check *check, uint32_t job, const char *text,
-             uint64_t start, bool whole)
+             uint64_t start, bool complete)
 {
   for (size_t i = 0; i < check->history->event_count; i++)
     {
@@ -202,79 +206,81 @@
       run_bytes = strlen (run->text);
       if (start > run_bytes)
         continue;
-      if (whole ? strcmp (text, run->text + start) == 0
-                : strncmp (text, run->text + start, strlen (text)) == 0)
+      if (complete ? strcmp (text, run->text + start) == 0
+                   : strncmp (text, run->text + start, strlen (text)) == 0)
         return true;
     }
   return false;
 }
 
-/* Every caller receives the whole answer to its own request: all bytes of
- * one run, in order, each once; and a part of it if it was cut. */
+/* Every caller receives the complete answer to its own request: all bytes of
+ * one run, in order, each once; or a part of it if the reply was truncated. */
 static void
-check_whole_and_own (struct check *check)
+check_answer_correct (struct check *check)
 {
   for (size_t i = 0; i < check->history->event_count; i++)
     {
       const struct history_event *e = event_at (check, i);
-      bool whole = e->type == HISTORY_ENDED;
+      bool complete = e->type == HISTORY_COMPLETED;
       uint64_t start;
       char *text;
 
-      if (!whole && e->type != HISTORY_CUT && e->type != HISTORY_LEFT
-          && e->type != HISTORY_BROKEN)
+      if (!complete && e->type != HISTORY_TRUNCATED
+          && e->type != HISTORY_CALLER_CLOSED
+          && e->type != HISTORY_CONNECTION_LOST)
         continue;
       text = received (check, e->job, e->attempt, &start);
-      if ((whole || text[0] != '\0')
-          && !matches_run (check, e->job, text, start, whole))
-        broken (check, INVARIANT_WHOLE_AND_OWN,
-                "job %u try %u received \"%.60s\" from %zu", e->job,
-                e->attempt, text, (size_t)start);
+      if ((complete || text[0] != '\0')
+          && !matches_run (check, e->job, text, start, complete))
+        violation (check, INVARIANT_ANSWER_CORRECT,
+                   "job %u attempt %u received \"%.60s\" from offset %zu",
+                   e->job, e->attempt, text, (size_t)start);
       free (text);
     }
 }
 
-/* One organisation's key must not be seen by another that uses the same
- * text: not its answer, and not that it exists. */
+/* A key of one organisation must be invisible to another one that uses the
+ * same text: both its answer and its existence. */
 static void
-check_keys_apart (struct check *check)
+check_keys_isolated (struct check *check)
 {
   for (size_t i = 0; i < check->history->event_count; i++)
     {
       const struct history_event *e = event_at (check, i);
 
-      if (e->type == HISTORY_TOLD && check->history->jobs[e->job].other_key
+      if (e->type == HISTORY_ERROR && check->history->jobs[e->job].other_key
           && e->attempt == 0
           && (e->problem == BERYL_PROBLEM_KEY_MISMATCH
               || e->problem == BERYL_PROBLEM_KEY_ANSWERED))
-        broken (check, INVARIANT_KEYS_APART, "job %u heard %s", e->job,
-                beryl_problem_name (e->problem));
+        violation (check, INVARIANT_KEYS_ISOLATED, "job %u was told %s",
+                   e->job, beryl_problem_name (e->problem));
     }
 }
 
-/* An endpoint that is leaving receives no new work after a few seconds. */
+/* A leaving endpoint receives no new work after a few seconds. */
 static void
 check_leaving (struct check *check)
 {
   for (size_t i = 0; i < check->history->event_count; i++)
-    for (size_t k = i + 1; event_at (check, i)->type == HISTORY_LEAVING
-                           && k < check->history->event_count;
+    for (size_t k = i + 1;
+         event_at (check, i)->type == HISTORY_ENDPOINT_LEAVING
+         && k < check->history->event_count;
          k++)
       {
         const struct history_event *leaving = event_at (check, i);
         const struct history_event *run = event_at (check, k);
 
         if (run->type == HISTORY_RUN && run->endpoint == leaving->endpoint
-            && run->at_ms > leaving->at_ms + LEAVING_MS)
-          broken (check, INVARIANT_LEAVING_RESTS,
-                  "endpoint %u got work %lld ms after it left", run->endpoint,
-                  (long long)(run->at_ms - leaving->at_ms));
+            && run->at_ms > leaving->at_ms + LEAVING_GRACE_MS)
+          violation (check, INVARIANT_LEAVING_IDLE,
+                     "endpoint %u got work %lld ms after it left",
+                     run->endpoint, (long long)(run->at_ms - leaving->at_ms));
       }
 }
 
-/* Events that are findings by themselves. */
+/* Events that are violations by themselves. */
 static void
-check_findings (struct check *check)
+check_single_events (struct check *check)
 {
   for (size_t i = 0; i < check->history->event_count; i++)
     {
@@ -282,30 +288,30 @@
 
       switch (e->type)
         {
-        case HISTORY_HELD:
-          /* Engine memory that nobody waits for is capacity lost. */
-          broken (check, INVARIANT_NOTHING_HELD, "endpoint %u holds %s",
-                  e->endpoint, e->text);
+        case HISTORY_HOLD_LEAKED:
+          /* Engine memory that nobody waits for is lost capacity. */
+          violation (check, INVARIANT_NO_HOLD_LEAKED, "endpoint %u holds %s",
+                     e->endpoint, e->text);
           break;
-        case HISTORY_UNTOLD:
-          /* If the process dies now, nobody can free this memory. */
-          broken (check, INVARIANT_HOLD_TOLD, "endpoint %u: %s", e->endpoint,
-                  e->text);
+        case HISTORY_HOLD_UNREPORTED:
+          /* If the process died now, nobody could free this memory. */
+          violation (check, INVARIANT_HOLD_REPORTED, "endpoint %u: %s",
+                     e->endpoint, e->text);
           break;
-        case HISTORY_LATE:
-          /* A caller that hears nothing can neither wait nor go on. */
-          broken (check, INVARIANT_EVERYONE_HEARS, "job %u try %u", e->job,
-                  e->attempt);
+        case HISTORY_NO_ANSWER:
+          /* A caller without an answer can neither wait nor go on. */
+          violation (check, INVARIANT_ALWAYS_ANSWERED, "job %u attempt %u",
+                     e->job, e->attempt);
           break;
-        case HISTORY_CLEANED:
-          /* Cancelling a living node's streams cuts off its callers. */
-          broken (check, INVARIANT_LIVING_KEPT, "%s", e->text);
+        case HISTORY_LIVE_NODE_CANCELLED:
+          /* Cancelling the streams of a live node cuts off its callers. */
+          violation (check, INVARIANT_LIVE_NODE_KEPT, "%s", e->text);
           break;
-        case HISTORY_BROKEN:
-          /* A planned stop is a graceful shutdown. */
+        case HISTORY_CONNECTION_LOST:
+          /* A graceful shutdown breaks no caller's connection. */
           if (e->planned)
-            broken (check, INVARIANT_STOP_CUTS_NOBODY, "job %u try %u", e->job,
-                    e->attempt);
+            violation (check, INVARIANT_GRACEFUL_STOP, "job %u attempt %u",
+                       e->job, e->attempt);
           break;
         default:
           break;
@@ -314,17 +320,17 @@
 }
 
 bool
-history_check (const struct history *history, struct history_verdict *verdict)
+history_check (const struct history *history, struct history_result *result)
 {
-  struct check check = { history, verdict };
+  struct check check = { history, result };
 
-  memset (verdict, 0, sizeof *verdict);
-  check_runs_once (&check);
-  check_not_run (&check);
+  memset (result, 0, sizeof *result);
+  check_at_most_once (&check);
+  check_not_run_correct (&check);
   check_answered_once (&check);
-  check_whole_and_own (&check);
-  check_keys_apart (&check);
+  check_answer_correct (&check);
+  check_keys_isolated (&check);
   check_leaving (&check);
-  check_findings (&check);
-  return verdict->first[0] == '\0';
+  check_single_events (&check);
+  return result->first_violation[0] == '\0';
 }
--- a/tests/requests/history.h
+++ b/tests/requests/history.h
@@ -1,6 +1,6 @@
 /** @file
- * What callers, nodes and endpoints saw, and the check of what must always
- * hold.  The events come from a run in virtual time or from real processes.
+ * Records what callers, nodes and endpoints saw and checks invariants on it.
+ * The events may come from a simulation or from real processes.
  */
 #ifndef TESTS_HISTORY_H
 #define TESTS_HISTORY_H
@@ -12,32 +12,39 @@
 #include "beryl/outcome.h"
 #include "beryl/requests.h"
 
-/** A caller's wish, which may take several tries with one key. */
+/** What a caller wants, possibly over several attempts with one key. */
 struct history_job
 {
   uint32_t id;
   bool non_idempotent;
-  bool keyed;     /**< at-most-once over all tries */
-  bool other_key; /**< shares its key's text with another organisation's */
+  bool keyed;     /**< runs at most once over all attempts */
+  bool other_key; /**< uses the same key text as a job of another
+                       organisation */
 };
 
 /** Kinds of events. */
 enum history_type
 {
-  HISTORY_ASKED,   /**< caller: a try was sent */
-  HISTORY_BYTES,   /**< caller: received TEXT at OFFSET */
-  HISTORY_ENDED,   /**< caller: its answer is whole */
-  HISTORY_CUT,     /**< caller: its answer was ended as incomplete */
-  HISTORY_TOLD,    /**< caller: a problem with OUTCOME */
-  HISTORY_LEFT,    /**< caller: it closed the connection */
-  HISTORY_BROKEN,  /**< caller: its connection broke; PLANNED: by a stop */
-  HISTORY_LATE,    /**< caller: no final answer long after the deadline */
-  HISTORY_RUN,     /**< endpoint: RUN began for a try; TEXT is its answer */
-  HISTORY_HELD,    /**< engine: memory is held after everything ended */
-  HISTORY_UNTOLD,  /**< engine: it makes a hold that no keeper knows */
-  HISTORY_LEAVING, /**< endpoint: receives no new work from 2 s later */
-  HISTORY_NODE,    /**< a fate, for a person who reads the history */
-  HISTORY_CLEANED, /**< keeper: cancelled a living process's streams */
+  HISTORY_SENT,            /**< caller: an attempt was sent */
+  HISTORY_DATA,            /**< caller: received TEXT at OFFSET */
+  HISTORY_COMPLETED,       /**< caller: its answer is complete */
+  HISTORY_TRUNCATED,       /**< caller: its answer was truncated */
+  HISTORY_ERROR,           /**< caller: received PROBLEM with OUTCOME */
+  HISTORY_CALLER_CLOSED,   /**< caller: closed its connection */
+  HISTORY_CONNECTION_LOST, /**< caller: its connection broke; PLANNED: by a
+                                graceful shutdown */
+  HISTORY_NO_ANSWER,   /**< caller: no final answer well after the deadline */
+  HISTORY_RUN,         /**< endpoint: RUN started for an attempt; TEXT is its
+                            answer */
+  HISTORY_HOLD_LEAKED, /**< engine: memory is still held after all calls
+                            ended */
+  HISTORY_HOLD_UNREPORTED,     /**< engine: a stream takes memory that was not
+                                    reported to the keeper */
+  HISTORY_ENDPOINT_LEAVING,    /**< endpoint: must receive no new work after 2
+                                    s */
+  HISTORY_NOTE,                /**< note for the reader of a printed history */
+  HISTORY_LIVE_NODE_CANCELLED, /**< keeper: cancelled streams of a live
+                                    process */
 };
 
 /** One event; fields that do not apply are 0. */
@@ -46,7 +53,7 @@
   enum history_type type;
   int64_t at_ms;
   uint32_t job;
-  uint32_t attempt; /**< the job's try, from 0 */
+  uint32_t attempt; /**< attempt of the job, from 0 */
   uint32_t run;     /**< unique */
   uint32_t endpoint;
   uint64_t offset;
@@ -56,7 +63,7 @@
   const char *text; /**< copied */
 };
 
-/** A recorded run. */
+/** A recorded history. */
 struct history;
 
 /** Create an empty history. */
@@ -68,41 +75,41 @@
 /** Add a job; ids count from 0. */
 void history_add_job (struct history *history, const struct history_job *job);
 
-/** Add an event; events come in the order of time. */
+/** Add an event; events must be added in order of time. */
 void history_add (struct history *history, const struct history_event *event);
 
-/** Invariants; each has its reason in history.c. */
+/** Invariants; history.c gives the reason for each. */
 enum history_invariant
 {
-  INVARIANT_RUNS_ONCE,
-  INVARIANT_NOT_RUN_IS_TRUE,
+  INVARIANT_AT_MOST_ONCE,
+  INVARIANT_NOT_RUN_CORRECT,
   INVARIANT_ANSWERED_ONCE,
-  INVARIANT_WHOLE_AND_OWN,
-  INVARIANT_KEYS_APART,
-  INVARIANT_NOTHING_HELD,
-  INVARIANT_HOLD_TOLD,
-  INVARIANT_STOP_CUTS_NOBODY,
-  INVARIANT_LEAVING_RESTS,
-  INVARIANT_EVERYONE_HEARS,
-  INVARIANT_LIVING_KEPT,
+  INVARIANT_ANSWER_CORRECT,
+  INVARIANT_KEYS_ISOLATED,
+  INVARIANT_NO_HOLD_LEAKED,
+  INVARIANT_HOLD_REPORTED,
+  INVARIANT_GRACEFUL_STOP,
+  INVARIANT_LEAVING_IDLE,
+  INVARIANT_ALWAYS_ANSWERED,
+  INVARIANT_LIVE_NODE_KEPT,
   INVARIANT_COUNT,
 };
 
 /** Return the name of INVARIANT. */
 const char *history_invariant_name (enum history_invariant invariant);
 
-/** What a check found. */
-struct history_verdict
+/** Result of a check. */
+struct history_result
 {
-  uint32_t broken[INVARIANT_COUNT];
-  char first[200]; /**< the first finding, for a person */
+  uint32_t violations[INVARIANT_COUNT];
+  char first_violation[200]; /**< description of the first violation */
 };
 
-/** Check HISTORY; true if all invariants hold. */
+/** Check HISTORY.  Returns true if all invariants hold. */
 bool history_check (const struct history *history,
-                    struct history_verdict *verdict);
+                    struct history_result *result);
 
-/** Print HISTORY, one event a line. */
+/** Print HISTORY, one event per line. */
 void history_print (const struct history *history);
 
 #endif
--- a/tests/requests/history_print.c
+++ b/tests/requests/history_print.c
@@ -5,13 +5,20 @@
 #include "history_private.h"
 
 static const char *const type_names[] = {
-  [HISTORY_ASKED] = "asked",     [HISTORY_BYTES] = "bytes",
-  [HISTORY_ENDED] = "ended",     [HISTORY_CUT] = "cut",
-  [HISTORY_TOLD] = "told",       [HISTORY_LEFT] = "left",
-  [HISTORY_BROKEN] = "broken",   [HISTORY_LATE] = "late",
-  [HISTORY_RUN] = "run",         [HISTORY_HELD] = "held",
-  [HISTORY_UNTOLD] = "untold",   [HISTORY_LEAVING] = "leaving",
-  [HISTORY_CLEANED] = "cleaned", [HISTORY_NODE] = "node",
+  [HISTORY_SENT] = "sent",
+  [HISTORY_DATA] = "data",
+  [HISTORY_COMPLETED] = "completed",
+  [HISTORY_TRUNCATED] = "truncated",
+  [HISTORY_ERROR] = "error",
+  [HISTORY_CALLER_CLOSED] = "closed",
+  [HISTORY_CONNECTION_LOST] = "connection-lost",
+  [HISTORY_NO_ANSWER] = "no-answer",
+  [HISTORY_RUN] = "run",
+  [HISTORY_HOLD_LEAKED] = "hold-leaked",
+  [HISTORY_HOLD_UNREPORTED] = "hold-unreported",
+  [HISTORY_ENDPOINT_LEAVING] = "leaving",
+  [HISTORY_LIVE_NODE_CANCELLED] = "live-node-cancelled",
+  [HISTORY_NOTE] = "note",
 };
 
 void
@@ -21,12 +28,12 @@
     {
       const struct history_event *e = &history->events[i];
 
-      printf ("%8" PRIi64 " %-8s", e->at_ms, type_names[e->type]);
-      if (e->type != HISTORY_NODE && e->type != HISTORY_LEAVING)
-        printf (" job=%u try=%u", e->job, e->attempt);
-      if (e->type == HISTORY_RUN || e->type == HISTORY_LEAVING)
+      printf ("%8" PRIi64 " %-19s", e->at_ms, type_names[e->type]);
+      if (e->type != HISTORY_NOTE && e->type != HISTORY_ENDPOINT_LEAVING)
+        printf (" job=%u attempt=%u", e->job, e->attempt);
+      if (e->type == HISTORY_RUN || e->type == HISTORY_ENDPOINT_LEAVING)
         printf (" endpoint=%u", e->endpoint);
-      if (e->type == HISTORY_TOLD)
+      if (e->type == HISTORY_ERROR)
         printf (" %s %s", beryl_problem_name (e->problem),
                 beryl_outcome_name (e->outcome));
       if (e->text != NULL)
--- a/tests/requests/history_private.h
+++ b/tests/requests/history_private.h
@@ -1,12 +1,12 @@
 /** @file
- * The inside of a history.
+ * Contents of a history, for its own files.
  */
 #ifndef TESTS_HISTORY_PRIVATE_H
 #define TESTS_HISTORY_PRIVATE_H
 
 #include "history.h"
 
-/** Jobs and events, in the order of time. */
+/** Jobs by id, and events in order of time. */
 struct history
 {
   struct history_job *jobs;
--- a/tests/requests/mutant_table.c
+++ b/tests/requests/mutant_table.c
@@ -1,6 +1,6 @@
-/* Prints the table of docs/mutants.md.  mutant_table SEEDS [GUARD [FROM]]
- * looks for the first seed that shows each guard's absence instead of the kept
- * one. */
+/* Prints the table of docs/mutants.md. mutant_table SEEDS [GUARD [FROM]]
+ * searches for the first seed that detects the absence of each guard, instead
+ * of the recorded one. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,10 +8,10 @@
 #include "mutants.h"
 
 static void
-print_kept (int guard)
+print_recorded (int guard)
 {
   const struct mutant *m = &mutants[guard];
-  struct history_verdict verdict = { .first = "" };
+  struct history_result result = { .first_violation = "" };
 
   if (m->seed == 0)
     {
@@ -19,19 +19,19 @@
               m->session);
       return;
     }
-  mutant_run ((enum beryl_guard)guard, m->seed, &verdict);
+  mutant_run ((enum beryl_guard)guard, m->seed, &result);
   printf ("| %d | %s | %s | seed %llu: %.40s |\n", guard, m->name, m->guard,
-          (unsigned long long)m->seed, verdict.first);
+          (unsigned long long)m->seed, result.first_violation);
 }
 
 static void
-find (int guard, uint64_t from, uint64_t seeds)
+find_seed (int guard, uint64_t from, uint64_t seeds)
 {
-  struct history_verdict verdict;
+  struct history_result result;
 
   for (uint64_t seed = from; seed < from + seeds; seed++)
-    if (!mutant_run ((enum beryl_guard)guard, seed, &verdict)
-        && mutant_run (BERYL_GUARD_NONE, seed, &verdict))
+    if (!mutant_run ((enum beryl_guard)guard, seed, &result)
+        && mutant_run (BERYL_GUARD_NONE, seed, &result))
       {
         printf ("%s %llu\n", mutants[guard].name, (unsigned long long)seed);
         return;
@@ -49,10 +49,10 @@
           || (argc > 2 && strcmp (argv[2], mutants[guard].name) != 0))
         continue;
       if (argc > 1)
-        find (guard, argc > 3 ? strtoull (argv[3], NULL, 10) : 1,
-              strtoull (argv[1], NULL, 10));
+        find_seed (guard, argc > 3 ? strtoull (argv[3], NULL, 10) : 1,
+                   strtoull (argv[1], NULL, 10));
       else
-        print_kept (guard);
+        print_recorded (guard);
     }
   return 0;
 }
--- a/tests/requests/mutants.c
+++ b/tests/requests/mutants.c
@@ -1,6 +1,6 @@
 #include "mutants.h"
 
-#include "world.h"
+#include "cluster.h"
 
 int beryl_mutant;
 
@@ -72,15 +72,15 @@
 
 bool
 mutant_run (enum beryl_guard guard, uint64_t seed,
-            struct history_verdict *verdict)
+            struct history_result *result)
 {
   struct history *history;
-  bool whole;
+  bool valid;
 
   beryl_mutant = (int)guard;
-  history = world_run (seed);
+  history = cluster_run (seed);
   beryl_mutant = BERYL_GUARD_NONE;
-  whole = history_check (history, verdict);
+  valid = history_check (history, result);
   history_destroy (history);
-  return whole;
+  return valid;
 }
--- a/tests/requests/mutants.h
+++ b/tests/requests/mutants.h
@@ -1,5 +1,5 @@
 /** @file
- * The guards, each with the run that shows its absence.
+ * The guards, each with a run that detects its absence.
  */
 #ifndef TESTS_MUTANTS_H
 #define TESTS_MUTANTS_H
@@ -9,24 +9,24 @@
 #include "../../libberyl/base/guard.h"
 #include "history.h"
 
-/** The guard taken out of the library under test. */
+/** The guard that is disabled in the library under test. */
 extern int beryl_mutant;
 
-/** One guard taken out. */
+/** A mutant: the library with one guard disabled. */
 struct mutant
 {
-  const char *name;    /**< NULL: no such row */
+  const char *name;    /**< NULL: unused row */
   const char *guard;   /**< what it guards */
-  uint64_t seed;       /**< of the history that shows it; 0: see session */
-  const char *session; /**< golden session that plays differently */
+  uint64_t seed;       /**< seed of a run that detects it; 0: see SESSION */
+  const char *session; /**< golden session that differs without the guard */
 };
 
 /** Rows by enum beryl_guard. */
 extern const struct mutant mutants[BERYL_GUARD_COUNT];
 
-/** Run the history of SEED without GUARD; the first finding is in VERDICT.
- * Returns whether all invariants hold. */
+/** Run the simulation of SEED without GUARD.  Returns whether all invariants
+ * hold; RESULT describes the first violation. */
 bool mutant_run (enum beryl_guard guard, uint64_t seed,
-                 struct history_verdict *verdict);
+                 struct history_result *result);
 
 #endif
--- a/tests/requests/test_claims.c
+++ b/tests/requests/test_claims.c
@@ -1,5 +1,5 @@
-/* The claim log, one failure at a time; all of them together are in the
- * histories. */
+/* Tests of the claim log with one failure at a time; test_history.c combines
+ * them. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -28,8 +28,8 @@
   char *value;
 };
 
-/* A node with its calls to the object API, which wait until they are
- * served. */
+/* A home node and its calls to the object API, which wait until the test
+ * serves them. */
 struct home
 {
   struct beryl_claims_owner base;
@@ -44,9 +44,10 @@
 static struct store *objects;
 static struct home a, b;
 static int64_t now_ms;
-/* Both nodes are home in their own view, but in one test. */
+/* Both nodes consider themselves home and send no messages, except in some
+ * tests. */
 static bool sends_allowed;
-static struct beryl_claim_message asked;
+static struct beryl_claim_message last_message;
 
 static void
 on_result (struct beryl_claims_owner *owner, uint64_t request,
@@ -65,7 +66,7 @@
          const struct beryl_claim_message *message)
 {
   ck_assert (sends_allowed);
-  asked = *message;
+  last_message = *message;
 }
 
 static void
@@ -128,9 +129,9 @@
   return true;
 }
 
-/* Takes the oldest call off HOME. */
+/* Removes the oldest call of HOME. */
 static struct call
-take (struct home *home)
+take_call (struct home *home)
 {
   struct call call = home->calls[0];
 
@@ -140,9 +141,9 @@
   return call;
 }
 
-/* Lets a write take effect, and returns what the reply would say. */
+/* Applies a write and returns the result that its reply would carry. */
 static enum beryl_error_code
-take_effect (struct call *call)
+apply_write (struct call *call)
 {
   uint64_t version = 0;
   enum store_status status;
@@ -160,11 +161,11 @@
   return status == STORE_OK ? BERYL_OK : BERYL_ERROR_CONFLICT;
 }
 
-/* Answers a call with CODE instead, without any effect. */
+/* Fails the oldest call with CODE, without any effect. */
 static void
 refuse (struct home *home, enum beryl_error_code code)
 {
-  struct call call = take (home);
+  struct call call = take_call (home);
 
   free (call.value);
   if (call.operation == OPERATION_LIST || call.operation == OPERATION_GET)
@@ -176,13 +177,13 @@
 static void
 serve_one (struct home *home)
 {
-  struct call call = take (home);
+  struct call call = take_call (home);
   enum beryl_error_code code = BERYL_OK;
 
   found_count = 0;
   if (call.operation == OPERATION_CREATE || call.operation == OPERATION_REMOVE)
     {
-      beryl_claims_write_done (home->claims, call.id, take_effect (&call),
+      beryl_claims_write_done (home->claims, call.id, apply_write (&call),
                                now_ms);
       return;
     }
@@ -197,7 +198,7 @@
 }
 
 static void
-pass (struct home *home, int64_t ms)
+advance (struct home *home, int64_t ms)
 {
   for (int64_t end_ms = now_ms + ms; now_ms < end_ms; now_ms += 10)
     {
@@ -230,7 +231,7 @@
   home->base.impl = &impl;
   home->claims = beryl_claims_create (&settings, &home->base);
   beryl_claims_set_members (home->claims, &node, 1, now_ms);
-  pass (home, 50);
+  advance (home, 50);
 }
 
 static void
@@ -246,7 +247,7 @@
 home_stop (struct home *home)
 {
   while (home->call_count > 0)
-    free (take (home).value);
+    free (take_call (home).value);
   beryl_claims_destroy (home->claims);
 }
 
@@ -258,30 +259,30 @@
   store_destroy (objects);
 }
 
-/* Two callers use one key within one commit: both would be granted it if the
- * second one were put into the same segment. */
+/* Two callers use one key within one commit interval: both would be granted it
+ * if both claims were put into the same segment. */
 START_TEST (one_commit_grants_a_key_once)
 {
-  claim (&a, 1, "warm up"); /* its write makes the next two wait */
+  claim (&a, 1, "warm up"); /* its write delays the next two claims */
   claim (&a, 2, "k");
   claim (&a, 3, "k");
-  pass (&a, 300);
+  advance (&a, 300);
   ck_assert_int_eq (a.results[2], BERYL_CLAIM_GRANTED);
   ck_assert_int_eq (a.results[3], BERYL_CLAIM_TAKEN);
   ck_assert_uint_eq (a.grantees[3], 1);
 }
 END_TEST
 
-/* Two nodes believe to be home and write the same number.  The loser must
- * learn what the winner has granted before it grants anything. */
-START_TEST (loser_of_a_race_reads_first)
+/* Two nodes consider themselves home and write the same number.  The loser
+ * must learn what the winner was granted before it grants anything. */
+START_TEST (create_conflict_is_read_before_the_next_write)
 {
   claim (&a, 1, "k");
   claim (&b, 1, "k");
   claim (&b, 2, "other");
   serve_one (&a);
   ck_assert_int_eq (a.results[1], BERYL_CLAIM_GRANTED);
-  pass (&b, 300);
+  advance (&b, 300);
   ck_assert_int_eq (b.results[1], BERYL_CLAIM_TAKEN);
   ck_assert_uint_eq (b.grantees[1], 1);
   ck_assert_int_eq (b.results[2], BERYL_CLAIM_GRANTED);
@@ -289,18 +290,18 @@
 }
 END_TEST
 
-/* A write takes effect and its reply is lost.  The claim is this node's, and
- * the caller must not hear anything else. */
-START_TEST (lost_reply_is_settled_by_reading)
+/* A write takes effect and its reply is lost.  The claim belongs to this node,
+ * and the caller must be told so. */
+START_TEST (lost_reply_is_resolved_by_reading)
 {
   struct call call;
 
   claim (&a, 1, "k");
-  call = take (&a);
-  ck_assert_int_eq (take_effect (&call), BERYL_OK);
+  call = take_call (&a);
+  ck_assert_int_eq (apply_write (&call), BERYL_OK);
   beryl_claims_write_done (a.claims, call.id, BERYL_ERROR_UNKNOWN, now_ms);
   ck_assert (!a.ended[1]);
-  pass (&a, 500);
+  advance (&a, 500);
   ck_assert (a.ended[1]);
   ck_assert_uint_eq (a.grantees[1], 1);
   ck_assert (a.results[1] == BERYL_CLAIM_GRANTED
@@ -308,28 +309,29 @@
 }
 END_TEST
 
-/* A write's reply is lost, and it was another node's segment that stands at
- * that number: the conflict of the second try looks like one's own write. */
-START_TEST (conflict_after_a_lost_reply_is_not_believed)
+/* A write's reply is lost, and the segment at that number is another node's:
+ * the conflict of the second attempt looks like this node's own write. */
+START_TEST (conflict_after_a_lost_reply_grants_nothing)
 {
   claim (&a, 1, "k");
-  refuse (&a, BERYL_ERROR_UNKNOWN); /* it had no effect */
+  refuse (&a, BERYL_ERROR_UNKNOWN); /* the write had no effect */
   claim (&b, 1, "k");
-  pass (&b, 300);
+  advance (&b, 300);
   ck_assert_int_eq (b.results[1], BERYL_CLAIM_GRANTED);
-  pass (&a, 500);
+  advance (&a, 500);
   ck_assert_int_eq (a.results[1], BERYL_CLAIM_TAKEN);
   ck_assert_uint_eq (a.grantees[1], 2);
 }
 END_TEST
 
-/* The object API goes away.  A home that has just written alone knows that a
- * key is new, and which keys it has granted; one that has not cannot know. */
-START_TEST (outage_is_told_as_far_as_it_is_known)
+/* The object API becomes unavailable.  A home that has just been the only
+ * writer knows that a key is new, and which keys it has granted; another home
+ * does not. */
+START_TEST (outage_result_depends_on_what_is_known)
 {
-  pass (&a, 2000);
+  advance (&a, 2000);
   claim (&a, 1, "old");
-  pass (&a, 100);
+  advance (&a, 100);
   claim (&a, 2, "new");
   refuse (&a, BERYL_ERROR_UNAVAILABLE);
   ck_assert_int_eq (a.results[2], BERYL_CLAIM_UNAVAILABLE);
@@ -341,15 +343,16 @@
 }
 END_TEST
 
-/* A home is stopped while another one takes over, and the API goes away when
- * it wakes up: its old view must not call a key "not run". */
-START_TEST (woken_home_is_not_certain)
+/* A home is suspended while another one takes over, and the object API is
+ * unavailable when it resumes: its old view must not report "not run" for a
+ * key. */
+START_TEST (resumed_home_reports_unknown_in_an_outage)
 {
-  pass (&a, 2000);
+  advance (&a, 2000);
   claim (&a, 1, "x");
-  pass (&a, 100);
+  advance (&a, 100);
   claim (&b, 1, "k");
-  pass (&b, 300);
+  advance (&b, 300);
   ck_assert_int_eq (b.results[1], BERYL_CLAIM_GRANTED);
   now_ms += 3000;
   beryl_claims_tick (a.claims, now_ms);
@@ -369,62 +372,63 @@
     {
       snprintf (key, sizeof key, "key-%d", i);
       claim (home, (uint64_t)i + 10, key);
-      pass (home, 100);
+      advance (home, 100);
       ck_assert_int_eq (home->results[i + 10], BERYL_CLAIM_GRANTED);
     }
 }
 
-/* Node A sends a write and is stopped before it leaves the instance.  B takes
- * over, writes on, folds and deletes: A's number is free again.  A's write
- * arrives and succeeds, and means nothing. */
-START_TEST (success_at_a_deleted_number_is_no_grant)
+/* Node A is suspended with a write in flight.  B takes over, compacts and
+ * deletes, so that A's number is free again.  A's write then succeeds and must
+ * grant nothing. */
+START_TEST (write_to_a_deleted_number_grants_nothing)
 {
   struct call call;
 
   claim (&a, 2, "first");
-  pass (&a, 100);
+  advance (&a, 100);
   claim (&a, 1, "key-5");
-  call = take (&a);
+  call = take_call (&a);
   write_many (&b, 8);
-  pass (&b, DELETE_AFTER_MS * 12);
+  advance (&b, DELETE_AFTER_MS * 12);
   ck_assert_uint_gt (beryl_claims_counts (b.claims)->deleted, 4);
-  ck_assert_int_eq (take_effect (&call), BERYL_OK);
+  ck_assert_int_eq (apply_write (&call), BERYL_OK);
   beryl_claims_write_done (a.claims, call.id, BERYL_OK, now_ms);
   ck_assert (!a.ended[1]);
-  pass (&a, 300);
+  advance (&a, 300);
   ck_assert_int_eq (a.results[1], BERYL_CLAIM_TAKEN);
   ck_assert_uint_eq (a.grantees[1], 2);
 }
 END_TEST
 
-/* Folding must lose no key: a node that starts later reads only the folded
- * segment and the ones after it. */
-START_TEST (folded_keys_are_known_to_a_new_node)
+/* Compaction must lose no key: a node that starts later reads only the
+ * compacted segment and those after it. */
+START_TEST (compacted_keys_are_known_to_a_new_node)
 {
   write_many (&a, 8);
-  pass (&a, DELETE_AFTER_MS * 12);
+  advance (&a, DELETE_AFTER_MS * 12);
   ck_assert_uint_gt (beryl_claims_counts (a.claims)->deleted, 4);
   home_stop (&b);
   home_start (&b, "b", 3);
   claim (&b, 1, "key-1");
   claim (&b, 2, "key-7");
-  pass (&b, 300);
+  advance (&b, 300);
   ck_assert_int_eq (b.results[1], BERYL_CLAIM_TAKEN);
   ck_assert_int_eq (b.results[2], BERYL_CLAIM_TAKEN);
 }
 END_TEST
 
-START_TEST (keys_are_forgotten_after_the_retention)
+START_TEST (keys_expire_after_the_retention)
 {
   write_many (&a, 8);
-  pass (&a, RETENTION_MS + DELETE_AFTER_MS * 8);
+  advance (&a, RETENTION_MS + DELETE_AFTER_MS * 8);
   ck_assert_uint_le (beryl_claims_counts (a.claims)->keys, 1);
 }
 END_TEST
 
-/* Pages of a list come from replicas that lag differently, so that a segment
- * seems to be missing in the middle.  Its number must not be written to. */
-START_TEST (list_with_a_hole_is_not_built_on)
+/* Pages of a list come from replicas with different lag, so that a segment
+ * seems to be missing in the middle.  Nothing may be written then, since the
+ * missing number may become free. */
+START_TEST (list_with_a_gap_is_not_extended)
 {
   uint64_t version = 0;
 
@@ -434,15 +438,15 @@
                 &version, now_ms);
   home_start (&b, "b", 3);
   claim (&b, 1, "new");
-  pass (&b, 3000);
+  advance (&b, 3000);
   ck_assert (!b.ended[1]);
   ck_assert_uint_eq (beryl_claims_counts (b.claims)->segments, 0);
 }
 END_TEST
 
-/* Node b's process dies with an ask on its way and starts again; its
- * asks count from 1 again.  The home's late answer to the dead process has
- * the number of a new ask about another key, and must not grant that one. */
+/* Node b's process dies with a request in flight and restarts; its request ids
+ * start from 1 again.  The home's late reply to the dead process carries the
+ * id of a new request for another key, which it must not grant. */
 START_TEST (late_reply_to_a_dead_process_grants_nothing)
 {
   const char *nodes[] = { "a", "b" };
@@ -461,8 +465,8 @@
   claim (&b, 1, "k");
   beryl_claims_handle_message (b.claims, "a", &reply, now_ms);
   ck_assert (!b.ended[1]);
-  ck_assert_uint_eq (asked.id, 1);
-  reply = asked;
+  ck_assert_uint_eq (last_message.id, 1);
+  reply = last_message;
   reply.type = BERYL_CLAIM_REPLY;
   reply.result = BERYL_CLAIM_GRANTED;
   beryl_claims_handle_message (b.claims, "a", &reply, now_ms);
@@ -470,25 +474,25 @@
 }
 END_TEST
 
-/* A home is stopped, replaced by its members, and wakes up with a call in its
- * queue.  Written at once, its claim would escape the new home, which would
- * call the key "not run" in an outage.  It waits until it hears of its
- * members, and passes the claim on. */
-START_TEST (woken_home_passes_its_claims_on)
+/* A home is suspended, replaced by another one, and resumes with a call
+ * queued.  If it wrote the claim at once, the new home would not know it and,
+ * in an outage, would report "not run" for the key.  It waits for the member
+ * list and forwards the claim. */
+START_TEST (resumed_home_forwards_its_claims)
 {
   const char *others[] = { "b" };
 
   now_ms += 3000;
   sends_allowed = true;
   claim (&a, 1, "k");
-  serve_one (&a); /* it reads the log, which is old by now */
+  serve_one (&a); /* it reads the log again, since its view is outdated */
   ck_assert_int_eq (a.call_count, 0);
   now_ms += 50;
   beryl_claims_set_members (a.claims, others, 1, now_ms);
   now_ms += 100;
   beryl_claims_tick (a.claims, now_ms);
   ck_assert_int_eq (a.call_count, 0);
-  ck_assert_int_eq (asked.type, BERYL_CLAIM_REQUEST);
+  ck_assert_int_eq (last_message.type, BERYL_CLAIM_REQUEST);
   ck_assert (!a.ended[1]);
 }
 END_TEST
@@ -501,16 +505,16 @@
 
   tcase_add_checked_fixture (tcase, setup, teardown);
   tcase_add_test (tcase, one_commit_grants_a_key_once);
-  tcase_add_test (tcase, loser_of_a_race_reads_first);
-  tcase_add_test (tcase, lost_reply_is_settled_by_reading);
-  tcase_add_test (tcase, conflict_after_a_lost_reply_is_not_believed);
-  tcase_add_test (tcase, outage_is_told_as_far_as_it_is_known);
-  tcase_add_test (tcase, woken_home_is_not_certain);
-  tcase_add_test (tcase, success_at_a_deleted_number_is_no_grant);
-  tcase_add_test (tcase, folded_keys_are_known_to_a_new_node);
-  tcase_add_test (tcase, keys_are_forgotten_after_the_retention);
-  tcase_add_test (tcase, list_with_a_hole_is_not_built_on);
-  tcase_add_test (tcase, woken_home_passes_its_claims_on);
+  tcase_add_test (tcase, create_conflict_is_read_before_the_next_write);
+  tcase_add_test (tcase, lost_reply_is_resolved_by_reading);
+  tcase_add_test (tcase, conflict_after_a_lost_reply_grants_nothing);
+  tcase_add_test (tcase, outage_result_depends_on_what_is_known);
+  tcase_add_test (tcase, resumed_home_reports_unknown_in_an_outage);
+  tcase_add_test (tcase, write_to_a_deleted_number_grants_nothing);
+  tcase_add_test (tcase, compacted_keys_are_known_to_a_new_node);
+  tcase_add_test (tcase, keys_expire_after_the_retention);
+  tcase_add_test (tcase, list_with_a_gap_is_not_extended);
+  tcase_add_test (tcase, resumed_home_forwards_its_claims);
   tcase_add_test (tcase, late_reply_to_a_dead_process_grants_nothing);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
--- a/tests/requests/test_claims_budget.c
+++ b/tests/requests/test_claims_budget.c
@@ -1,5 +1,5 @@
-/* What the claims of the target's rate cost the object API, with the rates
- * that the library and the configuration choose by themselves. */
+/* Load of claims on the object API at the target rate, with the default
+ * settings of the library and the configuration. */
 #include <stdio.h>
 #include <string.h>
 
@@ -12,8 +12,8 @@
 #define MEASURE_FROM_MS 50000
 #define REPLY_MS 5
 #define CALLS_MAX 4096
-/* "Several hundred" of all that the platform bears, and what leases, members
- * and changes of the configuration need of it. */
+/* Writes that the platform sustains ("several hundred" per second), and the
+ * part that leases, members and configuration changes need. */
 #define WRITES_PER_S 300
 #define OTHER_WRITES_PER_S 30
 
@@ -27,11 +27,11 @@
 struct home
 {
   struct beryl_claims_owner base;
-  struct call calls[CALLS_MAX]; /* a ring: the oldest first */
+  struct call calls[CALLS_MAX]; /* ring buffer, oldest first */
   uint32_t first, last;
   int64_t now_ms;
   uint32_t writes, granted;
-  int64_t asked_ms[RUN_MS];
+  int64_t sent_ms[RUN_MS];
   int64_t slowest_ms;
 };
 
@@ -41,7 +41,7 @@
 on_result (struct beryl_claims_owner *owner, uint64_t request,
            enum beryl_claim_result result, uint64_t incarnation)
 {
-  int64_t took_ms = home.now_ms - home.asked_ms[request];
+  int64_t took_ms = home.now_ms - home.sent_ms[request];
 
   ck_assert_int_eq (result, BERYL_CLAIM_GRANTED);
   home.granted++;
@@ -111,7 +111,7 @@
     }
 }
 
-/* The number of shards that a configuration without a word on it has. */
+/* Returns the number of shards of a configuration that does not set it. */
 static uint32_t
 default_shards (void)
 {
@@ -126,10 +126,10 @@
   return shards;
 }
 
-/* A user would see leases lost and changes late while many callers use free
- * keys.  Each commit of the claim log is a write and, ten minutes later, a
- * deletion; 160 commits a second were 331 writes, more than the object API
- * bears, and the others had none left. */
+/* Guards against claims using up the write rate of the object API, which loses
+ * leases and delays changes.  Each commit of the claim log is a write and, ten
+ * minutes later, a deletion: 160 commits per second caused 331 writes per
+ * second, more than the object API sustains, and left none for other users. */
 START_TEST (target_rate_fits_the_object_api)
 {
   const char *self = "n1";
@@ -141,7 +141,7 @@
     .retention_ms = 40000,
     .delete_after_ms = 20000,
   };
-  uint32_t asked = 0;
+  uint32_t sent = 0;
   uint32_t writes_per_s;
   struct beryl_claims *claims;
 
@@ -152,13 +152,13 @@
   for (home.now_ms = 1; home.now_ms < RUN_MS; home.now_ms++)
     {
       answer (claims);
-      while ((int64_t)asked * 1000 < home.now_ms * CLAIMS_PER_S)
+      while ((int64_t)sent * 1000 < home.now_ms * CLAIMS_PER_S)
         {
           char key[24];
 
-          home.asked_ms[++asked] = home.now_ms;
-          snprintf (key, sizeof key, "key-%u", asked);
-          beryl_claims_claim (claims, asked, "o", key, 1, home.now_ms);
+          home.sent_ms[++sent] = home.now_ms;
+          snprintf (key, sizeof key, "key-%u", sent);
+          beryl_claims_claim (claims, sent, "o", key, 1, home.now_ms);
         }
       if (beryl_claims_next_ms (claims) <= home.now_ms)
         beryl_claims_tick (claims, home.now_ms);
@@ -167,7 +167,7 @@
   writes_per_s = home.writes / ((RUN_MS - MEASURE_FROM_MS) / 1000);
   ck_assert_uint_ge (writes_per_s, 100);
   ck_assert_uint_le (writes_per_s, WRITES_PER_S - OTHER_WRITES_PER_S);
-  ck_assert_uint_ge (home.granted, asked - CLAIMS_PER_S);
+  ck_assert_uint_ge (home.granted, sent - CLAIMS_PER_S);
   ck_assert_int_le (home.slowest_ms, 250);
 }
 END_TEST
--- a/tests/requests/test_golden.c
+++ b/tests/requests/test_golden.c
@@ -1,5 +1,5 @@
-/* Golden transcripts of whole sessions.  BERYL_GOLDEN_UPDATE=1 writes what
- * came out back into the files, for a person to read before committing. */
+/* Golden transcripts of complete sessions.  BERYL_GOLDEN_UPDATE=1 writes the
+ * actual output back into the files, to be reviewed before committing. */
 #include <check.h>
 #include <dirent.h>
 #include <stdio.h>
--- a/tests/requests/test_history.c
+++ b/tests/requests/test_history.c
@@ -1,10 +1,10 @@
-/* Histories of faulty runs in virtual time.  The seeds are fixed; more of
- * them: scripts/soak-histories. */
+/* Checks the histories of simulations with faults, for fixed seeds.
+ * scripts/soak-histories runs more seeds. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#include "world.h"
+#include "cluster.h"
 #include "../suite.h"
 
 #define SEEDS 2000
@@ -15,18 +15,18 @@
   for (uint64_t seed = (uint64_t)_i * SEEDS_PER_TEST + 1;
        seed <= ((uint64_t)_i + 1) * SEEDS_PER_TEST; seed++)
     {
-      struct history *history = world_run (seed);
-      struct history_verdict verdict;
-      bool whole = history_check (history, &verdict);
+      struct history *history = cluster_run (seed);
+      struct history_result result;
+      bool valid = history_check (history, &result);
 
       history_destroy (history);
-      ck_assert_msg (whole, "seed %llu: %s", (unsigned long long)seed,
-                     verdict.first);
+      ck_assert_msg (valid, "seed %llu: %s", (unsigned long long)seed,
+                     result.first_violation);
     }
 }
 END_TEST
 
-/* scripts/soak-histories FROM COUNT: prints each seed that breaks an
+/* scripts/soak-histories FROM COUNT: prints each seed that violates an
  * invariant. */
 static int
 soak (uint64_t from, uint64_t count)
@@ -35,12 +35,13 @@
 
   for (uint64_t seed = from; seed < from + count; seed++)
     {
-      struct history *history = world_run (seed);
-      struct history_verdict verdict;
+      struct history *history = cluster_run (seed);
+      struct history_result result;
 
-      if (!history_check (history, &verdict))
+      if (!history_check (history, &result))
         {
-          printf ("seed %llu: %s\n", (unsigned long long)seed, verdict.first);
+          printf ("seed %llu: %s\n", (unsigned long long)seed,
+                  result.first_violation);
           bad++;
         }
       history_destroy (history);
@@ -52,14 +53,14 @@
 static int
 print_seed (uint64_t seed)
 {
-  struct history *history = world_run (seed);
-  struct history_verdict verdict;
-  bool whole = history_check (history, &verdict);
+  struct history *history = cluster_run (seed);
+  struct history_result result;
+  bool valid = history_check (history, &result);
 
   history_print (history);
-  printf ("%s\n", whole ? "whole" : verdict.first);
+  printf ("%s\n", valid ? "whole" : result.first_violation);
   history_destroy (history);
-  return !whole;
+  return !valid;
 }
 
 int
--- a/tests/requests/test_holds.c
+++ b/tests/requests/test_holds.c
@@ -7,21 +7,21 @@
 
 #define DEAD 40
 
-/* A window told to the keeper covers later holds without a message; one that
- * it does not cover must be told before the hold is made, or the engine's
- * memory stays held when the process dies at that moment. */
-START_TEST (window_is_told_before_it_is_left)
+/* A reported window covers later holds without a message.  A hold that it does
+ * not cover must be reported before it is created, or the engine's memory
+ * leaks if the process dies at that moment. */
+START_TEST (window_is_reported_before_it_is_exceeded)
 {
   struct beryl_hold_windows *windows = beryl_hold_windows_create (7);
-  const struct beryl_hold_window *told;
+  const struct beryl_hold_window *reported;
   uint64_t messages = 0;
 
   for (uint64_t counter = 1; counter <= 5000; counter++)
     {
       if (beryl_hold_windows_record (windows, "e1", counter))
         messages++;
-      told = beryl_hold_windows_get (windows, "e1");
-      ck_assert (told->from <= counter && counter <= told->to);
+      reported = beryl_hold_windows_get (windows, "e1");
+      ck_assert (reported->from <= counter && counter <= reported->to);
       if (counter > 20)
         beryl_hold_windows_erase (windows, "e1", counter - 20);
     }
@@ -30,7 +30,7 @@
 }
 END_TEST
 
-START_TEST (windows_narrow_to_what_is_held)
+START_TEST (windows_shrink_to_held_streams)
 {
   struct beryl_hold_windows *windows = beryl_hold_windows_create (7);
   struct beryl_hold_window out[4];
@@ -51,9 +51,9 @@
 }
 END_TEST
 
-/* A region is cut off: its nodes are not heard, but the platform lists them.
- * Cancelling their streams would cut off callers that they still answer. */
-START_TEST (cut_off_node_is_not_dead)
+/* A region is isolated: its nodes are not heard, but the platform lists them.
+ * Cancelling their streams would cut off callers that they still serve. */
+START_TEST (isolated_node_is_not_dead)
 {
   struct beryl_death_evidence evidence = {
     .incarnation = DEAD,
@@ -66,7 +66,7 @@
 }
 END_TEST
 
-/* The list lags and misses a live node for a while; others hear it. */
+/* A lagging list misses a live node for a while, but other nodes hear it. */
 START_TEST (missing_from_a_lagging_list_is_not_dead)
 {
   struct beryl_death_evidence evidence = {
@@ -103,9 +103,9 @@
 }
 END_TEST
 
-/* A process dies right after it sent a prefill.  The first cancel gets to
- * the engine before the prefill and is confirmed with nothing held; without
- * a second one the prefill's memory would stay held. */
+/* A process dies right after it sent a prefill.  The first cancel reaches the
+ * engine before the prefill and is confirmed with nothing held; without a
+ * second cancel the prefill's memory would leak. */
 START_TEST (early_confirmation_is_not_final)
 {
   struct beryl_hold_cleanup *cleanup = beryl_hold_cleanup_create ();
@@ -125,8 +125,9 @@
 }
 END_TEST
 
-/* An engine does not answer for a while, then says that it still holds some:
- * the cancel is repeated until nothing is held or the engine is gone. */
+/* An engine does not reply for a while, then reports that it still holds some
+ * streams: the cancel is repeated until nothing is held or the engine is
+ * removed. */
 START_TEST (cancel_is_repeated_until_nothing_is_held)
 {
   struct beryl_hold_cleanup *cleanup = beryl_hold_cleanup_create ();
@@ -153,9 +154,9 @@
   Suite *suite = suite_create ("holds");
   TCase *tcase = tcase_create ("holds");
 
-  tcase_add_test (tcase, window_is_told_before_it_is_left);
-  tcase_add_test (tcase, windows_narrow_to_what_is_held);
-  tcase_add_test (tcase, cut_off_node_is_not_dead);
+  tcase_add_test (tcase, window_is_reported_before_it_is_exceeded);
+  tcase_add_test (tcase, windows_shrink_to_held_streams);
+  tcase_add_test (tcase, isolated_node_is_not_dead);
   tcase_add_test (tcase, missing_from_a_lagging_list_is_not_dead);
   tcase_add_test (tcase, proofs_of_death);
   tcase_add_test (tcase, early_confirmation_is_not_final);
--- a/tests/requests/test_mutants.c
+++ b/tests/requests/test_mutants.c
@@ -1,6 +1,6 @@
-/* The checker is proved: without one guard the history of a fixed seed breaks
- * an invariant, and with all of them the same seed breaks none.  The router
- * is the tests' own, so that a seed keeps its meaning when routing changes. */
+/* Tests the history checker: without one guard the run of a fixed seed
+ * violates an invariant, and with all guards it violates none.  A fake router
+ * is used, so that a seed keeps its meaning when routing changes. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -10,7 +10,7 @@
 #include "../suite.h"
 
 static bool
-session_as_written (const char *name)
+session_matches (const char *name)
 {
   char path[512];
   char *played;
@@ -30,17 +30,16 @@
 static void
 check_session (enum beryl_guard guard, const char *session)
 {
-  ck_assert_msg (session_as_written (session), "%s differs", session);
+  ck_assert_msg (session_matches (session), "%s differs", session);
   beryl_mutant = (int)guard;
-  ck_assert_msg (!session_as_written (session), "%s does not show it",
-                 session);
+  ck_assert_msg (!session_matches (session), "%s does not detect it", session);
   beryl_mutant = BERYL_GUARD_NONE;
 }
 
 START_TEST (guard_is_missed)
 {
   const struct mutant *m = &mutants[_i];
-  struct history_verdict verdict;
+  struct history_result result;
 
   if (m->name == NULL)
     return;
@@ -49,11 +48,11 @@
       check_session ((enum beryl_guard)_i, m->session);
       return;
     }
-  ck_assert_msg (mutant_run (BERYL_GUARD_NONE, m->seed, &verdict),
-                 "seed %llu is broken with all guards: %s",
-                 (unsigned long long)m->seed, verdict.first);
-  ck_assert_msg (!mutant_run ((enum beryl_guard)_i, m->seed, &verdict),
-                 "without %s seed %llu breaks nothing: find another one with "
+  ck_assert_msg (mutant_run (BERYL_GUARD_NONE, m->seed, &result),
+                 "seed %llu violates an invariant with all guards: %s",
+                 (unsigned long long)m->seed, result.first_violation);
+  ck_assert_msg (!mutant_run ((enum beryl_guard)_i, m->seed, &result),
+                 "without %s seed %llu violates nothing: find another with "
                  "mutant_table 5000",
                  m->name, (unsigned long long)m->seed);
 }
--- a/tests/requests/test_parts.c
+++ b/tests/requests/test_parts.c
@@ -1,4 +1,4 @@
-/* Small parts of the request life. */
+/* Unit tests of reassembly, retry budgets and the map. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,8 +8,8 @@
 #include "../../libberyl/requests/retry_budget.h"
 #include "../suite.h"
 
-/* A service is sick and every call of it fails: without a budget each first
- * try would come back several times, when the service can bear least. */
+/* Every call of a failing service fails: without a budget each first attempt
+ * would be retried several times, when the service can sustain the least. */
 START_TEST (retries_are_a_share_of_first_tries)
 {
   struct retry_budgets budgets = { 0 };
@@ -54,19 +54,19 @@
 }
 END_TEST
 
-/* A faulty engine sends everything but the first byte: what waits for the
- * gap must not grow without bound. */
+/* A faulty engine sends everything but the first byte: the pieces buffered
+ * behind the gap must be bounded. */
 START_TEST (waiting_pieces_are_bounded)
 {
   struct reassembly r = { 0 };
   static char piece[4096];
   char out[8] = "";
-  bool taken = true;
+  bool accepted = true;
 
-  for (uint64_t i = 0; taken && i < 1000; i++)
-    taken = reassembly_add (&r, 1 + i * sizeof piece, piece, sizeof piece, 0,
-                            append, out);
-  ck_assert (!taken);
+  for (uint64_t i = 0; accepted && i < 1000; i++)
+    accepted = reassembly_add (&r, 1 + i * sizeof piece, piece, sizeof piece,
+                               0, append, out);
+  ck_assert (!accepted);
   ck_assert_uint_le (r.buffered_bytes, REASSEMBLY_BUFFER_MAX_BYTES);
   reassembly_discard_buffered (&r);
   ck_assert_uint_eq (r.buffered_bytes, 0);
@@ -90,7 +90,7 @@
 }
 END_TEST
 
-/* "ab" of "c" and "a" of "bc" are different keys. */
+/* Scope "ab" with name "c" and scope "a" with name "bc" are different keys. */
 START_TEST (digest_separates_scope_and_name)
 {
   struct map_key a = map_key_digest ("ab", "c");
--- a/tests/requests/test_peer.c
+++ b/tests/requests/test_peer.c
@@ -22,7 +22,7 @@
 }
 
 static bool
-pass (const struct peer_message *message, struct peer_message *read)
+round_trip (const struct peer_message *message, struct peer_message *read)
 {
   const void *bytes;
   size_t bytes_count;
@@ -58,7 +58,7 @@
   struct beryl_call got;
 
   peer_forward_from_call (&message.forward, &call, 1000);
-  ck_assert (pass (&message, &read));
+  ck_assert (round_trip (&message, &read));
   ck_assert_uint_eq (read.id, 9);
   peer_forward_to_call (&read.forward, 77, &got, 200);
   ck_assert_uint_eq (got.request, 77);
@@ -85,7 +85,7 @@
   struct beryl_call got;
 
   peer_forward_from_call (&message.forward, &call, 1000);
-  ck_assert (pass (&message, &read));
+  ck_assert (round_trip (&message, &read));
   peer_forward_to_call (&read.forward, 1, &got, 999);
   ck_assert_int_eq (got.deadline_ms, INT64_MAX);
 }
@@ -98,7 +98,7 @@
   message.claim
       = (struct beryl_claim_message){ BERYL_CLAIM_REPLY, 5, 1, 2, 3, 4,
                                       BERYL_CLAIM_TAKEN };
-  ck_assert (pass (&message, &read));
+  ck_assert (round_trip (&message, &read));
   ck_assert_int_eq (read.claim.type, BERYL_CLAIM_REPLY);
   ck_assert_uint_eq (read.claim.id, 5);
   ck_assert_uint_eq (read.claim.key_high, 1);
@@ -108,46 +108,46 @@
   ck_assert_int_eq (read.claim.result, BERYL_CLAIM_TAKEN);
   message = (struct peer_message){ .type = PEER_DATA, .id = 3 };
   message.data = (struct peer_data){ 7, "xyz", 3, 2 };
-  ck_assert (pass (&message, &read));
+  ck_assert (round_trip (&message, &read));
   ck_assert_uint_eq (read.data.offset, 7);
   ck_assert (memcmp (read.data.bytes, "xyz", 3) == 0);
   message = (struct peer_message){ .type = PEER_ERROR, .id = 3 };
   message.error.problem = BERYL_PROBLEM_KEY_ANSWERED;
   message.error.outcome = BERYL_OUTCOME_ANSWERED;
   strcpy (message.error.detail, "answered");
-  ck_assert (pass (&message, &read));
+  ck_assert (round_trip (&message, &read));
   ck_assert_int_eq (read.error.problem, BERYL_PROBLEM_KEY_ANSWERED);
   ck_assert_str_eq (read.error.detail, "answered");
   message = (struct peer_message){ .type = PEER_END, .id = 4 };
   message.end = (struct peer_end){ "stop", 10, 11, 12 };
-  ck_assert (pass (&message, &read));
+  ck_assert (round_trip (&message, &read));
   ck_assert_uint_eq (read.end.answer_bytes, 10);
   ck_assert_str_eq (read.end.finish_reason, "stop");
   message = (struct peer_message){ .type = PEER_CALLER_GONE, .id = 8 };
-  ck_assert (pass (&message, &read));
+  ck_assert (round_trip (&message, &read));
   ck_assert_uint_eq (read.id, 8);
 }
 END_TEST
 
-/* A faulty node sends an outcome that does not exist; read as a number it
- * would be told to a caller as something it is not. */
+/* A faulty node sends an outcome that does not exist; taken as a plain number
+ * it would be reported to a caller as another outcome. */
 START_TEST (impossible_values_are_refused)
 {
   struct peer_message message = { .type = PEER_ERROR, .id = 3 }, read;
 
   message.error.outcome = (enum beryl_outcome)99;
-  ck_assert (!pass (&message, &read));
+  ck_assert (!round_trip (&message, &read));
   message = (struct peer_message){ .type = PEER_CLAIM };
   message.claim.result = (enum beryl_claim_result)17;
   message.claim.type = BERYL_CLAIM_REQUEST;
-  ck_assert (!pass (&message, &read));
+  ck_assert (!round_trip (&message, &read));
   message.claim.result = BERYL_CLAIM_GRANTED;
   message.claim.type = (enum beryl_claim_message_type)0;
-  ck_assert (!pass (&message, &read));
+  ck_assert (!round_trip (&message, &read));
   message = (struct peer_message){ .type = PEER_FORWARD };
   strcpy (message.forward.request_id, "r");
   message.forward.key_kind = BERYL_KEY_BOUND;
-  ck_assert (!pass (&message, &read));
+  ck_assert (!round_trip (&message, &read));
 }
 END_TEST
 
--- a/tests/requests/transcript.c
+++ b/tests/requests/transcript.c
@@ -341,14 +341,14 @@
       event->exchange = strtoull (line->id + 1, NULL, 10);
       event->forward_error.problem = BERYL_PROBLEM_KEY_ANSWERED;
       event->forward_error.outcome = BERYL_OUTCOME_ANSWERED;
-      event->forward_error.detail = "told by the other node";
+      event->forward_error.detail = "reported by the other node";
     }
   else
     fill_exchange (event, line);
 }
 
 static bool
-steer (struct beryl_router *router, const struct line *line)
+control_router (struct beryl_router *router, const struct line *line)
 {
   if (strcmp (line->verb, "router-limit") == 0)
     fake_router_limit (router, (uint32_t)strtoul (line->id, NULL, 10));
@@ -370,7 +370,7 @@
   char copy[1024];
 
   snprintf (copy, sizeof copy, "%s", text);
-  if (!parse (copy, &line) || steer (router, &line))
+  if (!parse (copy, &line) || control_router (router, &line))
     return;
   fill_event (&event, &line);
   beryl_requests_handle_event (requests, &event, line.at_ms);
--- a/tests/requests/transcript.h
+++ b/tests/requests/transcript.h
@@ -1,17 +1,17 @@
 /** @file
- * Plays a session that is written as text and compares what comes out.
+ * Replays a session written as text and records the resulting actions.
  *
  * A line "> 120 call 1 service=letters ..." is an event at 120 ms; the lines
- * "< ..." below it are the actions that it must cause.  "#" begins a comment.
+ * "< ..." below it are the expected actions.  "#" starts a comment.
  */
 #ifndef TESTS_TRANSCRIPT_H
 #define TESTS_TRANSCRIPT_H
 
-/** Play the file at PATH.  Returns what the session should have looked
- * like, with the actions that really came; free() it. */
+/** Replay the session in the file PATH.  Returns its text with the actual
+ * actions; free() it. */
 char *transcript_play (const char *path);
 
-/** Return the file's text, or NULL; free() it. */
+/** Return the contents of the file PATH, or NULL; free() it. */
 char *transcript_read (const char *path);
 
 #endif
