--- a/include/beryl/requests.h
+++ b/include/beryl/requests.h
@@ -87,8 +87,8 @@
                                         may be fetched */
   BERYL_PROBLEM_KEY_MISMATCH,      /**< the key was used with a different
                                         request body */
-  BERYL_PROBLEM_KEY_UNKNOWN,       /**< the node that ran it is gone:
-                                        outcome unknown */
+  BERYL_PROBLEM_KEY_UNKNOWN,       /**< the key's outcome cannot be
+                                        determined */
   BERYL_PROBLEM_CLAIM_UNAVAILABLE, /**< object API unavailable: not run */
   BERYL_PROBLEM_NOT_FOUND,
   BERYL_PROBLEM_CONTEXT_LENGTH, /**< prompt and answer exceed the model's
--- a/libberyl/requests/admit.c
+++ b/libberyl/requests/admit.c
@@ -1,3 +1,5 @@
+/* Admission of calls: checks the key, configures the request, and claims,
+ * forwards or plans it. */
 #include <stdlib.h>
 #include <string.h>
 
--- a/libberyl/requests/answer.c
+++ b/libberyl/requests/answer.c
@@ -1,3 +1,4 @@
+/* Replies to callers: buffering, flow control and the final reply. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -169,14 +170,14 @@
                            enum beryl_outcome outcome, int64_t retry_after_ms,
                            const char *detail, int64_t now_ms)
 {
-  struct beryl_action cut = {
+  struct beryl_action truncate = {
     .type = BERYL_ACTION_REPLY_TRUNCATE,
     .request = request->call.request,
   };
 
   attempt_stop (requests, request, BERYL_RELEASE_CANCELLED, NULL, now_ms);
   if (!request->caller_gone && request->reply_started)
-    requests_emit (requests, &cut);
+    requests_emit (requests, &truncate);
   else if (!request->caller_gone)
     requests_reply_error (requests, request->call.request, problem, outcome,
                           retry_after_ms, detail);
--- a/libberyl/requests/attempt.c
+++ b/libberyl/requests/attempt.c
@@ -1,10 +1,11 @@
+/* Attempts to run a request at endpoints: start, resume, failure and retry. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "private.h"
 
-/* Broken engine connections after which a decode is no longer resumed. */
+/* Times that one attempt's decode is resumed after its connection broke. */
 #define RESUMES_MAX 2
 
 struct exchange *
--- a/libberyl/requests/claim_compact.c
+++ b/libberyl/requests/claim_compact.c
@@ -1,3 +1,5 @@
+/* Compaction of a shard's log: merges old segments into one and deletes what
+ * is covered or past the retention time. */
 #include <stdlib.h>
 #include <string.h>
 
--- a/libberyl/requests/claim_log.c
+++ b/libberyl/requests/claim_log.c
@@ -1,3 +1,4 @@
+/* In-memory index of a shard's log.  The first claim of a key wins. */
 #include <stdlib.h>
 #include <string.h>
 
--- a/libberyl/requests/claim_remote.c
+++ b/libberyl/requests/claim_remote.c
@@ -37,7 +37,7 @@
              int64_t now_ms)
 {
   const struct pending_claim *pending = remote->pending;
-  struct beryl_claim_message ask = {
+  struct beryl_claim_message request = {
     .type = BERYL_CLAIM_REQUEST,
     .id = remote->id,
     .key_high = pending->key.high,
@@ -47,7 +47,7 @@
   };
 
   remote->due_ms = now_ms + claims->settings.request_timeout_ms;
-  claims->owner->impl->send (claims->owner, remote->home, &ask);
+  claims->owner->impl->send (claims->owner, remote->home, &request);
 }
 
 void
--- a/libberyl/requests/claim_segment.c
+++ b/libberyl/requests/claim_segment.c
@@ -1,3 +1,4 @@
+/* Names and JSON encoding of segment objects. */
 #include <inttypes.h>
 #include <jansson.h>
 #include <stdio.h>
--- a/libberyl/requests/claim_shard.c
+++ b/libberyl/requests/claim_shard.c
@@ -1,3 +1,5 @@
+/* One shard of the claim log: reads its segments and writes batches of claims.
+ * At most one call to the object API is in flight, besides compaction. */
 #include <stdlib.h>
 #include <string.h>
 
--- a/libberyl/requests/claims.c
+++ b/libberyl/requests/claims.c
@@ -232,7 +232,7 @@
   return claims->members[claims->homes[shard]];
 }
 
-/* Whether this node is cut off: it knows no members, not even itself. */
+/* Whether this node is isolated: it knows no members, not even itself. */
 bool
 claims_is_isolated (const struct beryl_claims *claims)
 {
@@ -497,10 +497,10 @@
   claims_detect_pause (claims, now_ms);
   remote_claims_retry (claims, now_ms);
   claims->serving_shards = true;
-  for (uint32_t n = 0, turn = claims->next_shard; n < claims->settings.shards;
+  for (uint32_t n = 0, first = claims->next_shard; n < claims->settings.shards;
        n++)
     {
-      uint32_t i = (turn + n) % claims->settings.shards;
+      uint32_t i = (first + n) % claims->settings.shards;
       struct shard *shard = claims->shards[i];
 
       if (shard == NULL)
--- a/libberyl/requests/hold.c
+++ b/libberyl/requests/hold.c
@@ -1,3 +1,4 @@
+/* Holds of this process at engines, and their cancellation. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/libberyl/requests/hold_cleanup.c
+++ b/libberyl/requests/hold_cleanup.c
@@ -1,3 +1,4 @@
+/* Cancels the windows of dead processes, with retries until confirmed. */
 #include <stdlib.h>
 #include <string.h>
 
--- a/libberyl/requests/hold_windows.c
+++ b/libberyl/requests/hold_windows.c
@@ -1,3 +1,4 @@
+/* Windows of the streams that this process holds at engines. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/libberyl/requests/plan.c
+++ b/libberyl/requests/plan.c
@@ -1,3 +1,4 @@
+/* Planning of requests by the router. */
 #include <stdio.h>
 #include <string.h>
 
--- a/libberyl/requests/private.h
+++ b/libberyl/requests/private.h
@@ -17,7 +17,7 @@
 #define CONTENT_TYPE_BYTES 96
 #define FINISH_REASON_BYTES 32
 #define PREFIX_BLOCKS_MAX 256
-/** Refusals by endpoints after which the request fails. */
+/** Refusals by endpoints that a request tolerates before it fails. */
 #define REFUSALS_MAX 4
 /** Longest time between two events, in ms: a tick is due by then. */
 #define TICK_INTERVAL_MAX_MS 500
@@ -47,7 +47,7 @@
                               answer; 0: none */
   int64_t expires_ms;
   enum beryl_outcome outcome; /**< PENDING while the call is open */
-  bool keyed;
+  bool keyed;                 /**< found by KEY, which must not run twice */
   bool free_key;
   bool claimed;   /**< a free key whose claim was granted to this
                        incarnation */
@@ -76,7 +76,7 @@
   int64_t final_from_ms; /**< a confirmation before this time is not final */
   int64_t next_ms;       /**< when CANCEL is sent again */
   int64_t backoff_ms;
-  uint32_t cancels;
+  uint32_t cancels; /**< CANCEL actions so far */
 };
 
 /** One call to an endpoint or to another node. */
@@ -104,7 +104,7 @@
   struct beryl_call call;  /**< own copy, including strings */
   enum request_phase phase;
   enum beryl_class call_class;
-  bool plain;
+  bool plain; /**< call of a plain service, not of a model */
   bool idempotent;
   bool caller_gone;
   bool reply_started; /**< REPLY_HEAD was sent */
@@ -121,8 +121,8 @@
   char kv_handle[KV_HANDLE_BYTES];
   struct beryl_stream_id stream;
   uint32_t attempt;
-  uint32_t resumes;
-  uint32_t refusals;
+  uint32_t resumes;         /**< reconnects of the current decode */
+  uint32_t refusals;        /**< refusals that ended an attempt */
   uint32_t decode_refusals; /**< refusals of decodes of the current KV cache */
   bool first_token_seen;
   bool engine_call_in_flight; /**< a call to an engine was aborted but may
--- a/libberyl/requests/records.c
+++ b/libberyl/requests/records.c
@@ -1,3 +1,5 @@
+/* Records of calls: keys, outcomes and retained answers.  A key whose call may
+ * have run is never run again by this incarnation. */
 #include <stdlib.h>
 #include <string.h>
 
--- a/libberyl/requests/timers.c
+++ b/libberyl/requests/timers.c
@@ -1,3 +1,5 @@
+/* Due times of open requests, and the lists of requests that wait for a
+ * plan. */
 #include "private.h"
 
 static void
--- a/tests/requests/test_history.c
+++ b/tests/requests/test_history.c
@@ -58,7 +58,7 @@
   bool valid = history_check (history, &result);
 
   history_print (history);
-  printf ("%s\n", valid ? "whole" : result.first_violation);
+  printf ("%s\n", valid ? "all invariants hold" : result.first_violation);
   history_destroy (history);
   return !valid;
 }
--- a/tests/requests/transcript.c
+++ b/tests/requests/transcript.c
@@ -111,7 +111,7 @@
                a->error.detail);
       return;
     case BERYL_ACTION_REPLY_TRUNCATE:
-      fprintf (out, "cut request=%" PRIu64, a->request);
+      fprintf (out, "truncate request=%" PRIu64, a->request);
       return;
     case BERYL_ACTION_PREFILL:
       print_start (out, "prefill", a);
