--- a/libberyl/requests/admit.c
+++ b/libberyl/requests/admit.c
@@ -110,9 +110,7 @@
     {
       requests_reply_error (requests, call->request,
                             BERYL_PROBLEM_KEY_MISMATCH, BERYL_OUTCOME_NOT_RUN,
-                            0,
-                            "the key was already used for a different "
-                            "request");
+                            0, "the key was used for another request");
       return true;
     }
   if (!BERYL_GUARD (BERYL_GUARD_KEY_RUNNING,
@@ -120,7 +118,7 @@
     {
       requests_reply_error (requests, call->request, BERYL_PROBLEM_KEY_IN_USE,
                             BERYL_OUTCOME_PENDING, KEY_RETRY_MS,
-                            "a call with this key is still running");
+                            "a call with this key is running");
       return true;
     }
   if (BERYL_GUARD (BERYL_GUARD_KEY_ENDED,
@@ -130,7 +128,8 @@
   if (record->outcome == BERYL_OUTCOME_ANSWERED)
     requests_reply_error (requests, call->request, BERYL_PROBLEM_KEY_ANSWERED,
                           BERYL_OUTCOME_ANSWERED, 0,
-                          "a call with this key was already answered");
+                          "a call with this key was "
+                          "answered");
   else
     requests_reply_error (requests, call->request, BERYL_PROBLEM_KEY_UNKNOWN,
                           BERYL_OUTCOME_UNKNOWN, 0,
@@ -219,7 +218,7 @@
     {
       requests_reply_error (requests, call->request, BERYL_PROBLEM_KEY_UNKNOWN,
                             BERYL_OUTCOME_UNKNOWN, 0,
-                            "no record of this key: its outcome is unknown");
+                            "what became of this key is not known");
       return true;
     }
   return record != NULL && reject_known_key (requests, call, record);
@@ -272,7 +271,7 @@
   if (service == NULL)
     {
       requests_reply_error (requests, call->request, BERYL_PROBLEM_NO_SERVICE,
-                            BERYL_OUTCOME_NOT_RUN, 0, "unknown service");
+                            BERYL_OUTCOME_NOT_RUN, 0, "no such service");
       return;
     }
   if (requests_reject_key (requests, call))
@@ -290,7 +289,7 @@
   if (!request_check_model (requests, request, service))
     {
       request_fail (requests, request, BERYL_PROBLEM_CONTEXT_LENGTH, 0,
-                    "prompt and answer exceed the model's context length",
+                    "prompt and answer are longer than the model takes",
                     now_ms);
       return;
     }
@@ -335,7 +334,7 @@
     case BERYL_CLAIM_MISMATCH:
       request_fail_with_outcome (
           requests, request, BERYL_PROBLEM_KEY_MISMATCH, BERYL_OUTCOME_NOT_RUN,
-          0, "the key was already used for a different request", now_ms);
+          0, "the key was used for another request", now_ms);
       return;
     case BERYL_CLAIM_UNAVAILABLE:
       request_fail_with_outcome (requests, request,
@@ -344,10 +343,10 @@
                                  "the key could not be claimed", now_ms);
       return;
     case BERYL_CLAIM_UNKNOWN:
-      request_fail_with_outcome (requests, request, BERYL_PROBLEM_KEY_UNKNOWN,
-                                 BERYL_OUTCOME_UNKNOWN, CLAIM_RETRY_MS,
-                                 "an earlier call with this key may have run",
-                                 now_ms);
+      request_fail_with_outcome (
+          requests, request, BERYL_PROBLEM_KEY_UNKNOWN, BERYL_OUTCOME_UNKNOWN,
+          CLAIM_RETRY_MS, "an earlier call with this key cannot be ruled out",
+          now_ms);
       return;
     }
 }
--- a/libberyl/requests/answer.c
+++ b/libberyl/requests/answer.c
@@ -247,8 +247,8 @@
     return;
   map_remove (&requests->by_handle, map_key_number (request->call.request));
   request->caller_gone = true;
-  request_fail (requests, request, BERYL_PROBLEM_DEADLINE, 0,
-                "caller disconnected", now_ms);
+  request_fail (requests, request, BERYL_PROBLEM_DEADLINE, 0, "caller gone",
+                now_ms);
 }
 
 void
@@ -261,10 +261,10 @@
       && request_detach (requests, request, now_ms))
     requests_reply_error (requests, handle, BERYL_PROBLEM_DEADLINE,
                           BERYL_OUTCOME_UNKNOWN, 0,
-                          "deadline exceeded while the call was running");
+                          "deadline passed while it was running");
   else
     request_fail (requests, request, BERYL_PROBLEM_DEADLINE, 0,
-                  "deadline exceeded", now_ms);
+                  "deadline passed", now_ms);
 }
 
 void
--- a/libberyl/requests/attempt.c
+++ b/libberyl/requests/attempt.c
@@ -199,17 +199,17 @@
   bool safe = beryl_outcome_allows_retry (outcome, request->idempotent);
 
   if (request->caller_gone)
-    return "caller disconnected";
+    return "caller gone";
   /* Another engine would continue with different text: after the first byte
    * was sent, the caller would receive a mix of two answers. */
   if (!BERYL_GUARD (BERYL_GUARD_MIX, !request->reply_started))
-    return "part of the answer was already sent";
+    return "the answer had begun";
   /* A non-idempotent call that may have run must not run again; a repeated
    * billing call would charge a customer twice. */
   if (!BERYL_GUARD (BERYL_GUARD_RETRY_SAFE, safe))
-    return "the endpoint failed and the call may have run";
+    return "the endpoint failed while the call may have been running";
   if (refused && ++request->refusals > REFUSALS_MAX)
-    return "all endpoints tried are full";
+    return "every endpoint tried is full";
   if (!refused
       && !retry_budget_spend (&requests->budgets, request->call.service))
     return "the service's retry budget is spent";
--- a/libberyl/requests/attempt_event.c
+++ b/libberyl/requests/attempt_event.c
@@ -14,9 +14,7 @@
   exchange_close (requests, request);
   request_fail_with_outcome (
       requests, request, BERYL_PROBLEM_KEY_UNKNOWN, BERYL_OUTCOME_UNKNOWN,
-      1000,
-      reason != NULL ? reason : "the node that owns the key is unreachable",
-      now_ms);
+      1000, reason != NULL ? reason : "the key's node is away", now_ms);
 }
 
 static void
@@ -200,8 +198,7 @@
   if (!BERYL_GUARD (BERYL_GUARD_WHOLE,
                     !sized || request->reassembly.next == expected_bytes))
     {
-      on_failed (requests, request, true,
-                 "the answer ended before all bytes arrived", now_ms);
+      on_failed (requests, request, true, "bytes are missing", now_ms);
       return;
     }
   if (event->end.finish_reason != NULL)
--- a/libberyl/requests/records.c
+++ b/libberyl/requests/records.c
@@ -277,8 +277,8 @@
       requests_reply_error (
           requests, event->request, BERYL_PROBLEM_KEY_ANSWERED,
           BERYL_OUTCOME_ANSWERED, 0,
-          record->delivered ? "the answer was already delivered"
-                            : "the answer is not available");
+          record->delivered ? "the answer was delivered whole"
+                            : "the answer is not kept");
       return;
     }
   record->reader = event->request;
@@ -296,28 +296,26 @@
   if (record == NULL)
     {
       requests_reply_error (requests, event->request, BERYL_PROBLEM_NOT_FOUND,
-                            BERYL_OUTCOME_UNKNOWN, 0, "unknown request");
+                            BERYL_OUTCOME_UNKNOWN, 0, "no such request here");
       return;
     }
   switch (record->outcome)
     {
     case BERYL_OUTCOME_PENDING:
       requests_reply_error (requests, event->request, BERYL_PROBLEM_KEY_IN_USE,
-                            BERYL_OUTCOME_PENDING, 1000,
-                            "the request is still running");
+                            BERYL_OUTCOME_PENDING, 1000, "it is running");
       return;
     case BERYL_OUTCOME_ANSWERED:
       fetch_answer (requests, record, event);
       return;
     case BERYL_OUTCOME_NOT_RUN:
       requests_reply_error (requests, event->request, BERYL_PROBLEM_NOT_FOUND,
-                            BERYL_OUTCOME_NOT_RUN, 0,
-                            "the request did not run");
+                            BERYL_OUTCOME_NOT_RUN, 0, "it did not run");
       return;
     case BERYL_OUTCOME_UNKNOWN:
       requests_reply_error (requests, event->request,
                             BERYL_PROBLEM_KEY_UNKNOWN, BERYL_OUTCOME_UNKNOWN,
-                            0, "the request may have run");
+                            0, "it may have run");
       return;
     }
 }
--- a/libberyl/requests/timers.c
+++ b/libberyl/requests/timers.c
@@ -84,7 +84,7 @@
     request_on_deadline (requests, request, now_ms);
   else if (now_ms >= reader_due_ms (requests, request))
     request_fail (requests, request, BERYL_PROBLEM_DEADLINE, 0,
-                  "the caller stopped reading its answer", now_ms);
+                  "caller does not read its answer", now_ms);
   else if (now_ms >= request->decode_retry_at_ms)
     attempt_bind_decode (requests, request, NULL, now_ms);
 }
--- a/tests/requests/cluster_peers.c
+++ b/tests/requests/cluster_peers.c
@@ -153,7 +153,7 @@
       event->forward_error.problem = action->error.problem;
       event->forward_error.outcome = action->error.outcome;
       event->forward_error.retry_after_ms = action->error.retry_after_ms;
-      event->forward_error.detail = "reported by the other node";
+      event->forward_error.detail = "told by the other node";
       return;
     }
 }
--- a/tests/requests/transcript.c
+++ b/tests/requests/transcript.c
@@ -111,7 +111,7 @@
                a->error.detail);
       return;
     case BERYL_ACTION_REPLY_TRUNCATE:
-      fprintf (out, "truncate request=%" PRIu64, a->request);
+      fprintf (out, "cut request=%" PRIu64, a->request);
       return;
     case BERYL_ACTION_PREFILL:
       print_start (out, "prefill", a);
@@ -341,7 +341,7 @@
       event->exchange = strtoull (line->id + 1, NULL, 10);
       event->forward_error.problem = BERYL_PROBLEM_KEY_ANSWERED;
       event->forward_error.outcome = BERYL_OUTCOME_ANSWERED;
-      event->forward_error.detail = "reported by the other node";
+      event->forward_error.detail = "told by the other node";
     }
   else
     fill_exchange (event, line);
