--- a/entryd/calls.c
+++ b/entryd/calls.c
@@ -111,7 +111,7 @@
   struct entry_request *request = http_exchange_user (ex);
 
   if (request != NULL && !request->answered)
-    request_event (entry_of (handler), request, BERYL_EVENT_CALLER_DRAINED);
+    request_event (entry_of (handler), request, BERYL_EVENT_CALLER_CAUGHT_UP);
 }
 
 static void
@@ -127,7 +127,7 @@
   if (!entry->closing)
     {
       request_event (entry, request,
-                     whole ? BERYL_EVENT_CALLER_DRAINED
+                     whole ? BERYL_EVENT_CALLER_CAUGHT_UP
                            : BERYL_EVENT_CALLER_GONE);
       peers_caller_ended (entry->peers, request, whole);
     }
--- a/entryd/peers_serve.c
+++ b/entryd/peers_serve.c
@@ -64,7 +64,7 @@
       = g_hash_table_lookup (peer->serving, &message->id);
   struct beryl_event event = { .type = message->type == PEER_CALLER_GONE
                                            ? BERYL_EVENT_CALLER_GONE
-                                           : BERYL_EVENT_CALLER_DRAINED };
+                                           : BERYL_EVENT_CALLER_CAUGHT_UP };
 
   if (request == NULL)
     return;
@@ -130,7 +130,7 @@
     {
       struct entry_request *request = l->data;
       struct beryl_event event = {
-        .type = BERYL_EVENT_CALLER_DRAINED,
+        .type = BERYL_EVENT_CALLER_CAUGHT_UP,
         .request = request->handle,
       };
 
--- a/include/beryl/requests.h
+++ b/include/beryl/requests.h
@@ -10,7 +10,7 @@
  * Every call ends with exactly one of REPLY_END, REPLY_ERROR and
  * REPLY_TRUNCATE, unless its caller has disconnected.  A caller's handle may
  * be reused after that.  An answer counts as delivered when
- * BERYL_EVENT_CALLER_DRAINED follows REPLY_END; until then, or after
+ * BERYL_EVENT_CALLER_CAUGHT_UP follows REPLY_END; until then, or after
  * BERYL_EVENT_CALLER_GONE, the answer of a call with a key can be fetched.
  */
 #ifndef BERYL_REQUESTS_H
@@ -40,7 +40,7 @@
 {
   BERYL_EVENT_CALL,             /**< a complete request arrived */
   BERYL_EVENT_CALLER_GONE,      /**< the caller's connection closed */
-  BERYL_EVENT_CALLER_DRAINED,   /**< the caller has read all queued bytes */
+  BERYL_EVENT_CALLER_CAUGHT_UP, /**< the caller has read all queued bytes */
   BERYL_EVENT_EXCHANGE_SENT,    /**< a byte was handed to the socket */
   BERYL_EVENT_EXCHANGE_REFUSED, /**< the endpoint rejected the call without
                                      running it */
--- a/libberyl/lease/lease.c
+++ b/libberyl/lease/lease.c
@@ -209,7 +209,7 @@
 }
 
 static void
-lease_compete (struct beryl_lease *lease, int64_t now_ms)
+lease_acquire_or_release (struct beryl_lease *lease, int64_t now_ms)
 {
   if (!lease->candidate)
     {
@@ -282,7 +282,7 @@
   else if (write == NULL && lease->observed.version > lease->fence)
     lease_lost (lease);
   if (lease->fence == 0)
-    lease_compete (lease, now_ms);
+    lease_acquire_or_release (lease, now_ms);
   else if (lease->next_ms <= now_ms)
     lease_write (lease, false, now_ms);
 }
@@ -365,7 +365,7 @@
   lease->next_ms = now_ms + lease->poll_ms;
   if (!lease->candidate)
     {
-      lease_compete (lease, now_ms);
+      lease_acquire_or_release (lease, now_ms);
     }
   else if (lease->fence != 0)
     lease_write (lease, false, now_ms);
--- a/libberyl/requests/answer.c
+++ b/libberyl/requests/answer.c
@@ -138,7 +138,7 @@
   request->answer.completion_tokens += tokens;
   if (!streamed || (request->record != NULL && request->record->keyed))
     buffer_append (&request->answer.body, bytes, bytes_count);
-  if (request->caller_gone)
+  if (request->detached)
     return;
   if (streamed)
     request_send (requests, request, bytes, bytes_count, tokens, now_ms);
@@ -155,10 +155,10 @@
 request_complete (struct beryl_requests *requests, struct request *request,
                   int64_t now_ms)
 {
-  if (!request->caller_gone && !request->reply_started)
+  if (!request->detached && !request->reply_started)
     request_send (requests, request, request->answer.body.bytes,
                   request->answer.body.count, 0, now_ms);
-  if (!request->caller_gone)
+  if (!request->detached)
     reply_end (requests, request->call.request, &request->answer);
   record_close (requests, request, BERYL_OUTCOME_ANSWERED, now_ms);
   request_unlink (requests, request);
@@ -176,9 +176,9 @@
   };
 
   attempt_stop (requests, request, BERYL_RELEASE_CANCELLED, NULL, now_ms);
-  if (!request->caller_gone && request->reply_started)
+  if (!request->detached && request->reply_started)
     requests_emit (requests, &truncate);
-  else if (!request->caller_gone)
+  else if (!request->detached)
     requests_reply_error (requests, request->call.request, problem, outcome,
                           retry_after_ms, detail);
   record_close (requests, request, outcome, now_ms);
@@ -231,7 +231,7 @@
   if (!BERYL_GUARD (BERYL_GUARD_CANCEL_GONE, detachable))
     return false;
   map_remove (&requests->by_handle, map_key_number (request->call.request));
-  request->caller_gone = true;
+  request->detached = true;
   request->call.deadline_ms = now_ms + DETACHED_TIMEOUT_MS;
   requests_schedule_due (requests, request->call.deadline_ms);
   request->slow_since_ms = BERYL_NEVER_MS;
@@ -246,7 +246,7 @@
   if (request_detach (requests, request, now_ms))
     return;
   map_remove (&requests->by_handle, map_key_number (request->call.request));
-  request->caller_gone = true;
+  request->detached = true;
   request_fail (requests, request, BERYL_PROBLEM_DEADLINE, 0, "caller gone",
                 now_ms);
 }
@@ -257,7 +257,7 @@
 {
   uint64_t handle = request->call.request;
 
-  if (!request->caller_gone && !request->reply_started
+  if (!request->detached && !request->reply_started
       && request_detach (requests, request, now_ms))
     requests_reply_error (requests, handle, BERYL_PROBLEM_DEADLINE,
                           BERYL_OUTCOME_UNKNOWN, 0,
@@ -268,8 +268,8 @@
 }
 
 void
-request_on_caller_drained (struct beryl_requests *requests,
-                           struct request *request)
+request_on_caller_caught_up (struct beryl_requests *requests,
+                             struct request *request)
 {
   request->queued_bytes = 0;
   if (request->slow_since_ms == BERYL_NEVER_MS)
--- a/libberyl/requests/attempt.c
+++ b/libberyl/requests/attempt.c
@@ -198,7 +198,7 @@
 {
   bool safe = beryl_outcome_allows_retry (outcome, request->idempotent);
 
-  if (request->caller_gone)
+  if (request->detached)
     return "caller gone";
   /* Another engine would continue with different text: after the first byte
    * was sent, the caller would receive a mix of two answers. */
--- a/libberyl/requests/attempt_event.c
+++ b/libberyl/requests/attempt_event.c
@@ -37,7 +37,7 @@
   if (request->phase == PHASE_DECODE)
     outcome = BERYL_OUTCOME_UNKNOWN;
   if (request->phase == PHASE_PREFILL && !sent)
-    hold_release (requests, request->prefill, request->stream);
+    hold_forget (requests, request->prefill, request->stream);
   exchange_close (requests, request);
   attempt_failed (requests, request, outcome, false, endpoint, 0, now_ms);
 }
@@ -52,7 +52,7 @@
 
   exchange_close (requests, request);
   if (strcmp (request->prefill, request->decode) != 0)
-    hold_release (requests, request->decode, request->stream);
+    hold_forget (requests, request->decode, request->stream);
   memcpy (refused_by, request->decode, sizeof refused_by);
   attempt_bind_decode (requests, request, refused_by, now_ms);
 }
@@ -80,10 +80,10 @@
   if (request->phase == PHASE_DECODE)
     outcome = BERYL_OUTCOME_UNKNOWN;
   if (request->phase == PHASE_PREFILL)
-    hold_release (requests, request->prefill, request->stream);
+    hold_forget (requests, request->prefill, request->stream);
   if (request->phase == PHASE_DECODE && request->resumes == 0
       && strcmp (request->prefill, request->decode) != 0)
-    hold_release (requests, request->decode, request->stream);
+    hold_forget (requests, request->decode, request->stream);
   exchange_close (requests, request);
   attempt_failed (requests, request, outcome, true, endpoint, retry_after_ms,
                   now_ms);
@@ -206,7 +206,7 @@
               event->end.finish_reason);
   release_export (requests, request, now_ms);
   if (request->phase == PHASE_DECODE)
-    hold_release (requests, request->decode, request->stream);
+    hold_forget (requests, request->decode, request->stream);
   exchange_close (requests, request);
   attempt_release (requests, request, BERYL_RELEASE_DONE, NULL, now_ms);
   request_complete (requests, request, now_ms);
--- a/libberyl/requests/claim_log.c
+++ b/libberyl/requests/claim_log.c
@@ -199,11 +199,11 @@
 
   if (segment != NULL)
     segment->claims = shard->batch.count;
-  for (struct pending_claim *w = shard->batch.first; w != NULL; w = w->next)
+  for (struct pending_claim *p = shard->batch.first; p != NULL; p = p->next)
     {
-      struct claim claim = { w->body_hash, w->incarnation, shard->next };
+      struct claim claim = { p->body_hash, p->incarnation, shard->next };
 
-      log_put (shard, w->key, &claim);
+      log_put (shard, p->key, &claim);
     }
   shard->next++;
 }
--- a/libberyl/requests/claim_private.h
+++ b/libberyl/requests/claim_private.h
@@ -133,14 +133,14 @@
                                BERYL_NEVER_MS: it is not home */
   struct shard **shards;  /**< by number; NULL until used */
   struct remote_claim *remotes;
-  int64_t last_tick_ms;
-  int64_t write_not_before_ms; /**< no new segment is written before this */
-  uint32_t home_count;         /**< number of shards that this node is home
-                                    of */
-  bool serving_shards;         /**< a tick is stepping through the shards */
-  uint32_t next_shard;         /**< first shard that the next tick serves */
-  int64_t rate_used_until_us;  /**< the commit rate is used up until this
-                                    time */
+  int64_t last_event_ms;
+  int64_t write_not_before_ms;   /**< no new segment is written before this */
+  uint32_t home_count;           /**< number of shards that this node is home
+                                      of */
+  bool serving_shards;           /**< a tick is stepping through the shards */
+  uint32_t next_shard;           /**< first shard that the next tick serves */
+  int64_t rate_charged_until_us; /**< the commit rate is used up until this
+                                   time */
   uint64_t last_call;
   uint64_t last_remote_id;
   uint64_t random;
@@ -177,8 +177,8 @@
 void shard_on_read (struct shard *shard, enum beryl_error_code code,
                     const struct beryl_object *objects, size_t object_count,
                     int64_t now_ms);
-void shard_on_created (struct shard *shard, enum beryl_error_code code,
-                       int64_t now_ms);
+void shard_on_create_done (struct shard *shard, enum beryl_error_code code,
+                           int64_t now_ms);
 int64_t shard_next_ms (const struct shard *shard);
 
 /* claim_log.c: in-memory state of a shard's log */
--- a/libberyl/requests/claim_remote.c
+++ b/libberyl/requests/claim_remote.c
@@ -121,17 +121,17 @@
 {
   struct remote_claim *next;
 
-  for (struct remote_claim *a = remote_detach_all (claims); a != NULL;
-       a = next)
+  for (struct remote_claim *r = remote_detach_all (claims); r != NULL;
+       r = next)
     {
-      next = a->next;
-      if (strcmp (a->home, node) != 0)
+      next = r->next;
+      if (strcmp (r->home, node) != 0)
         {
-          remote_attach (claims, a);
+          remote_attach (claims, r);
           continue;
         }
-      a->pending->home_down = true;
-      claim_locally (claims, a, now_ms);
+      r->pending->home_down = true;
+      claim_locally (claims, r, now_ms);
     }
 }
 
@@ -162,14 +162,14 @@
 {
   struct remote_claim *next;
 
-  for (struct remote_claim *a = remote_detach_all (claims); a != NULL;
-       a = next)
+  for (struct remote_claim *r = remote_detach_all (claims); r != NULL;
+       r = next)
     {
-      next = a->next;
-      if (now_ms >= a->due_ms)
-        retry_remote (claims, a, now_ms);
+      next = r->next;
+      if (now_ms >= r->due_ms)
+        retry_remote (claims, r, now_ms);
       else
-        remote_attach (claims, a);
+        remote_attach (claims, r);
     }
 }
 
--- a/libberyl/requests/claim_shard.c
+++ b/libberyl/requests/claim_shard.c
@@ -144,8 +144,8 @@
 static bool
 queue_has (const struct pending_queue *queue, struct map_key key)
 {
-  for (const struct pending_claim *w = queue->first; w != NULL; w = w->next)
-    if (w->key.high == key.high && w->key.low == key.low)
+  for (const struct pending_claim *p = queue->first; p != NULL; p = p->next)
+    if (p->key.high == key.high && p->key.low == key.low)
       return true;
   return false;
 }
@@ -184,11 +184,11 @@
       answer_all (shard, &shard->batch, BERYL_CLAIM_UNAVAILABLE);
       return;
     }
-  for (struct pending_claim *w = shard->batch.first; w != NULL; w = w->next)
+  for (struct pending_claim *p = shard->batch.first; p != NULL; p = p->next)
     {
-      struct claim claim = { w->body_hash, w->incarnation, shard->next };
+      struct claim claim = { p->body_hash, p->incarnation, shard->next };
 
-      segment_writer_add (writer, w->key, &claim);
+      segment_writer_add (writer, p->key, &claim);
     }
   free (shard->value);
   shard->value = segment_writer_finish (writer);
@@ -356,7 +356,7 @@
 }
 
 static void
-on_created (struct shard *shard, int64_t now_ms)
+on_written (struct shard *shard, int64_t now_ms)
 {
   struct pending_claim *pending;
 
@@ -416,8 +416,8 @@
 }
 
 void
-shard_on_created (struct shard *shard, enum beryl_error_code code,
-                  int64_t now_ms)
+shard_on_create_done (struct shard *shard, enum beryl_error_code code,
+                      int64_t now_ms)
 {
   bool written = code == BERYL_OK;
 
@@ -429,7 +429,7 @@
   written |= code == BERYL_ERROR_CONFLICT
              && BERYL_GUARD (BERYL_GUARD_CLAIM_CREATE, false);
   if (written)
-    on_created (shard, now_ms);
+    on_written (shard, now_ms);
   else if (code == BERYL_ERROR_CONFLICT)
     on_create_conflict (shard);
   else if (code == BERYL_ERROR_UNKNOWN)
--- a/libberyl/requests/claims.c
+++ b/libberyl/requests/claims.c
@@ -23,10 +23,10 @@
  * suspended, which must be noticed before other nodes could have replaced this
  * home. */
 #define TICK_INTERVAL_MAX_MS 200
-#define PAUSE_DETECTED_MS (3 * TICK_INTERVAL_MAX_MS)
+#define SUSPENSION_DETECTED_MS (3 * TICK_INTERVAL_MAX_MS)
 /* How long a process waits after a suspension for the member changes that it
  * missed. */
-#define PAUSE_RECOVERY_MS 100
+#define SUSPENSION_RECOVERY_MS 100
 /* How long a new home does not trust its view of the log to be complete. */
 #define HOME_ESTABLISHED_MS 2000
 
@@ -299,7 +299,7 @@
 {
   int64_t burst_us = COMMIT_BURST * commit_cost_us (claims);
 
-  int64_t rate_ms = (claims->rate_used_until_us - burst_us + 999) / 1000;
+  int64_t rate_ms = (claims->rate_charged_until_us - burst_us + 999) / 1000;
 
   return rate_ms > claims->write_not_before_ms ? rate_ms
                                                : claims->write_not_before_ms;
@@ -311,7 +311,7 @@
 bool
 claims_may_commit (const struct beryl_claims *claims, int64_t now_ms)
 {
-  int64_t spare_us = now_ms * 1000 - claims->rate_used_until_us;
+  int64_t spare_us = now_ms * 1000 - claims->rate_charged_until_us;
 
   if (now_ms < claims->write_not_before_ms)
     return false;
@@ -324,9 +324,9 @@
 claims_charge_commit (struct beryl_claims *claims, const struct shard *shard,
                       int64_t now_ms)
 {
-  if (claims->rate_used_until_us < now_ms * 1000)
-    claims->rate_used_until_us = now_ms * 1000;
-  claims->rate_used_until_us += commit_cost_us (claims);
+  if (claims->rate_charged_until_us < now_ms * 1000)
+    claims->rate_charged_until_us = now_ms * 1000;
+  claims->rate_charged_until_us += commit_cost_us (claims);
   claims->next_shard = shard->number + 1;
 }
 
@@ -351,16 +351,16 @@
 /* A process that was suspended may have lost shards to another home
  * meanwhile. */
 static void
-claims_detect_pause (struct beryl_claims *claims, int64_t now_ms)
+claims_detect_suspension (struct beryl_claims *claims, int64_t now_ms)
 {
-  int64_t gap_ms = now_ms - claims->last_tick_ms;
+  int64_t gap_ms = now_ms - claims->last_event_ms;
 
-  claims->last_tick_ms = now_ms;
-  if (gap_ms < PAUSE_DETECTED_MS)
+  claims->last_event_ms = now_ms;
+  if (gap_ms < SUSPENSION_DETECTED_MS)
     return;
   /* Its view of the members may be old too: a claim that it wrote as home now
    * would be unknown to the node that has become home. */
-  claims->write_not_before_ms = now_ms + PAUSE_RECOVERY_MS;
+  claims->write_not_before_ms = now_ms + SUSPENSION_RECOVERY_MS;
   for (uint32_t i = 0; i < claims->settings.shards; i++)
     {
       if (claims->home_since_ms[i] != BERYL_NEVER_MS)
@@ -378,7 +378,7 @@
   struct pending_claim *pending = calloc (1, sizeof *pending);
   uint32_t number;
 
-  claims_detect_pause (claims, now_ms);
+  claims_detect_suspension (claims, now_ms);
   if (pending == NULL)
     {
       claims->owner->impl->result (claims->owner, request,
@@ -423,7 +423,7 @@
                              const struct beryl_claim_message *message,
                              int64_t now_ms)
 {
-  claims_detect_pause (claims, now_ms);
+  claims_detect_suspension (claims, now_ms);
   if (message->type == BERYL_CLAIM_REPLY)
     remote_claims_on_reply (claims, message);
   else
@@ -447,7 +447,7 @@
 {
   struct shard *shard = call_take (claims, call);
 
-  claims_detect_pause (claims, now_ms);
+  claims_detect_suspension (claims, now_ms);
   if (shard != NULL && shard->call_id == call)
     shard_on_read (shard, code, objects, object_count, now_ms);
 }
@@ -458,11 +458,11 @@
 {
   struct shard *shard = call_take (claims, call);
 
-  claims_detect_pause (claims, now_ms);
+  claims_detect_suspension (claims, now_ms);
   if (shard == NULL)
     return;
   if (shard->call_id == call)
-    shard_on_created (shard, code, now_ms);
+    shard_on_create_done (shard, code, now_ms);
   else if (shard->compaction_call_id == call)
     compaction_on_written (shard, code, now_ms);
 }
@@ -494,7 +494,7 @@
 void
 beryl_claims_tick (struct beryl_claims *claims, int64_t now_ms)
 {
-  claims_detect_pause (claims, now_ms);
+  claims_detect_suspension (claims, now_ms);
   remote_claims_retry (claims, now_ms);
   claims->serving_shards = true;
   for (uint32_t n = 0, first = claims->next_shard; n < claims->settings.shards;
@@ -523,10 +523,10 @@
 int64_t
 beryl_claims_next_ms (const struct beryl_claims *claims)
 {
-  int64_t next_ms = claims->last_tick_ms + TICK_INTERVAL_MAX_MS;
+  int64_t next_ms = claims->last_event_ms + TICK_INTERVAL_MAX_MS;
 
-  for (const struct remote_claim *a = claims->remotes; a != NULL; a = a->next)
-    next_ms = earlier (next_ms, a->due_ms);
+  for (const struct remote_claim *r = claims->remotes; r != NULL; r = r->next)
+    next_ms = earlier (next_ms, r->due_ms);
   for (uint32_t i = 0; i < claims->settings.shards; i++)
     {
       const struct shard *shard = claims->shards[i];
--- a/libberyl/requests/death.c
+++ b/libberyl/requests/death.c
@@ -2,7 +2,7 @@
 #include "beryl/holds.h"
 
 static bool
-link_proves (const struct beryl_death_evidence *evidence, int64_t now_ms)
+link_proves_death (const struct beryl_death_evidence *evidence, int64_t now_ms)
 {
   return evidence->link_broken
          && now_ms - evidence->link_broken_ms >= BERYL_DEATH_LINK_GRACE_MS;
@@ -14,7 +14,7 @@
  * list that cannot be read, proves nothing; cancelling the streams of a live
  * node would cut off its callers. */
 static bool
-list_proves (const struct beryl_death_evidence *evidence, int64_t now_ms)
+list_proves_death (const struct beryl_death_evidence *evidence, int64_t now_ms)
 {
   return evidence->list_current && !evidence->listed
          && now_ms - evidence->delisted_ms >= BERYL_DEATH_DELISTED_MS
@@ -29,17 +29,17 @@
 {
   if (evidence->address_incarnation > evidence->incarnation)
     return BERYL_DEATH_NEWER_INCARNATION;
-  if (link_proves (evidence, now_ms))
+  if (link_proves_death (evidence, now_ms))
     return BERYL_DEATH_LINK_BROKEN;
-  if (list_proves (evidence, now_ms))
+  if (list_proves_death (evidence, now_ms))
     return BERYL_DEATH_DELISTED;
   return BERYL_DEATH_NONE;
 }
 
 const char *
-beryl_death_proof_name (enum beryl_death_proof death)
+beryl_death_proof_name (enum beryl_death_proof proof)
 {
-  switch (death)
+  switch (proof)
     {
     case BERYL_DEATH_NONE:
       return "none";
--- a/libberyl/requests/hold.c
+++ b/libberyl/requests/hold.c
@@ -31,8 +31,8 @@
 }
 
 static void
-hold_act (struct beryl_requests *requests, enum beryl_action_type type,
-          const struct hold *hold)
+hold_emit (struct beryl_requests *requests, enum beryl_action_type type,
+           const struct hold *hold)
 {
   struct beryl_action action = { .type = type };
 
@@ -61,7 +61,7 @@
   hold->next_ms = BERYL_NEVER_MS;
   hold->next = requests->holds;
   requests->holds = hold;
-  hold_act (requests, BERYL_ACTION_HOLD_RECORD, hold);
+  hold_emit (requests, BERYL_ACTION_HOLD_RECORD, hold);
   return true;
 }
 
@@ -71,13 +71,13 @@
   struct hold *hold = *at;
 
   *at = hold->next;
-  hold_act (requests, BERYL_ACTION_HOLD_ERASE, hold);
+  hold_emit (requests, BERYL_ACTION_HOLD_ERASE, hold);
   free (hold);
 }
 
 void
-hold_release (struct beryl_requests *requests, const char *endpoint,
-              struct beryl_stream_id stream)
+hold_forget (struct beryl_requests *requests, const char *endpoint,
+             struct beryl_stream_id stream)
 {
   struct hold **at = hold_find (requests, endpoint, stream);
 
@@ -94,7 +94,7 @@
   hold->backoff_ms *= 2;
   if (hold->backoff_ms > CANCEL_MAX_BACKOFF_MS)
     hold->backoff_ms = CANCEL_MAX_BACKOFF_MS;
-  hold_act (requests, BERYL_ACTION_CANCEL, hold);
+  hold_emit (requests, BERYL_ACTION_CANCEL, hold);
 }
 
 void
--- a/libberyl/requests/hold_cleanup.c
+++ b/libberyl/requests/hold_cleanup.c
@@ -12,9 +12,9 @@
 #define CLEANUP_FIRST_BACKOFF_MS 200
 #define CLEANUP_MAX_BACKOFF_MS 2000
 
-struct cleanup
+struct cleanup_item
 {
-  struct cleanup *next;
+  struct cleanup_item *next;
   struct beryl_hold_window window;
   int64_t final_from_ms;
   int64_t next_ms;
@@ -23,7 +23,7 @@
 
 struct beryl_hold_cleanup
 {
-  struct cleanup *items;
+  struct cleanup_item *items;
   size_t count;
 };
 
@@ -36,7 +36,7 @@
 void
 beryl_hold_cleanup_destroy (struct beryl_hold_cleanup *cleanup)
 {
-  struct cleanup *item;
+  struct cleanup_item *item;
 
   if (cleanup == NULL)
     return;
@@ -48,11 +48,11 @@
   free (cleanup);
 }
 
-static struct cleanup **
-cleanup_find (struct beryl_hold_cleanup *cleanup, const char *endpoint,
-              uint64_t incarnation)
+static struct cleanup_item **
+item_find (struct beryl_hold_cleanup *cleanup, const char *endpoint,
+           uint64_t incarnation)
 {
-  struct cleanup **at = &cleanup->items;
+  struct cleanup_item **at = &cleanup->items;
 
   while (*at != NULL
          && ((*at)->window.incarnation != incarnation
@@ -62,9 +62,9 @@
 }
 
 static void
-cleanup_remove (struct beryl_hold_cleanup *cleanup, struct cleanup **at)
+item_remove (struct beryl_hold_cleanup *cleanup, struct cleanup_item **at)
 {
-  struct cleanup *item = *at;
+  struct cleanup_item *item = *at;
 
   *at = item->next;
   cleanup->count--;
@@ -75,8 +75,8 @@
 beryl_hold_cleanup_add (struct beryl_hold_cleanup *cleanup,
                         const struct beryl_hold_window *window, int64_t now_ms)
 {
-  struct cleanup *item
-      = *cleanup_find (cleanup, window->endpoint, window->incarnation);
+  struct cleanup_item *item
+      = *item_find (cleanup, window->endpoint, window->incarnation);
 
   if (window->to < window->from)
     return true;
@@ -104,15 +104,16 @@
 beryl_hold_cleanup_take_due (struct beryl_hold_cleanup *cleanup,
                              struct beryl_hold_window *out, int64_t now_ms)
 {
-  for (struct cleanup *c = cleanup->items; c != NULL; c = c->next)
+  for (struct cleanup_item *item = cleanup->items; item != NULL;
+       item = item->next)
     {
-      if (now_ms < c->next_ms)
+      if (now_ms < item->next_ms)
         continue;
-      c->next_ms = now_ms + c->backoff_ms;
-      c->backoff_ms *= 2;
-      if (c->backoff_ms > CLEANUP_MAX_BACKOFF_MS)
-        c->backoff_ms = CLEANUP_MAX_BACKOFF_MS;
-      *out = c->window;
+      item->next_ms = now_ms + item->backoff_ms;
+      item->backoff_ms *= 2;
+      if (item->backoff_ms > CLEANUP_MAX_BACKOFF_MS)
+        item->backoff_ms = CLEANUP_MAX_BACKOFF_MS;
+      *out = item->window;
       return true;
     }
   return false;
@@ -123,7 +124,7 @@
                              const char *endpoint, uint64_t incarnation,
                              uint64_t held, int64_t now_ms)
 {
-  struct cleanup **at = cleanup_find (cleanup, endpoint, incarnation);
+  struct cleanup_item **at = item_find (cleanup, endpoint, incarnation);
 
   if (*at == NULL || held > 0)
     return false;
@@ -133,7 +134,7 @@
       (*at)->next_ms = (*at)->final_from_ms;
       return false;
     }
-  cleanup_remove (cleanup, at);
+  item_remove (cleanup, at);
   return true;
 }
 
@@ -141,11 +142,11 @@
 beryl_hold_cleanup_remove_endpoint (struct beryl_hold_cleanup *cleanup,
                                     const char *endpoint)
 {
-  struct cleanup **at = &cleanup->items;
+  struct cleanup_item **at = &cleanup->items;
 
   while (*at != NULL)
     if (strcmp ((*at)->window.endpoint, endpoint) == 0)
-      cleanup_remove (cleanup, at);
+      item_remove (cleanup, at);
     else
       at = &(*at)->next;
 }
@@ -155,9 +156,10 @@
 {
   int64_t next_ms = BERYL_NEVER_MS;
 
-  for (const struct cleanup *c = cleanup->items; c != NULL; c = c->next)
-    if (c->next_ms < next_ms)
-      next_ms = c->next_ms;
+  for (const struct cleanup_item *item = cleanup->items; item != NULL;
+       item = item->next)
+    if (item->next_ms < next_ms)
+      next_ms = item->next_ms;
   return next_ms;
 }
 
--- a/libberyl/requests/hold_windows.c
+++ b/libberyl/requests/hold_windows.c
@@ -12,7 +12,7 @@
 
 struct window
 {
-  struct beryl_hold_window reported;
+  struct beryl_hold_window range;
   uint64_t *held; /* counters, unordered */
   size_t held_count;
   size_t held_capacity;
@@ -51,7 +51,7 @@
 window_find (const struct beryl_hold_windows *windows, const char *endpoint)
 {
   for (size_t i = 0; i < windows->count; i++)
-    if (strcmp (windows->items[i].reported.endpoint, endpoint) == 0)
+    if (strcmp (windows->items[i].range.endpoint, endpoint) == 0)
       return &windows->items[i];
   return NULL;
 }
@@ -74,10 +74,10 @@
     }
   window = &windows->items[windows->count++];
   *window = (struct window){ 0 };
-  snprintf (window->reported.endpoint, sizeof window->reported.endpoint, "%s",
+  snprintf (window->range.endpoint, sizeof window->range.endpoint, "%s",
             endpoint);
-  window->reported.incarnation = windows->incarnation;
-  window->reported.from = 1;
+  window->range.incarnation = windows->incarnation;
+  window->range.from = 1;
   return window;
 }
 
@@ -104,19 +104,19 @@
                            const char *endpoint, uint64_t counter)
 {
   struct window *window = window_find (windows, endpoint);
-  struct beryl_hold_window *reported;
+  struct beryl_hold_window *range;
 
   if (window == NULL)
     window = window_add (windows, endpoint);
   if (window == NULL || !window_add_counter (window, counter))
     return true;
-  reported = &window->reported;
-  if (reported->from <= counter && counter <= reported->to)
+  range = &window->range;
+  if (range->from <= counter && counter <= range->to)
     return false;
-  if (reported->to < reported->from || counter < reported->from)
-    reported->from = counter;
-  if (counter > reported->to)
-    reported->to = counter + WINDOW_AHEAD_COUNTERS;
+  if (range->to < range->from || counter < range->from)
+    range->from = counter;
+  if (counter > range->to)
+    range->to = counter + WINDOW_AHEAD_COUNTERS;
   return true;
 }
 
@@ -142,29 +142,29 @@
 {
   const struct window *window = window_find (windows, endpoint);
 
-  return window != NULL ? &window->reported : NULL;
+  return window != NULL ? &window->range : NULL;
 }
 
 /* Returns whether the reported window changed. */
 static bool
 window_shrink (struct window *window)
 {
-  struct beryl_hold_window *reported = &window->reported;
+  struct beryl_hold_window *range = &window->range;
   uint64_t lowest = UINT64_MAX;
-  bool empty = reported->to < reported->from;
+  bool empty = range->to < range->from;
 
   for (size_t i = 0; i < window->held_count; i++)
     if (window->held[i] < lowest)
       lowest = window->held[i];
   if (window->held_count == 0)
     {
-      reported->from = 1;
-      reported->to = 0;
+      range->from = 1;
+      range->to = 0;
       return !empty;
     }
-  if (lowest == reported->from)
+  if (lowest == range->from)
     return false;
-  reported->from = lowest;
+  range->from = lowest;
   return true;
 }
 
@@ -176,7 +176,7 @@
 
   for (size_t i = 0; i < windows->count && n < max; i++)
     if (window_shrink (&windows->items[i]))
-      out[n++] = windows->items[i].reported;
+      out[n++] = windows->items[i].range;
   return n;
 }
 
@@ -185,6 +185,6 @@
                          struct beryl_hold_window *out, size_t max)
 {
   for (size_t i = 0; i < windows->count && i < max; i++)
-    out[i] = windows->items[i].reported;
+    out[i] = windows->items[i].range;
   return windows->count;
 }
--- a/libberyl/requests/plan.c
+++ b/libberyl/requests/plan.c
@@ -10,10 +10,10 @@
 #define EXCLUSION_RESET_DELAY_MS 100
 /* A gap between two events of this length shows that the process was
  * suspended. */
-#define PAUSE_DETECTED_MS (3 * TICK_INTERVAL_MAX_MS)
+#define SUSPENSION_DETECTED_MS (3 * TICK_INTERVAL_MAX_MS)
 /* How long planning waits after a suspension, so that pending updates are read
  * first. */
-#define PAUSE_RECOVERY_MS 100
+#define SUSPENSION_RECOVERY_MS 100
 /* Most waiting requests that are planned again after one event. */
 #define PLANS_PER_EVENT 64
 
@@ -77,13 +77,13 @@
  * meanwhile; the new configuration is pending in the same event loop and is
  * applied during this delay. */
 void
-requests_detect_pause (struct beryl_requests *requests, int64_t now_ms)
+requests_detect_suspension (struct beryl_requests *requests, int64_t now_ms)
 {
   bool steady = requests->last_event_ms == INT64_MIN
-                || now_ms - requests->last_event_ms < PAUSE_DETECTED_MS;
+                || now_ms - requests->last_event_ms < SUSPENSION_DETECTED_MS;
 
   if (!BERYL_GUARD (BERYL_GUARD_WAKE_REST, steady))
-    requests->plan_not_before_ms = now_ms + PAUSE_RECOVERY_MS;
+    requests->plan_not_before_ms = now_ms + SUSPENSION_RECOVERY_MS;
   requests->last_event_ms = now_ms;
 }
 
--- a/libberyl/requests/private.h
+++ b/libberyl/requests/private.h
@@ -57,7 +57,7 @@
 /** State of a request. */
 enum request_phase
 {
-  PHASE_NEW,   /**< not started, or ended */
+  PHASE_NONE,  /**< not started, or ended */
   PHASE_CLAIM, /**< waiting for the claim of its key */
   PHASE_PLAN,  /**< waiting for a plan of the router */
   PHASE_PREFILL,
@@ -106,7 +106,7 @@
   enum beryl_class call_class;
   bool plain; /**< call of a plain service, not of a model */
   bool idempotent;
-  bool caller_gone;
+  bool detached;
   bool reply_started; /**< REPLY_HEAD was sent */
   bool may_have_run;  /**< the outcome of an attempt is unknown */
   int64_t arrived_ms;
@@ -218,7 +218,8 @@
 /* plan.c */
 void request_plan (struct beryl_requests *requests, struct request *request,
                    int64_t now_ms);
-void requests_detect_pause (struct beryl_requests *requests, int64_t now_ms);
+void requests_detect_suspension (struct beryl_requests *requests,
+                                 int64_t now_ms);
 void requests_plan_waiting (struct beryl_requests *requests, int64_t now_ms);
 void request_exclude (struct request *request, const char *endpoint);
 
@@ -270,8 +271,8 @@
                                 int64_t now_ms);
 void request_on_caller_gone (struct beryl_requests *requests,
                              struct request *request, int64_t now_ms);
-void request_on_caller_drained (struct beryl_requests *requests,
-                                struct request *request);
+void request_on_caller_caught_up (struct beryl_requests *requests,
+                                  struct request *request);
 void request_on_deadline (struct beryl_requests *requests,
                           struct request *request, int64_t now_ms);
 void answer_send (struct beryl_requests *requests, uint64_t handle,
@@ -299,8 +300,8 @@
 /* hold.c */
 bool hold_record (struct beryl_requests *requests, const char *endpoint,
                   struct beryl_stream_id stream);
-void hold_release (struct beryl_requests *requests, const char *endpoint,
-                   struct beryl_stream_id stream);
+void hold_forget (struct beryl_requests *requests, const char *endpoint,
+                  struct beryl_stream_id stream);
 void hold_cancel (struct beryl_requests *requests, const char *endpoint,
                   struct beryl_stream_id stream, bool in_flight,
                   int64_t now_ms);
--- a/libberyl/requests/records.c
+++ b/libberyl/requests/records.c
@@ -147,7 +147,7 @@
     {
       record_drop_answer (requests, record);
       record_retain_answer (requests, record, &request->answer);
-      if (record->answer != NULL && !request->caller_gone)
+      if (record->answer != NULL && !request->detached)
         {
           record->reader = request->call.request;
           map_put (&requests->by_reader, map_key_number (record->reader),
@@ -170,7 +170,7 @@
     return;
   map_remove (&requests->by_reader, map_key_number (event->request));
   record->reader = 0;
-  if (event->type == BERYL_EVENT_CALLER_DRAINED)
+  if (event->type == BERYL_EVENT_CALLER_CAUGHT_UP)
     record->delivered = true;
 }
 
--- a/libberyl/requests/requests.c
+++ b/libberyl/requests/requests.c
@@ -42,7 +42,7 @@
 void
 request_unlink (struct beryl_requests *requests, struct request *request)
 {
-  request_set_phase (requests, request, PHASE_NEW);
+  request_set_phase (requests, request, PHASE_NONE);
   if (request->previous != NULL)
     request->previous->next = request->next;
   else
@@ -51,7 +51,7 @@
     request->next->previous = request->previous;
   else
     requests->last = request->previous;
-  if (!request->caller_gone)
+  if (!request->detached)
     map_remove (&requests->by_handle, map_key_number (request->call.request));
   requests->open--;
   request_free (request);
@@ -84,7 +84,7 @@
 beryl_requests_set_config (struct beryl_requests *requests,
                            const struct beryl_config *config, int64_t now_ms)
 {
-  requests_detect_pause (requests, now_ms);
+  requests_detect_suspension (requests, now_ms);
   requests->config = config;
   requests->capacity_freed = true;
   holds_drop_removed_endpoints (requests);
@@ -133,8 +133,8 @@
 }
 
 static void
-requests_caller_event (struct beryl_requests *requests,
-                       const struct beryl_event *event, int64_t now_ms)
+requests_handle_request_event (struct beryl_requests *requests,
+                               const struct beryl_event *event, int64_t now_ms)
 {
   struct request *request = request_for_event (requests, event);
 
@@ -148,8 +148,8 @@
     case BERYL_EVENT_CALLER_GONE:
       request_on_caller_gone (requests, request, now_ms);
       return;
-    case BERYL_EVENT_CALLER_DRAINED:
-      request_on_caller_drained (requests, request);
+    case BERYL_EVENT_CALLER_CAUGHT_UP:
+      request_on_caller_caught_up (requests, request);
       return;
     default:
       request_on_claim_result (requests, request, event, now_ms);
@@ -170,9 +170,9 @@
       requests_admit (requests, &event->call, now_ms);
       return;
     case BERYL_EVENT_CALLER_GONE:
-    case BERYL_EVENT_CALLER_DRAINED:
+    case BERYL_EVENT_CALLER_CAUGHT_UP:
     case BERYL_EVENT_CLAIM_RESULT:
-      requests_caller_event (requests, event, now_ms);
+      requests_handle_request_event (requests, event, now_ms);
       return;
     case BERYL_EVENT_CANCEL_CONFIRMED:
       hold_confirmed (requests, event->cancel.endpoint, event->cancel.stream,
@@ -197,7 +197,7 @@
 beryl_requests_handle_event (struct beryl_requests *requests,
                              const struct beryl_event *event, int64_t now_ms)
 {
-  requests_detect_pause (requests, now_ms);
+  requests_detect_suspension (requests, now_ms);
   requests_dispatch (requests, event, now_ms);
   requests_tick (requests, now_ms);
   requests_plan_waiting (requests, now_ms);
--- a/tests/requests/bench_keys.c
+++ b/tests/requests/bench_keys.c
@@ -74,7 +74,7 @@
                                 .exchange = bench->exchange };
   event.end.answer_bytes = sizeof body - 1;
   beryl_requests_handle_event (requests, &event, now_ms);
-  event = (struct beryl_event){ .type = BERYL_EVENT_CALLER_DRAINED,
+  event = (struct beryl_event){ .type = BERYL_EVENT_CALLER_CAUGHT_UP,
                                 .request = n };
   beryl_requests_handle_event (requests, &event, now_ms);
 }
--- a/tests/requests/cluster_callers.c
+++ b/tests/requests/cluster_callers.c
@@ -326,7 +326,7 @@
       caller_leaves (cluster, job, attempt);
       return;
     }
-  drained.event.type = BERYL_EVENT_CALLER_DRAINED;
+  drained.event.type = BERYL_EVENT_CALLER_CAUGHT_UP;
   drained.event.request = t->handle;
   cluster_schedule (cluster,
                     cluster->jobs[job].never_leaves
@@ -347,7 +347,7 @@
   j->attempts[attempt].final = true;
   j->answered = true;
   record_event (cluster, HISTORY_COMPLETED, job, attempt);
-  drained.event.type = BERYL_EVENT_CALLER_DRAINED;
+  drained.event.type = BERYL_EVENT_CALLER_CAUGHT_UP;
   drained.event.request = j->attempts[attempt].handle;
   cluster_schedule (cluster, 4, &drained);
   if (!j->recorded.keyed)
--- a/tests/requests/cluster_peers.c
+++ b/tests/requests/cluster_peers.c
@@ -173,7 +173,7 @@
                        .node = c->peer,
                        .incarnation = c->peer_incarnation };
 
-  task.event.type = BERYL_EVENT_CALLER_DRAINED;
+  task.event.type = BERYL_EVENT_CALLER_CAUGHT_UP;
   task.event.request = c->peer_handle;
   cluster_schedule (cluster, 8, &task);
 }
--- a/tests/requests/transcript.c
+++ b/tests/requests/transcript.c
@@ -314,7 +314,7 @@
   else if (strcmp (line->verb, "gone") == 0)
     event->type = BERYL_EVENT_CALLER_GONE;
   else if (strcmp (line->verb, "drained") == 0)
-    event->type = BERYL_EVENT_CALLER_DRAINED;
+    event->type = BERYL_EVENT_CALLER_CAUGHT_UP;
   else if (strcmp (line->verb, "tick") == 0)
     event->type = BERYL_EVENT_TICK;
   else if (strcmp (line->verb, "stop") == 0)
