--- a/include/beryl/claims.h
+++ b/include/beryl/claims.h
@@ -9,11 +9,12 @@
  * number, and the loser reads the log before it writes again.  See
  * docs/design/claims.md.
  *
- * The module does no I/O: requests, messages and replies of the object API are
- * passed in with the current time, and calls come out through a vtable.  A
- * result may be reported from inside beryl_claims_claim; since an act of
- * beryl_requests must not call back into it, the owner queues results.  Not
- * thread-safe.
+ * The module does no I/O: requests, messages and replies of the platform's
+ * object API (beryl/platform.h) are passed in with the current time, and calls
+ * come out through a vtable.  A result may be reported from inside
+ * beryl_claims_claim.  An owner that calls it in the act callback of
+ * beryl_requests must queue the result, since beryl_requests_handle_event must
+ * not be called there.  Not thread-safe.
  */
 #ifndef BERYL_CLAIMS_H
 #define BERYL_CLAIMS_H
@@ -76,7 +77,8 @@
   void (*get) (struct beryl_claims_owner *owner, uint64_t call,
                const char *name);
   /** Create the object NAME only if it is absent, then call
-   * beryl_claims_write_done. */
+   * beryl_claims_write_done.  VALUE contains NONCE, by which the platform
+   * client recognises this write if its reply was lost. */
   void (*create) (struct beryl_claims_owner *owner, uint64_t call,
                   const char *name, const char *value, size_t value_bytes,
                   const char *nonce);
@@ -107,8 +109,10 @@
                                    [120] */
   int64_t retention_ms;       /**< how long a claimed key is kept [3600000] */
   int64_t delete_after_ms;    /**< minimum age of an object before it is
-                                   deleted; suspended homes and lagging
-                                   reads are safe up to half of it [600000] */
+                                   deleted.  Deletion frees its sequence
+                                   number, so a home that has not confirmed
+                                   the log's end for half of this time reads
+                                   the log again before it writes [600000] */
   uint32_t compact_min_segments; /**< minimum number of segments to compact
                                       at once [16] */
   int64_t request_timeout_ms;    /**< timeout of a request to the home node;
@@ -116,7 +120,7 @@
                                       home [500] */
 };
 
-/** Create an instance; OWNER must outlive it.  Returns NULL without memory. */
+/** Create an object; OWNER must outlive it.  Returns NULL if out of memory. */
 struct beryl_claims *
 beryl_claims_create (const struct beryl_claims_settings *settings,
                      struct beryl_claims_owner *owner);
@@ -125,8 +129,8 @@
 void beryl_claims_destroy (struct beryl_claims *claims);
 
 /** Set the live nodes, including this one.  NODE_COUNT 0 means that this node
- * is isolated: claims then end with BERYL_CLAIM_UNKNOWN, since nobody can tell
- * whether a key has run. */
+ * is isolated: claims then end with BERYL_CLAIM_UNKNOWN, since this node does
+ * not know which keys the others have claimed. */
 void beryl_claims_set_members (struct beryl_claims *claims,
                                const char *const *nodes, size_t node_count,
                                int64_t now_ms);
@@ -173,7 +177,7 @@
 struct beryl_claims_counts
 {
   uint64_t granted;
-  uint64_t taken;
+  uint64_t taken; /**< results TAKEN and MISMATCH */
   uint64_t unavailable;
   uint64_t unknown;
   uint64_t segments;              /**< segments written */
--- a/include/beryl/holds.h
+++ b/include/beryl/holds.h
@@ -1,7 +1,8 @@
 /** @file
  * Holds: engine memory that a process's streams occupy.  Tracks the holds of a
  * live process, decides whether a process is provably dead, and cancels the
- * holds of dead ones.
+ * holds of dead ones.  A process reports its holds to the control daemon of
+ * its instance, which outlives it and can cancel them.
  *
  * Streams are identified by (incarnation, counter), so the holds of a process
  * at one engine are described by a window of counters: a few bytes per engine
@@ -31,17 +32,18 @@
 struct beryl_hold_windows;
 
 /** Create an empty set of windows for the process INCARNATION.  Returns NULL
- * without memory. */
+ * if out of memory. */
 struct beryl_hold_windows *beryl_hold_windows_create (uint64_t incarnation);
 
 /** Release; NULL is allowed. */
 void beryl_hold_windows_destroy (struct beryl_hold_windows *windows);
 
 /** Record a hold of stream COUNTER at ENDPOINT.  Returns true if the window
- * last reported to the keeper does not cover it; then the new window
- * (beryl_hold_windows_get) must be written to the keeper's connection
- * before the hold is created.  Windows are extended ahead of need, so this
- * is rare. */
+ * had to be extended to cover it; then the new window (beryl_hold_windows_get)
+ * must be written to the connection to the control daemon before the hold is
+ * created.  Windows are extended ahead of need, so this is rare.  Also returns
+ * true if out of memory: the hold is then not recorded, and there may be no
+ * window. */
 bool beryl_hold_windows_record (struct beryl_hold_windows *windows,
                                 const char *endpoint, uint64_t counter);
 
@@ -49,19 +51,20 @@
 void beryl_hold_windows_erase (struct beryl_hold_windows *windows,
                                const char *endpoint, uint64_t counter);
 
-/** Return the window of ENDPOINT as last reported, or NULL. */
+/** Return the window of ENDPOINT that the control daemon must know, or NULL if
+ * there is none. */
 const struct beryl_hold_window *
 beryl_hold_windows_get (const struct beryl_hold_windows *windows,
                         const char *endpoint);
 
-/** Shrink the windows to the streams that are still held, and copy up to MAX
- * windows that changed to OUT, to be reported occasionally.  Returns the
- * number copied. */
+/** Raise the start of each window to the oldest stream that is still held, or
+ * empty it if none is, and copy up to MAX windows that changed to OUT, to be
+ * reported occasionally.  Returns the number copied. */
 size_t beryl_hold_windows_shrink (struct beryl_hold_windows *windows,
                                   struct beryl_hold_window *out, size_t max);
 
-/** Copy up to MAX reported windows to OUT, to be sent on a new connection to
- * the keeper.  Returns the total number of windows. */
+/** Copy up to MAX windows to OUT, to be sent on a new connection to the
+ * control daemon.  Returns the total number of windows. */
 size_t beryl_hold_windows_list (const struct beryl_hold_windows *windows,
                                 struct beryl_hold_window *out, size_t max);
 
@@ -70,11 +73,11 @@
 {
   BERYL_DEATH_NONE,              /**< no proof: alive, unreachable or
                                       unknown */
-  BERYL_DEATH_LINK_BROKEN,       /**< its loopback connection to the keeper
-                                      broke */
+  BERYL_DEATH_LINK_BROKEN,       /**< its loopback connection to the control
+                                      daemon broke */
   BERYL_DEATH_NEWER_INCARNATION, /**< a newer process uses its address */
-  BERYL_DEATH_DELISTED,          /**< its instance was removed from the
-                                      platform's list */
+  BERYL_DEATH_DELISTED,          /**< its instance (machine) was removed from
+                                      the platform's list of instances */
 };
 
 /** What is known about a process.  A suspicion raised by gossip is
@@ -107,21 +110,21 @@
 beryl_death_evaluate (const struct beryl_death_evidence *evidence,
                       int64_t now_ms);
 
-/** Return the stable name of DEATH, for logs. */
-const char *beryl_death_proof_name (enum beryl_death_proof death);
+/** Return the stable name of PROOF, for logs. */
+const char *beryl_death_proof_name (enum beryl_death_proof proof);
 
 /** Cancels the windows of dead processes until the engines confirm. */
 struct beryl_hold_cleanup;
 
-/** Create an empty clean-up list.  Returns NULL without memory. */
+/** Create an empty clean-up list.  Returns NULL if out of memory. */
 struct beryl_hold_cleanup *beryl_hold_cleanup_create (void);
 
 /** Release; NULL is allowed. */
 void beryl_hold_cleanup_destroy (struct beryl_hold_cleanup *cleanup);
 
 /** Start cancelling WINDOW at once.  A window of the same endpoint and
- * incarnation that is already listed is extended instead.  Returns false
- * without memory. */
+ * incarnation that is already listed is extended instead.  Returns false if
+ * out of memory. */
 bool beryl_hold_cleanup_add (struct beryl_hold_cleanup *cleanup,
                              const struct beryl_hold_window *window,
                              int64_t now_ms);
--- a/include/beryl/lease.h
+++ b/include/beryl/lease.h
@@ -1,14 +1,15 @@
 /** @file
- * A lease on a role, stored in one object of the platform.
+ * A lease on a role, stored in one object of the platform's object API.
  *
  * Clocks of different nodes are never compared.  The holder measures its term
  * from before it sent the renewal and stops early; any other node waits for
  * the full term from when it first saw the object's version change.  The
- * fencing token is the object's version at acquisition, which only grows.
+ * fencing token is the object's version at acquisition, which only grows;
+ * versions must not be reused after a deletion.
  *
- * The lease alone does not stop a holder that is suspended after the check:
- * every order must carry the fencing token, and beryl_lease_held must be
- * called right before each order.  Receivers that ignore the token may be
+ * Right before each order the holder must call beryl_lease_held, and the order
+ * must carry the fencing token, since the holder may be suspended between the
+ * two and lose the lease meanwhile.  Receivers that ignore the token may be
  * given orders only once beryl_lease_settled returns true.
  */
 #ifndef BERYL_LEASE_H
@@ -76,11 +77,13 @@
   /** Longest suspension of a process plus longest delivery time of an
    * order. */
   int64_t settle_ms;
-  uint64_t seed; /**< unique per process; nonces are derived from it */
+  uint64_t seed; /**< first nonce less 1.  Nonces count up from it and must
+                      not repeat between processes, so seeds must be far
+                      apart, for example random. */
 };
 
 /** Create a lease; OWNER must outlive it.  The node is not a candidate at
- * first.  Returns NULL without memory. */
+ * first.  Returns NULL if out of memory. */
 struct beryl_lease *
 beryl_lease_create (const struct beryl_lease_settings *settings,
                     struct beryl_lease_owner *owner);
@@ -126,7 +129,8 @@
  * arrive. */
 bool beryl_lease_settled (const struct beryl_lease *lease, int64_t now_ms);
 
-/** Return the holder as last read, or "" if unknown. */
+/** Return the holder in the newest record read or written by this node; "" if
+ * the role was released or nothing is known. */
 const char *beryl_lease_holder (const struct beryl_lease *lease);
 
 #endif
--- a/include/beryl/requests.h
+++ b/include/beryl/requests.h
@@ -3,15 +3,17 @@
  * reply.
  *
  * Events are passed in with the current time and actions come out through a
- * vtable; the module does no I/O.  It is not thread-safe; several instances
- * may exist in one process.  Pointers inside an event or action are valid only
- * during the call.  The owner's act must not call back into the instance.
+ * vtable; the module does no I/O.  It is not thread-safe; one process may
+ * create several objects.  Pointers inside an event or action are valid only
+ * during the call.  The owner's act callback must not call
+ * beryl_requests_handle_event.
  *
  * Every call ends with exactly one of REPLY_END, REPLY_ERROR and
- * REPLY_TRUNCATE, unless its caller has disconnected.  A caller's handle may
- * be reused after that.  An answer counts as delivered when
- * BERYL_EVENT_CALLER_CAUGHT_UP follows REPLY_END; until then, or after
- * BERYL_EVENT_CALLER_GONE, the answer of a call with a key can be fetched.
+ * REPLY_TRUNCATE, unless its caller has disconnected.  An answer counts as
+ * delivered when BERYL_EVENT_CALLER_CAUGHT_UP follows REPLY_END.  Between the
+ * two a fetch is refused with BERYL_PROBLEM_KEY_IN_USE; if the caller
+ * disconnects instead, the answer of a call with a key can be fetched for the
+ * retention time.
  */
 #ifndef BERYL_REQUESTS_H
 #define BERYL_REQUESTS_H
@@ -41,7 +43,8 @@
   BERYL_EVENT_CALL,             /**< a complete request arrived */
   BERYL_EVENT_CALLER_GONE,      /**< the caller's connection closed */
   BERYL_EVENT_CALLER_CAUGHT_UP, /**< the caller has read all queued bytes */
-  BERYL_EVENT_EXCHANGE_SENT,    /**< a byte was handed to the socket */
+  BERYL_EVENT_EXCHANGE_SENT,    /**< a byte was handed to the socket; has no
+                                     effect */
   BERYL_EVENT_EXCHANGE_REFUSED, /**< the endpoint rejected the call without
                                      running it */
   BERYL_EVENT_EXCHANGE_HEAD,    /**< plain service: status and content type
@@ -59,7 +62,8 @@
   BERYL_EVENT_FETCH,            /**< a caller asks for an outcome or the
                                      rest of an answer */
   BERYL_EVENT_TICK,             /**< timer expired */
-  BERYL_EVENT_DRAIN,            /**< graceful shutdown started */
+  BERYL_EVENT_DRAIN,            /**< graceful shutdown started; calls are
+                                     still admitted */
 };
 
 /** Results of BERYL_ACTION_CLAIM. */
@@ -70,8 +74,8 @@
   BERYL_CLAIM_MISMATCH,    /**< the key was used with a different request
                                 body */
   BERYL_CLAIM_UNAVAILABLE, /**< not granted; the call has not run */
-  BERYL_CLAIM_UNKNOWN,     /**< outcome unknown: the write may have taken
-                                effect */
+  BERYL_CLAIM_UNKNOWN,     /**< not granted; the call has not run, but an
+                                earlier one with the key may have */
 };
 
 /** Errors reported to callers; each has a stable type in problem+json. */
@@ -98,8 +102,8 @@
 /** A request as received from a caller. */
 struct beryl_call
 {
-  uint64_t request;       /**< handle chosen by the owner, unique per
-                               process */
+  uint64_t request;       /**< handle chosen by the owner: not 0, and
+                               unique per process */
   const char *request_id; /**< echoed in the reply and logged */
   const char *organisation;
   const char *service;
@@ -122,8 +126,8 @@
   uint32_t max_tokens;
 };
 
-/** One input event.  Exchange events name the exchange that an action
- * started. */
+/** One input event.  An exchange is one call to an endpoint or to another
+ * node, started by an action. */
 struct beryl_event
 {
   enum beryl_event_type type;
@@ -157,7 +161,9 @@
     struct
     {
       const char *finish_reason; /**< model services only; may be NULL */
-      uint64_t answer_bytes;     /**< total length reported by the endpoint */
+      uint64_t answer_bytes;     /**< total length reported by the endpoint; 0
+                                    means 0 for a decode, and otherwise that
+                                    none was reported */
     } end;
     struct
     {
@@ -207,20 +213,24 @@
   BERYL_ACTION_DECODE,         /**< import the KV cache and decode */
   BERYL_ACTION_SERVICE,        /**< call a plain service */
   BERYL_ACTION_ABORT,          /**< close an exchange's connection */
-  BERYL_ACTION_PAUSE,          /**< pause or resume reading from an exchange */
+  BERYL_ACTION_PAUSE,          /**< pause or resume reading from an exchange's
+                                    connection */
   BERYL_ACTION_CANCEL,         /**< ask an engine to drop a stream and free
                                     its memory */
-  BERYL_ACTION_HOLD_RECORD,    /**< report a hold to the keeper, before it
-                                    is created */
-  BERYL_ACTION_HOLD_ERASE,     /**< the engine confirmed that the hold is
-                                    released */
+  BERYL_ACTION_HOLD_RECORD,    /**< record a hold with this instance's control
+                                    daemon, which cancels it if this process
+                                    dies; sent before the hold is created */
+  BERYL_ACTION_HOLD_ERASE,     /**< the hold no longer exists, or its endpoint
+                                    was removed from the configuration */
   BERYL_ACTION_CLAIM,          /**< claim a free key durably */
   /** Forward the call to the node of that incarnation, as an exchange.  Its
    * reply arrives as EXCHANGE_HEAD, EXCHANGE_DATA, EXCHANGE_END or
    * FORWARD_ERROR; if the node is gone or unreachable, as EXCHANGE_FAILED. */
   BERYL_ACTION_FORWARD,
   BERYL_ACTION_DECISION, /**< log a routing decision */
-  BERYL_ACTION_DRAINED,  /**< after DRAIN: no request is open any more */
+  BERYL_ACTION_DRAINED,  /**< after DRAIN: no request is open and no
+                             cancel awaits its confirmation; sent again when
+                             later calls have ended */
 };
 
 /** One output action. */
@@ -310,13 +320,13 @@
   const struct beryl_requests_owner_impl *impl;
 };
 
-/** Settings of one instance. */
+/** Settings of one object. */
 struct beryl_requests_settings
 {
   uint64_t incarnation;
-  uint64_t seed;
-  uint32_t slow_reader_bytes;  /**< unread bytes above which the engine is
-                                    paused */
+  uint64_t seed;               /**< not used */
+  uint32_t slow_reader_bytes;  /**< unread bytes above which reading from
+                                    the exchange is paused; 0: no limit */
   int64_t slow_reader_ms;      /**< time a slow caller has to catch up
                                     before its call fails */
   int64_t answer_retention_ms; /**< how long a finished answer can be
@@ -324,7 +334,7 @@
   uint32_t answer_retention_bytes;
 };
 
-/** Create an instance; ROUTER and OWNER must outlive it.  Returns NULL without
+/** Create an object; ROUTER and OWNER must outlive it.  Returns NULL if out of
  * memory. */
 struct beryl_requests *
 beryl_requests_create (const struct beryl_requests_settings *settings,
@@ -346,12 +356,13 @@
                                   int64_t now_ms);
 
 /** Return when the next BERYL_EVENT_TICK is due, at most 500 ms after the last
- * event.  A much longer gap between events means that the process was
- * suspended; planning then waits briefly until the owner has applied
- * configuration updates. */
+ * event.  A gap of 1500 ms between events means that the process was
+ * suspended; no request is then planned for 100 ms, in which the owner can
+ * apply pending configuration updates. */
 int64_t beryl_requests_next_ms (const struct beryl_requests *requests);
 
-/** Return the number of requests that have no final reply yet. */
+/** Return the number of open requests: those without a final reply, and those
+ * whose answer is still read from a service for a later fetch. */
 uint32_t beryl_requests_open_count (const struct beryl_requests *requests);
 
 /** Return the stable type name of PROBLEM, for example "key-in-use". */
--- a/libberyl/lease/lease.c
+++ b/libberyl/lease/lease.c
@@ -6,12 +6,12 @@
 #include "beryl/clock.h"
 #include "../base/guard_control.h"
 
-/* Latest writes that are remembered, since their outcome may be unknown.  Only
- * one write is in flight at a time. */
+/* Latest writes that are remembered.  One is in flight at a time, but several
+ * in a row may have unknown outcomes. */
 #define WRITES_REMEMBERED 8
 
-/* Divides the poll interval to get the delay after a failure, so that an
- * outage does not cause a burst of retries. */
+/* A failed call is retried after the poll interval divided by this: sooner
+ * than the next poll, but not at once, so that an outage causes no burst. */
 #define RETRY_DIVISOR 4
 
 struct sent_write
@@ -134,7 +134,8 @@
                int64_t now_ms)
 {
   /* The term starts when the write was sent: the reply may be late, and other
-   * nodes count from the write itself. */
+   * nodes count from the write itself.  FROM_REPLY is true only in a mutation
+   * test (BERYL_GUARD). */
   bool from_reply = BERYL_GUARD (BERYL_GUARD_LEASE_SENT, false);
   int64_t from_ms = from_reply ? now_ms : sent_ms;
   int64_t until_ms = from_ms + lease->ttl_ms - lease->margin_ms;
@@ -319,9 +320,9 @@
     lease_write (lease, true, now_ms);
 }
 
-/* The object was deleted.  Its holder does not know yet, so the holder's name
- * and term are kept and the wait starts again; the version is reset, since the
- * next write must create the object. */
+/* The object was deleted.  Its holder may not know yet, so the holder's name
+ * and term are kept and other nodes wait for the full term again.  The version
+ * is reset, since the next write must create the object. */
 static void
 lease_object_deleted (struct beryl_lease *lease, int64_t now_ms)
 {
--- a/libberyl/requests/admit.c
+++ b/libberyl/requests/admit.c
@@ -5,7 +5,7 @@
 
 #include "private.h"
 
-/* Retry-after for a key that another call is using. */
+/* Retry-after for a key that another call is using, and if out of memory. */
 #define KEY_RETRY_MS 1000
 #define CLAIM_RETRY_MS 1000
 
@@ -41,6 +41,7 @@
 request_hash_prompt (struct beryl_requests *requests, struct request *request,
                      const struct beryl_model *model)
 {
+  /* A token is taken as 4 bytes. */
   size_t block_bytes = (size_t)model->block_tokens * 4;
 
   if (block_bytes == 0 || request->call.prompt_bytes < block_bytes)
@@ -98,8 +99,8 @@
   return true;
 }
 
-/* Replies with an error and returns true if the key must not run; returns
- * false if it may. */
+/* Replies with an error and returns true if no call with the key may run now;
+ * returns false if one may. */
 static bool
 reject_known_key (struct beryl_requests *requests,
                   const struct beryl_call *call, const struct record *record)
@@ -172,8 +173,8 @@
 }
 
 /* Whether the call's key is bound to another incarnation.  Only that one knows
- * whether the key has run: it may be alive on another node, or be an earlier
- * process of this node. */
+ * whether a call with the key has run: it may be alive on another node, or be
+ * an earlier process of this node. */
 static bool
 bound_to_other_incarnation (const struct beryl_requests *requests,
                             const struct beryl_call *call)
@@ -185,7 +186,7 @@
 }
 
 /* A call with a free key is forwarded here because the claim names this
- * incarnation; without a record here, it cannot be ruled out that the key has
+ * incarnation; without a record here, an earlier call with the key may have
  * run. */
 static bool
 forwarded_without_record (const struct beryl_call *call,
@@ -297,8 +298,8 @@
 }
 
 /* The claim names the incarnation that was granted the key.  If it is this
- * one, the local record is authoritative, and it says that the key has not
- * run: otherwise the call would have been rejected before. */
+ * one, the local record is authoritative, and no call with the key has run:
+ * otherwise requests_reject_key would have rejected this one. */
 static void
 request_claim_taken (struct beryl_requests *requests, struct request *request,
                      uint64_t incarnation, int64_t now_ms)
--- a/libberyl/requests/answer.c
+++ b/libberyl/requests/answer.c
@@ -186,8 +186,8 @@
 }
 
 /* An open exchange may have sent bytes to the endpoint without a report yet,
- * so the outcome is "not run" only if the endpoint said so or the connect
- * failed. */
+ * so the outcome is "not run" only if nothing was sent, the endpoint said so
+ * or the connect failed. */
 static enum beryl_outcome
 request_outcome (const struct request *request)
 {
@@ -247,6 +247,7 @@
     return;
   map_remove (&requests->by_handle, map_key_number (request->call.request));
   request->detached = true;
+  /* Closes the request; problem and detail are not sent to anybody. */
   request_fail (requests, request, BERYL_PROBLEM_DEADLINE, 0, "caller gone",
                 now_ms);
 }
--- a/libberyl/requests/attempt.c
+++ b/libberyl/requests/attempt.c
@@ -1,4 +1,5 @@
-/* Attempts to run a request at endpoints: start, resume, failure and retry. */
+/* Attempts to run a request at endpoints: start, resume, failure and retry.
+ * An attempt is the call of a plain service, or a prefill with its decode. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -151,9 +152,8 @@
 attempt_stop (struct beryl_requests *requests, struct request *request,
               enum beryl_release how, const char *endpoint, int64_t now_ms)
 {
-  /* If this stayed set, the next event would bind a decode engine for a
-   * request that waits for a new plan; without a ticket that counts as another
-   * refusal, until the caller is told that all endpoints are full. */
+  /* A request that waits for a plan has no decode to retry; binding one
+   * without a ticket would count as another refusal. */
   request->decode_retry_at_ms = BERYL_NEVER_MS;
   if (request->phase == PHASE_PLAN)
     beryl_router_forget (requests->router, request->call.request);
@@ -191,7 +191,8 @@
   request->answer.completion_tokens = 0;
 }
 
-/* Returns why a failed attempt must not be retried, or NULL if it may be. */
+/* Returns why a failed attempt must not be retried, or NULL if it may be.
+ * Counts the refusal, or takes the retry from the service's budget. */
 static const char *
 retry_denied_reason (struct beryl_requests *requests, struct request *request,
                      enum beryl_outcome outcome, bool refused)
@@ -216,7 +217,8 @@
   return NULL;
 }
 
-/* Ends an attempt that produced no answer: retries the request or fails it. */
+/* Ends an attempt that produced no complete answer: retries the request or
+ * fails it. */
 void
 attempt_failed (struct beryl_requests *requests, struct request *request,
                 enum beryl_outcome outcome, bool refused, const char *endpoint,
--- a/libberyl/requests/attempt_event.c
+++ b/libberyl/requests/attempt_event.c
@@ -17,6 +17,7 @@
       1000, reason != NULL ? reason : "the key's node is away", now_ms);
 }
 
+/* REASON is used for a forwarded call only. */
 static void
 on_failed (struct beryl_requests *requests, struct request *request, bool sent,
            const char *reason, int64_t now_ms)
@@ -190,13 +191,15 @@
 {
   struct answer *answer = &request->answer;
   uint64_t expected_bytes = event->end.answer_bytes;
-  bool sized = expected_bytes != 0 || request->phase == PHASE_DECODE;
+  /* An engine always reports the length; 0 is an empty answer. */
+  bool length_known = expected_bytes != 0 || request->phase == PHASE_DECODE;
 
   /* An end before all bytes have arrived would pass off a partial answer as
-   * complete; it is treated as a broken connection, and the rest is
-   * requested. */
+   * complete; it is treated as a broken connection.  A decode is resumed for
+   * the rest. */
   if (!BERYL_GUARD (BERYL_GUARD_WHOLE,
-                    !sized || request->reassembly.next == expected_bytes))
+                    !length_known
+                        || request->reassembly.next == expected_bytes))
     {
       on_failed (requests, request, true, "bytes are missing", now_ms);
       return;
--- a/libberyl/requests/call.c
+++ b/libberyl/requests/call.c
@@ -82,7 +82,8 @@
   return XXH3_64bits_withSeed (text, strlen (text) + 1, seed);
 }
 
-/* Covers everything that distinguishes two calls, not only the body. */
+/* Covers service, method, path, body and prompt, so that a key cannot be used
+ * for another operation with the same body. */
 uint64_t
 call_body_hash (const struct beryl_call *call)
 {
--- a/libberyl/requests/claim_compact.c
+++ b/libberyl/requests/claim_compact.c
@@ -249,7 +249,8 @@
   else if (call == COMPACTION_CREATE && done)
     on_compacted (shard, now_ms);
   else if (call == COMPACTION_CREATE && code == BERYL_ERROR_CONFLICT)
-    shard->loaded = false; /* compacted by another node */
+    shard->loaded = false; /* compacted by another node, or by this one
+                               with the reply lost */
 }
 
 int64_t
--- a/libberyl/requests/claim_log.c
+++ b/libberyl/requests/claim_log.c
@@ -105,9 +105,9 @@
 }
 
 /* Pages of a list may come from replicas with different lag, so a segment that
- * is compacted meanwhile may seem to be missing.  A log with a gap must not be
- * extended: the missing number becomes free again after the segment's
- * deletion. */
+ * is compacted meanwhile may seem to be missing.  A list with a gap is not
+ * applied: the claims in the missing segment would be unknown here, and their
+ * keys could be granted again. */
 static bool
 entries_contiguous (const struct entry *entries, size_t count)
 {
@@ -129,10 +129,10 @@
   log_put (data, key, claim);
 }
 
-/* Applies a segment that extends the known log.  A segment before its end is
- * either known already, or was written by a home that was suspended until its
- * sequence number had been deleted; claims of such a segment were never
- * granted. */
+/* Adds a segment to the list of segments, and its claims to the index if it
+ * extends the known log.  A segment before the end is either known already, or
+ * was written by a home that was suspended until its sequence number had been
+ * deleted; claims of such a segment were never granted. */
 static bool
 entry_apply (struct shard *shard, const struct entry *entry, int64_t now_ms)
 {
--- a/libberyl/requests/claim_private.h
+++ b/libberyl/requests/claim_private.h
@@ -12,8 +12,8 @@
 #define SEGMENT_NAME_BYTES 64
 /** Most claims in one segment. */
 #define SEGMENT_CLAIMS_MAX 2000
-/** Most claims in one compacted segment; at 67 bytes per claim it stays below
- * the object API's limit of 1 MB. */
+/** Most claims in one compacted segment.  At 67 bytes per claim this is about
+ * half of 1 MB, the object API's limit. */
 #define COMPACTED_CLAIMS_MAX 8000
 
 /** A durable claim. */
@@ -82,10 +82,11 @@
   struct beryl_claims *claims;
   uint32_t number;
   bool loaded;        /**< the log up to NEXT has been read into INDEX */
-  bool sole_writer;   /**< this node is home, and its last write met no
-                           foreign segment */
-  bool must_catch_up; /**< another node's segment has number NEXT and must
-                           be read */
+  bool sole_writer;   /**< this node has been home for long enough, and
+                           has written without a conflict since it last
+                           listed the log */
+  bool must_catch_up; /**< a segment with number NEXT exists, perhaps this
+                           node's own, and must be read */
   struct map index;   /**< struct claim */
   uint64_t next;      /**< sequence number of the next segment */
   struct segment *segments;
@@ -133,14 +134,16 @@
                                BERYL_NEVER_MS: it is not home */
   struct shard **shards;  /**< by number; NULL until used */
   struct remote_claim *remotes;
-  int64_t last_event_ms;
+  int64_t last_event_ms;         /**< 0 at first: the first event counts as
+                                      the end of a suspension */
   int64_t write_not_before_ms;   /**< no new segment is written before this */
   uint32_t home_count;           /**< number of shards that this node is home
                                       of */
   bool serving_shards;           /**< a tick is stepping through the shards */
   uint32_t next_shard;           /**< first shard that the next tick serves */
-  int64_t rate_charged_until_us; /**< the commit rate is used up until this
-                                   time */
+  int64_t rate_charged_until_us; /**< time up to which commits have been
+                                      charged against the rate; it may lie in
+                                      the future by the allowed burst */
   uint64_t last_call;
   uint64_t last_remote_id;
   uint64_t random;
@@ -207,6 +210,7 @@
 void remote_claims_retry (struct beryl_claims *claims, int64_t now_ms);
 
 /* claims.c: dispatch, homes and commit rate */
+/** Returns NULL if out of memory. */
 struct shard *claims_shard (struct beryl_claims *claims, uint32_t number);
 uint32_t claims_shard_number (const struct beryl_claims *claims,
                               struct map_key key);
@@ -224,6 +228,7 @@
                       struct pending_claim *pending,
                       enum beryl_claim_result result, uint64_t incarnation);
 bool claims_is_isolated (const struct beryl_claims *claims);
+/** Whether this node is SHARD's home; also true if it is isolated. */
 bool claims_is_home (const struct beryl_claims *claims, uint32_t shard);
 void queue_add (struct pending_queue *queue, struct pending_claim *pending);
 struct pending_claim *queue_take (struct pending_queue *queue);
--- a/libberyl/requests/claim_remote.c
+++ b/libberyl/requests/claim_remote.c
@@ -100,9 +100,10 @@
   claims_complete (claims, pending, message->result, message->incarnation);
 }
 
-/* The home's process has ended.  Any node may write to any shard, since
- * creating a segment only if absent is what excludes double grants; homes only
- * make races rare. */
+/* Handles the claim on this node, which has become home or whose home's
+ * process has ended.  Any node may write to any shard, since creating a
+ * segment only if absent is what excludes double grants; homes only make races
+ * rare. */
 static void
 claim_locally (struct beryl_claims *claims, struct remote_claim *remote,
                int64_t now_ms)
--- a/libberyl/requests/claim_shard.c
+++ b/libberyl/requests/claim_shard.c
@@ -214,7 +214,8 @@
  * these claims until its own next write and, in an outage of the object API,
  * would report their keys as "not run".  Local claims are sent to the new
  * home; claims of other nodes are dropped, since those nodes retry at the new
- * home themselves. */
+ * home themselves.  Claims whose home has ended stay here and are written by
+ * this node (HOME_DOWN). */
 static void
 hand_over_queue (struct shard *shard, int64_t now_ms)
 {
@@ -316,6 +317,7 @@
   shard->loaded = true;
   shard->sole_writer = false; /* the list may lag */
   shard->verified_ms = shard->call_ms;
+  /* The list may not contain the conflicting segment yet. */
   if (shard->must_catch_up)
     back_off (shard, now_ms);
   shard->must_catch_up = false;
@@ -382,7 +384,9 @@
 }
 
 /* Either another node wrote this number, or this node did and the reply was
- * lost.  Reading the segment tells which. */
+ * lost.  The segment is read, and claims of the batch that it contains then
+ * end as TAKEN by the incarnation that it names, which may be this one, or as
+ * MISMATCH. */
 static void
 on_create_conflict (struct shard *shard)
 {
@@ -390,6 +394,7 @@
   shard->sole_writer = false;
   requeue_batch (shard);
   shard->next_ms = 0;
+  /* True only in a mutation test. */
   if (BERYL_GUARD (BERYL_GUARD_CLAIM_REREAD, false))
     shard->next++;
   else
@@ -422,8 +427,9 @@
   bool written = code == BERYL_OK;
 
   shard->call = SHARD_IDLE;
-  /* A conflict after a lost reply looks like this node's own first write, but
-   * may be another node's. */
+  /* A conflict is never taken for success, not even after a lost reply: the
+   * segment may be another node's.  Both guards are true only in a mutation
+   * test. */
   written |= code == BERYL_ERROR_CONFLICT && shard->lost_replies > 0
              && BERYL_GUARD (BERYL_GUARD_CLAIM_NONCE, false);
   written |= code == BERYL_ERROR_CONFLICT
--- a/libberyl/requests/claims.c
+++ b/libberyl/requests/claims.c
@@ -14,14 +14,15 @@
 #define COMPACT_MIN_SEGMENTS_DEFAULT 16
 #define COMMIT_INTERVAL_DEFAULT_MS 20
 #define COMMITS_PER_S_DEFAULT 120
-/* Commits that an idle node may make in a burst. */
+/* Commits that an idle node may make in a burst; half of them outside of the
+ * tick. */
 #define COMMIT_BURST 8
 #define RETENTION_DEFAULT_MS 3600000
 #define DELETE_AFTER_DEFAULT_MS 600000
 #define REQUEST_TIMEOUT_DEFAULT_MS 500
-/* Ticks come at least this often; a much longer gap means that the process was
- * suspended, which must be noticed before other nodes could have replaced this
- * home. */
+/* A tick is due this long after the last event; a much longer gap means that
+ * the process was suspended, which must be noticed before other nodes could
+ * have replaced this home. */
 #define TICK_INTERVAL_MAX_MS 200
 #define SUSPENSION_DETECTED_MS (3 * TICK_INTERVAL_MAX_MS)
 /* How long a process waits after a suspension for the member changes that it
@@ -261,7 +262,7 @@
 }
 
 /* Another home may write segments that this node does not see, so sole_writer
- * is cleared for shards that moved. */
+ * is cleared for the shards of other homes. */
 static void
 claims_assign_homes (struct beryl_claims *claims, int64_t now_ms)
 {
@@ -283,8 +284,8 @@
     }
 }
 
-/* Share of the commit rate that one commit uses, in microseconds, so that all
- * homes together stay within what the object API sustains. */
+/* Interval between commits, in microseconds, at this node's share of the
+ * commit rate; all homes together stay within what the object API sustains. */
 static int64_t
 commit_cost_us (const struct beryl_claims *claims)
 {
@@ -305,9 +306,9 @@
                                                : claims->write_not_before_ms;
 }
 
-/* Whether a shard may write now.  Once the burst is used up, only the tick
- * commits, which serves the shards in turn; otherwise a busy shard would take
- * every slot as it becomes free. */
+/* Whether a shard may write now.  Once half of the burst is used up, only the
+ * tick commits, which serves the shards in turn; otherwise a busy shard would
+ * take every slot as it becomes free. */
 bool
 claims_may_commit (const struct beryl_claims *claims, int64_t now_ms)
 {
--- a/libberyl/requests/hold.c
+++ b/libberyl/requests/hold.c
@@ -11,9 +11,9 @@
 #define CANCEL_SETTLE_MS 300
 #define CANCEL_FIRST_BACKOFF_MS 250
 #define CANCEL_MAX_BACKOFF_MS 2000
-/* Cancels after which a graceful shutdown no longer waits for the
- * confirmation: the control daemon cancels this incarnation's window once the
- * process has ended. */
+/* A graceful shutdown waits for the confirmation until more cancels than this
+ * were sent: the control daemon of this instance cancels this incarnation's
+ * window once the process has ended. */
 #define CANCELS_BEFORE_STOP 4
 
 static struct hold **
@@ -130,8 +130,8 @@
 {
   for (struct hold *h = requests->holds; h != NULL; h = h->next)
     {
-      /* If a cancel or its reply is lost, the stream keeps running for nobody;
-       * so it is repeated until the engine confirms. */
+      /* A cancel or its reply may be lost, and the stream would keep occupying
+       * the engine: the cancel is repeated when due, until it is confirmed. */
       if (BERYL_GUARD (BERYL_GUARD_CANCEL_REPEAT, now_ms < h->next_ms))
         continue;
       hold_send_cancel (requests, h, now_ms);
--- a/libberyl/requests/hold_windows.c
+++ b/libberyl/requests/hold_windows.c
@@ -5,15 +5,15 @@
 
 #include "beryl/holds.h"
 
-/* Counters by which a reported window extends beyond the newest hold: at 13
- * requests per second, a node reports the window of each busy engine about
- * every 20 s. */
+/* Counters by which a window is extended beyond the newest hold.  More means
+ * fewer reports but wider windows to cancel; 256 gives a report per engine
+ * about every 20 s at 13 requests per second. */
 #define WINDOW_AHEAD_COUNTERS 256
 
 struct window
 {
-  struct beryl_hold_window range;
-  uint64_t *held; /* counters, unordered */
+  struct beryl_hold_window range; /* to be reported */
+  uint64_t *held;                 /* counters, unordered */
   size_t held_count;
   size_t held_capacity;
 };
@@ -145,7 +145,7 @@
   return window != NULL ? &window->range : NULL;
 }
 
-/* Returns whether the reported window changed. */
+/* Returns whether the window changed. */
 static bool
 window_shrink (struct window *window)
 {
--- a/libberyl/requests/plan.c
+++ b/libberyl/requests/plan.c
@@ -5,8 +5,8 @@
 #include "private.h"
 
 #define REFUSED_RETRY_MS 1000
-/* How long a request waits before it tries endpoints again that have all
- * refused it. */
+/* How long a request waits before it tries endpoints again when all of them
+ * have refused it or failed. */
 #define EXCLUSION_RESET_DELAY_MS 100
 /* A gap between two events of this length shows that the process was
  * suspended. */
@@ -67,6 +67,7 @@
   int64_t retry_after_ms
       = plan->retry_after_ms > 0 ? plan->retry_after_ms : REFUSED_RETRY_MS;
 
+  /* The router's "concurrency_limit" and "rate_limit". */
   if (strstr (reason, "limit") != NULL)
     problem = BERYL_PROBLEM_OVER_LIMIT;
   request_fail (requests, request, problem, retry_after_ms, reason, now_ms);
@@ -118,8 +119,9 @@
       return;
     }
   beryl_router_plan (requests->router, &job, now_ms, &plan);
-  /* Every endpoint has refused this request once: try the same ones again
-   * after a delay instead of waiting for an endpoint that does not exist. */
+  /* Every endpoint has refused this request or failed it: try the same ones
+   * again after a delay instead of waiting for an endpoint that does not
+   * exist. */
   if (plan.verdict == BERYL_VERDICT_WAIT && request->excluded_count > 0
       && plan.reason != NULL && strcmp (plan.reason, "no_endpoint") == 0)
     {
--- a/libberyl/requests/private.h
+++ b/libberyl/requests/private.h
@@ -17,7 +17,8 @@
 #define CONTENT_TYPE_BYTES 96
 #define FINISH_REASON_BYTES 32
 #define PREFIX_BLOCKS_MAX 256
-/** Refusals by endpoints that a request tolerates before it fails. */
+/** Refused attempts that a request tolerates before it fails; also the limit
+ * of decode refusals for each KV cache. */
 #define REFUSALS_MAX 4
 /** Longest time between two events, in ms: a tick is due by then. */
 #define TICK_INTERVAL_MAX_MS 500
@@ -34,14 +35,15 @@
 };
 
 /** What is kept of a call after it has ended.  The record of a call with a key
- * lives as long as this incarnation, so that the key never runs again; its
- * answer and its request id are kept only for the retention time. */
+ * lives as long as this incarnation, so that no second call with the key runs;
+ * its answer and its request id are kept only for the retention time.  "The
+ * key has run" is short for: a call with the key has run. */
 struct record
 {
   struct record *next; /**< next in order of expiry */
   struct map_key key;
   struct map_key id;
-  uint64_t body_hash;    /**< 0: no request is bound to the key yet */
+  uint64_t body_hash;    /**< call_body_hash of the call; 0 without a key */
   struct answer *answer; /**< NULL: not retained */
   uint64_t reader;       /**< handle of the caller that is reading the
                               answer; 0: none */
@@ -57,7 +59,7 @@
 /** State of a request. */
 enum request_phase
 {
-  PHASE_NONE,  /**< not started, or ended */
+  PHASE_NONE,  /**< not started, or being freed */
   PHASE_CLAIM, /**< waiting for the claim of its key */
   PHASE_PLAN,  /**< waiting for a plan of the router */
   PHASE_PREFILL,
@@ -85,10 +87,10 @@
   uint64_t id;
   struct request *request;
   char endpoint[BERYL_NAME_BYTES];
-  uint32_t attempt;
+  uint32_t attempt; /**< the request's attempt number at its start */
   bool paused;
-  bool ended; /**< END was received; bytes before it may still be missing */
-  uint64_t answer_bytes;
+  bool ended;            /**< not used */
+  uint64_t answer_bytes; /**< not used */
 };
 
 /** A call that has no final reply yet, or whose answer is still read from its
@@ -106,7 +108,8 @@
   enum beryl_class call_class;
   bool plain; /**< call of a plain service, not of a model */
   bool idempotent;
-  bool detached;
+  bool detached;      /**< nothing more is sent to the caller: it has
+                           disconnected, or got an error at the deadline */
   bool reply_started; /**< REPLY_HEAD was sent */
   bool may_have_run;  /**< the outcome of an attempt is unknown */
   int64_t arrived_ms;
@@ -117,10 +120,12 @@
 
   uint64_t ticket; /**< router reservation; 0: none */
   char prefill[BERYL_NAME_BYTES];
-  char decode[BERYL_NAME_BYTES];
+  char decode[BERYL_NAME_BYTES]; /**< plain call: the service's endpoint */
   char kv_handle[KV_HANDLE_BYTES];
   struct beryl_stream_id stream;
-  uint32_t attempt;
+  uint32_t attempt;         /**< attempt number sent to endpoints: raised at
+                                 each prefill, decode, resume and service
+                                 call */
   uint32_t resumes;         /**< reconnects of the current decode */
   uint32_t refusals;        /**< refusals that ended an attempt */
   uint32_t decode_refusals; /**< refusals of decodes of the current KV cache */
@@ -149,7 +154,7 @@
   struct request *last;
 };
 
-/** An instance. */
+/** State of one object. */
 struct beryl_requests
 {
   struct beryl_requests_settings settings;
@@ -206,16 +211,16 @@
                       uint64_t incarnation);
 
 /* timers.c: due times and requests waiting for a plan */
-/** Emit a routing decision, for the owner to log. */
-void plan_emit_decision (struct beryl_requests *requests,
-                         const struct request *request,
-                         const struct beryl_plan *plan);
 void request_set_phase (struct beryl_requests *requests,
                         struct request *request, enum request_phase phase);
 void requests_schedule_due (struct beryl_requests *requests, int64_t due_ms);
 void requests_handle_due (struct beryl_requests *requests, int64_t now_ms);
 
 /* plan.c */
+/** Emit a routing decision, for the owner to log. */
+void plan_emit_decision (struct beryl_requests *requests,
+                         const struct request *request,
+                         const struct beryl_plan *plan);
 void request_plan (struct beryl_requests *requests, struct request *request,
                    int64_t now_ms);
 void requests_detect_suspension (struct beryl_requests *requests,
@@ -244,16 +249,17 @@
                       enum beryl_release how, const char *endpoint,
                       int64_t now_ms);
 
-/* attempt_handle_event.c */
-void attempt_handle_event (struct beryl_requests *requests,
-                           struct exchange *exchange,
-                           const struct beryl_event *event, int64_t now_ms);
 void attempt_pause (struct beryl_requests *requests, struct request *request,
                     bool paused);
 struct exchange *exchange_open (struct beryl_requests *requests,
                                 struct request *request, const char *endpoint);
 void exchange_close (struct beryl_requests *requests, struct request *request);
 
+/* attempt_event.c */
+void attempt_handle_event (struct beryl_requests *requests,
+                           struct exchange *exchange,
+                           const struct beryl_event *event, int64_t now_ms);
+
 /* answer.c: replies to callers */
 void request_deliver (struct beryl_requests *requests, struct request *request,
                       const void *bytes, size_t bytes_count, uint32_t tokens,
--- a/libberyl/requests/records.c
+++ b/libberyl/requests/records.c
@@ -14,7 +14,8 @@
              const char *key)
 {
   /* Keys are scoped by organisation; otherwise whoever guesses a key could
-   * fetch another organisation's answer. */
+   * fetch another organisation's answer.  The guard is true only in a mutation
+   * test. */
   const char *scope
       = BERYL_GUARD (BERYL_GUARD_KEY_ORGANISATION, false) ? "" : organisation;
 
@@ -33,8 +34,8 @@
 
 /* Whether the record says authoritatively what became of its key.  A free key
  * that was not granted to this node may belong to another node's call with
- * another body: the record of an attempt here says neither whether the key has
- * run nor which request it belongs to. */
+ * another body: the record of a call here then says neither whether a call
+ * with the key has run, nor for which body the key was used. */
 bool
 record_authoritative (const struct record *record)
 {
@@ -185,8 +186,10 @@
     free (record);
 }
 
-/* A record whose key was used again, after it had not run, expires later than
- * its position in the list implies; it is moved to the end. */
+/* When a key is used again after its call has not run, its record gets a new
+ * expiry time but keeps its place in the list.  Such a record, or one whose
+ * call is open again, is moved to the end when it reaches the front, one in
+ * each call. */
 void
 records_expire (struct beryl_requests *requests, int64_t now_ms)
 {
--- a/libberyl/requests/requests.c
+++ b/libberyl/requests/requests.c
@@ -23,6 +23,7 @@
   requests->router = router;
   requests->owner = owner;
   requests->earliest_due_ms = BERYL_NEVER_MS;
+  /* The decode engine is chosen after the prefill: attempt_bind_decode. */
   beryl_router_set_late_binding (router, true);
   requests->last_event_ms = INT64_MIN;
   return requests;
@@ -116,7 +117,7 @@
   if (!requests->draining || requests->drained_reported)
     return;
   /* A shutdown that does not wait would cut off callers whose answers are
-   * still in progress, and leave engine memory held that nobody cancels. */
+   * still in progress, and leave holds for the control daemon to cancel. */
   if (!BERYL_GUARD (BERYL_GUARD_DRAIN_WAIT,
                     requests->open == 0 && !holds_cancelling (requests)))
     return;
@@ -166,6 +167,7 @@
   switch (event->type)
     {
     case BERYL_EVENT_CALL:
+      /* Calls are admitted while draining, so the end is reported again. */
       requests->drained_reported = false;
       requests_admit (requests, &event->call, now_ms);
       return;
