--- a/tests/requests/cluster.h
+++ b/tests/requests/cluster.h
@@ -160,7 +160,7 @@
   struct beryl_endpoint endpoints[ENDPOINTS];
   int64_t tick_ms; /**< when the scheduled tick is due; 0: none */
   uint64_t last_handle;
-  /* State of the hold keeper, which outlives the process. */
+  /* State of the control daemon, which outlives the process. */
   struct beryl_hold_window reported[ENDPOINTS];
   struct beryl_hold_cleanup *cleanup;
 };
@@ -282,7 +282,7 @@
 /* cluster_faults.c */
 void faults_choose (struct cluster *cluster, uint32_t mask);
 void faults_schedule (struct cluster *cluster);
-void keeper_on_death (struct cluster *cluster, uint32_t number,
-                      uint64_t incarnation);
+void control_daemon_on_death (struct cluster *cluster, uint32_t number,
+                              uint64_t incarnation);
 
 #endif
--- a/tests/requests/cluster_actions.c
+++ b/tests/requests/cluster_actions.c
@@ -1,4 +1,4 @@
-/* Actions of a node on endpoints and its hold keeper. */
+/* Actions of a node on endpoints and its control daemon. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -128,7 +128,8 @@
   cluster_schedule (cluster, cluster_delay_ms (cluster), &task);
 }
 
-/* The window reaches the keeper's socket buffer before the hold is created. */
+/* The window reaches the control daemon's socket buffer before the hold is
+ * created. */
 static void
 act_hold (struct node *node, const struct beryl_action *action)
 {
--- a/tests/requests/cluster_callers.c
+++ b/tests/requests/cluster_callers.c
@@ -302,9 +302,9 @@
 {
   struct cluster *cluster = node->cluster;
   struct call_attempt *t = &cluster->jobs[job].attempts[attempt];
-  struct task drained = { .run = node_deliver_event,
-                          .node = node->number,
-                          .incarnation = node->incarnation };
+  struct task caught_up = { .run = node_deliver_event,
+                            .node = node->number,
+                            .incarnation = node->incarnation };
   struct history_event event = { .type = HISTORY_DATA,
                                  .job = job,
                                  .attempt = attempt,
@@ -326,13 +326,13 @@
       caller_leaves (cluster, job, attempt);
       return;
     }
-  drained.event.type = BERYL_EVENT_CALLER_CAUGHT_UP;
-  drained.event.request = t->handle;
+  caught_up.event.type = BERYL_EVENT_CALLER_CAUGHT_UP;
+  caught_up.event.request = t->handle;
   cluster_schedule (cluster,
                     cluster->jobs[job].never_leaves
                         ? 4
                         : (int64_t)cluster_random (cluster, 400),
-                    &drained);
+                    &caught_up);
 }
 
 static void
@@ -340,16 +340,16 @@
 {
   struct cluster *cluster = node->cluster;
   struct job *j = &cluster->jobs[job];
-  struct task drained = { .run = node_deliver_event,
-                          .node = node->number,
-                          .incarnation = node->incarnation };
+  struct task caught_up = { .run = node_deliver_event,
+                            .node = node->number,
+                            .incarnation = node->incarnation };
 
   j->attempts[attempt].final = true;
   j->answered = true;
   record_event (cluster, HISTORY_COMPLETED, job, attempt);
-  drained.event.type = BERYL_EVENT_CALLER_CAUGHT_UP;
-  drained.event.request = j->attempts[attempt].handle;
-  cluster_schedule (cluster, 4, &drained);
+  caught_up.event.type = BERYL_EVENT_CALLER_CAUGHT_UP;
+  caught_up.event.request = j->attempts[attempt].handle;
+  cluster_schedule (cluster, 4, &caught_up);
   if (!j->recorded.keyed)
     return;
   maybe_retry (cluster, job, 15);
--- a/tests/requests/cluster_endpoints.c
+++ b/tests/requests/cluster_endpoints.c
@@ -170,8 +170,8 @@
   return NULL;
 }
 
-/* Engine memory is occupied: the keeper must already know the stream, in case
- * the node dies now. */
+/* Engine memory is occupied: the control daemon must already know the stream,
+ * in case the node dies now. */
 static void
 check_hold_reported (struct cluster *cluster, const struct connection *c)
 {
--- a/tests/requests/cluster_faults.c
+++ b/tests/requests/cluster_faults.c
@@ -1,5 +1,5 @@
-/* Schedules the faults of a run, and simulates the keepers that clean up the
- * holds of dead processes. */
+/* Schedules the faults of a run, and simulates the control daemons that clean
+ * up the holds of dead processes. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -7,7 +7,7 @@
 #include "cluster.h"
 
 #define FAULTS_MS 16000
-#define KEEPER_INTERVAL_MS 50
+#define CONTROL_DAEMON_INTERVAL_MS 50
 
 void
 faults_choose (struct cluster *cluster, uint32_t mask)
@@ -200,8 +200,8 @@
 }
 
 static void
-keeper_cancels (struct cluster *cluster, struct node *node,
-                const struct beryl_hold_window *window)
+control_daemon_cancels (struct cluster *cluster, struct node *node,
+                        const struct beryl_hold_window *window)
 {
   uint32_t n = endpoint_number (window->endpoint);
   uint64_t held;
@@ -217,22 +217,23 @@
 }
 
 static void
-keeper_run (struct cluster *cluster, const struct task *task)
+control_daemon_run (struct cluster *cluster, const struct task *task)
 {
   struct node *node = &cluster->nodes[task->a];
   struct beryl_hold_window due;
 
   while (beryl_hold_cleanup_take_due (node->cleanup, &due, cluster->now_ms))
-    keeper_cancels (cluster, node, &due);
+    control_daemon_cancels (cluster, node, &due);
   if (beryl_hold_cleanup_count (node->cleanup) > 0)
-    schedule (cluster, KEEPER_INTERVAL_MS, keeper_run, task->a, 0);
+    schedule (cluster, CONTROL_DAEMON_INTERVAL_MS, control_daemon_run, task->a,
+              0);
 }
 
 /* The control daemon of the instance has seen the loopback connection
  * break. */
 void
-keeper_on_death (struct cluster *cluster, uint32_t number,
-                 uint64_t incarnation)
+control_daemon_on_death (struct cluster *cluster, uint32_t number,
+                         uint64_t incarnation)
 {
   struct node *node = &cluster->nodes[number];
 
@@ -244,7 +245,7 @@
   /* A newer incarnation proves the death at once. */
   schedule (cluster,
             cluster_chance (cluster, 50) ? 1 : BERYL_DEATH_LINK_GRACE_MS,
-            keeper_run, number, 0);
+            control_daemon_run, number, 0);
 }
 
 /* Another node evaluates whether this live node has died, while it is
--- a/tests/requests/cluster_nodes.c
+++ b/tests/requests/cluster_nodes.c
@@ -202,7 +202,8 @@
   node->windows = NULL;
 }
 
-/* Ends the process: its connections break and its keeper takes over. */
+/* Ends the process: its connections break, and the control daemon takes over.
+ */
 void
 node_kill (struct cluster *cluster, uint32_t number, bool planned)
 {
@@ -223,5 +224,5 @@
         c->open = false;
       }
   node_free (node);
-  keeper_on_death (cluster, number, incarnation);
+  control_daemon_on_death (cluster, number, incarnation);
 }
--- a/tests/requests/history.h
+++ b/tests/requests/history.h
@@ -39,11 +39,11 @@
   HISTORY_HOLD_LEAKED, /**< engine: memory is still held after all calls
                             ended */
   HISTORY_HOLD_UNREPORTED,     /**< engine: a stream takes memory that was not
-                                    reported to the keeper */
+                                    reported to the control daemon */
   HISTORY_ENDPOINT_LEAVING,    /**< endpoint: must receive no new work after 2
                                     s */
   HISTORY_NOTE,                /**< note for the reader of a printed history */
-  HISTORY_LIVE_NODE_CANCELLED, /**< keeper: cancelled streams of a live
+  HISTORY_LIVE_NODE_CANCELLED, /**< control daemon cancelled streams of a live
                                     process */
 };
 
