--- a/include/beryl/requests.h
+++ b/include/beryl/requests.h
@@ -71,8 +71,7 @@
 {
   BERYL_CLAIM_GRANTED,     /**< durably recorded: this node may run the call */
   BERYL_CLAIM_TAKEN,       /**< the key was already granted to another call */
-  BERYL_CLAIM_MISMATCH,    /**< the key was used with a different request
-                                body */
+  BERYL_CLAIM_MISMATCH,    /**< the key was used for a different request */
   BERYL_CLAIM_UNAVAILABLE, /**< not granted; the call has not run */
   BERYL_CLAIM_UNKNOWN,     /**< not granted; the call has not run, but an
                                 earlier one with the key may have */
@@ -89,8 +88,8 @@
   BERYL_PROBLEM_KEY_IN_USE,        /**< a call with this key is running */
   BERYL_PROBLEM_KEY_ANSWERED,      /**< the call was answered; the answer
                                         may be fetched */
-  BERYL_PROBLEM_KEY_MISMATCH,      /**< the key was used with a different
-                                        request body */
+  BERYL_PROBLEM_KEY_MISMATCH,      /**< the key was used for a different
+                                        request */
   BERYL_PROBLEM_KEY_UNKNOWN,       /**< the key's outcome cannot be
                                         determined */
   BERYL_PROBLEM_CLAIM_UNAVAILABLE, /**< object API unavailable: not run */
@@ -290,7 +289,7 @@
     {
       const char *organisation;
       const char *key;
-      uint64_t body_hash;
+      uint64_t body_hash; /**< of service, method, path, body and prompt */
     } claim;
     struct
     {
--- a/libberyl/requests/private.h
+++ b/libberyl/requests/private.h
@@ -210,6 +210,12 @@
 void request_forward (struct beryl_requests *requests, struct request *request,
                       uint64_t incarnation);
 
+/* plan.c */
+/** Emit a routing decision, for the owner to log. */
+void plan_emit_decision (struct beryl_requests *requests,
+                         const struct request *request,
+                         const struct beryl_plan *plan);
+
 /* timers.c: due times and requests waiting for a plan */
 void request_set_phase (struct beryl_requests *requests,
                         struct request *request, enum request_phase phase);
@@ -217,10 +223,6 @@
 void requests_handle_due (struct beryl_requests *requests, int64_t now_ms);
 
 /* plan.c */
-/** Emit a routing decision, for the owner to log. */
-void plan_emit_decision (struct beryl_requests *requests,
-                         const struct request *request,
-                         const struct beryl_plan *plan);
 void request_plan (struct beryl_requests *requests, struct request *request,
                    int64_t now_ms);
 void requests_detect_suspension (struct beryl_requests *requests,
@@ -249,17 +251,18 @@
                       enum beryl_release how, const char *endpoint,
                       int64_t now_ms);
 
+/* attempt_event.c */
+void attempt_handle_event (struct beryl_requests *requests,
+                           struct exchange *exchange,
+                           const struct beryl_event *event, int64_t now_ms);
+
+/* attempt.c: exchanges */
 void attempt_pause (struct beryl_requests *requests, struct request *request,
                     bool paused);
 struct exchange *exchange_open (struct beryl_requests *requests,
                                 struct request *request, const char *endpoint);
 void exchange_close (struct beryl_requests *requests, struct request *request);
 
-/* attempt_event.c */
-void attempt_handle_event (struct beryl_requests *requests,
-                           struct exchange *exchange,
-                           const struct beryl_event *event, int64_t now_ms);
-
 /* answer.c: replies to callers */
 void request_deliver (struct beryl_requests *requests, struct request *request,
                       const void *bytes, size_t bytes_count, uint32_t tokens,
--- a/tests/requests/cluster_nodes.c
+++ b/tests/requests/cluster_nodes.c
@@ -202,8 +202,7 @@
   node->windows = NULL;
 }
 
-/* Ends the process: its connections break, and the control daemon takes over.
- */
+/* Ends the process: its connections break; its control daemon takes over. */
 void
 node_kill (struct cluster *cluster, uint32_t number, bool planned)
 {
