--- a/libberyl/requests/claim_log.c
+++ b/libberyl/requests/claim_log.c
@@ -1,9 +1,10 @@
+/* In-memory index of a shard's log.  The first claim of a key wins. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "claim_private.h"
 
-/* An object of the log that was read. */
+/* A segment object that was read. */
 struct entry
 {
   uint64_t from;
@@ -14,17 +15,17 @@
 bool
 log_put (struct shard *shard, struct map_key key, const struct claim *claim)
 {
-  struct claim *mine = map_get (&shard->index, key);
+  struct claim *stored = map_get (&shard->index, key);
 
-  if (mine != NULL)
+  if (stored != NULL)
     return true;
-  mine = malloc (sizeof *mine);
-  if (mine == NULL)
+  stored = malloc (sizeof *stored);
+  if (stored == NULL)
     return false;
-  *mine = *claim;
-  if (!map_put (&shard->index, key, mine))
+  *stored = *claim;
+  if (!map_put (&shard->index, key, stored))
     {
-      free (mine);
+      free (stored);
       return false;
     }
   shard->claims->counts.keys++;
@@ -58,7 +59,7 @@
 }
 
 void
-log_forget (struct shard *shard)
+log_clear (struct shard *shard)
 {
   for (size_t i = 0; i < shard->index.capacity; i++)
     free (shard->index.slots[i].value);
@@ -66,7 +67,7 @@
   map_clear (&shard->index);
   shard->segment_count = 0;
   shard->next = 0;
-  shard->read = false;
+  shard->loaded = false;
 }
 
 static int
@@ -103,9 +104,10 @@
   return entries;
 }
 
-/* Pages of a list may come from replicas that lag differently: between them
- * a segment may be folded and seem to be missing.  A log with a hole must not
- * be written to, because the hole's number is free again after deletion. */
+/* Pages of a list may come from replicas with different lag, so a segment that
+ * is compacted meanwhile may seem to be missing.  A list with a gap is not
+ * applied: the claims in the missing segment would be unknown here, and their
+ * keys could be granted again. */
 static bool
 entries_contiguous (const struct entry *entries, size_t count)
 {
@@ -127,9 +129,10 @@
   log_put (data, key, claim);
 }
 
-/* Applies an entry that reaches the end of what is known.  One that lies
- * before it is known already, or was written by a home that had slept so
- * long that its number had been deleted: its claims were never granted. */
+/* Adds a segment to the list of segments, and its claims to the index if it
+ * extends the known log.  A segment before the end is either known already, or
+ * was written by a home that was suspended until its sequence number had been
+ * deleted; claims of such a segment were never granted. */
 static bool
 entry_apply (struct shard *shard, const struct entry *entry, int64_t now_ms)
 {
@@ -173,9 +176,10 @@
       = entries_sorted (shard, objects, object_count, &count);
   bool applied = entries != NULL && entries_contiguous (entries, count);
 
-  if (applied && count > 0 && (!shard->read || entries[0].from > shard->next))
+  if (applied && count > 0
+      && (!shard->loaded || entries[0].from > shard->next))
     {
-      log_forget (shard);
+      log_clear (shard);
       shard->next = entries[0].from;
     }
   for (size_t i = 0; applied && i < count; i++)
@@ -186,7 +190,7 @@
   return applied;
 }
 
-/* The batch is durable as segment NEXT. */
+/* Records the batch, which was written as segment NEXT. */
 void
 log_append (struct shard *shard, int64_t now_ms)
 {
@@ -195,11 +199,11 @@
 
   if (segment != NULL)
     segment->claims = shard->batch.count;
-  for (struct waiting *w = shard->batch.first; w != NULL; w = w->next)
+  for (struct pending_claim *p = shard->batch.first; p != NULL; p = p->next)
     {
-      struct claim claim = { w->body_hash, w->incarnation, shard->next };
+      struct claim claim = { p->body_hash, p->incarnation, shard->next };
 
-      log_put (shard, w->key, &claim);
+      log_put (shard, p->key, &claim);
     }
   shard->next++;
 }
--- a/libberyl/requests/claim_segment.c
+++ b/libberyl/requests/claim_segment.c
@@ -1,3 +1,4 @@
+/* Names and JSON encoding of segment objects. */
 #include <inttypes.h>
 #include <jansson.h>
 #include <stdio.h>
@@ -6,7 +7,8 @@
 
 #include "claim_private.h"
 
-/* Digest, incarnation and body hash, sixteen hex digits for eight bytes. */
+/* Encoded claim: digest (two words), incarnation and body hash, 16 hex digits
+ * for each 8 bytes. */
 #define CLAIM_TEXT_BYTES 64
 #define CLAIM_FORMAT "%016" PRIx64 "%016" PRIx64 "%016" PRIx64 "%016" PRIx64
 
--- a/libberyl/requests/claim_shard.c
+++ b/libberyl/requests/claim_shard.c
@@ -1,3 +1,5 @@
+/* One shard of the claim log: reads its segments and writes batches of claims.
+ * At most one call to the object API is in flight, besides compaction. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -5,9 +7,10 @@
 
 #define BACKOFF_FIRST_MS 50
 #define BACKOFF_MAX_MS 1000
-/* Times that a write whose reply was lost is repeated before its claims are
- * given up.  They have not run and will not; the key may turn out to be this
- * node's when it is claimed again. */
+/* Number of lost replies after which a repeated write is abandoned and its
+ * claims fail.  Those calls have not run and will not run; the write may still
+ * have taken effect, and then a later claim finds the key granted to this
+ * node. */
 #define LOST_REPLIES_MAX 5
 
 struct shard *
@@ -25,12 +28,12 @@
 }
 
 static void
-queue_free (struct waiting_queue *queue)
+queue_free (struct pending_queue *queue)
 {
-  struct waiting *waiting;
+  struct pending_claim *pending;
 
-  while ((waiting = queue_take (queue)) != NULL)
-    free (waiting);
+  while ((pending = queue_take (queue)) != NULL)
+    free (pending);
 }
 
 void
@@ -38,7 +41,7 @@
 {
   if (shard == NULL)
     return;
-  log_forget (shard);
+  log_clear (shard);
   queue_free (&shard->queue);
   queue_free (&shard->batch);
   free (shard->segments);
@@ -46,43 +49,43 @@
   free (shard);
 }
 
-/* Answers a claim from the index; false if the key is not in it. */
+/* Completes a claim from the index; returns false if the key is not in it. */
 static bool
-answer_known (struct shard *shard, struct waiting *waiting)
+answer_from_index (struct shard *shard, struct pending_claim *pending)
 {
-  const struct claim *claim = map_get (&shard->index, waiting->key);
+  const struct claim *claim = map_get (&shard->index, pending->key);
 
   if (claim == NULL)
     return false;
-  if (claim->body_hash != waiting->body_hash)
-    claims_answer (shard->claims, waiting, BERYL_CLAIM_MISMATCH,
-                   claim->incarnation);
+  if (claim->body_hash != pending->body_hash)
+    claims_complete (shard->claims, pending, BERYL_CLAIM_MISMATCH,
+                     claim->incarnation);
   else
-    claims_answer (shard->claims, waiting, BERYL_CLAIM_TAKEN,
-                   claim->incarnation);
+    claims_complete (shard->claims, pending, BERYL_CLAIM_TAKEN,
+                     claim->incarnation);
   return true;
 }
 
 static void
-answer_all_known (struct shard *shard)
+answer_queue_from_index (struct shard *shard)
 {
-  struct waiting_queue kept = { 0 };
-  struct waiting *waiting;
+  struct pending_queue kept = { 0 };
+  struct pending_claim *pending;
 
-  while ((waiting = queue_take (&shard->queue)) != NULL)
-    if (!shard->read || !answer_known (shard, waiting))
-      queue_add (&kept, waiting);
+  while ((pending = queue_take (&shard->queue)) != NULL)
+    if (!shard->loaded || !answer_from_index (shard, pending))
+      queue_add (&kept, pending);
   shard->queue = kept;
 }
 
 static void
-answer_all (struct shard *shard, struct waiting_queue *queue,
+answer_all (struct shard *shard, struct pending_queue *queue,
             enum beryl_claim_result result)
 {
-  struct waiting *waiting;
+  struct pending_claim *pending;
 
-  while ((waiting = queue_take (queue)) != NULL)
-    claims_answer (shard->claims, waiting, result, 0);
+  while ((pending = queue_take (queue)) != NULL)
+    claims_complete (shard->claims, pending, result, 0);
 }
 
 static void
@@ -98,7 +101,7 @@
 begin_call (struct shard *shard, enum shard_call call, int64_t now_ms)
 {
   shard->call = call;
-  shard->call_id = claims_call (shard->claims, shard);
+  shard->call_id = claims_register_call (shard->claims, shard);
   shard->call_ms = now_ms;
 }
 
@@ -139,32 +142,32 @@
 }
 
 static bool
-queue_has (const struct waiting_queue *queue, struct map_key key)
+queue_has (const struct pending_queue *queue, struct map_key key)
 {
-  for (const struct waiting *w = queue->first; w != NULL; w = w->next)
-    if (w->key.high == key.high && w->key.low == key.low)
+  for (const struct pending_claim *p = queue->first; p != NULL; p = p->next)
+    if (p->key.high == key.high && p->key.low == key.low)
       return true;
   return false;
 }
 
-/* Two callers may ask for the same key within one commit interval.  Both in
- * one segment would both be granted; the second one waits and finds the key
- * taken. */
+/* Two callers may claim the same key within one commit interval.  In one
+ * segment both would be granted, so the second claim is left for the next
+ * batch, where it finds the key taken. */
 static void
 form_batch (struct shard *shard)
 {
-  struct waiting_queue later = { 0 };
-  struct waiting *waiting;
+  struct pending_queue later = { 0 };
+  struct pending_claim *pending;
 
   while (shard->batch.count < SEGMENT_CLAIMS_MAX
-         && (waiting = queue_take (&shard->queue)) != NULL)
+         && (pending = queue_take (&shard->queue)) != NULL)
     if (BERYL_GUARD (BERYL_GUARD_CLAIM_DUPLICATE,
-                     !queue_has (&shard->batch, waiting->key)))
-      queue_add (&shard->batch, waiting);
+                     !queue_has (&shard->batch, pending->key)))
+      queue_add (&shard->batch, pending);
     else
-      queue_add (&later, waiting);
-  while ((waiting = queue_take (&shard->queue)) != NULL)
-    queue_add (&later, waiting);
+      queue_add (&later, pending);
+  while ((pending = queue_take (&shard->queue)) != NULL)
+    queue_add (&later, pending);
   shard->queue = later;
 }
 
@@ -181,53 +184,55 @@
       answer_all (shard, &shard->batch, BERYL_CLAIM_UNAVAILABLE);
       return;
     }
-  for (struct waiting *w = shard->batch.first; w != NULL; w = w->next)
+  for (struct pending_claim *p = shard->batch.first; p != NULL; p = p->next)
     {
-      struct claim claim = { w->body_hash, w->incarnation, shard->next };
+      struct claim claim = { p->body_hash, p->incarnation, shard->next };
 
-      segment_writer_add (writer, w->key, &claim);
+      segment_writer_add (writer, p->key, &claim);
     }
   free (shard->value);
   shard->value = segment_writer_finish (writer);
   shard->lost_replies = 0;
   shard->next_ms = now_ms + shard->claims->settings.commit_interval_ms;
-  claims_count_commit (shard->claims, shard, now_ms);
+  claims_charge_commit (shard->claims, shard, now_ms);
   begin_create (shard, now_ms);
 }
 
-/* Whether the end of the log that this node knows is young enough to be
- * built on.  Old objects are deleted, so that their numbers are free again:
- * a home that slept longer could create one of them and believe that it had
- * won the race. */
+/* Whether the known end of the log is recent enough to write after it.  Old
+ * segments are deleted, which frees their numbers: a home that was suspended
+ * for longer could create one of them again and believe that it had won the
+ * race. */
 static bool
-verified (const struct shard *shard, int64_t now_ms)
+log_end_is_current (const struct shard *shard, int64_t now_ms)
 {
   return BERYL_GUARD (BERYL_GUARD_CLAIM_VERIFIED,
                       now_ms - shard->verified_ms
                           < shard->claims->settings.delete_after_ms / 2);
 }
 
-/* A home that its members have replaced must stop to write: the new one would
- * not see these claims until its own next write, and in an outage it would
- * call their keys "not run".  Its callers' claims go to the new home; other
- * nodes ask that one by themselves. */
+/* A home that has been replaced must stop writing: the new home would not see
+ * these claims until its own next write and, in an outage of the object API,
+ * would report their keys as "not run".  Local claims are sent to the new
+ * home; claims of other nodes are dropped, since those nodes retry at the new
+ * home themselves.  Claims whose home has ended stay here and are written by
+ * this node (HOME_DOWN). */
 static void
-hand_over (struct shard *shard, int64_t now_ms)
+hand_over_queue (struct shard *shard, int64_t now_ms)
 {
   struct beryl_claims *claims = shard->claims;
-  struct waiting_queue kept = { 0 };
-  struct waiting *waiting;
-
-  while ((waiting = queue_take (&shard->queue)) != NULL)
-    if (waiting->forced && !claims_is_alone (claims))
-      queue_add (&kept, waiting);
-    else if (waiting->remote)
-      free (waiting);
-    else if (claims_is_alone (claims))
-      claims_answer (claims, waiting, BERYL_CLAIM_UNKNOWN, 0);
+  struct pending_queue kept = { 0 };
+  struct pending_claim *pending;
+
+  while ((pending = queue_take (&shard->queue)) != NULL)
+    if (pending->home_down && !claims_is_isolated (claims))
+      queue_add (&kept, pending);
+    else if (pending->remote)
+      free (pending);
+    else if (claims_is_isolated (claims))
+      claims_complete (claims, pending, BERYL_CLAIM_UNKNOWN, 0);
     else
-      ask_home (claims, waiting, beryl_claims_home (claims, shard->number),
-                now_ms);
+      remote_claim_send (claims, pending,
+                         beryl_claims_home (claims, shard->number), now_ms);
   shard->queue = kept;
 }
 
@@ -235,7 +240,7 @@
 may_write (const struct shard *shard)
 {
   return BERYL_GUARD (BERYL_GUARD_CLAIM_HOME,
-                      !claims_is_alone (shard->claims)
+                      !claims_is_isolated (shard->claims)
                           && claims_is_home (shard->claims, shard->number));
 }
 
@@ -244,16 +249,16 @@
 {
   if (shard->call != SHARD_IDLE || now_ms < shard->next_ms)
     return;
-  answer_all_known (shard);
+  answer_queue_from_index (shard);
   if (shard->batch.count == 0 && !may_write (shard))
-    hand_over (shard, now_ms);
+    hand_over_queue (shard, now_ms);
   if (shard->batch.count > 0)
     begin_create (shard, now_ms);
   else if (shard->queue.count == 0)
     return;
-  else if (!shard->read || !verified (shard, now_ms))
+  else if (!shard->loaded || !log_end_is_current (shard, now_ms))
     begin_list (shard, now_ms);
-  else if (shard->catch_up)
+  else if (shard->must_catch_up)
     begin_get (shard, now_ms);
   else if (claims_may_commit (shard->claims, now_ms))
     begin_commit (shard, now_ms);
@@ -262,28 +267,30 @@
 void
 shard_load (struct shard *shard, int64_t now_ms)
 {
-  if (shard->call == SHARD_IDLE && !shard->read && now_ms >= shard->next_ms)
+  if (shard->call == SHARD_IDLE && !shard->loaded && now_ms >= shard->next_ms)
     begin_list (shard, now_ms);
 }
 
 void
-shard_ask (struct shard *shard, struct waiting *waiting, int64_t now_ms)
+shard_claim (struct shard *shard, struct pending_claim *pending,
+             int64_t now_ms)
 {
-  if (shard->read && answer_known (shard, waiting))
+  if (shard->loaded && answer_from_index (shard, pending))
     return;
-  queue_add (&shard->queue, waiting);
+  queue_add (&shard->queue, pending);
   shard_step (shard, now_ms);
 }
 
-/* The object API is away.  This try has not run, but an earlier one with the
- * same key may have, and a caller that is told "not run" then would send its
- * letter again under a new key.  Only who wrote the whole log alone since it
- * has read it knows that the key is new; a node that is cut off from the
- * others cannot know what they have written. */
+/* Result of a claim when the object API is unavailable.  This attempt has not
+ * run, but an earlier one with the same key may have; a caller that is told
+ * "not run" would repeat the call under a new key.  Only a node that has been
+ * the only writer since it read the whole log knows that a key is new; an
+ * isolated node cannot know what the others have written. */
 static enum beryl_claim_result
-result_of_outage (const struct shard *shard)
+outage_result (const struct shard *shard)
 {
-  bool certain = shard->read && shard->sole && !claims_is_alone (shard->claims)
+  bool certain = shard->loaded && shard->sole_writer
+                 && !claims_is_isolated (shard->claims)
                  && claims_is_home (shard->claims, shard->number);
 
   return BERYL_GUARD (BERYL_GUARD_CLAIM_OUTAGE, certain)
@@ -292,10 +299,10 @@
 }
 
 static void
-give_up (struct shard *shard)
+fail_queue (struct shard *shard)
 {
-  answer_all_known (shard);
-  answer_all (shard, &shard->queue, result_of_outage (shard));
+  answer_queue_from_index (shard);
+  answer_all (shard, &shard->queue, outage_result (shard));
 }
 
 static void
@@ -307,12 +314,13 @@
       back_off (shard, now_ms);
       return;
     }
-  shard->read = true;
-  shard->sole = false; /* the list may lag; the next write tells */
+  shard->loaded = true;
+  shard->sole_writer = false; /* the list may lag */
   shard->verified_ms = shard->call_ms;
-  if (shard->catch_up)
+  /* The list may not contain the conflicting segment yet. */
+  if (shard->must_catch_up)
     back_off (shard, now_ms);
-  shard->catch_up = false;
+  shard->must_catch_up = false;
 }
 
 void
@@ -324,69 +332,73 @@
 
   shard->call = SHARD_IDLE;
   if (code == BERYL_OK && get && object_count == 1)
-    shard->catch_up = !log_apply (shard, objects, 1, now_ms);
+    shard->must_catch_up = !log_apply (shard, objects, 1, now_ms);
   else if (code == BERYL_OK && !get)
     on_listed (shard, objects, object_count, now_ms);
   else if (get && code == BERYL_ERROR_NOT_FOUND)
-    begin_list (shard, now_ms); /* a lagging read, or it was folded */
+    begin_list (shard, now_ms); /* lagging read or compacted */
   else
     {
       back_off (shard, now_ms);
-      give_up (shard);
+      fail_queue (shard);
     }
   shard_step (shard, now_ms);
 }
 
-/* Puts the batch back in front of the queue. */
+/* Puts the batch back at the front of the queue. */
 static void
-batch_back (struct shard *shard)
+requeue_batch (struct shard *shard)
 {
-  struct waiting *waiting;
+  struct pending_claim *pending;
 
-  while ((waiting = queue_take (&shard->queue)) != NULL)
-    queue_add (&shard->batch, waiting);
+  while ((pending = queue_take (&shard->queue)) != NULL)
+    queue_add (&shard->batch, pending);
   shard->queue = shard->batch;
-  shard->batch = (struct waiting_queue){ 0 };
+  shard->batch = (struct pending_queue){ 0 };
 }
 
 static void
-on_durable (struct shard *shard, int64_t now_ms)
+on_written (struct shard *shard, int64_t now_ms)
 {
-  struct waiting *waiting;
+  struct pending_claim *pending;
 
-  /* This process was stopped while its write was on the way: what the write
-   * has met may be an old number that had been deleted. */
-  if (!verified (shard, now_ms))
+  /* The process was suspended while the write was in flight: the number that
+   * was created may be an old one whose segment had been deleted. */
+  if (!log_end_is_current (shard, now_ms))
     {
-      batch_back (shard);
-      shard->read = false;
+      requeue_batch (shard);
+      shard->loaded = false;
       return;
     }
   shard->claims->counts.segments++;
   if (shard->lost_replies > 0)
-    shard->claims->counts.settled++;
+    shard->claims->counts.lost_replies_resolved++;
   log_append (shard, now_ms);
-  shard->sole = claims_settled_home (shard->claims, shard->number, now_ms);
+  shard->sole_writer
+      = claims_is_established_home (shard->claims, shard->number, now_ms);
   shard->verified_ms = shard->call_ms;
   shard->backoff_ms = BACKOFF_FIRST_MS;
-  while ((waiting = queue_take (&shard->batch)) != NULL)
-    claims_answer (shard->claims, waiting, BERYL_CLAIM_GRANTED,
-                   waiting->incarnation);
+  while ((pending = queue_take (&shard->batch)) != NULL)
+    claims_complete (shard->claims, pending, BERYL_CLAIM_GRANTED,
+                     pending->incarnation);
 }
 
-/* Another home has written this number, or this node did and the reply was
- * lost.  Which one it was is read from the segment itself. */
+/* Either another node wrote this number, or this node did and the reply was
+ * lost.  The segment is read, and claims of the batch that it contains then
+ * end as TAKEN by the incarnation that it names, which may be this one, or as
+ * MISMATCH. */
 static void
-on_race_lost (struct shard *shard)
+on_create_conflict (struct shard *shard)
 {
-  shard->claims->counts.races_lost++;
-  shard->sole = false;
-  batch_back (shard);
+  shard->claims->counts.create_conflicts++;
+  shard->sole_writer = false;
+  requeue_batch (shard);
   shard->next_ms = 0;
+  /* True only in a mutation test. */
   if (BERYL_GUARD (BERYL_GUARD_CLAIM_REREAD, false))
     shard->next++;
   else
-    shard->catch_up = true;
+    shard->must_catch_up = true;
 }
 
 static void
@@ -396,35 +408,36 @@
   back_off (shard, now_ms);
   if (shard->lost_replies < LOST_REPLIES_MAX)
     return;
-  answer_all (shard, &shard->batch, result_of_outage (shard));
-  give_up (shard);
+  answer_all (shard, &shard->batch, outage_result (shard));
+  fail_queue (shard);
 }
 
 static void
 on_not_written (struct shard *shard, int64_t now_ms)
 {
   back_off (shard, now_ms);
-  answer_all (shard, &shard->batch, result_of_outage (shard));
-  give_up (shard);
+  answer_all (shard, &shard->batch, outage_result (shard));
+  fail_queue (shard);
 }
 
 void
-shard_on_created (struct shard *shard, enum beryl_error_code code,
-                  int64_t now_ms)
+shard_on_create_done (struct shard *shard, enum beryl_error_code code,
+                      int64_t now_ms)
 {
   bool written = code == BERYL_OK;
 
   shard->call = SHARD_IDLE;
-  /* A conflict after a lost reply looks like one's own first write, but may
-   * be another home's. */
+  /* A conflict is never taken for success, not even after a lost reply: the
+   * segment may be another node's.  Both guards are true only in a mutation
+   * test. */
   written |= code == BERYL_ERROR_CONFLICT && shard->lost_replies > 0
              && BERYL_GUARD (BERYL_GUARD_CLAIM_NONCE, false);
   written |= code == BERYL_ERROR_CONFLICT
              && BERYL_GUARD (BERYL_GUARD_CLAIM_CREATE, false);
   if (written)
-    on_durable (shard, now_ms);
+    on_written (shard, now_ms);
   else if (code == BERYL_ERROR_CONFLICT)
-    on_race_lost (shard);
+    on_create_conflict (shard);
   else if (code == BERYL_ERROR_UNKNOWN)
     on_reply_lost (shard, now_ms);
   else
@@ -438,9 +451,9 @@
   if (shard->call != SHARD_IDLE
       || (shard->queue.count == 0 && shard->batch.count == 0))
     return BERYL_NEVER_MS;
-  /* Only a new batch waits for the rate. */
-  if (shard->batch.count == 0 && shard->read && !shard->catch_up
-      && claims_commit_ms (shard->claims) > shard->next_ms)
-    return claims_commit_ms (shard->claims);
+  /* Only a new batch is subject to the commit rate. */
+  if (shard->batch.count == 0 && shard->loaded && !shard->must_catch_up
+      && claims_next_commit_ms (shard->claims) > shard->next_ms)
+    return claims_next_commit_ms (shard->claims);
   return shard->next_ms;
 }
--- a/libberyl/requests/claims.c
+++ b/libberyl/requests/claims.c
@@ -11,25 +11,28 @@
 #include <xxhash.h>
 
 #define SHARDS_DEFAULT 16
-#define FOLD_SEGMENTS_DEFAULT 16
+#define COMPACT_MIN_SEGMENTS_DEFAULT 16
 #define COMMIT_INTERVAL_DEFAULT_MS 20
 #define COMMITS_PER_S_DEFAULT 120
-/* Commits that a quiet node may make at once. */
+/* Commits that an idle node may make in a burst; half of them outside of the
+ * tick. */
 #define COMMIT_BURST 8
 #define RETENTION_DEFAULT_MS 3600000
 #define DELETE_AFTER_DEFAULT_MS 600000
-#define ASK_TIMEOUT_DEFAULT_MS 500
-/* Ticks come at least this often; a far longer gap is a stopped process.  It
- * must be noticed before the others could have replaced this home. */
-#define HEARTBEAT_MS 200
-#define GAP_MS (3 * HEARTBEAT_MS)
-/* How long a woken process waits for the members that it missed. */
-#define CATCH_UP_MS 100
-/* How long a new home is not certain of its log. */
-#define TENURE_MS 2000
+#define REQUEST_TIMEOUT_DEFAULT_MS 500
+/* A tick is due this long after the last event; a much longer gap means that
+ * the process was suspended, which must be noticed before other nodes could
+ * have replaced this home. */
+#define TICK_INTERVAL_MAX_MS 200
+#define SUSPENSION_DETECTED_MS (3 * TICK_INTERVAL_MAX_MS)
+/* How long a process waits after a suspension for the member changes that it
+ * missed. */
+#define SUSPENSION_RECOVERY_MS 100
+/* How long a new home does not trust its view of the log to be complete. */
+#define HOME_ESTABLISHED_MS 2000
 
 static void
-default_to (int64_t *setting, int64_t value)
+set_default (int64_t *setting, int64_t value)
 {
   if (*setting == 0)
     *setting = value;
@@ -49,17 +52,18 @@
   snprintf (claims->node, sizeof claims->node, "%s", settings->node);
   if (claims->settings.shards == 0)
     claims->settings.shards = SHARDS_DEFAULT;
-  if (claims->settings.fold_segments == 0)
-    claims->settings.fold_segments = FOLD_SEGMENTS_DEFAULT;
+  if (claims->settings.compact_min_segments == 0)
+    claims->settings.compact_min_segments = COMPACT_MIN_SEGMENTS_DEFAULT;
   if (claims->settings.shards > BERYL_CLAIM_SHARDS_MAX)
     claims->settings.shards = BERYL_CLAIM_SHARDS_MAX;
   if (claims->settings.commits_per_s == 0)
     claims->settings.commits_per_s = COMMITS_PER_S_DEFAULT;
-  default_to (&claims->settings.commit_interval_ms,
-              COMMIT_INTERVAL_DEFAULT_MS);
-  default_to (&claims->settings.retention_ms, RETENTION_DEFAULT_MS);
-  default_to (&claims->settings.delete_after_ms, DELETE_AFTER_DEFAULT_MS);
-  default_to (&claims->settings.ask_timeout_ms, ASK_TIMEOUT_DEFAULT_MS);
+  set_default (&claims->settings.commit_interval_ms,
+               COMMIT_INTERVAL_DEFAULT_MS);
+  set_default (&claims->settings.retention_ms, RETENTION_DEFAULT_MS);
+  set_default (&claims->settings.delete_after_ms, DELETE_AFTER_DEFAULT_MS);
+  set_default (&claims->settings.request_timeout_ms,
+               REQUEST_TIMEOUT_DEFAULT_MS);
   claims->shards = calloc (claims->settings.shards, sizeof (struct shard *));
   claims->homes = calloc (claims->settings.shards, sizeof *claims->homes);
   claims->home_since_ms
@@ -85,7 +89,7 @@
     return;
   for (uint32_t i = 0; i < claims->settings.shards; i++)
     shard_destroy (claims->shards[i]);
-  ask_clear (claims);
+  remote_claims_clear (claims);
   map_clear (&claims->calls);
   free (claims->shards);
   free (claims->homes);
@@ -95,33 +99,33 @@
 }
 
 void
-queue_add (struct waiting_queue *queue, struct waiting *waiting)
+queue_add (struct pending_queue *queue, struct pending_claim *pending)
 {
-  waiting->next = NULL;
+  pending->next = NULL;
   if (queue->last != NULL)
-    queue->last->next = waiting;
+    queue->last->next = pending;
   else
-    queue->first = waiting;
-  queue->last = waiting;
+    queue->first = pending;
+  queue->last = pending;
   queue->count++;
 }
 
-struct waiting *
-queue_take (struct waiting_queue *queue)
+struct pending_claim *
+queue_take (struct pending_queue *queue)
 {
-  struct waiting *waiting = queue->first;
+  struct pending_claim *pending = queue->first;
 
-  if (waiting == NULL)
+  if (pending == NULL)
     return NULL;
-  queue->first = waiting->next;
+  queue->first = pending->next;
   if (queue->first == NULL)
     queue->last = NULL;
   queue->count--;
-  return waiting;
+  return pending;
 }
 
 uint64_t
-claims_call (struct beryl_claims *claims, struct shard *shard)
+claims_register_call (struct beryl_claims *claims, struct shard *shard)
 {
   uint64_t call = ++claims->last_call;
 
@@ -140,7 +144,7 @@
 }
 
 static void
-count_result (struct beryl_claims *claims, enum beryl_claim_result result)
+update_counts (struct beryl_claims *claims, enum beryl_claim_result result)
 {
   switch (result)
     {
@@ -160,28 +164,28 @@
     }
 }
 
-/* Ends WAITING, which is released. */
+/* Reports the result of PENDING to its requester and frees it. */
 void
-claims_answer (struct beryl_claims *claims, struct waiting *waiting,
-               enum beryl_claim_result result, uint64_t incarnation)
+claims_complete (struct beryl_claims *claims, struct pending_claim *pending,
+                 enum beryl_claim_result result, uint64_t incarnation)
 {
   struct beryl_claims_owner *owner = claims->owner;
   struct beryl_claim_message reply = {
     .type = BERYL_CLAIM_REPLY,
-    .id = waiting->id,
-    .key_high = waiting->key.high,
-    .key_low = waiting->key.low,
-    .body_hash = waiting->body_hash,
+    .id = pending->id,
+    .key_high = pending->key.high,
+    .key_low = pending->key.low,
+    .body_hash = pending->body_hash,
     .incarnation = incarnation,
     .result = result,
   };
 
-  count_result (claims, result);
-  if (waiting->remote)
-    owner->impl->send (owner, waiting->node, &reply);
+  update_counts (claims, result);
+  if (pending->remote)
+    owner->impl->send (owner, pending->node, &reply);
   else
-    owner->impl->result (owner, waiting->id, result, incarnation);
-  free (waiting);
+    owner->impl->result (owner, pending->id, result, incarnation);
+  free (pending);
 }
 
 struct shard *
@@ -198,8 +202,8 @@
   return (uint32_t)(key.low % claims->settings.shards);
 }
 
-/* Rendezvous hashing: when a member comes or goes, only its own shards
- * change their home. */
+/* Rendezvous hashing: when a member joins or leaves, only shards that it is
+ * home of change their home. */
 static uint32_t
 home_of (const struct beryl_claims *claims, uint32_t shard)
 {
@@ -229,9 +233,9 @@
   return claims->members[claims->homes[shard]];
 }
 
-/* Whether no other node is known to be there. */
+/* Whether this node is isolated: it knows no members, not even itself. */
 bool
-claims_is_alone (const struct beryl_claims *claims)
+claims_is_isolated (const struct beryl_claims *claims)
 {
   return claims->member_count == 0;
 }
@@ -244,28 +248,30 @@
   return home == NULL || strcmp (home, claims->node) == 0;
 }
 
-/* Whether this node has been SHARD's home so long that nobody writes for its
- * predecessor any more: when a home dies, nodes whose asks it refused write by
- * themselves for a moment. */
+/* Whether this node has been SHARD's home for long enough that nobody writes
+ * on behalf of the previous home any more: when a home dies, nodes whose
+ * requests are refused write to its shards themselves for a moment. */
 bool
-claims_settled_home (const struct beryl_claims *claims, uint32_t shard,
-                     int64_t now_ms)
+claims_is_established_home (const struct beryl_claims *claims, uint32_t shard,
+                            int64_t now_ms)
 {
   int64_t since_ms = claims->home_since_ms[shard];
 
-  return since_ms != BERYL_NEVER_MS && now_ms - since_ms >= TENURE_MS;
+  return since_ms != BERYL_NEVER_MS
+         && now_ms - since_ms >= HOME_ESTABLISHED_MS;
 }
 
-/* Whoever is home now may write what this node does not see. */
+/* Another home may write segments that this node does not see, so sole_writer
+ * is cleared for the shards of other homes. */
 static void
-claims_count_shards (struct beryl_claims *claims, int64_t now_ms)
+claims_assign_homes (struct beryl_claims *claims, int64_t now_ms)
 {
   claims->home_count = 0;
   for (uint32_t i = 0; i < claims->settings.shards; i++)
     claims->homes[i] = home_of (claims, i);
   for (uint32_t i = 0; i < claims->settings.shards; i++)
     {
-      bool home = !claims_is_alone (claims) && claims_is_home (claims, i);
+      bool home = !claims_is_isolated (claims) && claims_is_home (claims, i);
 
       if (home)
         claims->home_count++;
@@ -274,12 +280,12 @@
       else if (claims->home_since_ms[i] == BERYL_NEVER_MS)
         claims->home_since_ms[i] = now_ms;
       if (!home && claims->shards[i] != NULL)
-        claims->shards[i]->sole = false;
+        claims->shards[i]->sole_writer = false;
     }
 }
 
-/* Time that one commit uses up, so that all homes together stay within the
- * rate that the object API can bear. */
+/* Interval between commits, in microseconds, at this node's share of the
+ * commit rate; all homes together stay within what the object API sustains. */
 static int64_t
 commit_cost_us (const struct beryl_claims *claims)
 {
@@ -290,37 +296,39 @@
 }
 
 int64_t
-claims_commit_ms (const struct beryl_claims *claims)
+claims_next_commit_ms (const struct beryl_claims *claims)
 {
   int64_t burst_us = COMMIT_BURST * commit_cost_us (claims);
 
-  int64_t rate_ms = (claims->commits_until_us - burst_us + 999) / 1000;
+  int64_t rate_ms = (claims->rate_charged_until_us - burst_us + 999) / 1000;
 
-  return rate_ms > claims->write_from_ms ? rate_ms : claims->write_from_ms;
+  return rate_ms > claims->write_not_before_ms ? rate_ms
+                                               : claims->write_not_before_ms;
 }
 
-/* Whether SHARD may write now.  Once the burst is used up, shards take turns
- * in the tick: a busy one would else take each place as it becomes free. */
+/* Whether a shard may write now.  Once half of the burst is used up, only the
+ * tick commits, which serves the shards in turn; otherwise a busy shard would
+ * take every slot as it becomes free. */
 bool
 claims_may_commit (const struct beryl_claims *claims, int64_t now_ms)
 {
-  int64_t spare_us = now_ms * 1000 - claims->commits_until_us;
+  int64_t spare_us = now_ms * 1000 - claims->rate_charged_until_us;
 
-  if (now_ms < claims->write_from_ms)
+  if (now_ms < claims->write_not_before_ms)
     return false;
-  if (claims->in_turn)
-    return now_ms >= claims_commit_ms (claims);
+  if (claims->serving_shards)
+    return now_ms >= claims_next_commit_ms (claims);
   return spare_us >= -COMMIT_BURST / 2 * commit_cost_us (claims);
 }
 
 void
-claims_count_commit (struct beryl_claims *claims, const struct shard *shard,
-                     int64_t now_ms)
+claims_charge_commit (struct beryl_claims *claims, const struct shard *shard,
+                      int64_t now_ms)
 {
-  if (claims->commits_until_us < now_ms * 1000)
-    claims->commits_until_us = now_ms * 1000;
-  claims->commits_until_us += commit_cost_us (claims);
-  claims->turn = shard->number + 1;
+  if (claims->rate_charged_until_us < now_ms * 1000)
+    claims->rate_charged_until_us = now_ms * 1000;
+  claims->rate_charged_until_us += commit_cost_us (claims);
+  claims->next_shard = shard->number + 1;
 }
 
 void
@@ -337,29 +345,29 @@
   free (claims->members);
   claims->members = members;
   claims->member_count = node_count;
-  claims_count_shards (claims, now_ms);
+  claims_assign_homes (claims, now_ms);
   beryl_claims_tick (claims, now_ms);
 }
 
-/* A process that was stopped may have lost its shards to another home
+/* A process that was suspended may have lost shards to another home
  * meanwhile. */
 static void
-claims_note_time (struct beryl_claims *claims, int64_t now_ms)
+claims_detect_suspension (struct beryl_claims *claims, int64_t now_ms)
 {
-  int64_t gap_ms = now_ms - claims->last_tick_ms;
+  int64_t gap_ms = now_ms - claims->last_event_ms;
 
-  claims->last_tick_ms = now_ms;
-  if (gap_ms < GAP_MS)
+  claims->last_event_ms = now_ms;
+  if (gap_ms < SUSPENSION_DETECTED_MS)
     return;
-  /* It may also have lost its members' view: what it wrote now as home would
-   * escape the node that has become home. */
-  claims->write_from_ms = now_ms + CATCH_UP_MS;
+  /* Its view of the members may be old too: a claim that it wrote as home now
+   * would be unknown to the node that has become home. */
+  claims->write_not_before_ms = now_ms + SUSPENSION_RECOVERY_MS;
   for (uint32_t i = 0; i < claims->settings.shards; i++)
     {
       if (claims->home_since_ms[i] != BERYL_NEVER_MS)
         claims->home_since_ms[i] = now_ms;
       if (claims->shards[i] != NULL)
-        claims->shards[i]->sole = false;
+        claims->shards[i]->sole_writer = false;
     }
 }
 
@@ -368,57 +376,59 @@
                     const char *organisation, const char *key,
                     uint64_t body_hash, int64_t now_ms)
 {
-  struct waiting *waiting = calloc (1, sizeof *waiting);
+  struct pending_claim *pending = calloc (1, sizeof *pending);
   uint32_t number;
 
-  claims_note_time (claims, now_ms);
-  if (waiting == NULL)
+  claims_detect_suspension (claims, now_ms);
+  if (pending == NULL)
     {
       claims->owner->impl->result (claims->owner, request,
                                    BERYL_CLAIM_UNAVAILABLE, 0);
       return;
     }
-  waiting->key = map_key_from_name (organisation, key);
-  waiting->body_hash = body_hash;
-  waiting->incarnation = claims->settings.incarnation;
-  waiting->id = request;
-  number = claims_shard_number (claims, waiting->key);
-  if (claims_is_alone (claims))
-    claims_answer (claims, waiting, BERYL_CLAIM_UNKNOWN, 0);
+  pending->key = map_key_from_name (organisation, key);
+  pending->body_hash = body_hash;
+  pending->incarnation = claims->settings.incarnation;
+  pending->id = request;
+  number = claims_shard_number (claims, pending->key);
+  if (claims_is_isolated (claims))
+    claims_complete (claims, pending, BERYL_CLAIM_UNKNOWN, 0);
   else if (claims_is_home (claims, number))
-    shard_ask (claims_shard (claims, number), waiting, now_ms);
+    shard_claim (claims_shard (claims, number), pending, now_ms);
   else
-    ask_home (claims, waiting, beryl_claims_home (claims, number), now_ms);
+    remote_claim_send (claims, pending, beryl_claims_home (claims, number),
+                       now_ms);
 }
 
 static void
-on_ask (struct beryl_claims *claims, const char *node,
-        const struct beryl_claim_message *message, int64_t now_ms)
+on_claim_request (struct beryl_claims *claims, const char *node,
+                  const struct beryl_claim_message *message, int64_t now_ms)
 {
-  struct waiting *waiting = calloc (1, sizeof *waiting);
+  struct pending_claim *pending = calloc (1, sizeof *pending);
 
-  if (waiting == NULL)
+  if (pending == NULL)
     return;
-  waiting->key = (struct map_key){ message->key_high, message->key_low };
-  waiting->body_hash = message->body_hash;
-  waiting->incarnation = message->incarnation;
-  waiting->id = message->id;
-  waiting->remote = true;
-  snprintf (waiting->node, sizeof waiting->node, "%s", node);
-  shard_ask (claims_shard (claims, claims_shard_number (claims, waiting->key)),
-             waiting, now_ms);
+  pending->key = (struct map_key){ message->key_high, message->key_low };
+  pending->body_hash = message->body_hash;
+  pending->incarnation = message->incarnation;
+  pending->id = message->id;
+  pending->remote = true;
+  snprintf (pending->node, sizeof pending->node, "%s", node);
+  shard_claim (
+      claims_shard (claims, claims_shard_number (claims, pending->key)),
+      pending, now_ms);
 }
 
 void
-beryl_claims_message (struct beryl_claims *claims, const char *node,
-                      const struct beryl_claim_message *message,
-                      int64_t now_ms)
+beryl_claims_handle_message (struct beryl_claims *claims, const char *node,
+                             const struct beryl_claim_message *message,
+                             int64_t now_ms)
 {
-  claims_note_time (claims, now_ms);
+  claims_detect_suspension (claims, now_ms);
   if (message->type == BERYL_CLAIM_REPLY)
-    ask_on_reply (claims, message);
+    remote_claims_on_reply (claims, message);
   else
-    on_ask (claims, node, message, now_ms);
+    on_claim_request (claims, node, message, now_ms);
 }
 
 static struct shard *
@@ -431,35 +441,35 @@
 }
 
 void
-beryl_claims_read (struct beryl_claims *claims, uint64_t call,
-                   enum beryl_error_code code,
-                   const struct beryl_object *objects, size_t object_count,
-                   int64_t now_ms)
+beryl_claims_read_done (struct beryl_claims *claims, uint64_t call,
+                        enum beryl_error_code code,
+                        const struct beryl_object *objects,
+                        size_t object_count, int64_t now_ms)
 {
   struct shard *shard = call_take (claims, call);
 
-  claims_note_time (claims, now_ms);
+  claims_detect_suspension (claims, now_ms);
   if (shard != NULL && shard->call_id == call)
     shard_on_read (shard, code, objects, object_count, now_ms);
 }
 
 void
-beryl_claims_written (struct beryl_claims *claims, uint64_t call,
-                      enum beryl_error_code code, int64_t now_ms)
+beryl_claims_write_done (struct beryl_claims *claims, uint64_t call,
+                         enum beryl_error_code code, int64_t now_ms)
 {
   struct shard *shard = call_take (claims, call);
 
-  claims_note_time (claims, now_ms);
+  claims_detect_suspension (claims, now_ms);
   if (shard == NULL)
     return;
   if (shard->call_id == call)
-    shard_on_created (shard, code, now_ms);
-  else if (shard->fold_id == call)
-    fold_on_written (shard, code, now_ms);
+    shard_on_create_done (shard, code, now_ms);
+  else if (shard->compaction_call_id == call)
+    compaction_on_written (shard, code, now_ms);
 }
 
-/* Reads the shards that this node is home of before they are needed, one
- * after another: in an outage of the object API their keys are then known. */
+/* Reads the shards of this home ahead of need, one after another, so that
+ * their keys are known in an outage of the object API. */
 static void
 claims_preload (struct beryl_claims *claims, int64_t now_ms)
 {
@@ -474,7 +484,7 @@
     {
       struct shard *shard = claims->shards[i];
 
-      if ((shard != NULL && (shard->read || now_ms < shard->next_ms))
+      if ((shard != NULL && (shard->loaded || now_ms < shard->next_ms))
           || !claims_is_home (claims, i))
         continue;
       shard_load (claims_shard (claims, i), now_ms);
@@ -485,21 +495,22 @@
 void
 beryl_claims_tick (struct beryl_claims *claims, int64_t now_ms)
 {
-  claims_note_time (claims, now_ms);
-  ask_step (claims, now_ms);
-  claims->in_turn = true;
-  for (uint32_t n = 0, turn = claims->turn; n < claims->settings.shards; n++)
+  claims_detect_suspension (claims, now_ms);
+  remote_claims_retry (claims, now_ms);
+  claims->serving_shards = true;
+  for (uint32_t n = 0, first = claims->next_shard; n < claims->settings.shards;
+       n++)
     {
-      uint32_t i = (turn + n) % claims->settings.shards;
+      uint32_t i = (first + n) % claims->settings.shards;
       struct shard *shard = claims->shards[i];
 
       if (shard == NULL)
         continue;
       shard_step (shard, now_ms);
       if (claims_is_home (claims, i))
-        fold_step (shard, now_ms);
+        compaction_step (shard, now_ms);
     }
-  claims->in_turn = false;
+  claims->serving_shards = false;
   if (claims->member_count > 0)
     claims_preload (claims, now_ms);
 }
@@ -513,10 +524,10 @@
 int64_t
 beryl_claims_next_ms (const struct beryl_claims *claims)
 {
-  int64_t next_ms = claims->last_tick_ms + HEARTBEAT_MS;
+  int64_t next_ms = claims->last_event_ms + TICK_INTERVAL_MAX_MS;
 
-  for (const struct asked *a = claims->asked; a != NULL; a = a->next)
-    next_ms = earlier (next_ms, a->due_ms);
+  for (const struct remote_claim *r = claims->remotes; r != NULL; r = r->next)
+    next_ms = earlier (next_ms, r->due_ms);
   for (uint32_t i = 0; i < claims->settings.shards; i++)
     {
       const struct shard *shard = claims->shards[i];
@@ -525,8 +536,8 @@
         continue;
       next_ms = earlier (next_ms, shard_next_ms (shard));
       if (claims_is_home (claims, i))
-        next_ms = earlier (next_ms, fold_next_ms (shard));
-      if (!shard->read && shard->call == SHARD_IDLE
+        next_ms = earlier (next_ms, compaction_next_ms (shard));
+      if (!shard->loaded && shard->call == SHARD_IDLE
           && claims_is_home (claims, i))
         next_ms = earlier (next_ms, shard->next_ms);
     }
--- a/libberyl/requests/hold.c
+++ b/libberyl/requests/hold.c
@@ -1,17 +1,19 @@
+/* Holds of this process at engines, and their cancellation. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "private.h"
 
-/* A cancel can overtake the call that it is meant for, which then makes the
- * engine hold something after it confirmed that nothing is held.  Calls in
- * flight arrive within this time, so a later confirmation is final. */
+/* A cancel can overtake the call that it is meant for; the engine then
+ * confirms that nothing is held and takes memory afterwards.  Calls in flight
+ * arrive within this time, so a later confirmation is final. */
 #define CANCEL_SETTLE_MS 300
 #define CANCEL_FIRST_BACKOFF_MS 250
 #define CANCEL_MAX_BACKOFF_MS 2000
-/* After so many tries a planned stop no longer waits: the control daemon
- * cancels the window of this incarnation when it has gone. */
+/* A graceful shutdown waits for the confirmation until more cancels than this
+ * were sent: the control daemon of this instance cancels this incarnation's
+ * window once the process has ended. */
 #define CANCELS_BEFORE_STOP 4
 
 static struct hold **
@@ -29,19 +31,19 @@
 }
 
 static void
-hold_act (struct beryl_requests *requests, enum beryl_action_type type,
-          const struct hold *hold)
+hold_emit (struct beryl_requests *requests, enum beryl_action_type type,
+           const struct hold *hold)
 {
   struct beryl_action action = { .type = type };
 
   action.hold.endpoint = hold->endpoint;
   action.hold.stream = hold->stream;
-  requests_act (requests, &action);
+  requests_emit (requests, &action);
 }
 
-/* Recorded first, made afterwards: if this process dies in between, its
- * control daemon cancels one stream too many.  The other way round engine
- * memory would stay held by a stream that nobody knows. */
+/* A hold is recorded before it is created.  If the process dies in between,
+ * its control daemon cancels one stream too many; in the opposite order,
+ * engine memory would stay occupied by an unknown stream. */
 bool
 hold_record (struct beryl_requests *requests, const char *endpoint,
              struct beryl_stream_id stream)
@@ -59,7 +61,7 @@
   hold->next_ms = BERYL_NEVER_MS;
   hold->next = requests->holds;
   requests->holds = hold;
-  hold_act (requests, BERYL_ACTION_HOLD_RECORD, hold);
+  hold_emit (requests, BERYL_ACTION_HOLD_RECORD, hold);
   return true;
 }
 
@@ -69,13 +71,13 @@
   struct hold *hold = *at;
 
   *at = hold->next;
-  hold_act (requests, BERYL_ACTION_HOLD_ERASE, hold);
+  hold_emit (requests, BERYL_ACTION_HOLD_ERASE, hold);
   free (hold);
 }
 
 void
-hold_end (struct beryl_requests *requests, const char *endpoint,
-          struct beryl_stream_id stream)
+hold_forget (struct beryl_requests *requests, const char *endpoint,
+             struct beryl_stream_id stream)
 {
   struct hold **at = hold_find (requests, endpoint, stream);
 
@@ -92,7 +94,7 @@
   hold->backoff_ms *= 2;
   if (hold->backoff_ms > CANCEL_MAX_BACKOFF_MS)
     hold->backoff_ms = CANCEL_MAX_BACKOFF_MS;
-  hold_act (requests, BERYL_ACTION_CANCEL, hold);
+  hold_emit (requests, BERYL_ACTION_CANCEL, hold);
 }
 
 void
@@ -104,7 +106,7 @@
   if (hold == NULL || hold->cancelling)
     return;
   hold->cancelling = true;
-  hold->settled_ms = in_flight ? now_ms + CANCEL_SETTLE_MS : now_ms;
+  hold->final_from_ms = in_flight ? now_ms + CANCEL_SETTLE_MS : now_ms;
   hold->backoff_ms = CANCEL_FIRST_BACKOFF_MS;
   hold_send_cancel (requests, hold, now_ms);
 }
@@ -117,19 +119,19 @@
 
   if (*at == NULL || !(*at)->cancelling)
     return;
-  if (BERYL_GUARD (BERYL_GUARD_CANCEL_SETTLE, now_ms >= (*at)->settled_ms))
+  if (BERYL_GUARD (BERYL_GUARD_CANCEL_SETTLE, now_ms >= (*at)->final_from_ms))
     hold_erase (requests, at);
   else
-    (*at)->next_ms = (*at)->settled_ms;
+    (*at)->next_ms = (*at)->final_from_ms;
 }
 
 void
-holds_repeat (struct beryl_requests *requests, int64_t now_ms)
+holds_retry_cancels (struct beryl_requests *requests, int64_t now_ms)
 {
   for (struct hold *h = requests->holds; h != NULL; h = h->next)
     {
-      /* A cancel whose reply or request is lost leaves the stream running
-       * for nobody; it is sent again until the engine says it is gone. */
+      /* A cancel or its reply may be lost, and the stream would keep occupying
+       * the engine: the cancel is repeated when due, until it is confirmed. */
       if (BERYL_GUARD (BERYL_GUARD_CANCEL_REPEAT, now_ms < h->next_ms))
         continue;
       hold_send_cancel (requests, h, now_ms);
@@ -145,10 +147,9 @@
   return false;
 }
 
-/* An endpoint that the accepted configuration no longer names will never
- * confirm. */
+/* An endpoint that is no longer in the configuration will never confirm. */
 void
-holds_forget_absent (struct beryl_requests *requests)
+holds_drop_removed_endpoints (struct beryl_requests *requests)
 {
   struct hold **at = &requests->holds;
 
--- a/libberyl/requests/hold_cleanup.c
+++ b/libberyl/requests/hold_cleanup.c
@@ -1,3 +1,4 @@
+/* Cancels the windows of dead processes, with retries until confirmed. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -5,24 +6,24 @@
 #include "beryl/clock.h"
 #include "beryl/holds.h"
 
-/* The dead process's last calls may still be on their way to the engine: a
- * confirmation from before this time has passed is not final. */
+/* The last calls of a dead process may still be in flight to the engine: a
+ * confirmation before this time is not final. */
 #define CLEANUP_SETTLE_MS 300
 #define CLEANUP_FIRST_BACKOFF_MS 200
 #define CLEANUP_MAX_BACKOFF_MS 2000
 
-struct cleanup
+struct cleanup_item
 {
-  struct cleanup *next;
+  struct cleanup_item *next;
   struct beryl_hold_window window;
-  int64_t settled_ms;
+  int64_t final_from_ms;
   int64_t next_ms;
   int64_t backoff_ms;
 };
 
 struct beryl_hold_cleanup
 {
-  struct cleanup *items;
+  struct cleanup_item *items;
   size_t count;
 };
 
@@ -35,7 +36,7 @@
 void
 beryl_hold_cleanup_destroy (struct beryl_hold_cleanup *cleanup)
 {
-  struct cleanup *item;
+  struct cleanup_item *item;
 
   if (cleanup == NULL)
     return;
@@ -47,11 +48,11 @@
   free (cleanup);
 }
 
-static struct cleanup **
-cleanup_find (struct beryl_hold_cleanup *cleanup, const char *endpoint,
-              uint64_t incarnation)
+static struct cleanup_item **
+item_find (struct beryl_hold_cleanup *cleanup, const char *endpoint,
+           uint64_t incarnation)
 {
-  struct cleanup **at = &cleanup->items;
+  struct cleanup_item **at = &cleanup->items;
 
   while (*at != NULL
          && ((*at)->window.incarnation != incarnation
@@ -61,9 +62,9 @@
 }
 
 static void
-cleanup_remove (struct beryl_hold_cleanup *cleanup, struct cleanup **at)
+item_remove (struct beryl_hold_cleanup *cleanup, struct cleanup_item **at)
 {
-  struct cleanup *item = *at;
+  struct cleanup_item *item = *at;
 
   *at = item->next;
   cleanup->count--;
@@ -74,8 +75,8 @@
 beryl_hold_cleanup_add (struct beryl_hold_cleanup *cleanup,
                         const struct beryl_hold_window *window, int64_t now_ms)
 {
-  struct cleanup *item
-      = *cleanup_find (cleanup, window->endpoint, window->incarnation);
+  struct cleanup_item *item
+      = *item_find (cleanup, window->endpoint, window->incarnation);
 
   if (window->to < window->from)
     return true;
@@ -93,57 +94,59 @@
     item->window.from = window->from;
   if (window->to > item->window.to)
     item->window.to = window->to;
-  item->settled_ms = now_ms + CLEANUP_SETTLE_MS;
+  item->final_from_ms = now_ms + CLEANUP_SETTLE_MS;
   item->next_ms = now_ms;
   item->backoff_ms = CLEANUP_FIRST_BACKOFF_MS;
   return true;
 }
 
 bool
-beryl_hold_cleanup_due (struct beryl_hold_cleanup *cleanup,
-                        struct beryl_hold_window *out, int64_t now_ms)
+beryl_hold_cleanup_take_due (struct beryl_hold_cleanup *cleanup,
+                             struct beryl_hold_window *out, int64_t now_ms)
 {
-  for (struct cleanup *c = cleanup->items; c != NULL; c = c->next)
+  for (struct cleanup_item *item = cleanup->items; item != NULL;
+       item = item->next)
     {
-      if (now_ms < c->next_ms)
+      if (now_ms < item->next_ms)
         continue;
-      c->next_ms = now_ms + c->backoff_ms;
-      c->backoff_ms *= 2;
-      if (c->backoff_ms > CLEANUP_MAX_BACKOFF_MS)
-        c->backoff_ms = CLEANUP_MAX_BACKOFF_MS;
-      *out = c->window;
+      item->next_ms = now_ms + item->backoff_ms;
+      item->backoff_ms *= 2;
+      if (item->backoff_ms > CLEANUP_MAX_BACKOFF_MS)
+        item->backoff_ms = CLEANUP_MAX_BACKOFF_MS;
+      *out = item->window;
       return true;
     }
   return false;
 }
 
 bool
-beryl_hold_cleanup_answered (struct beryl_hold_cleanup *cleanup,
+beryl_hold_cleanup_on_reply (struct beryl_hold_cleanup *cleanup,
                              const char *endpoint, uint64_t incarnation,
                              uint64_t held, int64_t now_ms)
 {
-  struct cleanup **at = cleanup_find (cleanup, endpoint, incarnation);
+  struct cleanup_item **at = item_find (cleanup, endpoint, incarnation);
 
   if (*at == NULL || held > 0)
     return false;
-  if (!BERYL_GUARD (BERYL_GUARD_CLEANUP_SETTLE, now_ms >= (*at)->settled_ms))
+  if (!BERYL_GUARD (BERYL_GUARD_CLEANUP_SETTLE,
+                    now_ms >= (*at)->final_from_ms))
     {
-      (*at)->next_ms = (*at)->settled_ms;
+      (*at)->next_ms = (*at)->final_from_ms;
       return false;
     }
-  cleanup_remove (cleanup, at);
+  item_remove (cleanup, at);
   return true;
 }
 
 void
-beryl_hold_cleanup_forget (struct beryl_hold_cleanup *cleanup,
-                           const char *endpoint)
+beryl_hold_cleanup_remove_endpoint (struct beryl_hold_cleanup *cleanup,
+                                    const char *endpoint)
 {
-  struct cleanup **at = &cleanup->items;
+  struct cleanup_item **at = &cleanup->items;
 
   while (*at != NULL)
     if (strcmp ((*at)->window.endpoint, endpoint) == 0)
-      cleanup_remove (cleanup, at);
+      item_remove (cleanup, at);
     else
       at = &(*at)->next;
 }
@@ -153,9 +156,10 @@
 {
   int64_t next_ms = BERYL_NEVER_MS;
 
-  for (const struct cleanup *c = cleanup->items; c != NULL; c = c->next)
-    if (c->next_ms < next_ms)
-      next_ms = c->next_ms;
+  for (const struct cleanup_item *item = cleanup->items; item != NULL;
+       item = item->next)
+    if (item->next_ms < next_ms)
+      next_ms = item->next_ms;
   return next_ms;
 }
 
--- a/libberyl/requests/plan.c
+++ b/libberyl/requests/plan.c
@@ -1,17 +1,20 @@
+/* Planning of requests by the router. */
 #include <stdio.h>
 #include <string.h>
 
 #include "private.h"
 
 #define REFUSED_RETRY_MS 1000
-/* How long endpoints that turned a request away are left in peace. */
-#define EXCLUSION_MS 100
-/* An event that comes so much later than the heartbeat shows that the process
- * was stopped. */
-#define GAP_MS (3 * HEARTBEAT_MS)
-/* How long a process that was stopped reads what has happened meanwhile. */
-#define CATCH_UP_MS 100
-/* How many waiting requests are planned again after one event. */
+/* How long a request waits before it tries endpoints again when all of them
+ * have refused it or failed. */
+#define EXCLUSION_RESET_DELAY_MS 100
+/* A gap between two events of this length shows that the process was
+ * suspended. */
+#define SUSPENSION_DETECTED_MS (3 * TICK_INTERVAL_MAX_MS)
+/* How long planning waits after a suspension, so that pending updates are read
+ * first. */
+#define SUSPENSION_RECOVERY_MS 100
+/* Most waiting requests that are planned again after one event. */
 #define PLANS_PER_EVENT 64
 
 void
@@ -26,8 +29,9 @@
 }
 
 void
-plan_log (struct beryl_requests *requests, const struct request *request,
-          const struct beryl_plan *plan)
+plan_emit_decision (struct beryl_requests *requests,
+                    const struct request *request,
+                    const struct beryl_plan *plan)
 {
   struct beryl_action action = {
     .type = BERYL_ACTION_DECISION,
@@ -36,7 +40,7 @@
 
   action.decision.request_id = request->call.request_id;
   action.decision.plan = plan;
-  requests_act (requests, &action);
+  requests_emit (requests, &action);
 }
 
 static void
@@ -63,23 +67,24 @@
   int64_t retry_after_ms
       = plan->retry_after_ms > 0 ? plan->retry_after_ms : REFUSED_RETRY_MS;
 
+  /* The router's "concurrency_limit" and "rate_limit". */
   if (strstr (reason, "limit") != NULL)
     problem = BERYL_PROBLEM_OVER_LIMIT;
   request_fail (requests, request, problem, retry_after_ms, reason, now_ms);
 }
 
-/* A process that was stopped wakes up with an old configuration and with
- * calls that wait in its queue.  Planned at once, they would go to endpoints
- * that left seconds ago; the new configuration is waiting in the same loop
- * and comes first after a short rest. */
+/* A process that resumes after a suspension has an old configuration and
+ * queued calls.  Planned at once, the calls would go to endpoints that left
+ * meanwhile; the new configuration is pending in the same event loop and is
+ * applied during this delay. */
 void
-requests_note_time (struct beryl_requests *requests, int64_t now_ms)
+requests_detect_suspension (struct beryl_requests *requests, int64_t now_ms)
 {
   bool steady = requests->last_event_ms == INT64_MIN
-                || now_ms - requests->last_event_ms < GAP_MS;
+                || now_ms - requests->last_event_ms < SUSPENSION_DETECTED_MS;
 
   if (!BERYL_GUARD (BERYL_GUARD_CATCH_UP, steady))
-    requests->plan_from_ms = now_ms + CATCH_UP_MS;
+    requests->plan_not_before_ms = now_ms + SUSPENSION_RECOVERY_MS;
   requests->last_event_ms = now_ms;
 }
 
@@ -108,26 +113,27 @@
   for (uint32_t i = 0; i < request->excluded_count; i++)
     excluded[i] = request->excluded[i];
   request_set_phase (requests, request, PHASE_PLAN);
-  if (now_ms < requests->plan_from_ms)
+  if (now_ms < requests->plan_not_before_ms)
     {
-      request->retry_at_ms = requests->plan_from_ms;
+      request->retry_at_ms = requests->plan_not_before_ms;
       return;
     }
   beryl_router_plan (requests->router, &job, now_ms, &plan);
-  /* Every endpoint has turned this request away once: better the same again
-   * a little later than to wait for one that is not there. */
+  /* Every endpoint has refused this request or failed it: try the same ones
+   * again after a delay instead of waiting for an endpoint that does not
+   * exist. */
   if (plan.verdict == BERYL_VERDICT_WAIT && request->excluded_count > 0
       && plan.reason != NULL && strcmp (plan.reason, "no_endpoint") == 0)
     {
       request->excluded_count = 0;
-      plan.retry_at_ms = now_ms + EXCLUSION_MS;
+      plan.retry_at_ms = now_ms + EXCLUSION_RESET_DELAY_MS;
     }
   if (plan.verdict == BERYL_VERDICT_WAIT)
     {
       request->retry_at_ms = plan.retry_at_ms;
       return;
     }
-  plan_log (requests, request, &plan);
+  plan_emit_decision (requests, request, &plan);
   if (plan.verdict == BERYL_VERDICT_START)
     plan_start (requests, request, &plan, now_ms);
   else
@@ -153,8 +159,8 @@
   return planned;
 }
 
-/* A request that is waiting is planned again at the time that the router
- * named, or when an attempt has ended and its place may be free. */
+/* Plans waiting requests again: at the time that the router named, or all of
+ * them when an attempt has ended and may have freed capacity. */
 void
 requests_plan_waiting (struct beryl_requests *requests, int64_t now_ms)
 {
@@ -162,7 +168,7 @@
              || now_ms >= beryl_router_next_ms (requests->router);
   int planned = 0;
 
-  if (now_ms < requests->plan_from_ms)
+  if (now_ms < requests->plan_not_before_ms)
     return;
   requests->capacity_freed = false;
   for (int c = BERYL_CLASS_URGENT; c <= BERYL_CLASS_BATCH; c++)
--- a/libberyl/requests/private.h
+++ b/libberyl/requests/private.h
@@ -1,5 +1,5 @@
 /** @file
- * What the files of this folder share.
+ * Internals shared by the files of this folder.
  */
 #ifndef BERYL_REQUESTS_PRIVATE_H
 #define BERYL_REQUESTS_PRIVATE_H
@@ -17,12 +17,13 @@
 #define CONTENT_TYPE_BYTES 96
 #define FINISH_REASON_BYTES 32
 #define PREFIX_BLOCKS_MAX 256
-/** Times that endpoints may turn a request away before the caller hears. */
+/** Refused attempts that a request tolerates before it fails; also the limit
+ * of decode refusals for each KV cache. */
 #define REFUSALS_MAX 4
-/** Time passes at least this often. */
-#define HEARTBEAT_MS 500
+/** Longest time between two events, in ms: a tick is due by then. */
+#define TICK_INTERVAL_MAX_MS 500
 
-/** What a kept answer consists of. */
+/** An answer, complete or partial. */
 struct answer
 {
   unsigned int status;
@@ -33,117 +34,127 @@
   struct buffer body;
 };
 
-/** What is remembered of a call after it has ended.  A call with a key is
- * remembered as long as this incarnation lives, so that its key never runs
- * again; its answer and its request id only for the retention time. */
+/** What is kept of a call after it has ended.  The record of a call with a key
+ * lives as long as this incarnation, so that no second call with the key runs;
+ * its answer and its request id are kept only for the retention time.  "The
+ * key has run" is short for: a call with the key has run. */
 struct record
 {
-  struct record *next; /**< in the order in which they expire */
+  struct record *next; /**< next in order of expiry */
   struct map_key key;
   struct map_key id;
-  uint64_t body_hash;    /**< 0: the key belongs to no request yet */
-  struct answer *answer; /**< NULL: not kept */
-  uint64_t reader;       /**< handle of who reads the answer; 0: nobody */
+  uint64_t body_hash;    /**< call_body_hash of the call; 0 without a key */
+  struct answer *answer; /**< NULL: not retained */
+  uint64_t reader;       /**< handle of the caller that is reading the
+                              answer; 0: none */
   int64_t expires_ms;
-  enum beryl_outcome outcome; /**< PENDING while it is open */
-  bool keyed;
+  enum beryl_outcome outcome; /**< PENDING while the call is open */
+  bool keyed;                 /**< found by KEY, which must not run twice */
   bool free_key;
-  bool claimed;   /**< a free key that was granted to this incarnation */
-  bool delivered; /**< the caller has read the answer to its end */
+  bool claimed;   /**< a free key whose claim was granted to this
+                       incarnation */
+  bool delivered; /**< the caller has read the complete answer */
 };
 
-/** Where a request is in its life. */
+/** State of a request. */
 enum request_phase
 {
-  PHASE_NEW,   /**< nothing was decided yet */
-  PHASE_CLAIM, /**< waits for its key's claim */
-  PHASE_PLAN,  /**< waits for the router */
+  PHASE_NONE,  /**< not started, or being freed */
+  PHASE_CLAIM, /**< waiting for the claim of its key */
+  PHASE_PLAN,  /**< waiting for a plan of the router */
   PHASE_PREFILL,
   PHASE_DECODE,
   PHASE_SERVICE,
   PHASE_FORWARD,
 };
 
-/** Something of ours that may keep engine memory. */
+/** A stream of this process that may occupy memory of an engine. */
 struct hold
 {
   struct hold *next;
   char endpoint[BERYL_NAME_BYTES];
   struct beryl_stream_id stream;
   bool cancelling;
-  int64_t settled_ms; /**< a confirmation before this is not final */
-  int64_t next_ms;    /**< when CANCEL is repeated */
+  int64_t final_from_ms; /**< a confirmation before this time is not final */
+  int64_t next_ms;       /**< when CANCEL is sent again */
   int64_t backoff_ms;
-  uint32_t cancels;
+  uint32_t cancels; /**< CANCEL actions so far */
 };
 
-/** One conversation with an endpoint or another node. */
+/** One call to an endpoint or to another node. */
 struct exchange
 {
   uint64_t id;
   struct request *request;
   char endpoint[BERYL_NAME_BYTES];
-  uint32_t attempt;
+  uint32_t attempt; /**< the request's attempt number at its start */
   bool paused;
-  bool ended; /**< END came; bytes before it may still be missing */
-  uint64_t answer_bytes;
+  bool ended;            /**< not used */
+  uint64_t answer_bytes; /**< not used */
 };
 
-/** A call that has no final answer yet, or whose answer is still read from
- * its endpoint after the caller has gone. */
+/** A call that has no final reply yet, or whose answer is still read from its
+ * endpoint after the caller has disconnected. */
 struct request
 {
   struct request *next;
   struct request *previous;
-  struct request *next_waiting; /**< in PHASE_PLAN: of the same class */
+  struct request *next_waiting; /**< in PHASE_PLAN: next request of the same
+                                     class */
   struct request *previous_waiting;
-  uint64_t number;        /**< in the order of arrival */
-  struct beryl_call call; /**< strings are owned */
+  uint64_t arrival_number; /**< order of arrival */
+  struct beryl_call call;  /**< own copy, including strings */
   enum request_phase phase;
   enum beryl_class call_class;
-  bool plain;
+  bool plain; /**< call of a plain service, not of a model */
   bool idempotent;
-  bool caller_gone;
-  bool begun;        /**< REPLY_HEAD went out */
-  bool may_have_run; /**< an attempt's outcome is unknown */
+  bool detached;      /**< nothing more is sent to the caller: it has
+                           disconnected, or got an error at the deadline */
+  bool reply_started; /**< REPLY_HEAD was sent */
+  bool may_have_run;  /**< the outcome of an attempt is unknown */
   int64_t arrived_ms;
   struct record *record;
   struct exchange *exchange;
   struct answer answer;
   struct reassembly reassembly;
 
-  uint64_t ticket; /**< 0: none */
+  uint64_t ticket; /**< router reservation; 0: none */
   char prefill[BERYL_NAME_BYTES];
-  char decode[BERYL_NAME_BYTES];
+  char decode[BERYL_NAME_BYTES]; /**< plain call: the service's endpoint */
   char kv_handle[KV_HANDLE_BYTES];
   struct beryl_stream_id stream;
-  uint32_t attempt;
-  uint32_t resumes;
-  uint32_t refusals;
-  uint32_t decode_refusals; /**< of this plan's KV cache */
+  uint32_t attempt;         /**< attempt number sent to endpoints: raised at
+                                 each prefill, decode, resume and service
+                                 call */
+  uint32_t resumes;         /**< reconnects of the current decode */
+  uint32_t refusals;        /**< refusals that ended an attempt */
+  uint32_t decode_refusals; /**< refusals of decodes of the current KV cache */
   bool first_token_seen;
-  bool unsettled; /**< a call to an engine was cut: it may still arrive */
+  bool engine_call_in_flight; /**< a call to an engine was aborted but may
+                                   still arrive there */
   int64_t retry_at_ms;
   int64_t kv_expires_ms;
-  int64_t decode_at_ms; /**< when a decode engine is looked for again */
+  int64_t decode_retry_at_ms; /**< when to look for a decode engine again */
   char excluded[ENDPOINT_EXCLUDED_MAX][BERYL_NAME_BYTES];
   uint32_t excluded_count;
 
-  uint64_t replied_bytes; /**< of the answer's body, handed to the caller */
-  uint64_t queued_bytes;  /**< handed over and not read yet */
-  int64_t slow_since_ms;  /**< BERYL_NEVER_MS: the caller keeps up */
+  uint64_t replied_bytes; /**< bytes of the answer's body passed to the
+                               caller */
+  uint64_t queued_bytes;  /**< passed to the caller, not read yet */
+  int64_t slow_since_ms;  /**< when the reader fell behind; BERYL_NEVER_MS:
+                               it keeps up */
   uint64_t *block_hashes;
   size_t block_count;
 };
 
-/** Requests of one class in PHASE_PLAN, in the order of arrival. */
+/** Requests of one class in PHASE_PLAN, ordered by arrival. */
 struct waiting_list
 {
   struct request *first;
   struct request *last;
 };
 
-/** One instance. */
+/** State of one object. */
 struct beryl_requests
 {
   struct beryl_requests_settings settings;
@@ -153,36 +164,39 @@
   struct request *first;
   struct request *last;
   struct waiting_list waiting[BERYL_CLASS_BATCH + 1];
-  /** No open request's deadline, binding or slow reader is due before this;
-   * it may lie too early, since it is not raised when one ends. */
-  int64_t due_ms;
-  uint64_t last_number;
+  /** No open request's deadline, decode retry or slow-reader limit is due
+   * before this time; it may be too early, since it is not raised when a
+   * request ends. */
+  int64_t earliest_due_ms;
+  uint64_t last_arrival_number;
   uint32_t open;
-  struct map by_handle;   /**< struct request, of callers still there */
+  struct map by_handle;   /**< struct request, of callers that are still
+                               connected */
   struct map by_exchange; /**< struct exchange */
-  struct map by_reader;   /**< struct record, whose answer is being read */
-  struct map by_key;      /**< struct record, never forgotten */
+  struct map by_reader;   /**< struct record, by the reader of its answer */
+  struct map by_key;      /**< struct record, never removed */
   struct map by_id;       /**< struct record, until it expires */
   struct record *expiring_first;
   struct record *expiring_last;
-  uint64_t kept_bytes;
+  uint64_t retained_bytes;
   struct hold *holds;
   struct retry_budgets budgets;
   uint64_t last_exchange;
   uint64_t last_stream;
-  bool capacity_freed;   /**< waiting requests are worth planning again */
-  int64_t last_event_ms; /**< INT64_MIN: none yet */
-  int64_t plan_from_ms;  /**< no plan is made before this */
+  bool capacity_freed;        /**< capacity may be free: plan waiting
+                                   requests again */
+  int64_t last_event_ms;      /**< INT64_MIN: no event yet */
+  int64_t plan_not_before_ms; /**< no request is planned before this */
   bool draining;
-  bool drained_told;
+  bool drained_reported;
 };
 
 /* requests.c */
-void requests_act (struct beryl_requests *requests,
-                   const struct beryl_action *action);
+void requests_emit (struct beryl_requests *requests,
+                    const struct beryl_action *action);
 void request_unlink (struct beryl_requests *requests, struct request *request);
 
-/* call.c: a call's copy and its settings */
+/* call.c: copies of calls */
 bool call_copy (struct beryl_call *copy, const struct beryl_call *call);
 void call_clear (struct beryl_call *copy);
 uint64_t call_body_hash (const struct beryl_call *call);
@@ -190,29 +204,33 @@
 /* admit.c */
 void requests_admit (struct beryl_requests *requests,
                      const struct beryl_call *call, int64_t now_ms);
-void request_claim_result (struct beryl_requests *requests,
-                           struct request *request,
-                           const struct beryl_event *event, int64_t now_ms);
+void request_on_claim_result (struct beryl_requests *requests,
+                              struct request *request,
+                              const struct beryl_event *event, int64_t now_ms);
 void request_forward (struct beryl_requests *requests, struct request *request,
                       uint64_t incarnation);
 
-/* due.c: which requests time is up for, and which wait for a plan */
-/** Hand a decision to the owner, who logs it. */
-void plan_log (struct beryl_requests *requests, const struct request *request,
-               const struct beryl_plan *plan);
+/* plan.c */
+/** Emit a routing decision, for the owner to log. */
+void plan_emit_decision (struct beryl_requests *requests,
+                         const struct request *request,
+                         const struct beryl_plan *plan);
+
+/* timers.c: due times and requests waiting for a plan */
 void request_set_phase (struct beryl_requests *requests,
                         struct request *request, enum request_phase phase);
-void requests_due_by (struct beryl_requests *requests, int64_t due_ms);
-void requests_take_due (struct beryl_requests *requests, int64_t now_ms);
+void requests_schedule_due (struct beryl_requests *requests, int64_t due_ms);
+void requests_handle_due (struct beryl_requests *requests, int64_t now_ms);
 
 /* plan.c */
 void request_plan (struct beryl_requests *requests, struct request *request,
                    int64_t now_ms);
-void requests_note_time (struct beryl_requests *requests, int64_t now_ms);
+void requests_detect_suspension (struct beryl_requests *requests,
+                                 int64_t now_ms);
 void requests_plan_waiting (struct beryl_requests *requests, int64_t now_ms);
 void request_exclude (struct request *request, const char *endpoint);
 
-/* attempt.c: one try at endpoints */
+/* attempt.c: attempts to run a request at endpoints */
 void attempt_prefill (struct beryl_requests *requests, struct request *request,
                       int64_t now_ms);
 void attempt_service (struct beryl_requests *requests, struct request *request,
@@ -220,8 +238,9 @@
 void attempt_stop (struct beryl_requests *requests, struct request *request,
                    enum beryl_release how, const char *endpoint,
                    int64_t now_ms);
-void attempt_bind (struct beryl_requests *requests, struct request *request,
-                   const char *refused_by, int64_t now_ms);
+void attempt_bind_decode (struct beryl_requests *requests,
+                          struct request *request, const char *refused_by,
+                          int64_t now_ms);
 bool attempt_resume (struct beryl_requests *requests, struct request *request,
                      bool sent, int64_t now_ms);
 void attempt_failed (struct beryl_requests *requests, struct request *request,
@@ -233,49 +252,55 @@
                       int64_t now_ms);
 
 /* attempt_event.c */
-void attempt_event (struct beryl_requests *requests, struct exchange *exchange,
-                    const struct beryl_event *event, int64_t now_ms);
+void attempt_handle_event (struct beryl_requests *requests,
+                           struct exchange *exchange,
+                           const struct beryl_event *event, int64_t now_ms);
+
+/* attempt.c: exchanges */
 void attempt_pause (struct beryl_requests *requests, struct request *request,
                     bool paused);
 struct exchange *exchange_open (struct beryl_requests *requests,
                                 struct request *request, const char *endpoint);
 void exchange_close (struct beryl_requests *requests, struct request *request);
 
-/* answer.c: what the caller is told */
+/* answer.c: replies to callers */
 void request_deliver (struct beryl_requests *requests, struct request *request,
                       const void *bytes, size_t bytes_count, uint32_t tokens,
                       int64_t now_ms);
-void request_answered (struct beryl_requests *requests,
+void request_complete (struct beryl_requests *requests,
                        struct request *request, int64_t now_ms);
 void request_fail (struct beryl_requests *requests, struct request *request,
                    enum beryl_problem problem, int64_t retry_after_ms,
                    const char *detail, int64_t now_ms);
-void request_fail_as (struct beryl_requests *requests, struct request *request,
-                      enum beryl_problem problem, enum beryl_outcome outcome,
-                      int64_t retry_after_ms, const char *detail,
-                      int64_t now_ms);
-void request_caller_gone (struct beryl_requests *requests,
+void request_fail_with_outcome (struct beryl_requests *requests,
+                                struct request *request,
+                                enum beryl_problem problem,
+                                enum beryl_outcome outcome,
+                                int64_t retry_after_ms, const char *detail,
+                                int64_t now_ms);
+void request_on_caller_gone (struct beryl_requests *requests,
+                             struct request *request, int64_t now_ms);
+void request_on_caller_caught_up (struct beryl_requests *requests,
+                                  struct request *request);
+void request_on_deadline (struct beryl_requests *requests,
                           struct request *request, int64_t now_ms);
-void request_caller_drained (struct beryl_requests *requests,
-                             struct request *request);
-void request_deadline (struct beryl_requests *requests,
-                       struct request *request, int64_t now_ms);
 void answer_send (struct beryl_requests *requests, uint64_t handle,
                   const struct answer *answer, uint64_t offset);
-void requests_refuse (struct beryl_requests *requests, uint64_t handle,
-                      enum beryl_problem problem, enum beryl_outcome outcome,
-                      int64_t retry_after_ms, const char *detail);
+void requests_reply_error (struct beryl_requests *requests, uint64_t handle,
+                           enum beryl_problem problem,
+                           enum beryl_outcome outcome, int64_t retry_after_ms,
+                           const char *detail);
 
-/* records.c: keys, outcomes and kept answers */
+/* records.c: keys, outcomes and retained answers */
 struct record *record_open (struct beryl_requests *requests,
                             const struct beryl_call *call, bool keyed);
-bool record_owned (const struct record *record);
-struct record *record_of_key (struct beryl_requests *requests,
-                              const char *organisation, const char *key);
-void record_end (struct beryl_requests *requests, struct request *request,
-                 enum beryl_outcome outcome, int64_t now_ms);
-void record_reader_event (struct beryl_requests *requests,
-                          const struct beryl_event *event);
+bool record_authoritative (const struct record *record);
+struct record *record_find (struct beryl_requests *requests,
+                            const char *organisation, const char *key);
+void record_close (struct beryl_requests *requests, struct request *request,
+                   enum beryl_outcome outcome, int64_t now_ms);
+void record_on_reader_event (struct beryl_requests *requests,
+                             const struct beryl_event *event);
 void records_expire (struct beryl_requests *requests, int64_t now_ms);
 void records_clear (struct beryl_requests *requests);
 void requests_fetch (struct beryl_requests *requests,
@@ -284,15 +309,15 @@
 /* hold.c */
 bool hold_record (struct beryl_requests *requests, const char *endpoint,
                   struct beryl_stream_id stream);
-void hold_end (struct beryl_requests *requests, const char *endpoint,
-               struct beryl_stream_id stream);
+void hold_forget (struct beryl_requests *requests, const char *endpoint,
+                  struct beryl_stream_id stream);
 void hold_cancel (struct beryl_requests *requests, const char *endpoint,
                   struct beryl_stream_id stream, bool in_flight,
                   int64_t now_ms);
 void hold_confirmed (struct beryl_requests *requests, const char *endpoint,
                      struct beryl_stream_id stream, int64_t now_ms);
-void holds_repeat (struct beryl_requests *requests, int64_t now_ms);
-void holds_forget_absent (struct beryl_requests *requests);
+void holds_retry_cancels (struct beryl_requests *requests, int64_t now_ms);
+void holds_drop_removed_endpoints (struct beryl_requests *requests);
 int64_t holds_next_ms (const struct beryl_requests *requests);
 bool holds_cancelling (const struct beryl_requests *requests);
 void holds_clear (struct beryl_requests *requests);
--- a/tests/requests/transcript.c
+++ b/tests/requests/transcript.c
@@ -110,7 +110,7 @@
                beryl_outcome_name (a->error.outcome), a->error.retry_after_ms,
                a->error.detail);
       return;
-    case BERYL_ACTION_REPLY_CUT:
+    case BERYL_ACTION_REPLY_TRUNCATE:
       fprintf (out, "cut request=%" PRIu64, a->request);
       return;
     case BERYL_ACTION_PREFILL:
@@ -314,7 +314,7 @@
   else if (strcmp (line->verb, "gone") == 0)
     event->type = BERYL_EVENT_CALLER_GONE;
   else if (strcmp (line->verb, "drained") == 0)
-    event->type = BERYL_EVENT_CALLER_DRAINED;
+    event->type = BERYL_EVENT_CALLER_CAUGHT_UP;
   else if (strcmp (line->verb, "tick") == 0)
     event->type = BERYL_EVENT_TICK;
   else if (strcmp (line->verb, "stop") == 0)
@@ -348,7 +348,7 @@
 }
 
 static bool
-steer (struct beryl_router *router, const struct line *line)
+control_router (struct beryl_router *router, const struct line *line)
 {
   if (strcmp (line->verb, "router-limit") == 0)
     fake_router_limit (router, (uint32_t)strtoul (line->id, NULL, 10));
@@ -370,10 +370,10 @@
   char copy[1024];
 
   snprintf (copy, sizeof copy, "%s", text);
-  if (!parse (copy, &line) || steer (router, &line))
+  if (!parse (copy, &line) || control_router (router, &line))
     return;
   fill_event (&event, &line);
-  beryl_requests_event (requests, &event, line.at_ms);
+  beryl_requests_handle_event (requests, &event, line.at_ms);
 }
 
 char *
@@ -428,7 +428,7 @@
         play_line (requests, router, text);
     }
   fprintf (session.out, "= open=%u reserved=%u\n",
-           beryl_requests_open (requests), fake_router_open (router));
+           beryl_requests_open_count (requests), fake_router_open (router));
   fclose (session.out);
   fclose (in);
   beryl_requests_destroy (requests);
