--- a/include/beryl/config_log.h
+++ b/include/beryl/config_log.h
@@ -13,8 +13,8 @@
  * object; "revisions" holds, by kind, the platform's revision up to which the
  * acceptor had read.
  */
-#ifndef BERYL_SPREAD_H
-#define BERYL_SPREAD_H
+#ifndef BERYL_CONFIG_LOG_H
+#define BERYL_CONFIG_LOG_H
 
 #include <stdbool.h>
 #include <stddef.h>
@@ -59,29 +59,29 @@
  * are no longer retained.  The caller frees the result with free(). */
 char *beryl_config_log_entries_after (const struct beryl_config_log *log,
                                       uint64_t after, size_t max_bytes,
-                                      size_t *bytes_count);
+                                      size_t *byte_count);
 
 /** Return the whole state as JSON, to be freed with free(). */
 char *beryl_config_log_snapshot (const struct beryl_config_log *log,
-                                 size_t *bytes_count);
+                                 size_t *byte_count);
 
 /** Replace the state by a snapshot; OLD if it is not newer than the state. */
 enum beryl_config_log_result
 beryl_config_log_load (struct beryl_config_log *log, const char *snapshot,
-                       size_t bytes_count, struct beryl_error *error);
+                       size_t byte_count, struct beryl_error *error);
 
 /** Return all objects of the configuration as the JSON array that
  * beryl_config_parse expects, to be freed with free(). */
 char *beryl_config_log_objects (const struct beryl_config_log *log,
-                                size_t *bytes_count);
+                                size_t *byte_count);
 
 /** An accepted object; its texts are owned by the log. */
 struct beryl_config_log_object
 {
   const char *kind;
   const char *name;
-  uint64_t source;  /**< version of the operator's object */
-  const char *json; /**< text of the object */
+  uint64_t source_version; /**< version of the operator's object */
+  const char *json;        /**< text of the object */
 };
 
 /** Access the objects, sorted by kind and name. */
@@ -145,7 +145,7 @@
  * is nothing to change.  Call it again once this entry, or the one that won
  * the race, has been applied to the log. */
 char *beryl_acceptor_propose (struct beryl_acceptor *acceptor,
-                              size_t *bytes_count);
+                              size_t *byte_count);
 
 /** Kind under which the platform stores the log's entries. */
 #define BERYL_ACCEPTED_KIND "accepted"
--- a/libberyl/config/kinds.c
+++ b/libberyl/config/kinds.c
@@ -14,11 +14,11 @@
 #define MAX_ARRAY 4096
 #define DIGEST_HEX_BYTES 64
 
-#define TEXT(type_, struct_, member, need)                                    \
+#define TEXT(type_, struct_, member, is_required)                             \
   {                                                                           \
     .key = #member, .type = type_,                                            \
     .offset = offsetof (struct struct_, member),                              \
-    .bytes = sizeof (((struct struct_ *)0)->member), .required = need         \
+    .bytes = sizeof (((struct struct_ *)0)->member), .required = is_required  \
   }
 #define NUMBER(type_, struct_, member, low, high)                             \
   {                                                                           \
--- a/libberyl/membership/discovery.c
+++ b/libberyl/membership/discovery.c
@@ -229,9 +229,9 @@
  * organisation whose home is the caller's data centre is therefore ranked
  * among those with the same home. */
 static bool
-organisation_home (const struct beryl_discovery *discovery,
-                   const char *organisation, const char *data_centre,
-                   struct home_position *position)
+organisation_locate (const struct beryl_discovery *discovery,
+                     const char *organisation, const char *data_centre,
+                     struct home_position *position)
 {
   struct homed_organisation key
       = { .hash = XXH3_64bits (organisation, strlen (organisation)) };
@@ -287,12 +287,12 @@
 
 static size_t
 choices_append (const struct beryl_discovery *discovery, const size_t *members,
-                size_t member_count, double position, size_t most,
+                size_t member_count, double position, size_t limit,
                 struct beryl_discovery_choice *choices, size_t chosen)
 {
   size_t first = (size_t)(position * (double)member_count);
 
-  for (size_t i = 0; i < member_count && i < most; i++)
+  for (size_t i = 0; i < member_count && i < limit; i++)
     {
       size_t m = members[(first + i) % member_count];
 
@@ -304,13 +304,13 @@
 }
 
 static void
-share_weights (struct beryl_discovery_choice *choices, size_t sharing)
+share_weights (struct beryl_discovery_choice *choices, size_t weighted_count)
 {
-  for (size_t i = 0; i < sharing; i++)
+  for (size_t i = 0; i < weighted_count; i++)
     {
-      size_t extra = i < 100 % sharing ? 1 : 0;
+      size_t extra = i < 100 % weighted_count ? 1 : 0;
 
-      choices[i].weight = (uint32_t)(100 / sharing + extra);
+      choices[i].weight = (uint32_t)(100 / weighted_count + extra);
     }
 }
 
@@ -329,30 +329,30 @@
   struct home_position home = { data_centre, region, 0 };
   size_t *members = calloc (discovery->node_count + 1, sizeof *members);
   size_t chosen = 0;
-  size_t sharing = 0;
+  size_t weighted_count = 0;
 
   if (members == NULL)
     return 0;
-  if (!organisation_home (discovery, organisation, data_centre, &home))
+  if (!organisation_locate (discovery, organisation, data_centre, &home))
     home.position = organisation_position (discovery, organisation);
   /* Suspect nodes follow all live nodes: a false suspicion must not leave the
    * answer empty, and a true one must not put a dead node first. */
   for (int suspect = 0; suspect <= 1; suspect++)
     for (int proximity = 0; proximity < PROXIMITY_COUNT; proximity++)
       {
-        size_t most = sharing == 0 ? SHARING_MAX : FALLBACK_MAX;
+        size_t limit = weighted_count == 0 ? SHARING_MAX : FALLBACK_MAX;
         size_t n = proximity_collect (discovery, (enum proximity)proximity,
                                       home.data_centre, home.region,
                                       suspect != 0, members);
 
         chosen
             = choices_append (discovery, members, n, home.position,
-                              min_size (most, max - chosen), choices, chosen);
-        if (sharing == 0)
-          sharing = chosen;
+                              min_size (limit, max - chosen), choices, chosen);
+        if (weighted_count == 0)
+          weighted_count = chosen;
       }
   free (members);
-  if (sharing > 0)
-    share_weights (choices, sharing);
+  if (weighted_count > 0)
+    share_weights (choices, weighted_count);
   return chosen;
 }
--- a/libberyl/membership/gossip.c
+++ b/libberyl/membership/gossip.c
@@ -38,16 +38,16 @@
 /* Inserts SLOT into the COUNT slots PICKED, which are in descending order of
  * sends left; keeps at most MOST of them and returns the new count. */
 static size_t
-pick_record (struct slot *picked[], size_t count, size_t most,
+pick_record (struct slot *picked[], size_t count, size_t max,
              struct slot *slot)
 {
   size_t position = count;
 
   while (position > 0 && sends_left (picked[position - 1]) < sends_left (slot))
     position--;
-  if (position == most)
+  if (position == max)
     return count;
-  count += count < most;
+  count += count < max;
   for (size_t i = count - 1; i > position; i--)
     picked[i] = picked[i - 1];
   picked[position] = slot;
@@ -59,7 +59,7 @@
 updates_add_due (struct beryl_membership *m, struct beryl_gossip *message)
 {
   struct slot *picked[BERYL_GOSSIP_UPDATES_MAX];
-  size_t most = BERYL_GOSSIP_UPDATES_MAX - message->update_count;
+  size_t max = BERYL_GOSSIP_UPDATES_MAX - message->update_count;
   size_t count = 0;
 
   for (size_t i = 0; i < m->count; i++)
@@ -68,7 +68,7 @@
 
       if (slot->transmits_left > 0
           && !update_included (message, slot->member.name))
-        count = pick_record (picked, count, most, slot);
+        count = pick_record (picked, count, max, slot);
     }
   for (size_t i = 0; i < count; i++)
     {
@@ -259,12 +259,12 @@
 beryl_membership_next_ms (const struct beryl_membership *m)
 {
   int64_t next_ms = probe_next_ms (m);
-  int64_t news_ms = m->next_update_ms;
+  int64_t update_ms = m->next_update_ms;
 
-  if (news_ms != BERYL_NEVER_MS
-      && news_ms < m->last_update_ms + UPDATE_SPACING_MS)
-    news_ms = m->last_update_ms + UPDATE_SPACING_MS;
-  return news_ms < next_ms ? news_ms : next_ms;
+  if (update_ms != BERYL_NEVER_MS
+      && update_ms < m->last_update_ms + UPDATE_SPACING_MS)
+    update_ms = m->last_update_ms + UPDATE_SPACING_MS;
+  return update_ms < next_ms ? update_ms : next_ms;
 }
 
 /* Picks any other member, also one known only from the instance list, for the
--- a/libberyl/membership/homes.c
+++ b/libberyl/membership/homes.c
@@ -138,39 +138,43 @@
  * of T's organisation if it is among them. */
 static void
 home_reassign (struct home *homes, size_t home_count, const struct home *from,
-               bool any_region, size_t *sent, struct reassignment *t)
+               bool any_region, size_t *reassigned,
+               struct reassignment *lookup)
 {
-  size_t most = from->organisations - from->retained;
+  size_t surplus = from->organisations - from->retained;
 
-  for (size_t i = 0; i < home_count && *sent < most; i++)
+  for (size_t i = 0; i < home_count && *reassigned < surplus; i++)
     {
       struct home *to = &homes[i];
-      size_t n = min_size (most - *sent, to->spare - to->received);
+      size_t n = min_size (surplus - *reassigned, to->spare - to->received);
 
       if (!any_region && strcmp (to->region, from->region) != 0)
         continue;
-      if (t->from == from && t->rank >= *sent && t->rank < *sent + n)
+      if (lookup->from == from && lookup->rank >= *reassigned
+          && lookup->rank < *reassigned + n)
         {
-          t->to = to;
-          t->target_rank = to->retained + to->received + t->rank - *sent;
+          lookup->to = to;
+          lookup->target_rank
+              = to->retained + to->received + lookup->rank - *reassigned;
         }
       to->received += n;
-      *sent += n;
+      *reassigned += n;
     }
 }
 
 static bool
-homes_reassign (struct home *homes, size_t home_count, struct reassignment *t)
+homes_reassign (struct home *homes, size_t home_count,
+                struct reassignment *lookup)
 {
-  size_t *sent = calloc (home_count, sizeof *sent);
+  size_t *reassigned = calloc (home_count, sizeof *reassigned);
 
-  if (sent == NULL)
+  if (reassigned == NULL)
     return false;
   for (int any_region = 0; any_region <= 1; any_region++)
     for (size_t i = 0; i < home_count; i++)
-      home_reassign (homes, home_count, &homes[i], any_region != 0, &sent[i],
-                     t);
-  free (sent);
+      home_reassign (homes, home_count, &homes[i], any_region != 0,
+                     &reassigned[i], lookup);
+  free (reassigned);
   return true;
 }
 
@@ -182,7 +186,7 @@
               struct home_position *result)
 {
   const struct home *home;
-  struct reassignment t = { 0 };
+  struct reassignment lookup = { 0 };
   const char *name = organisation->data_centre;
   size_t count = organisations_in (organisations, organisation_count, name);
   size_t rank
@@ -201,13 +205,14 @@
       homes, home_count,
       homes_count (homes, home_count, organisations, organisation_count));
   if (rank >= home->retained)
-    t = (struct reassignment){ .from = home, .rank = rank - home->retained };
-  if (!homes_reassign (homes, home_count, &t))
+    lookup
+        = (struct reassignment){ .from = home, .rank = rank - home->retained };
+  if (!homes_reassign (homes, home_count, &lookup))
     return false;
-  if (t.to != NULL)
+  if (lookup.to != NULL)
     {
-      home = t.to;
-      rank = t.target_rank;
+      home = lookup.to;
+      rank = lookup.target_rank;
     }
   result->data_centre = home->data_centre;
   result->region = home->region;
--- a/libberyl/membership/table.c
+++ b/libberyl/membership/table.c
@@ -152,8 +152,8 @@
 }
 
 static bool
-slot_merge_same (struct beryl_membership *m, struct slot *slot,
-                 const struct beryl_member *record, int64_t now_ms)
+slot_merge_same_incarnation (struct beryl_membership *m, struct slot *slot,
+                             const struct beryl_member *record, int64_t now_ms)
 {
   struct beryl_member merged = slot->member;
 
@@ -192,7 +192,7 @@
     return false;
   if (record->incarnation != slot->member.incarnation)
     return slot_replace (m, slot, record, now_ms);
-  return slot_merge_same (m, slot, record, now_ms);
+  return slot_merge_same_incarnation (m, slot, record, now_ms);
 }
 
 /* Returns whether this node may be isolated.  Its suspicions then say nothing
@@ -263,9 +263,9 @@
 }
 
 static uint64_t
-role_score (const char *role, const char *name)
+candidate_score (const char *purpose, const char *name)
 {
-  uint64_t seed = XXH3_64bits (role, strlen (role));
+  uint64_t seed = XXH3_64bits (purpose, strlen (purpose));
 
   return XXH3_64bits_withSeed (name, strlen (name), seed);
 }
@@ -281,11 +281,11 @@
 
 bool
 beryl_membership_is_candidate (const struct beryl_membership *m,
-                               const char *role, const char *data_centre,
+                               const char *purpose, const char *data_centre,
                                uint32_t max_candidates)
 {
   const struct beryl_member *self = beryl_membership_self (m);
-  uint64_t score = role_score (role, self->name);
+  uint64_t score = candidate_score (purpose, self->name);
   uint32_t ahead = 0;
 
   if (!is_eligible (self, data_centre))
@@ -295,7 +295,7 @@
       const struct beryl_member *member = &m->slots[i].member;
 
       if (is_eligible (member, data_centre)
-          && role_score (role, member->name) > score)
+          && candidate_score (purpose, member->name) > score)
         ahead++;
     }
   return ahead < max_candidates;
--- a/libberyl/platform/fetch.c
+++ b/libberyl/platform/fetch.c
@@ -294,7 +294,7 @@
 }
 
 static void
-fetch_failed (struct beryl_platform *p, struct job *job, bool safe,
+fetch_failed (struct beryl_platform *p, struct job *job, bool no_effect,
               int64_t now_ms)
 {
   struct fetch *f = (struct fetch *)job;
@@ -305,7 +305,7 @@
       platform_job_back_off (p, job, now_ms);
       return;
     }
-  if (!safe)
+  if (!no_effect)
     {
       f->maybe_applied = true;
       if (!fetch_can_settle (f))
--- a/libberyl/platform/private.h
+++ b/libberyl/platform/private.h
@@ -34,7 +34,7 @@
   void (*answer) (struct beryl_platform *p, struct job *job,
                   unsigned int status, const json_t *json, int64_t now_ms);
   /** Handle a failed call; SAFE if it certainly had no effect. */
-  void (*failed) (struct beryl_platform *p, struct job *job, bool safe,
+  void (*failed) (struct beryl_platform *p, struct job *job, bool no_effect,
                   int64_t now_ms);
 };
 
@@ -171,7 +171,7 @@
   uint64_t id;
   char kind[BERYL_NAME_BYTES];
   bool instances;   /**< watches the instance list */
-  bool listing_now; /**< the next answer is a full list */
+  bool list_due;    /**< the next answer is a full list */
   bool refresh_due; /**< the next call must not long-poll */
   bool removed;     /**< to be freed once its callbacks have returned */
   bool in_callback;
--- a/libberyl/platform/schedule.c
+++ b/libberyl/platform/schedule.c
@@ -127,14 +127,14 @@
 static void
 budget_refill (struct budget *b, int64_t now_ms)
 {
-  double most = b->rate_per_s * BURST_S;
+  double capacity = b->rate_per_s * BURST_S;
 
-  if (most < 1)
-    most = 1;
+  if (capacity < 1)
+    capacity = 1;
   if (now_ms > b->refilled_ms)
     b->tokens += (double)(now_ms - b->refilled_ms) * b->rate_per_s / 1000.0;
-  if (b->tokens > most)
-    b->tokens = most;
+  if (b->tokens > capacity)
+    b->tokens = capacity;
   b->refilled_ms = now_ms;
 }
 
--- a/libberyl/platform/watch.c
+++ b/libberyl/platform/watch.c
@@ -155,7 +155,7 @@
 answer_stale (struct beryl_platform *p, struct watch *w, int64_t now_ms)
 {
   /* The changes applied meanwhile are newer than the answer. */
-  if (w->paused && !w->listing_now)
+  if (w->paused && !w->list_due)
     return;
   p->counts.stale++;
   platform_listing_clear (&w->listing);
@@ -163,11 +163,11 @@
 }
 
 static void
-answer_malformed (struct beryl_platform *p, struct watch *w, int64_t now_ms)
+answer_unusable (struct beryl_platform *p, struct watch *w, int64_t now_ms)
 {
   p->counts.malformed++;
   platform_listing_clear (&w->listing);
-  w->listing_now = !w->instances;
+  w->list_due = !w->instances;
   platform_job_back_off (p, &w->job, now_ms);
 }
 
@@ -186,7 +186,7 @@
 {
   if (!platform_listing_add (&w->listing, json, w->kind))
     {
-      answer_malformed (p, w, now_ms);
+      answer_unusable (p, w, now_ms);
       return;
     }
   if (w->listing.more)
@@ -201,7 +201,7 @@
     }
   apply_listing (p, w);
   w->revision = w->listing.revision;
-  w->listing_now = false;
+  w->list_due = false;
   platform_listing_clear (&w->listing);
   emit_synced (p, w);
   watch_again (p, w, now_ms);
@@ -237,7 +237,7 @@
   if (!json_is_array (events)
       || !platform_number_read (json, "revision", &revision))
     {
-      answer_malformed (p, w, now_ms);
+      answer_unusable (p, w, now_ms);
       return;
     }
   if (revision < w->revision)
@@ -249,7 +249,7 @@
   {
     if (event_apply (p, w, event))
       continue;
-    answer_malformed (p, w, now_ms);
+    answer_unusable (p, w, now_ms);
     return;
   }
   w->revision = revision;
@@ -289,7 +289,7 @@
   if (!json_is_array (items)
       || !platform_number_read (json, "revision", &revision))
     {
-      answer_malformed (p, w, now_ms);
+      answer_unusable (p, w, now_ms);
       return;
     }
   if (revision < w->revision)
@@ -297,9 +297,9 @@
       answer_stale (p, w, now_ms);
       return;
     }
-  if (revision > w->revision || w->listing_now)
+  if (revision > w->revision || w->list_due)
     {
-      w->listing_now = false;
+      w->list_due = false;
       w->revision = revision;
       list = instances_read (p, items, &count);
       p->handler->impl->instances (p->handler, w->id, revision, list, count);
@@ -321,17 +321,17 @@
       /* The events since the watch's revision are no longer available; only a
          full list shows which objects were deleted. */
       p->counts.relisted++;
-      w->listing_now = true;
+      w->list_due = true;
       platform_listing_clear (&w->listing);
       platform_job_ready (p, job);
       return;
     }
   w->in_callback = true;
   if (status != 200)
-    answer_malformed (p, w, now_ms);
+    answer_unusable (p, w, now_ms);
   else if (w->instances)
     instances_answered (p, w, json, now_ms);
-  else if (w->listing_now)
+  else if (w->list_due)
     list_answered (p, w, json, now_ms);
   else
     events_answered (p, w, json, now_ms);
@@ -341,7 +341,7 @@
 }
 
 static void
-watch_failed (struct beryl_platform *p, struct job *job, bool safe,
+watch_failed (struct beryl_platform *p, struct job *job, bool no_effect,
               int64_t now_ms)
 {
   platform_job_back_off (p, job, now_ms);
@@ -354,10 +354,11 @@
   struct watch *w = (struct watch *)job;
   /* Breaker probes, the first call and the first call after a failure must be
      answered at once, to show that the platform is available again. */
-  bool at_once = p->breaker.state == BREAKER_HALF_OPEN || w->listing_now
+  bool at_once = p->breaker.state == BREAKER_HALF_OPEN || w->list_due
                  || job->failures > 0 || w->refresh_due;
-  int64_t set_ms = w->wait_ms != 0 ? w->wait_ms : p->settings.watch_wait_ms;
-  int64_t wait_ms = at_once ? 0 : set_ms;
+  int64_t configured_ms
+      = w->wait_ms != 0 ? w->wait_ms : p->settings.watch_wait_ms;
+  int64_t wait_ms = at_once ? 0 : configured_ms;
 
   w->refresh_due = false;
   call->method = "GET";
@@ -367,14 +368,14 @@
   call->after = w->listing.after;
   call->revision = w->revision;
   call->wait_ms = wait_ms;
-  call->op = w->instances     ? BERYL_OP_INSTANCES
-             : w->listing_now ? BERYL_OP_LIST
-                              : BERYL_OP_WATCH;
+  call->op = w->instances  ? BERYL_OP_INSTANCES
+             : w->list_due ? BERYL_OP_LIST
+                           : BERYL_OP_WATCH;
   if (w->instances)
     snprintf (path, PATH_BYTES,
               "/v1/instances?after=%" PRIu64 "&wait_ms=%" PRId64, w->revision,
               wait_ms);
-  else if (w->listing_now)
+  else if (w->list_due)
     snprintf (path, PATH_BYTES, "/v1/objects/%s?prefix=&after=%s", w->kind,
               w->listing.after);
   else
@@ -396,7 +397,7 @@
   w->job.use = use;
   w->job.is_watch = true;
   w->id = ++p->last_id;
-  w->listing_now = true;
+  w->list_due = true;
   LIST_INSERT_HEAD (&p->watches, w, entry);
   return w;
 }
@@ -450,7 +451,7 @@
   struct watch *w = watch_find (p, id);
 
   /* A listing is pending and will show the current state. */
-  if (!w || w->in_callback || w->listing_now)
+  if (!w || w->in_callback || w->list_due)
     return;
   /* The connection is alive.  If its answer were aborted, a large one on a
      slow link would never be received completely. */
@@ -472,7 +473,7 @@
   struct watch *w = watch_find (p, id);
   uint64_t seen;
 
-  if (!w || w->in_callback || w->listing_now || after > w->revision)
+  if (!w || w->in_callback || w->list_due || after > w->revision)
     return false;
   seen = w->revision;
   w->in_callback = true;
@@ -504,7 +505,7 @@
   w->paused = paused;
   if (!paused)
     beryl_platform_watch_refresh (p, id);
-  else if (w->job.state == JOB_SLEEPING && !w->listing_now)
+  else if (w->job.state == JOB_SLEEPING && !w->list_due)
     platform_job_stop (p, &w->job);
 }
 
--- a/libberyl/spread/acceptor.c
+++ b/libberyl/spread/acceptor.c
@@ -9,7 +9,7 @@
 #include "beryl/config.h"
 #include "beryl/findings.h"
 #include "../base/guard_control.h"
-#include "items.h"
+#include "object_table.h"
 
 /* Maximum size of the objects in an entry; the platform limits values to 1 MB.
  */
@@ -47,8 +47,8 @@
 {
   const struct beryl_config_log *log;
   struct beryl_acceptor_owner *owner;
-  struct items observed;
-  struct items rejected;           /* versions and findings already reported */
+  struct object_table observed;
+  struct object_table rejected;    /* versions and findings already reported */
   uint64_t synced[KIND_COUNT + 1]; /* revisions read; 0: not yet */
   uint64_t evaluated_version;      /* log version at the last evaluation */
   bool evaluated;                  /* no new input since the last evaluation */
@@ -74,8 +74,8 @@
 {
   if (a == NULL)
     return;
-  items_clear (&a->observed);
-  items_clear (&a->rejected);
+  object_table_clear (&a->observed);
+  object_table_clear (&a->rejected);
   free (a->changes);
   free (a);
 }
@@ -116,12 +116,12 @@
   a->evaluated = false;
   if (json == NULL)
     {
-      items_remove (&a->observed, kind, name);
+      object_table_remove (&a->observed, kind, name);
       return;
     }
   text = object_text (json, json_bytes);
   if (text != NULL)
-    items_put (&a->observed, kind, name, version, text, strlen (text));
+    object_table_put (&a->observed, kind, name, version, text, strlen (text));
   free (text);
 }
 
@@ -170,18 +170,18 @@
 }
 
 static void
-change_add (struct beryl_acceptor *a, const struct item *item)
+change_add (struct beryl_acceptor *a, const struct stored_object *item)
 {
   struct beryl_config_log_object accepted;
   int order = kind_index (item->kind);
 
   if (beryl_config_log_find (a->log, item->kind, item->name, &accepted)
       && !BERYL_GUARD (BERYL_GUARD_ACCEPT_SOURCE,
-                       item->version > accepted.source))
+                       item->version > accepted.source_version))
     return;
   a->changes[a->change_count++]
       = (struct change){ item->kind, item->name, item->version,
-                         item->json, order,      CHANGE_PENDING };
+                         item->text, order,      CHANGE_PENDING };
 }
 
 static void
@@ -191,7 +191,7 @@
   int order = kind_index (accepted->kind);
   bool found;
 
-  items_find (&a->observed, accepted->kind, accepted->name, &found);
+  object_table_find (&a->observed, accepted->kind, accepted->name, &found);
   if (found || order < 0 || a->synced[order] == 0)
     return;
   a->changes[a->change_count++] = (struct change){
@@ -224,13 +224,13 @@
 }
 
 static void
-change_put (struct items *candidate, const struct change *c)
+candidate_apply (struct object_table *candidate, const struct change *c)
 {
   if (c->json == NULL)
-    items_remove (candidate, c->kind, c->name);
+    object_table_remove (candidate, c->kind, c->name);
   else
-    items_put (candidate, c->kind, c->name, c->version, c->json,
-               strlen (c->json));
+    object_table_put (candidate, c->kind, c->name, c->version, c->json,
+                      strlen (c->json));
 }
 
 /* Returns whether the accepted objects with the changes accepted so far and
@@ -239,7 +239,7 @@
 candidate_valid (const struct beryl_acceptor *a, size_t from, size_t to,
                  struct beryl_findings *findings)
 {
-  struct items candidate = { 0 };
+  struct object_table candidate = { 0 };
   struct beryl_config *config = NULL;
   char *text;
   size_t bytes = 0;
@@ -249,19 +249,19 @@
       struct beryl_config_log_object o = beryl_config_log_get (a->log, i);
 
       if (strcmp (o.kind, BERYL_INSTANCE_KIND) != 0)
-        items_put (&candidate, o.kind, o.name, o.source, o.json,
-                   strlen (o.json));
+        object_table_put (&candidate, o.kind, o.name, o.source_version, o.json,
+                          strlen (o.json));
     }
   for (size_t i = 0; i < a->change_count; i++)
     if (strcmp (a->changes[i].kind, BERYL_INSTANCE_KIND) != 0
         && (a->changes[i].state == CHANGE_ACCEPTED || (i >= from && i < to)))
-      change_put (&candidate, &a->changes[i]);
-  text = items_array (&candidate, BERYL_INSTANCE_KIND, &bytes);
+      candidate_apply (&candidate, &a->changes[i]);
+  text = object_table_format (&candidate, BERYL_INSTANCE_KIND, &bytes);
   if (text != NULL)
     config = beryl_config_parse (
         text, bytes, beryl_config_log_version (a->log) + 1, findings);
   free (text);
-  items_clear (&candidate);
+  object_table_clear (&candidate);
   beryl_config_destroy (config);
   return config != NULL;
 }
@@ -307,8 +307,8 @@
 {
   char *text = beryl_findings_format (findings);
   bool found;
-  size_t i = items_find (&a->rejected, c->kind, c->name, &found);
-  struct item *known = found ? &a->rejected.list[i] : NULL;
+  size_t i = object_table_find (&a->rejected, c->kind, c->name, &found);
+  struct stored_object *known = found ? &a->rejected.list[i] : NULL;
 
   c->state = CHANGE_REJECTED;
   if (text == NULL)
@@ -316,10 +316,10 @@
   if (strlen (text) > FINDINGS_BYTES)
     text[FINDINGS_BYTES] = '\0';
   if (known == NULL || known->version != c->version
-      || strcmp (known->json, text) != 0)
+      || strcmp (known->text, text) != 0)
     {
-      items_put (&a->rejected, c->kind, c->name, c->version, text,
-                 strlen (text));
+      object_table_put (&a->rejected, c->kind, c->name, c->version, text,
+                        strlen (text));
       change_report (a, c, false, text);
     }
   free (text);
@@ -394,17 +394,17 @@
 }
 
 static size_t
-changes_accepted (const struct beryl_acceptor *a)
+changes_count_accepted (const struct beryl_acceptor *a)
 {
-  size_t taken = 0;
+  size_t count = 0;
 
   for (size_t i = 0; i < a->change_count; i++)
-    taken += a->changes[i].state == CHANGE_ACCEPTED;
-  return taken;
+    count += a->changes[i].state == CHANGE_ACCEPTED;
+  return count;
 }
 
 static void
-entry_change (const struct change *c, bool first, FILE *out)
+entry_write_change (const struct change *c, bool first, FILE *out)
 {
   fprintf (out, "%s{\"kind\":\"%s\",\"name\":\"%s\",\"source\":%" PRIu64,
            first ? "" : ",", c->kind, c->name, c->version);
@@ -414,10 +414,10 @@
 }
 
 static char *
-entry_format (struct beryl_acceptor *a, size_t *bytes_count)
+entry_build (struct beryl_acceptor *a, size_t *byte_count)
 {
   char *text = NULL;
-  FILE *out = open_memstream (&text, bytes_count);
+  FILE *out = open_memstream (&text, byte_count);
   bool first = true;
 
   if (out == NULL)
@@ -431,8 +431,9 @@
   for (size_t i = 0; i < a->change_count; i++)
     if (a->changes[i].state == CHANGE_ACCEPTED)
       {
-        entry_change (&a->changes[i], first, out);
-        items_remove (&a->rejected, a->changes[i].kind, a->changes[i].name);
+        entry_write_change (&a->changes[i], first, out);
+        object_table_remove (&a->rejected, a->changes[i].kind,
+                             a->changes[i].name);
         change_report (a, &a->changes[i], true, "");
         first = false;
       }
@@ -442,7 +443,7 @@
 }
 
 char *
-beryl_acceptor_propose (struct beryl_acceptor *a, size_t *bytes_count)
+beryl_acceptor_propose (struct beryl_acceptor *a, size_t *byte_count)
 {
   uint64_t version = beryl_config_log_version (a->log);
 
@@ -458,9 +459,9 @@
   if (a->change_count == 0)
     return NULL;
   changes_accept (a, 0, a->change_count);
-  if (changes_accepted (a) == 0)
+  if (changes_count_accepted (a) == 0)
     return NULL;
   /* Another entry may win the race for this version; evaluate again. */
   a->evaluated = false;
-  return entry_format (a, bytes_count);
+  return entry_build (a, byte_count);
 }
--- a/libberyl/spread/config_log.c
+++ b/libberyl/spread/config_log.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #include "../base/guard_control.h"
-#include "items.h"
+#include "object_table.h"
 
 /* Entries retained for nodes that are slightly behind; nodes further behind
  * load a snapshot. */
@@ -32,7 +32,7 @@
 struct beryl_config_log
 {
   uint64_t version;
-  struct items items;
+  struct object_table items;
   struct revision revisions[REVISIONS_MAX];
   size_t revision_count;
   struct retained retained[RETAINED_ENTRIES]; /* ring buffer */
@@ -53,11 +53,11 @@
 static void
 retained_drop (struct beryl_config_log *log, uint64_t version)
 {
-  struct retained *k = &log->retained[version % RETAINED_ENTRIES];
+  struct retained *r = &log->retained[version % RETAINED_ENTRIES];
 
-  log->retained_bytes -= k->bytes;
-  free (k->text);
-  memset (k, 0, sizeof *k);
+  log->retained_bytes -= r->bytes;
+  free (r->text);
+  memset (r, 0, sizeof *r);
 }
 
 static void
@@ -73,7 +73,7 @@
   if (log == NULL)
     return;
   retained_clear (log);
-  items_clear (&log->items);
+  object_table_clear (&log->items);
   free (log);
 }
 
@@ -158,7 +158,7 @@
 }
 
 static bool
-change_apply (struct items *items, json_t *change)
+change_apply (struct object_table *items, json_t *change)
 {
   const char *kind = json_string_value (json_object_get (change, "kind"));
   const char *name = json_string_value (json_object_get (change, "name"));
@@ -169,20 +169,21 @@
 
   if (object == NULL)
     {
-      items_remove (items, kind, name);
+      object_table_remove (items, kind, name);
       return true;
     }
   text = json_dumps (object, JSON_COMPACT);
   if (text == NULL)
     return false;
-  done = items_put (items, kind, name, (uint64_t)json_integer_value (source),
-                    text, strlen (text));
+  done = object_table_put (items, kind, name,
+                           (uint64_t)json_integer_value (source), text,
+                           strlen (text));
   free (text);
   return done;
 }
 
 static bool
-changes_apply (struct items *items, json_t *changes)
+changes_apply (struct object_table *items, json_t *changes)
 {
   json_t *change;
   size_t i;
@@ -199,18 +200,18 @@
 retained_add (struct beryl_config_log *log, const char *entry,
               size_t entry_bytes)
 {
-  struct retained *k = &log->retained[log->version % RETAINED_ENTRIES];
+  struct retained *r = &log->retained[log->version % RETAINED_ENTRIES];
 
   if (log->version - log->first_retained >= RETAINED_ENTRIES)
     retained_drop (log, log->first_retained++);
-  k->text = malloc (entry_bytes);
-  if (k->text == NULL)
+  r->text = malloc (entry_bytes);
+  if (r->text == NULL)
     {
       retained_clear (log);
       return;
     }
-  memcpy (k->text, entry, entry_bytes);
-  k->bytes = entry_bytes;
+  memcpy (r->text, entry, entry_bytes);
+  r->bytes = entry_bytes;
   log->retained_bytes += entry_bytes;
   while (log->retained_bytes > RETAINED_BYTES
          && log->first_retained < log->version)
@@ -267,7 +268,7 @@
 char *
 beryl_config_log_entries_after (const struct beryl_config_log *log,
                                 uint64_t after, size_t max_bytes,
-                                size_t *bytes_count)
+                                size_t *byte_count)
 {
   uint64_t version = after + 1;
   size_t total = 0;
@@ -276,20 +277,20 @@
 
   if (version < log->first_retained || version > log->version)
     return NULL;
-  out = open_memstream (&text, bytes_count);
+  out = open_memstream (&text, byte_count);
   if (out == NULL)
     return NULL;
   fputc ('[', out);
   for (; version <= log->version; version++)
     {
-      const struct retained *k = &log->retained[version % RETAINED_ENTRIES];
+      const struct retained *r = &log->retained[version % RETAINED_ENTRIES];
 
-      if (total > 0 && total + k->bytes > max_bytes)
+      if (total > 0 && total + r->bytes > max_bytes)
         break;
       if (total > 0)
         fputc (',', out);
-      fwrite (k->text, 1, k->bytes, out);
-      total += k->bytes;
+      fwrite (r->text, 1, r->bytes, out);
+      total += r->bytes;
     }
   fputc (']', out);
   fclose (out);
@@ -306,10 +307,10 @@
 
 char *
 beryl_config_log_snapshot (const struct beryl_config_log *log,
-                           size_t *bytes_count)
+                           size_t *byte_count)
 {
   char *text = NULL;
-  FILE *out = open_memstream (&text, bytes_count);
+  FILE *out = open_memstream (&text, byte_count);
 
   if (out == NULL)
     return NULL;
@@ -318,13 +319,13 @@
   fputs ("},\"changes\":[", out);
   for (size_t i = 0; i < log->items.count; i++)
     {
-      const struct item *item = &log->items.list[i];
+      const struct stored_object *item = &log->items.list[i];
 
       fprintf (out,
                "%s{\"kind\":\"%s\",\"name\":\"%s\",\"source\":%" PRIu64
                ",\"object\":%s}",
                i > 0 ? "," : "", item->kind, item->name, item->version,
-               item->json);
+               item->text);
     }
   fputs ("]}", out);
   fclose (out);
@@ -338,17 +339,17 @@
   json_t *changes = json_object_get (json, "changes");
   uint64_t version
       = (uint64_t)json_integer_value (json_object_get (json, "version"));
-  struct items items = { 0 };
+  struct object_table items = { 0 };
 
   if (!changes_valid (changes) || !changes_apply (&items, changes))
     {
-      items_clear (&items);
+      object_table_clear (&items);
       beryl_error_set (error, BERYL_ERROR_INVALID,
                        "malformed configuration log snapshot");
       return BERYL_CONFIG_LOG_INVALID;
     }
   retained_clear (log);
-  items_clear (&log->items);
+  object_table_clear (&log->items);
   log->items = items;
   log->version = version;
   log->first_retained = version + 1;
@@ -358,10 +359,10 @@
 
 enum beryl_config_log_result
 beryl_config_log_load (struct beryl_config_log *log, const char *snapshot,
-                       size_t bytes_count, struct beryl_error *error)
+                       size_t byte_count, struct beryl_error *error)
 {
   json_t *json
-      = json_loadb (snapshot, bytes_count, JSON_REJECT_DUPLICATES, NULL);
+      = json_loadb (snapshot, byte_count, JSON_REJECT_DUPLICATES, NULL);
   enum beryl_config_log_result result;
   uint64_t version;
 
@@ -382,9 +383,9 @@
 
 char *
 beryl_config_log_objects (const struct beryl_config_log *log,
-                          size_t *bytes_count)
+                          size_t *byte_count)
 {
-  return items_array (&log->items, BERYL_INSTANCE_KIND, bytes_count);
+  return object_table_format (&log->items, BERYL_INSTANCE_KIND, byte_count);
 }
 
 size_t
@@ -396,10 +397,10 @@
 struct beryl_config_log_object
 beryl_config_log_get (const struct beryl_config_log *log, size_t i)
 {
-  const struct item *item = &log->items.list[i];
+  const struct stored_object *item = &log->items.list[i];
 
   return (struct beryl_config_log_object){ item->kind, item->name,
-                                           item->version, item->json };
+                                           item->version, item->text };
 }
 
 bool
@@ -408,7 +409,7 @@
                        struct beryl_config_log_object *object)
 {
   bool found;
-  size_t i = items_find (&log->items, kind, name, &found);
+  size_t i = object_table_find (&log->items, kind, name, &found);
 
   if (found)
     *object = beryl_config_log_get (log, i);
--- a/libberyl/spread/items.c
+++ b/libberyl/spread/object_table.c
@@ -1,11 +1,12 @@
-#include "items.h"
+#include "object_table.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
 static int
-item_compare (const struct item *item, const char *kind, const char *name)
+item_compare (const struct stored_object *item, const char *kind,
+              const char *name)
 {
   int order = strcmp (item->kind, kind);
 
@@ -13,8 +14,8 @@
 }
 
 size_t
-items_find (const struct items *items, const char *kind, const char *name,
-            bool *found)
+object_table_find (const struct object_table *items, const char *kind,
+                   const char *name, bool *found)
 {
   size_t low = 0;
   size_t high = items->count;
@@ -34,10 +35,10 @@
 }
 
 static bool
-items_grow (struct items *items)
+items_grow (struct object_table *items)
 {
   size_t capacity = items->capacity != 0 ? items->capacity * 2 : 64;
-  struct item *list;
+  struct stored_object *list;
 
   if (items->count < items->capacity)
     return true;
@@ -50,10 +51,10 @@
 }
 
 static bool
-items_insert (struct items *items, size_t i, const char *kind,
+items_insert (struct object_table *items, size_t i, const char *kind,
               const char *name)
 {
-  struct item *item;
+  struct stored_object *item;
 
   if (!items_grow (items))
     return false;
@@ -67,11 +68,12 @@
 }
 
 bool
-items_put (struct items *items, const char *kind, const char *name,
-           uint64_t version, const char *json, size_t json_bytes)
+object_table_put (struct object_table *items, const char *kind,
+                  const char *name, uint64_t version, const char *json,
+                  size_t json_bytes)
 {
   bool found;
-  size_t i = items_find (items, kind, name, &found);
+  size_t i = object_table_find (items, kind, name, &found);
   char *copy = malloc (json_bytes + 1);
 
   if (copy == NULL || (!found && !items_insert (items, i, kind, name)))
@@ -81,55 +83,56 @@
     }
   memcpy (copy, json, json_bytes);
   copy[json_bytes] = '\0';
-  free (items->list[i].json);
-  items->list[i].json = copy;
+  free (items->list[i].text);
+  items->list[i].text = copy;
   items->list[i].version = version;
   return true;
 }
 
 void
-items_remove (struct items *items, const char *kind, const char *name)
+object_table_remove (struct object_table *items, const char *kind,
+                     const char *name)
 {
   bool found;
-  size_t i = items_find (items, kind, name, &found);
+  size_t i = object_table_find (items, kind, name, &found);
 
   if (!found)
     return;
-  free (items->list[i].json);
+  free (items->list[i].text);
   items->count--;
   memmove (&items->list[i], &items->list[i + 1],
            (items->count - i) * sizeof items->list[i]);
 }
 
 bool
-items_copy (struct items *to, const struct items *from)
+object_table_copy (struct object_table *to, const struct object_table *from)
 {
   for (size_t i = 0; i < from->count; i++)
     {
-      const struct item *item = &from->list[i];
+      const struct stored_object *item = &from->list[i];
 
-      if (!items_put (to, item->kind, item->name, item->version, item->json,
-                      strlen (item->json)))
+      if (!object_table_put (to, item->kind, item->name, item->version,
+                             item->text, strlen (item->text)))
         return false;
     }
   return true;
 }
 
 void
-items_clear (struct items *items)
+object_table_clear (struct object_table *items)
 {
   for (size_t i = 0; i < items->count; i++)
-    free (items->list[i].json);
+    free (items->list[i].text);
   free (items->list);
   memset (items, 0, sizeof *items);
 }
 
 char *
-items_array (const struct items *items, const char *without,
-             size_t *bytes_count)
+object_table_format (const struct object_table *items, const char *without,
+                     size_t *byte_count)
 {
   char *text = NULL;
-  FILE *out = open_memstream (&text, bytes_count);
+  FILE *out = open_memstream (&text, byte_count);
   const char *separator = "";
 
   if (out == NULL)
@@ -139,7 +142,7 @@
     {
       if (strcmp (items->list[i].kind, without) == 0)
         continue;
-      fprintf (out, "%s%s", separator, items->list[i].json);
+      fprintf (out, "%s%s", separator, items->list[i].text);
       separator = ",";
     }
   fputc (']', out);
--- a/tests/control/test_spread.c
+++ b/tests/control/test_spread.c
@@ -101,7 +101,7 @@
   ck_assert (!fixture_accept (&f));
   ck_assert_uint_eq (f.rejected, 1);
   ck_assert (beryl_config_log_find (f.log, "service", "s", &o));
-  ck_assert_uint_eq (o.source, 2);
+  ck_assert_uint_eq (o.source_version, 2);
   ck_assert (!fixture_accept (&f));
   ck_assert_uint_eq (f.rejected, 1);
   fixture_clear (&f);
