--- a/include/beryl/config.h
+++ b/include/beryl/config.h
@@ -21,7 +21,7 @@
   BERYL_KIND_POOL,
   BERYL_KIND_MODEL,
   BERYL_KIND_ORGANISATION,
-  BERYL_KIND_URGENCY,
+  BERYL_KIND_URGENCY, /**< call rules, added to those of a service */
   BERYL_KIND_ENDPOINT,
   BERYL_KIND_SYSTEM,
 };
@@ -34,7 +34,8 @@
   BERYL_CLASS_BATCH, /**< refused first when capacity is short */
 };
 
-/** Function of an endpoint; prefill and decode are bits. */
+/** Function of an endpoint.  An engine has the bits PREFILL, DECODE or both;
+ * a process of a plain service is SERVICE. */
 enum beryl_role
 {
   BERYL_ROLE_PREFILL = 1,
@@ -62,8 +63,9 @@
   int64_t deadline_ms;              /**< default for calls without one */
   int64_t first_token_target_ms;    /**< model services only */
   int64_t between_tokens_target_ms; /**< model services only */
-  /** Cost of one wasted prefill in met deadlines: 0 optimises for goodput
-   * only, 1 weighs both equally, more favours less waste. */
+  /** Number of met deadlines that one wasted prefill costs: 0 optimises for
+   * goodput only, 1 weighs a wasted prefill like a missed deadline, more
+   * favours less waste. */
   double waste_weight;
   uint32_t retry_budget_percent; /**< retries per 100 first attempts */
   uint32_t max_concurrent;       /**< per endpoint; 0: no limit */
@@ -119,7 +121,8 @@
   enum beryl_role role;
   uint32_t slots; /**< maximum number of concurrent decodes; 0: unknown */
   uint64_t link_bytes_per_s; /**< bandwidth for KV transfers; 0: unknown */
-  bool checks_fence; /**< rejects orders with an outdated fencing token */
+  bool checks_fence; /**< rejects the planner's orders that have an outdated
+                        fencing token */
   bool leaving;      /**< receives no new work */
 };
 
@@ -127,8 +130,9 @@
 struct beryl_system
 {
   char log_level[16];
-  uint32_t claim_shards;
-  int64_t claim_retention_ms;
+  uint32_t claim_shards; /**< number of shards of the claim log, which records
+                            the use of idempotency keys; see claims.h */
+  int64_t claim_retention_ms;  /**< time that claims are kept */
   int64_t entry_answer_ttl_ms; /**< lifetime of a discovery answer */
 };
 
@@ -151,8 +155,10 @@
 
 /** Build a configuration from a JSON array of objects, each
  * {"api_version":"beryl/v1","kind":K,"name":N,"spec":{...}}.
- * All problems are added to FINDINGS.  A finding's file is a JSON pointer
- * ("/3/spec/port"), which a caller that knows the source can map to a line.
+ * All problems are added to FINDINGS.  The file of a finding in an object
+ * is its JSON pointer ("/3/spec/port"), which a caller that knows the source
+ * can map to a line.  It is NULL for syntax errors, which have a line and a
+ * column, and for problems between objects, such as a missing service.
  * The rules of urgency objects are appended to those of their services.
  * Returns NULL if there is any finding. */
 struct beryl_config *beryl_config_parse (const char *json, size_t json_bytes,
@@ -166,12 +172,14 @@
 /** Free CONFIG; NULL is allowed. */
 void beryl_config_destroy (struct beryl_config *config);
 
-/** Look up an object by name; NULL if absent. */
+/** Look up a service by name; NULL if absent. */
 const struct beryl_service *
 beryl_config_service (const struct beryl_config *config, const char *name);
+/** Return the first service of MODEL; NULL if there is none. */
 const struct beryl_service *
 beryl_config_service_of_model (const struct beryl_config *config,
                                const char *model);
+/** Look up a model by name; NULL if absent. */
 const struct beryl_model *
 beryl_config_model (const struct beryl_config *config, const char *name);
 
--- a/include/beryl/config_log.h
+++ b/include/beryl/config_log.h
@@ -29,15 +29,15 @@
 enum beryl_config_log_result
 {
   BERYL_CONFIG_LOG_APPLIED,
-  BERYL_CONFIG_LOG_OLD, /**< not newer than the state */
-  BERYL_CONFIG_LOG_GAP, /**< earlier entries are missing */
-  BERYL_CONFIG_LOG_INVALID,
+  BERYL_CONFIG_LOG_OLD,     /**< not newer than the state */
+  BERYL_CONFIG_LOG_GAP,     /**< earlier entries are missing */
+  BERYL_CONFIG_LOG_INVALID, /**< malformed, or out of memory */
 };
 
 /** Create an empty state at version 0. */
 struct beryl_config_log *beryl_config_log_create (void);
 
-/** Release SPREAD; NULL is allowed. */
+/** Free LOG; NULL is allowed. */
 void beryl_config_log_destroy (struct beryl_config_log *log);
 
 /** Return the version of the last entry applied. */
@@ -112,7 +112,8 @@
 /** Callbacks. */
 struct beryl_acceptor_owner_impl
 {
-  /** An object was accepted or rejected.  A rejection is reported again only
+  /** An object was accepted for the proposed entry, or rejected.  The entry
+   * may still lose the race.  A rejection is reported again only
    * if the object's version or the findings have changed. */
   void (*validated) (struct beryl_acceptor_owner *owner,
                      const struct beryl_validation_result *result);
@@ -149,15 +150,17 @@
 
 /** Kind under which the platform stores the log's entries. */
 #define BERYL_ACCEPTED_KIND "accepted"
-/** Kind of the parts of a checkpoint and of its head, which names the parts.
- */
+/** Kind of the checkpoint: a snapshot that is stored in parts, and a head
+ * object that names them. */
 #define BERYL_CHECKPOINT_KIND "accepted-base"
 #define BERYL_CHECKPOINT_HEAD "head"
 /** Kind of the objects by which the planner drains an engine before unloading
- * it; the acceptor turns them into instance facts. */
+ * it.  The node with the acceptor role passes them to struct beryl_acceptor as
+ * objects of BERYL_INSTANCE_KIND. */
 #define BERYL_DRAIN_KIND "drains"
-/** Kind of the facts from the platform's instance list, {"leaving":true}, that
- * are distributed through the log without being part of the configuration. */
+/** Kind of the instance states, {"leaving":true}, that are derived from the
+ * platform's instance list and the planner's drains and distributed through
+ * the log without being part of the configuration. */
 #define BERYL_INSTANCE_KIND "instance"
 
 /** Write the object name of log entry VERSION to NAME. */
--- a/include/beryl/discovery.h
+++ b/include/beryl/discovery.h
@@ -3,7 +3,8 @@
  *
  * The result is a pure function of the member list, the organisations' names
  * and the caller's data centre.  All nodes therefore give the same answer for
- * the same lists, and callers that cache answers stay evenly distributed.
+ * the same lists, so that the distribution of callers does not depend on
+ * which node they asked or how long they cache the answer.
  */
 #ifndef BERYL_DISCOVERY_H
 #define BERYL_DISCOVERY_H
@@ -66,11 +67,13 @@
 /** Select up to MAX nodes for callers of ORGANISATION in DATA_CENTRE of REGION
  * (either may be "": unknown).  Nodes of that data centre come first and get
  * all the weight; nodes of the region and then of other regions follow as
- * fallbacks and get weight only if there is no nearer live node.  If
- * DATA_CENTRE is the organisation's home and more organisations have their
- * home there than its share of the live nodes allows, up to a quarter of them
- * are assigned to another data centre, preferably of the same region.
- * Returns the number of CHOICES; 0 if there are no nodes. */
+ * fallbacks and get weight only if there is no nearer live node.
+ * An organisation's home is the data centre of its callers.  If DATA_CENTRE is
+ * that home and has more organisations than is proportional to its live nodes,
+ * up to a quarter of them are assigned to another data centre, preferably of
+ * the same region.
+ * Returns the number of CHOICES; 0 if there are no nodes that are not leaving,
+ * or if out of memory. */
 size_t beryl_discovery_choose (const struct beryl_discovery *discovery,
                                const char *organisation,
                                const char *data_centre, const char *region,
--- a/include/beryl/fields.h
+++ b/include/beryl/fields.h
@@ -14,7 +14,7 @@
 struct beryl_location
 {
   struct beryl_findings *findings;
-  char object[160];  /**< object for messages, as "service adviesmodel" */
+  char object[160];  /**< object for messages, as "service chat" */
   char pointer[256]; /**< JSON pointer, as "/3/spec" */
 };
 
@@ -40,7 +40,8 @@
 {
   BERYL_ROUND_NONE, /**< reported as a finding */
   BERYL_ROUND_DOWN, /**< rounded down and limited to the maximum */
-  BERYL_ROUND_UP,   /**< rounded up and raised to the minimum */
+  BERYL_ROUND_UP,   /**< rounded up and raised to the minimum, unless
+                       negative */
 };
 
 /** Maps one member of a JSON object to a struct member. */
@@ -53,7 +54,8 @@
   double min;   /**< lower bound of a number, in the unit of the JSON text */
   double max;   /**< upper bound, likewise */
   enum beryl_rounding rounding;
-  double unit; /**< factor from the JSON unit to the member's; 0 means 1 */
+  double unit; /**< factor from the JSON unit to the member's; 0 means 1.
+                  Ignored for BERYL_FIELD_DOUBLE */
   bool required;
   bool null_is_default; /**< null leaves the member unchanged */
   void (*custom) (const struct beryl_location *location, json_t *value,
--- a/include/beryl/membership.h
+++ b/include/beryl/membership.h
@@ -36,7 +36,8 @@
 /** Roles that a node advertises to the other members (bit mask). */
 enum beryl_member_role
 {
-  BERYL_MEMBER_WATCHER = 1,  /**< collects the reports of its data centre */
+  BERYL_MEMBER_WATCHER = 1,  /**< publishes which nodes of its data centre use
+                               a configuration */
   BERYL_MEMBER_ACCEPTOR = 2, /**< validates and publishes configurations */
   BERYL_MEMBER_PLANNER = 4,  /**< collects demand and sizes the pools */
 };
@@ -51,11 +52,11 @@
   char region[BERYL_NAME_BYTES];
   uint64_t incarnation; /**< 0: known only from the instance list */
   enum beryl_member_state state;
-  bool leaving;               /**< planned shutdown; never cleared */
-  uint32_t roles;             /**< bits of enum beryl_member_role */
+  bool leaving;   /**< planned shutdown; never cleared in an incarnation */
+  uint32_t roles; /**< bits of enum beryl_member_role */
   uint64_t entry_incarnation; /**< of its beryl-entryd; 0: not running */
-  uint16_t http_port;         /**< of its beryl-entryd */
-  uint16_t peer_port;         /**< of its beryl-entryd */
+  uint16_t http_port;         /**< of its beryl-entryd, for callers */
+  uint16_t peer_port;         /**< of its beryl-entryd, for other entryds */
   uint64_t config_version; /**< newest version reported by the node itself */
   uint64_t config_applied; /**< version in use, reported by the node itself */
 };
@@ -100,7 +101,8 @@
   /** Send a datagram. */
   void (*send) (struct beryl_membership_owner *owner, const char *address,
                 uint16_t port, const struct beryl_gossip *message);
-  /** A member was added or changed; a DEAD one is about to be removed. */
+  /** A member was added or changed.  A DEAD one is retained for a while and
+   * then removed without another call. */
   void (*changed) (struct beryl_membership_owner *owner,
                    const struct beryl_member *member);
   /** PEER has a newer configuration, which is to be pulled. */
@@ -139,7 +141,8 @@
 /** Free M; NULL is allowed. */
 void beryl_membership_destroy (struct beryl_membership *m);
 
-/** Handle a message received from ADDRESS. */
+/** Handle a message.  The sender is identified by the message's FROM; ADDRESS
+ * and PORT, from which it was received, are not used. */
 void beryl_membership_receive (struct beryl_membership *m,
                                const struct beryl_gossip *message,
                                const char *address, uint16_t port,
@@ -151,7 +154,8 @@
 /** Return the time of the next tick. */
 int64_t beryl_membership_next_ms (const struct beryl_membership *m);
 
-/** An entry instance in the platform's instance list. */
+/** An entry instance (a machine that runs beryl-entryd) in the platform's
+ * instance list. */
 struct beryl_listed_instance
 {
   char name[BERYL_NAME_BYTES];
@@ -162,8 +166,9 @@
   bool leaving;
 };
 
-/** Set the platform's instance list.  Its entries are seeds for the first
- * contact; a suspect member that stays missing from it is declared dead. */
+/** Set the platform's instance list.  Its instances are seeds for the
+ * first contact; a suspect member that stays missing from it is declared dead.
+ */
 void beryl_membership_set_instances (struct beryl_membership *m,
                                      const struct beryl_listed_instance *items,
                                      size_t count, int64_t now_ms);
@@ -217,14 +222,16 @@
 const struct beryl_member *
 beryl_membership_self (const struct beryl_membership *m);
 
-/** Return a hash of the member list; equal lists have equal hashes. */
+/** Return a hash of the names, incarnations, states and leaving flags of the
+ * members that are not dead, independent of their order. */
 uint64_t beryl_membership_digest (const struct beryl_membership *m);
 
 /** Return whether this node is one of the MAX_CANDIDATES live nodes that are
- * candidates for ROLE by rendezvous hashing; only nodes of DATA_CENTRE are
- * considered unless it is "". */
+ * candidates for PURPOSE by rendezvous hashing; only nodes of DATA_CENTRE are
+ * considered unless it is "".  PURPOSE is any text; it is only hashed. */
 bool beryl_membership_is_candidate (const struct beryl_membership *m,
-                                    const char *role, const char *data_centre,
+                                    const char *purpose,
+                                    const char *data_centre,
                                     uint32_t max_candidates);
 
 /** Return the stable name of STATE. */
--- a/include/beryl/platform.h
+++ b/include/beryl/platform.h
@@ -3,12 +3,14 @@
  *
  * One client serves all uses in a process.  It shares a call budget among
  * the uses, coalesces equal reads, relists watches after gaps, backs off with
- * jitter, determines the outcome of writes whose reply was lost, and stops
+ * jitter, determines the outcome of writes whose answer was lost, and stops
  * calling a platform that does not answer (circuit breaker).
  *
  * Requests, answers and the time are inputs; calls to make and results are
  * emitted through a vtable.  Functions that make a request never invoke a
- * callback; results are emitted by beryl_platform_tick, _answer and _failed.
+ * callback.  Results and events are emitted by beryl_platform_tick, _answer,
+ * _answer_json, _failed and _watch_apply; functions that cancel, end, pause or
+ * refresh may invoke abort.
  * Not thread-safe.  Times are milliseconds of one monotonic clock.
  */
 #ifndef BERYL_PLATFORM_H
@@ -26,12 +28,13 @@
 /** Purpose of a call; each use has a weighted share of the budget. */
 enum beryl_platform_use
 {
-  BERYL_USE_LEASE,
-  BERYL_USE_CLAIM,
+  BERYL_USE_LEASE, /**< leases of roles */
+  BERYL_USE_CLAIM, /**< the claim log; see claims.h */
   BERYL_USE_CONFIG,
   BERYL_USE_INSTANCES,
-  BERYL_USE_STATUS,
-  BERYL_USE_OPERATOR,
+  BERYL_USE_STATUS,   /**< other records of the nodes, such as status, plans
+                         and checkpoints */
+  BERYL_USE_OPERATOR, /**< berylctl */
   BERYL_USE_COUNT,
 };
 
@@ -41,8 +44,8 @@
 /** Precondition of a write or deletion. */
 enum beryl_condition
 {
-  BERYL_IF_ANY,    /**< none; the outcome stays unknown if the reply is lost */
-  BERYL_IF_ABSENT, /**< the object does not exist */
+  BERYL_IF_ANY, /**< none; the outcome stays unknown if the answer is lost */
+  BERYL_IF_ABSENT,  /**< the object does not exist */
   BERYL_IF_VERSION, /**< the object has the given version */
 };
 
@@ -51,7 +54,9 @@
 {
   double reads_per_s;                /**< read budget of this process [20] */
   double writes_per_s;               /**< write budget of this process [10] */
-  uint32_t weights[BERYL_USE_COUNT]; /**< shares under contention */
+  uint32_t weights[BERYL_USE_COUNT]; /**< shares under contention [lease
+                                        and claim 8, config and operator 4,
+                                        instances 2, status 1] */
   /** Time until the answer to a call other than a watch must begin, and the
    * idle timeout within any answer [2000]. */
   int64_t call_timeout_ms;
@@ -89,7 +94,7 @@
   /** OK: version of the object that was read or written, or revision of the
    * list; CONFLICT: current version of the object, 0 if absent. */
   uint64_t version;
-  /** CONFLICT after a lost reply: the current value was written by another
+  /** CONFLICT after a lost answer: the current value was written by another
    * client, but this write may have taken effect before it.  Cannot occur for
    * objects that are created once and never changed. */
   bool overwritten;
@@ -105,11 +110,11 @@
   struct beryl_object object; /**< without a value if deleted */
 };
 
-/** One entry of the platform's instance list. */
+/** One item of the platform's instance list. */
 struct beryl_instance
 {
   char name[BERYL_NAME_BYTES];
-  bool is_entry; /**< an entry instance; otherwise an endpoint */
+  bool is_entry; /**< runs beryl-entryd; otherwise it is an endpoint */
   bool leaving;
   char address[64];
   uint16_t port;
@@ -202,7 +207,8 @@
                                double writes_per_s);
 
 /** Return the calls per second that each of NODES nodes may make if the API
- * serves FLEET_PER_S to the whole fleet. */
+ * serves FLEET_PER_S to the whole fleet: an equal share of half of it, but at
+ * least 4. */
 double beryl_platform_node_rate (double fleet_per_s, uint32_t nodes);
 
 /** Deadline of a request and its behaviour during an outage. */
@@ -238,9 +244,9 @@
   const char *value; /**< JSON object */
   size_t value_bytes;
   /** Text of the member "nonce" of VALUE, unique to this write, or NULL.  It
-   * allows a conditional write whose reply was lost to be settled: the write
+   * allows a conditional write whose answer was lost to be settled: the write
    * is repeated under its condition, and on a conflict the current value is
-   * read to see whether it has the nonce.  NULL: a lost reply is UNKNOWN. */
+   * read to see whether it has the nonce.  NULL: a lost answer is UNKNOWN. */
   const char *nonce;
 };
 
@@ -266,24 +272,26 @@
                                enum beryl_platform_use use, const char *kind,
                                int64_t now_ms);
 
-/** Have WATCH poll at once, because another watcher has seen a change that it
- * has not: its long poll may be on a dead connection.  No effect while an
- * answer is being received. */
+/** Have WATCH poll at once, because another node's watch has seen a change
+ * that it has not: its long poll may be on a dead connection.  No effect while
+ * an answer is being received. */
 void beryl_platform_watch_refresh (struct beryl_platform *p, uint64_t watch);
 
-/** Apply COUNT changes, in order of versions, that another watcher of the same
- * kind has seen after revision AFTER up to REVISION, as though the platform
- * had reported them.  Event callbacks run inside the call.  Returns false and
- * applies nothing if WATCH has not seen everything up to AFTER or has not
- * received its first list yet. */
+/** Apply COUNT changes, in order of versions, that another node's watch of the
+ * same kind has seen after revision AFTER up to REVISION, as though the
+ * platform had reported them.  Event callbacks run inside the call.  Returns
+ * false and applies nothing if WATCH has not seen everything up to AFTER or
+ * has not received its first list yet. */
 bool beryl_platform_watch_apply (struct beryl_platform *p, uint64_t watch,
                                  uint64_t after, uint64_t revision,
                                  const struct beryl_platform_event *events,
                                  size_t count);
 
-/** Pause or resume WATCH.  A paused watch makes no calls except for
- * beryl_platform_watch_refresh, as it receives changes through
- * beryl_platform_watch_apply.  It polls at once when it is resumed. */
+/** Pause or resume WATCH.  A paused watch receives changes through
+ * beryl_platform_watch_apply and starts no further poll except by
+ * beryl_platform_watch_refresh; a call that is already queued or in
+ * progress, a listing and retries after a failure go on.  It polls at once
+ * when it is resumed. */
 void beryl_platform_watch_pause (struct beryl_platform *p, uint64_t watch,
                                  bool paused);
 
@@ -365,10 +373,10 @@
   uint64_t refused;        /**< 429 answers */
   uint64_t errors;         /**< 5xx answers, timeouts and resets */
   uint64_t breaker_opened; /**< times the breaker opened */
-  uint64_t settled;   /**< writes with a lost reply whose outcome was found */
+  uint64_t settled;   /**< writes with a lost answer whose outcome was found */
   uint64_t unsettled; /**< writes that ended UNKNOWN */
-  uint64_t stale;     /**< reads older than required */
-  uint64_t relisted;  /**< watches that had to list again after a gap */
+  uint64_t stale;    /**< answers to reads or watches from a lagging replica */
+  uint64_t relisted; /**< watches that had to list again after a gap */
   uint64_t malformed; /**< answers that could not be parsed */
 };
 
--- a/libberyl/config/fields.c
+++ b/libberyl/config/fields.c
@@ -91,7 +91,7 @@
   if (text == NULL
       || (inet_pton (AF_INET, text, number) != 1
           && inet_pton (AF_INET6, text, number) != 1))
-    beryl_location_report (location, field->key, "%s must be an IP number",
+    beryl_location_report (location, field->key, "%s must be an IP address",
                            field->key);
   else
     read_text (location, field, value, target);
@@ -117,8 +117,9 @@
     }
 }
 
-/* Clamps N to the bound that the field's rounding permits.  A negative number
-   is not raised to the minimum, as it is never meant as zero. */
+/* Limits N to the maximum if the field is rounded down, and raises it to the
+   minimum if it is rounded up.  A negative number is not raised, as it is an
+   error rather than a small value. */
 static double
 clamp_number (const struct beryl_field *field, double n)
 {
--- a/libberyl/config/parse.c
+++ b/libberyl/config/parse.c
@@ -248,7 +248,8 @@
                         "%s %s: there is no service %s", kind, name, service);
 }
 
-/* Two organisations with the same token could access each other's keys. */
+/* Reports tokens that belong to two organisations: their callers could not be
+ * told apart and could access each other's idempotency keys. */
 static void
 check_tokens (struct parser *parser, const struct beryl_config *config)
 {
@@ -303,7 +304,8 @@
   if (!json_is_array (root))
     {
       beryl_findings_add (parser->findings, NULL, 0, 0,
-                          "must be an array of objects");
+                          "the configuration must be an array of "
+                          "objects");
       return;
     }
   json_array_foreach (root, i, object)
--- a/libberyl/membership/discovery.c
+++ b/libberyl/membership/discovery.c
@@ -223,11 +223,12 @@
   return (double)(hash >> 11) / (double)(1ULL << 53);
 }
 
-/* Ranks over all organisations distribute them evenly only over all nodes.
- * The organisations with callers in one data centre are a random subset: with
- * 400 nodes in ten data centres some node had 54.5% more than the mean.  An
- * organisation whose home is the caller's data centre is therefore ranked
- * among those with the same home. */
+/* Finds the data centre that serves an organisation whose home is DATA_CENTRE,
+ * and its position there; returns false if it has another home or none.  Such
+ * an organisation is ranked among those with the same home: ranks over all
+ * organisations are even only over all nodes, and those with callers in one
+ * data centre are a random subset.  With 400 nodes in ten data centres some
+ * node had 54.5% more than the mean. */
 static bool
 organisation_locate (const struct beryl_discovery *discovery,
                      const char *organisation, const char *data_centre,
--- a/libberyl/membership/gossip.c
+++ b/libberyl/membership/gossip.c
@@ -36,7 +36,7 @@
 }
 
 /* Inserts SLOT into the COUNT slots PICKED, which are in descending order of
- * sends left; keeps at most MOST of them and returns the new count. */
+ * sends left; keeps at most MAX of them and returns the new count. */
 static size_t
 pick_record (struct slot *picked[], size_t count, size_t max,
              struct slot *slot)
@@ -153,9 +153,9 @@
   return picked;
 }
 
-/* Reports config_applied to the watchers of the data centre, which publish
- * which nodes use a configuration.  Probes would take many seconds to tell
- * them about each node. */
+/* Reports config_applied to the watchers of the data centre, which publish the
+ * set of nodes that use a configuration.  Probes would take many seconds to
+ * bring it to them. */
 static void
 gossip_report_applied (struct beryl_membership *m, int64_t now_ms)
 {
@@ -267,8 +267,8 @@
   return update_ms < next_ms ? update_ms : next_ms;
 }
 
-/* Picks any other member, also one known only from the instance list, for the
- * first contact. */
+/* Picks a random member in any state, also one known only from the instance
+ * list, for when there is no live peer.  NULL if the pick is this node. */
 static struct slot *
 pick_seed (struct beryl_membership *m)
 {
@@ -280,7 +280,9 @@
 
 /* Runs anti-entropy with a random peer: frequently after the start, so that
  * the nodes of a fleet that is started at once discover each other, then at
- * increasing intervals.  The random part keeps nodes from synchronising. */
+ * increasing intervals.  The random part keeps nodes from synchronising.
+ * Three of four exchanges are with a peer of this data centre, if it has any.
+ */
 static void
 sync_tick (struct beryl_membership *m, int64_t now_ms)
 {
--- a/libberyl/membership/homes.c
+++ b/libberyl/membership/homes.c
@@ -3,9 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Maximum percentage of a data centre's organisations that are reassigned.
- * Calls to a remote node take longer, which limits what an even load is worth.
- */
+/* Maximum percentage of a data centre's organisations that are reassigned;
+ * limited since calls to a remote node take longer. */
 #define REASSIGNED_MAX_PERCENT 25
 
 int
@@ -20,7 +19,7 @@
   return (x->hash > y->hash) - (x->hash < y->hash);
 }
 
-/* Groups the data centres of a region, in the same order on all nodes. */
+/* Sorts by region, then by data centre. */
 static int
 compare_homes (const void *a, const void *b)
 {
@@ -63,8 +62,8 @@
   return low;
 }
 
-/* Counts the organisations of DATA_CENTRE; one too few if a name hashes to
- * UINT64_MAX. */
+/* Counts the organisations of DATA_CENTRE.  One whose name hashes to
+ * UINT64_MAX is not counted. */
 static size_t
 organisations_in (const struct homed_organisation *organisations,
                   size_t organisation_count, const char *data_centre)
@@ -124,18 +123,19 @@
     }
 }
 
-/* Reassignment of one organisation from FROM to TO, with its new rank. */
+/* Looks up where one organisation is reassigned.  FROM and RANK are set by the
+ * caller, TO and TARGET_RANK by home_reassign. */
 struct reassignment
 {
-  const struct home *from;
-  size_t rank; /* among those that FROM gives up */
-  const struct home *to;
-  size_t target_rank;
+  const struct home *from; /* NULL: the organisation is not reassigned */
+  size_t rank;             /* among those reassigned by FROM */
+  const struct home *to;   /* NULL: it stays at its home */
+  size_t target_rank;      /* its rank at TO */
 };
 
 /* Reassigns surplus organisations of FROM to homes with spare capacity, in its
- * region or in any.  SENT counts those already reassigned.  Records the target
- * of T's organisation if it is among them. */
+ * region or in any.  REASSIGNED counts those already reassigned.  Sets the
+ * target of LOOKUP's organisation if it is among them. */
 static void
 home_reassign (struct home *homes, size_t home_count, const struct home *from,
                bool any_region, size_t *reassigned,
--- a/libberyl/membership/homes.h
+++ b/libberyl/membership/homes.h
@@ -22,7 +22,7 @@
   char data_centre[BERYL_NAME_BYTES];
 };
 
-/** A data centre with live nodes. */
+/** A data centre with live nodes, which may be the home of organisations. */
 struct home
 {
   const char *data_centre; /**< borrowed */
@@ -35,7 +35,8 @@
 };
 
 /** Data centre that serves an organisation, and its position there.  The names
- * stay unchanged if the organisation's home has no live node. */
+ * must be initialised with the caller's data centre and region; they stay so
+ * if the organisation's home has no live node. */
 struct home_position
 {
   const char *data_centre; /**< borrowed from the home */
@@ -48,8 +49,8 @@
 
 /** Determine which data centre serves ORGANISATION.  ORGANISATIONS must be
  * sorted by homed_organisation_compare.  HOMES may be in any order with names
- * and node counts set; they are sorted and completed.  Returns false if out of
- * memory or if no organisation has this home. */
+ * and node counts set; they are sorted and their other members set.  Returns
+ * false if out of memory or if no organisation has this home. */
 bool homes_locate (struct home *homes, size_t home_count,
                    const struct homed_organisation *organisations,
                    size_t organisation_count,
--- a/libberyl/membership/membership.c
+++ b/libberyl/membership/membership.c
@@ -212,6 +212,8 @@
   return NULL;
 }
 
+/* Inserts a listed instance as suspect: it counts as alive only once it has
+ * sent a message. */
 static void
 seed_insert (struct beryl_membership *m,
              const struct beryl_listed_instance *item, int64_t now_ms)
@@ -227,9 +229,10 @@
 }
 
 /* Declares a member dead that has been both suspect and missing from the
- * instance list for dead_after_ms.  Neither is enough alone, as the list lags
- * and flaps, packets are lost, and the streams of a live member must not be
- * cancelled.  Being listed does not make a silent member alive. */
+ * instance list for dead_after_ms.  Neither is enough alone: the list lags and
+ * flaps, packets are lost, and a member that is declared dead by mistake has
+ * its calls in progress cancelled.  Being listed does not make a silent member
+ * alive. */
 static void
 absence_check (struct beryl_membership *m, struct slot *slot, bool listed,
                int64_t now_ms)
--- a/libberyl/membership/private.h
+++ b/libberyl/membership/private.h
@@ -11,12 +11,15 @@
 {
   struct beryl_member member;
   uint32_t transmits_left; /* times its record is still to be piggybacked */
-  int64_t unlisted_ms;     /* time it left the instance list; 0: listed */
+  int64_t unlisted_ms;     /* time since when it is known to be missing from
+                              the instance list; 0: listed or not checked */
   int64_t suspect_ms;      /* time it became suspect */
   int64_t dead_ms;         /* time it was declared dead */
-  uint32_t
-      immediate_left; /* update messages that are still to carry its record */
-  bool probed;        /* already probed in this round */
+  /* Update messages that are still to carry its record before they use up
+   * transmits_left, as pings and acks do.  A record is sent only while
+   * transmits_left is not 0. */
+  uint32_t immediate_left;
+  bool probed; /* its turn in this round is over, even if nothing was sent */
 };
 
 /** A ping of this node that awaits its ack. */
@@ -61,7 +64,7 @@
   bool applied_due;        /* the watchers must learn of config_applied */
   bool version_due;        /* a new config_version must be announced */
   int64_t last_contact_ms; /* time of the last message from any node */
-  int64_t last_ack_ms;     /* time of the last ack of a ping of this node */
+  int64_t last_ack_ms;     /* time of the last ack received, also a late one */
   int64_t config_confirmed_ms; /* time the configuration was last confirmed to
                                   be the newest; 0: never */
   uint32_t sequence;
@@ -73,9 +76,9 @@
                                                  priority; "": none */
 };
 
-/** Number of update messages in which each node that learns of a change
- * forwards it at once.  This reaches all but a few in a thousand nodes; the
- * rest learn of it from probes. */
+/** Number of update messages by which a node forwards a change that it has
+ * learnt of.  They reach all but a few in a thousand nodes; the rest learn of
+ * the change from probes. */
 #define IMMEDIATE_SENDS 6
 
 /** Return the slot of NAME or NULL. */
@@ -84,7 +87,8 @@
 /** Return this node's slot. */
 struct slot *table_self (struct beryl_membership *m);
 
-/** Merge a received record; returns whether the table changed. */
+/** Merge a received record; returns whether another member's record
+ * changed. */
 bool table_merge (struct beryl_membership *m,
                   const struct beryl_member *record, int64_t now_ms);
 
@@ -96,8 +100,8 @@
 void table_suspect (struct beryl_membership *m, struct slot *slot,
                     int64_t now_ms);
 
-/** Note a message from the member itself; clears a suspicion of this
- * incarnation. */
+/** Record a message from the member itself, which clears a suspicion of
+ * INCARNATION or an earlier one. */
 void table_confirm_alive (struct beryl_membership *m, struct slot *slot,
                           uint64_t incarnation, int64_t now_ms);
 
@@ -117,7 +121,8 @@
 void gossip_send (struct beryl_membership *m,
                   const struct beryl_gossip *message, const struct slot *to);
 
-/** Send queued updates to a few random members. */
+/** Report a new config_applied to the watchers of the data centre and send
+ * queued updates to a few random members. */
 void gossip_send_updates (struct beryl_membership *m, int64_t now_ms);
 
 /** Handle the failure-detection part of a message. */
--- a/libberyl/membership/probe.c
+++ b/libberyl/membership/probe.c
@@ -144,8 +144,8 @@
     }
 }
 
-/* Repeats the ping, so that a single lost packet does not leave the result to
- * the indirect probes. */
+/* Repeats the ping, so that the loss of a single packet does not make the
+ * member suspect if the indirect probes fail too. */
 static void
 probe_repeat (struct beryl_membership *m, const struct probe *p,
               int64_t now_ms)
@@ -264,7 +264,8 @@
     return;
   gossip_prepare (m, &reply, BERYL_GOSSIP_ACK, from, now_ms);
   reply.sequence = message->sequence;
-  /* A sender that introduces itself does not know this node either. */
+  /* A sender that includes its own record may not know this node's.  The ack
+   * then begins with it, in place of another record if there is one. */
   if (message->update_count > 0
       && strcmp (message->updates[0].name, message->from) == 0)
     {
--- a/libberyl/membership/table.c
+++ b/libberyl/membership/table.c
@@ -113,7 +113,8 @@
 }
 
 /* Refutes a record by which this node is suspect or dead, or which stems from
- * a previous run with a higher incarnation (the clock was set back), by
+ * a previous run with a higher incarnation (incarnations come from the clock,
+ * which may have been set back), by
  * raising this node's incarnation above it. */
 static void
 self_refute (struct beryl_membership *m, const struct beryl_member *record,
@@ -131,6 +132,8 @@
   table_queue_update (m, self, now_ms);
 }
 
+/* Replaces SLOT's record and announces the change.  Always returns true, the
+ * result of table_merge. */
 static bool
 slot_replace (struct beryl_membership *m, struct slot *slot,
               const struct beryl_member *record, int64_t now_ms)
--- a/libberyl/platform/breaker.c
+++ b/libberyl/platform/breaker.c
@@ -67,14 +67,14 @@
 }
 
 void
-platform_breaker_failed (struct beryl_platform *p, uint64_t call, bool counts,
-                         int64_t now_ms)
+platform_breaker_failed (struct beryl_platform *p, uint64_t call,
+                         bool can_open, int64_t now_ms)
 {
   struct breaker *b = &p->breaker;
 
   if (b->state == BREAKER_HALF_OPEN && b->probe == call)
     breaker_open (p, now_ms);
-  else if (b->state == BREAKER_CLOSED && counts
+  else if (b->state == BREAKER_CLOSED && can_open
            && ++b->failures >= p->settings.breaker_failures)
     breaker_open (p, now_ms);
 }
--- a/libberyl/platform/client.c
+++ b/libberyl/platform/client.c
@@ -92,8 +92,8 @@
   return p;
 }
 
-/** Drop open calls, so that freeing their owners does not abort them: the
- * handler may no longer exist. */
+/** Drop open calls, so that freeing their owners does not abort them: destroy
+ * invokes no callbacks. */
 static void
 calls_forget (struct beryl_platform *p)
 {
--- a/libberyl/platform/fetch.c
+++ b/libberyl/platform/fetch.c
@@ -116,7 +116,7 @@
   platform_job_back_off (p, &f->job, now_ms);
 }
 
-/** Count a write whose outcome is known although a reply was lost. */
+/** Count a write whose outcome is known although an answer was lost. */
 static void
 count_settled (struct beryl_platform *p, const struct fetch *f)
 {
@@ -181,7 +181,7 @@
 }
 
 /** Handle the read that follows a conflict of a repeated write: the nonce of
- * the current value shows which client wrote it. */
+ * the current value shows whether this write made it. */
 static void
 read_back_answered (struct beryl_platform *p, struct fetch *f,
                     unsigned int status, const json_t *json, int64_t now_ms)
@@ -216,10 +216,10 @@
   uint64_t current = 0;
 
   platform_number_read (json, "version", &current);
-  /* After a lost reply the conflict may be with this write itself: the first
+  /* After a lost answer the conflict may be with this write itself: the first
      attempt took effect, and the repetition conflicts with its version.
-     Reading back the nonce decides; without it a claim that was granted would
-     be reported as taken by another node. */
+     Reading back the nonce decides; without it a write that succeeded would
+     be reported as a conflict. */
   if (f->maybe_applied && f->type == FETCH_PUT && current != 0)
     {
       f->reading_back = true;
@@ -282,7 +282,7 @@
     write_answered (p, f, status, json, now_ms);
 }
 
-/** Return whether a write may be repeated after its reply was lost: its
+/** Return whether a write may be repeated after its answer was lost: its
  * condition must prevent a second effect, and a conflict with itself must be
  * distinguishable from one with another write. */
 static bool
--- a/libberyl/platform/private.h
+++ b/libberyl/platform/private.h
@@ -29,11 +29,12 @@
   /** Fill in CALL; PATH is its buffer. */
   void (*call) (struct beryl_platform *p, struct job *job,
                 struct beryl_platform_call *call, char path[PATH_BYTES]);
-  /** Handle an answer below 500 other than 429; JSON is NULL if malformed.
+  /** Handle an answer with a status below 500 other than 429; JSON is NULL if
+   * malformed.
    * The job is idle and must be queued again or freed. */
   void (*answer) (struct beryl_platform *p, struct job *job,
                   unsigned int status, const json_t *json, int64_t now_ms);
-  /** Handle a failed call; SAFE if it certainly had no effect. */
+  /** Handle a failed call; NO_EFFECT if it certainly had no effect. */
   void (*failed) (struct beryl_platform *p, struct job *job, bool no_effect,
                   int64_t now_ms);
 };
@@ -46,7 +47,7 @@
   JOB_CALLING,  /**< call in progress */
 };
 
-/** Base of everything that makes one call at a time. */
+/** Schedulable part of a fetch or watch, which makes one call at a time. */
 struct job
 {
   const struct job_impl *impl;
@@ -118,8 +119,8 @@
   size_t capacity;
   uint64_t revision; /**< lowest revision of the pages; 0 before the first */
   bool more;
-  char after[LISTING_AFTER_BYTES]; /**< name to continue after; may not be one
-                                      of our objects */
+  char after[LISTING_AFTER_BYTES]; /**< name to continue after; not
+                                      necessarily that of a listed object */
 };
 
 enum fetch_type
@@ -130,7 +131,8 @@
   FETCH_DELETE,
 };
 
-/** A read shared by several requests, or one write. */
+/** An operation in progress: a read shared by several requests, or one write
+ * or deletion. */
 struct fetch
 {
   struct job job;
@@ -171,7 +173,8 @@
   uint64_t id;
   char kind[BERYL_NAME_BYTES];
   bool instances;   /**< watches the instance list */
-  bool list_due;    /**< the next answer is a full list */
+  bool list_due;    /**< the next call lists all objects; for the instance
+                        list: none was received yet */
   bool refresh_due; /**< the next call must not long-poll */
   bool removed;     /**< to be freed once its callbacks have returned */
   bool in_callback;
@@ -234,9 +237,12 @@
 bool platform_breaker_allows (const struct breaker *breaker, int64_t now_ms);
 void platform_breaker_sent (struct beryl_platform *p, uint64_t call);
 void platform_breaker_succeeded (struct beryl_platform *p);
+/** Record a failed call; CAN_OPEN if it counts towards opening a closed
+ * breaker. */
 void platform_breaker_failed (struct beryl_platform *p, uint64_t call,
-                              bool counts, int64_t now_ms);
-/** Note that a call was aborted. */
+                              bool can_open, int64_t now_ms);
+/** Record that a call was aborted; an aborted probe must not leave the breaker
+ * half open. */
 void platform_breaker_aborted (struct beryl_platform *p, uint64_t call);
 
 /* fetch.c */
@@ -253,7 +259,8 @@
 
 /* request.c */
 /** End the waiters whose deadline has passed and, if FAIL_FAST, those that do
- * not wait for recovery while the breaker is not closed. */
+ * not wait for recovery while the breaker is not closed; deliver the results
+ * in p->completed. */
 void platform_fetches_expire (struct beryl_platform *p, bool fail_fast,
                               int64_t now_ms);
 int64_t platform_fetches_next_ms (const struct beryl_platform *p);
--- a/libberyl/platform/rate.c
+++ b/libberyl/platform/rate.c
@@ -1,10 +1,10 @@
 #include "beryl/platform.h"
 
-/* Fraction of the fleet's rate that all nodes together plan to use; the rest
- * is for endpoints, operators and nodes that are not counted yet. */
+/* Fraction of the fleet's rate that is divided among the nodes; the rest is
+ * for endpoints, operators and nodes that are not counted yet. */
 #define FLEET_FRACTION 0.5
-/* Calls per second that a node needs regardless of the number of nodes: two
- * watches and a lease, each after every change. */
+/* Calls per second that a node needs regardless of the number of nodes, for
+ * two watches and a lease, which call again after every change. */
 #define MIN_PER_S 4.0
 
 double
--- a/libberyl/platform/reply.c
+++ b/libberyl/platform/reply.c
@@ -91,7 +91,8 @@
   return true;
 }
 
-/** Continue after the last object of a page, even if it is not one of ours. */
+/** Continue after the last object of a page, even if that object is not
+ * in the list. */
 static void
 listing_advance (struct listing *l, const json_t *json)
 {
--- a/libberyl/platform/schedule.c
+++ b/libberyl/platform/schedule.c
@@ -138,7 +138,7 @@
   b->refilled_ms = now_ms;
 }
 
-/** Pick the next job by start-time fair queueing: the use whose next call
+/** Pick the next job by weighted fair queueing: the use whose next call
  * would finish first in virtual time goes first.  A busy use thus cannot
  * starve another one, and an idle use does not accumulate credit. */
 static struct job *
@@ -162,7 +162,6 @@
   return best;
 }
 
-/** Count a call under its use and type. */
 static void
 count_call (struct beryl_platform *p, const struct job *job)
 {
--- a/libberyl/platform/watch.c
+++ b/libberyl/platform/watch.c
@@ -79,7 +79,7 @@
     p->handler->impl->event (p->handler, &event);
 }
 
-/** Apply an object unless a version as new is already known. */
+/** Apply an object unless this version or a newer one is already known. */
 static void
 apply_put (struct beryl_platform *p, struct watch *w,
            const struct beryl_object *object)
@@ -150,11 +150,12 @@
 }
 
 /** Discard an answer from a lagging replica, which would revert changes that
- * were already seen, and poll again. */
+ * were already seen, and poll again unless the watch is paused. */
 static void
 answer_stale (struct beryl_platform *p, struct watch *w, int64_t now_ms)
 {
-  /* The changes applied meanwhile are newer than the answer. */
+  /* Changes that are newer than the answer were received through
+   * beryl_platform_watch_apply; a paused watch need not poll again. */
   if (w->paused && !w->list_due)
     return;
   p->counts.stale++;
@@ -162,6 +163,8 @@
   platform_job_back_off (p, &w->job, now_ms);
 }
 
+/** Handle an answer that is malformed or has a status other than 200: discard
+ * it and, unless it is the instance list, list all objects again. */
 static void
 answer_unusable (struct beryl_platform *p, struct watch *w, int64_t now_ms)
 {
@@ -305,7 +308,7 @@
       p->handler->impl->instances (p->handler, w->id, revision, list, count);
       free (list);
     }
-  /* An unchanged list is reported as well, as its users must know its age. */
+  /* Also if the list is unchanged, as its users must know its age. */
   emit_synced (p, w);
   watch_again (p, w, now_ms);
 }
--- a/libberyl/spread/acceptor.c
+++ b/libberyl/spread/acceptor.c
@@ -11,13 +11,14 @@
 #include "../base/guard_control.h"
 #include "object_table.h"
 
-/* Maximum size of the objects in an entry; the platform limits values to 1 MB.
- */
+/* Maximum size of the objects in an entry of more than one; the platform
+ * limits values to 1 MB. */
 #define ENTRY_BYTES (512U * 1024U)
 #define FINDINGS_BYTES 2000
 #define KIND_COUNT 7
-/* Order of instance facts, which are distributed through the same log as the
- * configuration but are not part of it. */
+/* Position of instance states after those of kind_order, also in synced.  They
+ * are distributed through the same log as the configuration but are not part
+ * of it. */
 #define INSTANCE_ORDER KIND_COUNT
 
 /* Puts are applied in this order and deletions in the reverse one, so that an
@@ -34,7 +35,7 @@
   const char *name;
   uint64_t version; /* 0: deletion */
   const char *json; /* NULL: deletion */
-  int order;
+  int order;        /* position in the entry; deletions follow all puts */
   enum
   {
     CHANGE_PENDING,
@@ -51,7 +52,7 @@
   struct object_table rejected;    /* versions and findings already reported */
   uint64_t synced[KIND_COUNT + 1]; /* revisions read; 0: not yet */
   uint64_t evaluated_version;      /* log version at the last evaluation */
-  bool evaluated;                  /* no new input since the last evaluation */
+  bool evaluated; /* nothing to do until new input or a new log version */
   struct change *changes;
   size_t change_count;
 };
@@ -194,6 +195,7 @@
   object_table_find (&a->observed, accepted->kind, accepted->name, &found);
   if (found || order < 0 || a->synced[order] == 0)
     return;
+  /* After all puts, in the reverse order of kinds. */
   a->changes[a->change_count++] = (struct change){
     accepted->kind, accepted->name, 0, NULL, 2 * INSTANCE_ORDER - order + 1,
     CHANGE_PENDING
@@ -413,6 +415,8 @@
   fputc ('}', out);
 }
 
+/* Builds the entry of the accepted changes, reports them to the owner and
+ * forgets their earlier rejections. */
 static char *
 entry_build (struct beryl_acceptor *a, size_t *byte_count)
 {
--- a/libberyl/spread/config_log.c
+++ b/libberyl/spread/config_log.c
@@ -133,8 +133,8 @@
   return text != NULL && text[0] != '\0' && strlen (text) < BERYL_NAME_BYTES;
 }
 
-/* Validates all changes before any is applied, so that an entry is applied as
- * a whole or not at all. */
+/* Validates all changes before any is applied, so that a malformed entry is
+ * not applied in part. */
 static bool
 changes_valid (json_t *changes)
 {
@@ -344,8 +344,9 @@
   if (!changes_valid (changes) || !changes_apply (&items, changes))
     {
       object_table_clear (&items);
-      beryl_error_set (error, BERYL_ERROR_INVALID,
-                       "malformed configuration log snapshot");
+      beryl_error_set (
+          error, BERYL_ERROR_INVALID,
+          "malformed configuration log snapshot, or out of memory");
       return BERYL_CONFIG_LOG_INVALID;
     }
   retained_clear (log);
--- a/libberyl/spread/object_table.h
+++ b/libberyl/spread/object_table.h
@@ -1,5 +1,5 @@
 /** @file
- * A list of objects as JSON texts, sorted by kind and name.
+ * A table of versioned objects, sorted by kind and name.
  */
 #ifndef LIBBERYL_SPREAD_OBJECT_TABLE_H
 #define LIBBERYL_SPREAD_OBJECT_TABLE_H
