--- a/libberyl/membership/private.h
+++ b/libberyl/membership/private.h
@@ -16,8 +16,8 @@
   int64_t suspect_ms;      /* time it became suspect */
   int64_t dead_ms;         /* time it was declared dead */
   /* Update messages that are still to carry its record before they use up
-   * transmits_left, as pings and acks do.  A record is sent only while
-   * transmits_left is not 0. */
+   * transmits_left, as pings and acks do.  A record is queued only
+   * while transmits_left is not 0. */
   uint32_t immediate_left;
   bool probed; /* its turn in this round is over, even if nothing was sent */
 };
--- a/libberyl/membership/table.c
+++ b/libberyl/membership/table.c
@@ -113,9 +113,9 @@
 }
 
 /* Refutes a record by which this node is suspect or dead, or which stems from
- * a previous run with a higher incarnation (incarnations come from the clock,
- * which may have been set back), by
- * raising this node's incarnation above it. */
+ * a previous run with a higher incarnation, by raising this node's incarnation
+ * above it.  Incarnations come from the clock, which may have been set back.
+ */
 static void
 self_refute (struct beryl_membership *m, const struct beryl_member *record,
              int64_t now_ms)
