--- a/include/beryl/config_log.h
+++ b/include/beryl/config_log.h
@@ -13,8 +13,8 @@
  * object; "revisions" holds, by kind, the platform's revision up to which the
  * acceptor had read.
  */
-#ifndef BERYL_SPREAD_H
-#define BERYL_SPREAD_H
+#ifndef BERYL_CONFIG_LOG_H
+#define BERYL_CONFIG_LOG_H
 
 #include <stdbool.h>
 #include <stddef.h>
@@ -29,15 +29,15 @@
 enum beryl_config_log_result
 {
   BERYL_CONFIG_LOG_APPLIED,
-  BERYL_CONFIG_LOG_OLD, /**< not newer than the state */
-  BERYL_CONFIG_LOG_GAP, /**< earlier entries are missing */
-  BERYL_CONFIG_LOG_INVALID,
+  BERYL_CONFIG_LOG_OLD,     /**< not newer than the state */
+  BERYL_CONFIG_LOG_GAP,     /**< earlier entries are missing */
+  BERYL_CONFIG_LOG_INVALID, /**< malformed, or out of memory */
 };
 
 /** Create an empty state at version 0. */
 struct beryl_config_log *beryl_config_log_create (void);
 
-/** Release SPREAD; NULL is allowed. */
+/** Free LOG; NULL is allowed. */
 void beryl_config_log_destroy (struct beryl_config_log *log);
 
 /** Return the version of the last entry applied. */
@@ -59,29 +59,29 @@
  * are no longer retained.  The caller frees the result with free(). */
 char *beryl_config_log_entries_after (const struct beryl_config_log *log,
                                       uint64_t after, size_t max_bytes,
-                                      size_t *bytes_count);
+                                      size_t *byte_count);
 
 /** Return the whole state as JSON, to be freed with free(). */
 char *beryl_config_log_snapshot (const struct beryl_config_log *log,
-                                 size_t *bytes_count);
+                                 size_t *byte_count);
 
 /** Replace the state by a snapshot; OLD if it is not newer than the state. */
 enum beryl_config_log_result
 beryl_config_log_load (struct beryl_config_log *log, const char *snapshot,
-                       size_t bytes_count, struct beryl_error *error);
+                       size_t byte_count, struct beryl_error *error);
 
 /** Return all objects of the configuration as the JSON array that
  * beryl_config_parse expects, to be freed with free(). */
 char *beryl_config_log_objects (const struct beryl_config_log *log,
-                                size_t *bytes_count);
+                                size_t *byte_count);
 
 /** An accepted object; its texts are owned by the log. */
 struct beryl_config_log_object
 {
   const char *kind;
   const char *name;
-  uint64_t source;  /**< version of the operator's object */
-  const char *json; /**< text of the object */
+  uint64_t source_version; /**< version of the operator's object */
+  const char *json;        /**< text of the object */
 };
 
 /** Access the objects, sorted by kind and name. */
@@ -112,7 +112,8 @@
 /** Callbacks. */
 struct beryl_acceptor_owner_impl
 {
-  /** An object was accepted or rejected.  A rejection is reported again only
+  /** An object was accepted for the proposed entry, or rejected.  The entry
+   * may still lose the race.  A rejection is reported again only
    * if the object's version or the findings have changed. */
   void (*validated) (struct beryl_acceptor_owner *owner,
                      const struct beryl_validation_result *result);
@@ -145,19 +146,21 @@
  * is nothing to change.  Call it again once this entry, or the one that won
  * the race, has been applied to the log. */
 char *beryl_acceptor_propose (struct beryl_acceptor *acceptor,
-                              size_t *bytes_count);
+                              size_t *byte_count);
 
 /** Kind under which the platform stores the log's entries. */
 #define BERYL_ACCEPTED_KIND "accepted"
-/** Kind of the parts of a checkpoint and of its head, which names the parts.
- */
+/** Kind of the checkpoint: a snapshot that is stored in parts, and a head
+ * object that names them. */
 #define BERYL_CHECKPOINT_KIND "accepted-base"
 #define BERYL_CHECKPOINT_HEAD "head"
 /** Kind of the objects by which the planner drains an engine before unloading
- * it; the acceptor turns them into instance facts. */
+ * it.  The node with the acceptor role passes them to struct beryl_acceptor as
+ * objects of BERYL_INSTANCE_KIND. */
 #define BERYL_DRAIN_KIND "drains"
-/** Kind of the facts from the platform's instance list, {"leaving":true}, that
- * are distributed through the log without being part of the configuration. */
+/** Kind of the instance states, {"leaving":true}, that are derived from the
+ * platform's instance list and the planner's drains and distributed through
+ * the log without being part of the configuration. */
 #define BERYL_INSTANCE_KIND "instance"
 
 /** Write the object name of log entry VERSION to NAME. */
--- a/libberyl/membership/gossip.c
+++ b/libberyl/membership/gossip.c
@@ -36,18 +36,18 @@
 }
 
 /* Inserts SLOT into the COUNT slots PICKED, which are in descending order of
- * sends left; keeps at most MOST of them and returns the new count. */
+ * sends left; keeps at most MAX of them and returns the new count. */
 static size_t
-pick_record (struct slot *picked[], size_t count, size_t most,
+pick_record (struct slot *picked[], size_t count, size_t max,
              struct slot *slot)
 {
   size_t position = count;
 
   while (position > 0 && sends_left (picked[position - 1]) < sends_left (slot))
     position--;
-  if (position == most)
+  if (position == max)
     return count;
-  count += count < most;
+  count += count < max;
   for (size_t i = count - 1; i > position; i--)
     picked[i] = picked[i - 1];
   picked[position] = slot;
@@ -59,7 +59,7 @@
 updates_add_due (struct beryl_membership *m, struct beryl_gossip *message)
 {
   struct slot *picked[BERYL_GOSSIP_UPDATES_MAX];
-  size_t most = BERYL_GOSSIP_UPDATES_MAX - message->update_count;
+  size_t max = BERYL_GOSSIP_UPDATES_MAX - message->update_count;
   size_t count = 0;
 
   for (size_t i = 0; i < m->count; i++)
@@ -68,7 +68,7 @@
 
       if (slot->transmits_left > 0
           && !update_included (message, slot->member.name))
-        count = pick_record (picked, count, most, slot);
+        count = pick_record (picked, count, max, slot);
     }
   for (size_t i = 0; i < count; i++)
     {
@@ -153,9 +153,9 @@
   return picked;
 }
 
-/* Reports config_applied to the watchers of the data centre, which publish
- * which nodes use a configuration.  Probes would take many seconds to tell
- * them about each node. */
+/* Reports config_applied to the watchers of the data centre, which publish the
+ * set of nodes that use a configuration.  Probes would take many seconds to
+ * bring it to them. */
 static void
 gossip_report_applied (struct beryl_membership *m, int64_t now_ms)
 {
@@ -259,16 +259,16 @@
 beryl_membership_next_ms (const struct beryl_membership *m)
 {
   int64_t next_ms = probe_next_ms (m);
-  int64_t news_ms = m->next_update_ms;
+  int64_t update_ms = m->next_update_ms;
 
-  if (news_ms != BERYL_NEVER_MS
-      && news_ms < m->last_update_ms + UPDATE_SPACING_MS)
-    news_ms = m->last_update_ms + UPDATE_SPACING_MS;
-  return news_ms < next_ms ? news_ms : next_ms;
+  if (update_ms != BERYL_NEVER_MS
+      && update_ms < m->last_update_ms + UPDATE_SPACING_MS)
+    update_ms = m->last_update_ms + UPDATE_SPACING_MS;
+  return update_ms < next_ms ? update_ms : next_ms;
 }
 
-/* Picks any other member, also one known only from the instance list, for the
- * first contact. */
+/* Picks a random member in any state, also one known only from the instance
+ * list, for when there is no live peer.  NULL if the pick is this node. */
 static struct slot *
 pick_seed (struct beryl_membership *m)
 {
@@ -280,7 +280,9 @@
 
 /* Runs anti-entropy with a random peer: frequently after the start, so that
  * the nodes of a fleet that is started at once discover each other, then at
- * increasing intervals.  The random part keeps nodes from synchronising. */
+ * increasing intervals.  The random part keeps nodes from synchronising.
+ * Three of four exchanges are with a peer of this data centre, if it has any.
+ */
 static void
 sync_tick (struct beryl_membership *m, int64_t now_ms)
 {
--- a/libberyl/membership/homes.c
+++ b/libberyl/membership/homes.c
@@ -3,9 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Maximum percentage of a data centre's organisations that are reassigned.
- * Calls to a remote node take longer, which limits what an even load is worth.
- */
+/* Maximum percentage of a data centre's organisations that are reassigned;
+ * limited since calls to a remote node take longer. */
 #define REASSIGNED_MAX_PERCENT 25
 
 int
@@ -20,7 +19,7 @@
   return (x->hash > y->hash) - (x->hash < y->hash);
 }
 
-/* Groups the data centres of a region, in the same order on all nodes. */
+/* Sorts by region, then by data centre. */
 static int
 compare_homes (const void *a, const void *b)
 {
@@ -63,8 +62,8 @@
   return low;
 }
 
-/* Counts the organisations of DATA_CENTRE; one too few if a name hashes to
- * UINT64_MAX. */
+/* Counts the organisations of DATA_CENTRE.  One whose name hashes to
+ * UINT64_MAX is not counted. */
 static size_t
 organisations_in (const struct homed_organisation *organisations,
                   size_t organisation_count, const char *data_centre)
@@ -124,53 +123,58 @@
     }
 }
 
-/* Reassignment of one organisation from FROM to TO, with its new rank. */
+/* Looks up where one organisation is reassigned.  FROM and RANK are set by the
+ * caller, TO and TARGET_RANK by home_reassign. */
 struct reassignment
 {
-  const struct home *from;
-  size_t rank; /* among those that FROM gives up */
-  const struct home *to;
-  size_t target_rank;
+  const struct home *from; /* NULL: the organisation is not reassigned */
+  size_t rank;             /* among those reassigned by FROM */
+  const struct home *to;   /* NULL: it stays at its home */
+  size_t target_rank;      /* its rank at TO */
 };
 
 /* Reassigns surplus organisations of FROM to homes with spare capacity, in its
- * region or in any.  SENT counts those already reassigned.  Records the target
- * of T's organisation if it is among them. */
+ * region or in any.  REASSIGNED counts those already reassigned.  Sets the
+ * target of LOOKUP's organisation if it is among them. */
 static void
 home_reassign (struct home *homes, size_t home_count, const struct home *from,
-               bool any_region, size_t *sent, struct reassignment *t)
+               bool any_region, size_t *reassigned,
+               struct reassignment *lookup)
 {
-  size_t most = from->organisations - from->retained;
+  size_t surplus = from->organisations - from->retained;
 
-  for (size_t i = 0; i < home_count && *sent < most; i++)
+  for (size_t i = 0; i < home_count && *reassigned < surplus; i++)
     {
       struct home *to = &homes[i];
-      size_t n = min_size (most - *sent, to->spare - to->received);
+      size_t n = min_size (surplus - *reassigned, to->spare - to->received);
 
       if (!any_region && strcmp (to->region, from->region) != 0)
         continue;
-      if (t->from == from && t->rank >= *sent && t->rank < *sent + n)
+      if (lookup->from == from && lookup->rank >= *reassigned
+          && lookup->rank < *reassigned + n)
         {
-          t->to = to;
-          t->target_rank = to->retained + to->received + t->rank - *sent;
+          lookup->to = to;
+          lookup->target_rank
+              = to->retained + to->received + lookup->rank - *reassigned;
         }
       to->received += n;
-      *sent += n;
+      *reassigned += n;
     }
 }
 
 static bool
-homes_reassign (struct home *homes, size_t home_count, struct reassignment *t)
+homes_reassign (struct home *homes, size_t home_count,
+                struct reassignment *lookup)
 {
-  size_t *sent = calloc (home_count, sizeof *sent);
+  size_t *reassigned = calloc (home_count, sizeof *reassigned);
 
-  if (sent == NULL)
+  if (reassigned == NULL)
     return false;
   for (int any_region = 0; any_region <= 1; any_region++)
     for (size_t i = 0; i < home_count; i++)
-      home_reassign (homes, home_count, &homes[i], any_region != 0, &sent[i],
-                     t);
-  free (sent);
+      home_reassign (homes, home_count, &homes[i], any_region != 0,
+                     &reassigned[i], lookup);
+  free (reassigned);
   return true;
 }
 
@@ -182,7 +186,7 @@
               struct home_position *result)
 {
   const struct home *home;
-  struct reassignment t = { 0 };
+  struct reassignment lookup = { 0 };
   const char *name = organisation->data_centre;
   size_t count = organisations_in (organisations, organisation_count, name);
   size_t rank
@@ -201,13 +205,14 @@
       homes, home_count,
       homes_count (homes, home_count, organisations, organisation_count));
   if (rank >= home->retained)
-    t = (struct reassignment){ .from = home, .rank = rank - home->retained };
-  if (!homes_reassign (homes, home_count, &t))
+    lookup
+        = (struct reassignment){ .from = home, .rank = rank - home->retained };
+  if (!homes_reassign (homes, home_count, &lookup))
     return false;
-  if (t.to != NULL)
+  if (lookup.to != NULL)
     {
-      home = t.to;
-      rank = t.target_rank;
+      home = lookup.to;
+      rank = lookup.target_rank;
     }
   result->data_centre = home->data_centre;
   result->region = home->region;
--- a/libberyl/platform/schedule.c
+++ b/libberyl/platform/schedule.c
@@ -127,18 +127,18 @@
 static void
 budget_refill (struct budget *b, int64_t now_ms)
 {
-  double most = b->rate_per_s * BURST_S;
+  double capacity = b->rate_per_s * BURST_S;
 
-  if (most < 1)
-    most = 1;
+  if (capacity < 1)
+    capacity = 1;
   if (now_ms > b->refilled_ms)
     b->tokens += (double)(now_ms - b->refilled_ms) * b->rate_per_s / 1000.0;
-  if (b->tokens > most)
-    b->tokens = most;
+  if (b->tokens > capacity)
+    b->tokens = capacity;
   b->refilled_ms = now_ms;
 }
 
-/** Pick the next job by start-time fair queueing: the use whose next call
+/** Pick the next job by weighted fair queueing: the use whose next call
  * would finish first in virtual time goes first.  A busy use thus cannot
  * starve another one, and an idle use does not accumulate credit. */
 static struct job *
@@ -162,7 +162,6 @@
   return best;
 }
 
-/** Count a call under its use and type. */
 static void
 count_call (struct beryl_platform *p, const struct job *job)
 {
