--- a/tests/gateway/test_crashes.c
+++ b/tests/gateway/test_crashes.c
@@ -56,7 +56,7 @@
 static void
 assert_refused (bool model)
 {
-  uint32_t before = standin_counts (t.standin)->crash_arrivals;
+  uint32_t before = standin_counts (t.standin)->crash_requests;
   struct testbed_response *responses[REFUSED_REQUESTS];
 
   for (size_t i = 0; i < REFUSED_REQUESTS; i++)
@@ -65,7 +65,7 @@
       testbed_wait (&t, responses[i]);
       testbed_run (&t, 50);
     }
-  ck_assert_uint_eq (standin_counts (t.standin)->crash_arrivals - before, 0);
+  ck_assert_uint_eq (standin_counts (t.standin)->crash_requests - before, 0);
   for (size_t i = 0; i < REFUSED_REQUESTS; i++)
     {
       ck_assert (responses[i]->done);
--- a/tests/gateway/test_gateway.c
+++ b/tests/gateway/test_gateway.c
@@ -86,7 +86,7 @@
 {
   struct testbed_response *response;
 
-  standin_set_silent (t.standin, true);
+  standin_set_unresponsive (t.standin, true);
   testbed_start_node (&t, 0);
   testbed_run (&t, 300);
   ck_assert_uint_ne (
@@ -121,7 +121,7 @@
 static bool
 two_records_remain (struct testbed *testbed)
 {
-  return standin_count (testbed->standin, "gateway-nodes") == 2;
+  return standin_object_count (testbed->standin, "gateway-nodes") == 2;
 }
 
 /* Guards against records of nodes that are gone for good, since the store
@@ -203,8 +203,8 @@
 START_TEST (test_removed_runner_stays_removed)
 {
   testbed_start_nodes (&t, 1);
-  standin_runner_leave (testbed_endpoint (&t, 0));
-  standin_runner_list (testbed_endpoint (&t, 0));
+  standin_runner_deregister (testbed_endpoint (&t, 0));
+  standin_runner_register (testbed_endpoint (&t, 0));
   testbed_run (&t, 1500);
   assert_gets_no_work (testbed_endpoint (&t, 0));
 }
@@ -298,7 +298,7 @@
 START_TEST (test_store_silent)
 {
   testbed_start_nodes (&t, 2);
-  standin_set_silent (t.standin, true);
+  standin_set_unresponsive (t.standin, true);
   for (int i = 0; i < 30; i++)
     {
       struct testbed_response *response
@@ -311,7 +311,7 @@
   ck_assert_uint_eq (
       testbed_query (&t, 0, TESTBED_READY_PORT, "/v1/ready")->status, 200);
   standin_runner_drain (testbed_endpoint (&t, 0));
-  standin_set_silent (t.standin, false);
+  standin_set_unresponsive (t.standin, false);
   testbed_run (&t, 2000);
   for (int i = 0; i < 10; i++)
     {
@@ -355,7 +355,7 @@
   struct beryl_error error = { 0 };
 
   testbed_start_nodes (&t, 2);
-  standin_set_delay (t.standin, 620);
+  standin_set_reply_delay (t.standin, 620);
   testbed_run (&t, 2500);
   standin_runner_start (t.standin, &settings, &error);
   testbed_configure (&t, "other", "new.example");
@@ -368,12 +368,12 @@
 START_TEST (test_store_compacts)
 {
   testbed_start_nodes (&t, 1);
-  standin_set_silent (t.standin, true);
+  standin_set_unresponsive (t.standin, true);
   testbed_run (&t, 100);
   testbed_configure (&t, "plain", "new.example");
   standin_remove (t.standin, "servers", "a1");
   standin_compact (t.standin);
-  standin_set_silent (t.standin, false);
+  standin_set_unresponsive (t.standin, false);
   testbed_run (&t, 2500);
   testbed_wait (&t, testbed_get (&t, 0, "a.example", "/x", ""));
   for (int i = 0; i < 3; i++)
@@ -429,12 +429,12 @@
   response = testbed_generate (&t, 0, 1000, 1900);
   testbed_run (&t, 200);
   ck_assert_uint_gt (response->body->len, 0);
-  ck_assert_uint_eq (standin_runner_running (testbed_busiest_endpoint (&t)),
-                     1);
+  ck_assert_uint_eq (
+      standin_runner_active_count (testbed_busiest_endpoint (&t)), 1);
   testbed_disconnect (&t, response);
   testbed_run (&t, 100);
-  ck_assert_uint_eq (standin_runner_running (testbed_busiest_endpoint (&t)),
-                     0);
+  ck_assert_uint_eq (
+      standin_runner_active_count (testbed_busiest_endpoint (&t)), 0);
 }
 END_TEST
 
@@ -462,7 +462,7 @@
       assert_stream (responses[i], 30);
     }
   ck_assert_uint_eq (standin_counts (t.standin)->prefills, 4);
-  ck_assert_uint_eq (standin_counts (t.standin)->warm, 4);
+  ck_assert_uint_eq (standin_counts (t.standin)->cached_prompts, 4);
 }
 END_TEST
 
@@ -482,7 +482,7 @@
   testbed_wait (&t, response);
   assert_stream (response, 30);
   ck_assert_uint_eq (standin_counts (t.standin)->prefills, 1);
-  ck_assert_uint_eq (standin_counts (t.standin)->warm, 1);
+  ck_assert_uint_eq (standin_counts (t.standin)->cached_prompts, 1);
 }
 END_TEST
 
@@ -508,7 +508,8 @@
   ck_assert_uint_eq (standin_counts (t.standin)->repeated, 0);
   ck_assert_uint_le (standin_counts (t.standin)->rejected, rejected_max);
   for (size_t i = 0; i < TESTBED_ENDPOINTS; i++)
-    ck_assert_uint_eq (standin_runner_held (testbed_endpoint (&t, i)), 0);
+    ck_assert_uint_eq (
+        standin_runner_reservation_count (testbed_endpoint (&t, i)), 0);
 }
 
 /* Guards against nodes that together exceed the engines' memory: hardly any
@@ -591,7 +592,7 @@
   ck_assert_uint_eq (standin_runner_executions (testbed_endpoint (&t, 0)), 0);
   assert_contains (testbed_query (&t, 0, TESTBED_METRICS_PORT, "/metrics"),
                    "beryl_foreign_entries_total 2\n");
-  standin_runner_list (testbed_endpoint (&t, 0));
+  standin_runner_register (testbed_endpoint (&t, 0));
   testbed_run (&t, PROPAGATION_MS);
   for (size_t i = 0; i < 6; i++)
     testbed_wait (&t, testbed_get (&t, 0, "a.example", "/x", ""));
--- a/tests/gateway/test_limits.c
+++ b/tests/gateway/test_limits.c
@@ -56,8 +56,8 @@
 static void
 assert_rate_limited (size_t endpoint, double per_s, int64_t since_ms)
 {
-  ck_assert_uint_le (standin_runner_most_in (testbed_endpoint (&t, endpoint),
-                                             WINDOW_MS, since_ms),
+  ck_assert_uint_le (standin_runner_peak_requests (
+                         testbed_endpoint (&t, endpoint), WINDOW_MS, since_ms),
                      (uint32_t)(1.5 * per_s * WINDOW_MS / 1000 + 5));
 }
 
@@ -70,8 +70,8 @@
 
   testbed_start_nodes (&t, NODES);
   send_plain (300, &sent);
-  standin_runner_limit (testbed_endpoint (&t, 0), "4.2");
-  standin_runner_limit (testbed_endpoint (&t, 1), "2");
+  standin_runner_set_rate_limit (testbed_endpoint (&t, 0), "4.2");
+  standin_runner_set_rate_limit (testbed_endpoint (&t, 1), "2");
   limited_ms = loop_now_ms (t.loop);
   succeeded = send_plain (PROPAGATION_MS + WINDOW_MS + 500, &sent);
   assert_rate_limited (0, 4.2, limited_ms + PROPAGATION_MS);
@@ -79,9 +79,9 @@
   /* The third endpoint has room for all requests. */
   ck_assert_uint_eq (succeeded, sent);
   /* The limited endpoints still get requests. */
-  ck_assert_uint_ge (
-      standin_runner_most_in (testbed_endpoint (&t, 0), WINDOW_MS, limited_ms),
-      8);
+  ck_assert_uint_ge (standin_runner_peak_requests (testbed_endpoint (&t, 0),
+                                                   WINDOW_MS, limited_ms),
+                     8);
 }
 END_TEST
 
@@ -92,8 +92,8 @@
   uint32_t sent;
 
   testbed_start_nodes (&t, NODES);
-  standin_runner_limit (testbed_endpoint (&t, 0), "3");
-  standin_runner_limit (testbed_endpoint (&t, 1), "3");
+  standin_runner_set_rate_limit (testbed_endpoint (&t, 0), "3");
+  standin_runner_set_rate_limit (testbed_endpoint (&t, 1), "3");
   limited_ms = loop_now_ms (t.loop);
   send_plain (PROPAGATION_MS, &sent);
   testbed_kill_node (&t, 1);
@@ -115,7 +115,7 @@
 
   testbed_start_nodes (&t, NODES);
   for (size_t i = 0; i < 3; i++)
-    standin_runner_limit (testbed_endpoint (&t, i), "2");
+    standin_runner_set_rate_limit (testbed_endpoint (&t, i), "2");
   limited_ms = loop_now_ms (t.loop);
   succeeded = send_plain (PROPAGATION_MS + WINDOW_MS, &sent);
   for (size_t i = 0; i < 3; i++)
@@ -142,16 +142,16 @@
 
   testbed_start_nodes (&t, NODES);
   for (size_t i = 0; i < 3; i++)
-    standin_runner_limit (testbed_endpoint (&t, i), "3");
+    standin_runner_set_rate_limit (testbed_endpoint (&t, i), "3");
   send_plain (PROPAGATION_MS, &sent);
   for (size_t i = 0; i < 3; i++)
-    standin_runner_limit (testbed_endpoint (&t, i), NULL);
+    standin_runner_set_rate_limit (testbed_endpoint (&t, i), NULL);
   send_plain (PROPAGATION_MS, &sent);
   unlimited_ms = loop_now_ms (t.loop);
   ck_assert_uint_eq (send_plain (1000, &sent), sent);
-  ck_assert_uint_ge (
-      standin_runner_most_in (testbed_endpoint (&t, 0), 1000, unlimited_ms),
-      10);
+  ck_assert_uint_ge (standin_runner_peak_requests (testbed_endpoint (&t, 0),
+                                                   1000, unlimited_ms),
+                     10);
 }
 END_TEST
 
@@ -163,8 +163,8 @@
   GPtrArray *responses = g_ptr_array_new ();
 
   testbed_start_nodes (&t, NODES);
-  standin_runner_limit (testbed_endpoint (&t, 5), "1");
-  standin_runner_limit (testbed_endpoint (&t, 3), "1");
+  standin_runner_set_rate_limit (testbed_endpoint (&t, 5), "1");
+  standin_runner_set_rate_limit (testbed_endpoint (&t, 3), "1");
   limited_ms = loop_now_ms (t.loop);
   end_ms = limited_ms + PROPAGATION_MS + WINDOW_MS + 500;
   while (loop_now_ms (t.loop) < end_ms)
--- a/tests/gateway/testbed.c
+++ b/tests/gateway/testbed.c
@@ -42,7 +42,7 @@
     g_snprintf (t->ips[i], sizeof t->ips[i], "127.%d.%d.%zu",
                 1 + getpid () / 250 % 250, 1 + getpid () % 250, i + 1);
   t->configuration_version = 1;
-  t->endpoints = demo_fill (t->standin);
+  t->endpoints = demo_start (t->standin);
 }
 
 static void
@@ -369,8 +369,8 @@
 
   for (size_t i = 0; i < TESTBED_ENDPOINTS; i++)
     if (best == NULL
-        || standin_runner_running (testbed_endpoint (t, i))
-               > standin_runner_running (best))
+        || standin_runner_active_count (testbed_endpoint (t, i))
+               > standin_runner_active_count (best))
       best = testbed_endpoint (t, i);
   return best;
 }
--- a/tests/gateway/testbed.h
+++ b/tests/gateway/testbed.h
@@ -10,7 +10,7 @@
 #include "standin.h"
 
 #define TESTBED_NODES_MAX 8
-/** Number of endpoints that demo_fill creates. */
+/** Number of endpoints that demo_start creates. */
 #define TESTBED_ENDPOINTS 8
 #define TESTBED_FRONT_PORT 8100
 #define TESTBED_READY_PORT 8101
@@ -48,7 +48,7 @@
   GPtrArray *responses;
 };
 
-/** Start the store and the endpoints of demo_fill. */
+/** Start the store and the endpoints of demo_start. */
 void testbed_open (struct testbed *t);
 void testbed_close (struct testbed *t);
 
