--- a/tests/platform_wire/test_store.c
+++ b/tests/platform_wire/test_store.c
@@ -1,5 +1,5 @@
-/* How the users' metadata store is called and its answers are understood, by
- * examples of its published protocol. */
+/* Calls to the users' metadata store and parsing of its responses, with
+ * examples from its published protocol. */
 #include <check.h>
 #include <stdlib.h>
 #include <string.h>
@@ -55,10 +55,10 @@
 }
 END_TEST
 
-/* Returns the native answer as a text, to be freed, or NULL. */
+/* Returns the native response as text, to be freed, or NULL. */
 static char *
-native_answer (enum beryl_platform_op op, unsigned int *status,
-               const char *body)
+native_response (enum beryl_platform_op op, unsigned int *status,
+                 const char *body)
 {
   json_t *json = wire->store.impl->answer (&wire->store, op, "k", status, body,
                                            strlen (body));
@@ -69,41 +69,42 @@
 }
 
 static void
-assert_store_answer (enum beryl_platform_op op, unsigned int status,
-                     const char *body, unsigned int native_status,
-                     const char *native)
+assert_store_response (enum beryl_platform_op op, unsigned int status,
+                       const char *body, unsigned int native_status,
+                       const char *native)
 {
-  char *text = native_answer (op, &status, body);
+  char *text = native_response (op, &status, body);
 
   ck_assert_uint_eq (status, native_status);
   ck_assert_pstr_eq (text, native);
   free (text);
 }
 
-START_TEST (test_store_answers)
+START_TEST (test_store_responses)
 {
   static const char object[]
       = "{\"metadata\":{\"name\":\"n\",\"revision\":9},\"spec\":{\"a\":1}}";
 
-  assert_store_answer (
+  assert_store_response (
       BERYL_OP_GET, 200, object, 200,
       "{\"kind\":\"k\",\"name\":\"n\",\"version\":9,\"value\":{\"a\":1}}");
-  assert_store_answer (BERYL_OP_PUT, 200, object, 200, "{\"version\":9}");
-  /* Somebody was faster; the answer has what is there. */
-  assert_store_answer (BERYL_OP_PUT, 409,
-                       "{\"object\":{\"metadata\":{\"revision\":11}}}", 412,
-                       "{\"version\":11}");
-  assert_store_answer (BERYL_OP_PUT, 404, "{}", 412, "{\"version\":0}");
-  assert_store_answer (
+  assert_store_response (BERYL_OP_PUT, 200, object, 200, "{\"version\":9}");
+  /* Conflict with another writer; the response contains the existing object.
+   */
+  assert_store_response (BERYL_OP_PUT, 409,
+                         "{\"object\":{\"metadata\":{\"revision\":11}}}", 412,
+                         "{\"version\":11}");
+  assert_store_response (BERYL_OP_PUT, 404, "{}", 412, "{\"version\":0}");
+  assert_store_response (
       BERYL_OP_WATCH, 200,
       "{\"store_revision\":10,\"events\":[{\"tombstone\":true,\"object\":"
       "{\"metadata\":{\"name\":\"n\",\"revision\":10}}}]}",
       200,
       "{\"events\":[{\"kind\":\"k\",\"name\":\"n\",\"version\":10,"
       "\"type\":\"delete\"}],\"revision\":10}");
-  assert_store_answer (BERYL_OP_WATCH, 410, "{}", 410, NULL);
-  assert_store_answer (BERYL_OP_LIST, 200, "{\"items\":3}", 200, NULL);
-  assert_store_answer (BERYL_OP_LIST, 200, "not json", 200, NULL);
+  assert_store_response (BERYL_OP_WATCH, 410, "{}", 410, NULL);
+  assert_store_response (BERYL_OP_LIST, 200, "{\"items\":3}", 200, NULL);
+  assert_store_response (BERYL_OP_LIST, 200, "not json", 200, NULL);
 }
 END_TEST
 
@@ -112,10 +113,10 @@
 #define GOOD_NATIVE                                                           \
   "{\"kind\":\"k\",\"name\":\"n\",\"version\":9,\"value\":{\"a\":1}"
 
-/* Story: one object in the store is not what a writer of ours would make.  If
- * the list or the watch failed for it, no other entry would be seen again:
- * endpoints that leave would get work, and new ones none. */
-START_TEST (test_foreign_objects_hide_nothing)
+/* Another program writes a malformed object to the store. If the list or watch
+ * failed because of it, no other entry would be read again: endpoints that
+ * leave would still get requests, and new ones none. */
+START_TEST (test_malformed_objects_are_skipped)
 {
   static const char *const objects[] = {
     "7",
@@ -136,21 +137,21 @@
           "\"store_revision\":12}",
           objects[i]);
 
-      assert_store_answer (BERYL_OP_LIST, 200, list, 200,
-                           "{\"items\":[" GOOD_NATIVE
-                           "}],\"more\":false,\"revision\":12}");
-      assert_store_answer (BERYL_OP_WATCH, 200, events, 200,
-                           "{\"events\":[" GOOD_NATIVE
-                           ",\"type\":\"put\"}],\"revision\":12}");
+      assert_store_response (BERYL_OP_LIST, 200, list, 200,
+                             "{\"items\":[" GOOD_NATIVE
+                             "}],\"more\":false,\"revision\":12}");
+      assert_store_response (BERYL_OP_WATCH, 200, events, 200,
+                             "{\"events\":[" GOOD_NATIVE
+                             ",\"type\":\"put\"}],\"revision\":12}");
       g_free (list);
       g_free (events);
     }
 }
 END_TEST
 
-/* The same with a text that is none, a zero inside a text, and a number that
- * no integer holds. */
-START_TEST (test_unreadable_values_hide_nothing)
+/* The same with invalid UTF-8, an embedded NUL, and numbers beyond the range
+ * of an integer or a double. */
+START_TEST (test_unreadable_values_keep_list)
 {
   static const char *const values[]
       = { "\"\xff\xfe\"", "\"a\\u0000b\"", "99999999999999999999", "1e999",
@@ -163,7 +164,7 @@
           "{\"items\":[{\"metadata\":{\"name\":\"m\",\"revision\":8},"
           "\"spec\":%s}," GOOD_ITEM "],\"store_revision\":12}",
           values[i]);
-      char *text = native_answer (BERYL_OP_LIST, &status, list);
+      char *text = native_response (BERYL_OP_LIST, &status, list);
 
       ck_assert_msg (text != NULL, "%s", values[i]);
       ck_assert_ptr_nonnull (strstr (text, "\"name\":\"n\",\"version\":9"));
@@ -174,19 +175,19 @@
 }
 END_TEST
 
-/* A page has no object of a proper name: the list goes on after it. */
-START_TEST (test_page_of_foreign_objects)
+/* A page without any valid object: the list continues after its last name. */
+START_TEST (test_page_of_malformed_objects)
 {
   struct beryl_platform_call call
       = { .op = BERYL_OP_LIST, .kind = "k", .after = "\xc3\xa4 b/&" };
 
-  assert_store_answer (BERYL_OP_LIST, 200,
-                       "{\"items\":[{\"metadata\":{\"name\":\"A\"}},"
-                       "{\"metadata\":{\"name\":\"\xc3\xa4 b/&\"}}],"
-                       "\"more_pages\":true,\"store_revision\":12}",
-                       200,
-                       "{\"items\":[],\"more\":true,\"revision\":12,"
-                       "\"after\":\"\xc3\xa4 b/&\"}");
+  assert_store_response (BERYL_OP_LIST, 200,
+                         "{\"items\":[{\"metadata\":{\"name\":\"A\"}},"
+                         "{\"metadata\":{\"name\":\"\xc3\xa4 b/&\"}}],"
+                         "\"more_pages\":true,\"store_revision\":12}",
+                         200,
+                         "{\"items\":[],\"more\":true,\"revision\":12,"
+                         "\"after\":\"\xc3\xa4 b/&\"}");
   assert_store_call (&call, "GET", "/v1/objects/k?after=%C3%A4%20b%2F%26",
                      NULL);
 }
@@ -200,10 +201,10 @@
 
   tcase_add_checked_fixture (tcase, setup, NULL);
   tcase_add_test (tcase, test_store_calls);
-  tcase_add_test (tcase, test_store_answers);
-  tcase_add_test (tcase, test_foreign_objects_hide_nothing);
-  tcase_add_test (tcase, test_unreadable_values_hide_nothing);
-  tcase_add_test (tcase, test_page_of_foreign_objects);
+  tcase_add_test (tcase, test_store_responses);
+  tcase_add_test (tcase, test_malformed_objects_are_skipped);
+  tcase_add_test (tcase, test_unreadable_values_keep_list);
+  tcase_add_test (tcase, test_page_of_malformed_objects);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
 }
--- a/tests/platform_wire/test_wire.c
+++ b/tests/platform_wire/test_wire.c
@@ -1,5 +1,5 @@
-/* What goes out to the users' platform and how its answers are understood,
- * by examples of its published protocol. */
+/* Messages to the users' platform and parsing of its responses, with examples
+ * from its published protocol. */
 #include <check.h>
 #include <string.h>
 
@@ -92,7 +92,7 @@
 }
 END_TEST
 
-/* A stream that may not be resumed may run only once. */
+/* A stream that is not resumable must not be retried. */
 START_TEST (test_stream_without_resume)
 {
   struct beryl_object object = object_of (
@@ -142,7 +142,7 @@
 
       ck_assert_ptr_null (wire->impl->read_routes (wire, &object, &error));
       ck_assert_str_ne (error.message, "");
-      /* The same if somebody has read the text already. */
+      /* The same if the value is already parsed. */
       object.parsed = parsed;
       error.message[0] = '\0';
       ck_assert_ptr_null (wire->impl->read_routes (wire, &object, &error));
@@ -182,8 +182,8 @@
 }
 END_TEST
 
-/* Story: somebody else writes into the list of endpoints.  A half-read entry
- * would be called at an address that was never meant. */
+/* Another program writes a malformed endpoint entry. If it were read in part,
+ * requests would go to an address that was not meant as an endpoint. */
 START_TEST (test_malformed_endpoints)
 {
 #define ENTRY(zone, state, more)                                              \
@@ -228,8 +228,8 @@
 }
 END_TEST
 
-/* The same entry is good without what is wrong there. */
-START_TEST (test_least_endpoint)
+/* An entry without a stage, and with reals in place of integers, is valid. */
+START_TEST (test_minimal_endpoint)
 {
   struct beryl_object object = object_of (
       "i-1", "{\"service\":\"s\",\"address\":\"10.1.1.1:80\",\"zone\":\"z\","
@@ -268,7 +268,7 @@
   .field_count = G_N_ELEMENTS (caller_fields),
 };
 
-START_TEST (test_request_is_read)
+START_TEST (test_read_request)
 {
   struct beryl_forward_request request = { 0 };
 
@@ -286,10 +286,10 @@
 }
 END_TEST
 
-/* An id is printed in the log and sent in the body of a move.  One with other
- * signs than printed ones is kept out of both; one that is too long to be kept
- * whole names no run. */
-START_TEST (test_strange_ids)
+/* Request ids are logged and sent in the body of a move. Unprintable
+ * characters must not reach either; an id that is too long to be stored
+ * completely identifies no run. */
+START_TEST (test_unprintable_ids)
 {
   struct h1_field field = { "X-Request-Id", NULL };
   struct h1_head head
@@ -309,7 +309,7 @@
 END_TEST
 
 static GString *
-formatted (const struct beryl_exchange_start *start)
+formatted_request (const struct beryl_exchange_start *start)
 {
   GString *out = g_string_new (NULL);
 
@@ -317,14 +317,14 @@
   return out;
 }
 
-/* A caller must not reach what is the system's to say: reservations, memory of
- * other requests, urgency. */
-START_TEST (test_request_is_passed_on)
+/* Callers must not set fields that only the gateway may set: reservations, KV
+ * caches of other requests, urgency. */
+START_TEST (test_format_request)
 {
   struct beryl_exchange_start start = { .kind = BERYL_EXCHANGE_RUN,
                                         .endpoint = &endpoint,
                                         .remaining_ms = 13900 };
-  GString *out = formatted (&start);
+  GString *out = formatted_request (&start);
 
   ck_assert_str_eq (out->str, "POST /lohu930/2f?q=1 HTTP/1.1\r\n"
                               "Host: ficu95.example\r\n"
@@ -341,7 +341,7 @@
 }
 END_TEST
 
-START_TEST (test_prefill_and_run)
+START_TEST (test_format_prefill_and_run)
 {
   struct beryl_exchange_start prefill
       = { .kind = BERYL_EXCHANGE_PREFILL, .endpoint = &endpoint };
@@ -353,12 +353,12 @@
                                       .kv_port = 8081,
                                       .resumes = true,
                                       .last_event_id = 20 };
-  GString *out = formatted (&prefill);
+  GString *out = formatted_request (&prefill);
 
   ck_assert_ptr_nonnull (strstr (out->str, "X-Serving-Stage: prefill\r\n"));
   ck_assert_ptr_null (strstr (out->str, "X-Kv-"));
   g_string_free (out, TRUE);
-  out = formatted (&run);
+  out = formatted_request (&run);
   ck_assert_ptr_null (strstr (out->str, "X-Serving-Stage"));
   ck_assert_ptr_nonnull (strstr (out->str, "X-Kv-Hold: h-1\r\n"));
   ck_assert_ptr_nonnull (
@@ -370,7 +370,7 @@
 END_TEST
 
 static struct beryl_answer_head
-read_answer (unsigned int status, const char *name, const char *value)
+response_head (unsigned int status, const char *name, const char *value)
 {
   struct h1_field field = { name, value };
   struct h1_head head
@@ -381,33 +381,34 @@
   return answer;
 }
 
-START_TEST (test_answers)
+START_TEST (test_responses)
 {
-  ck_assert (!read_answer (503, "X-Other", "1").not_run);
-  ck_assert (read_answer (503, "X-Not-Executed", "1").not_run);
-  ck_assert (read_answer (421, "X-Instance-Id", "i-2").misdirected);
-  ck_assert (read_answer (421, "X-Instance-Id", "i-7f3a91c2").wrong_stage);
-  ck_assert (read_answer (421, "X-Other", "1").wrong_stage);
-  ck_assert (read_answer (200, "Content-Type", "text/event-stream; x=y")
+  ck_assert (!response_head (503, "X-Other", "1").not_run);
+  ck_assert (response_head (503, "X-Not-Executed", "1").not_run);
+  ck_assert (response_head (421, "X-Instance-Id", "i-2").misdirected);
+  ck_assert (response_head (421, "X-Instance-Id", "i-7f3a91c2").wrong_stage);
+  ck_assert (response_head (421, "X-Other", "1").wrong_stage);
+  ck_assert (response_head (200, "Content-Type", "text/event-stream; x=y")
                  .event_stream);
-  ck_assert (!read_answer (200, "Content-Type", "text/plain").event_stream);
+  ck_assert (!response_head (200, "Content-Type", "text/plain").event_stream);
 }
 END_TEST
 
-/* A limit that cannot be read is taken for none, or for zero. */
+/* A malformed limit must not be taken for a limit of zero. */
 START_TEST (test_limits)
 {
-  ck_assert (!read_answer (200, "X-Other", "1").limit.advertised);
-  ck_assert (read_answer (200, "Server-Limit", "5.2").limit.advertised);
+  ck_assert (!response_head (200, "X-Other", "1").limit.advertised);
+  ck_assert (response_head (200, "Server-Limit", "5.2").limit.advertised);
   ck_assert_uint_eq (
-      read_answer (200, "server-limit", "5.2").limit.milli_per_s, 5200);
-  ck_assert (read_answer (503, "Server-Limit", "0").limit.advertised);
+      response_head (200, "server-limit", "5.2").limit.milli_per_s, 5200);
+  ck_assert (response_head (503, "Server-Limit", "0").limit.advertised);
   ck_assert_uint_eq (
-      read_answer (200, "Server-Limit", "1e99").limit.milli_per_s, UINT32_MAX);
-  ck_assert (!read_answer (200, "Server-Limit", "").limit.advertised);
-  ck_assert (!read_answer (200, "Server-Limit", "few").limit.advertised);
-  ck_assert (!read_answer (200, "Server-Limit", "-1").limit.advertised);
-  ck_assert (!read_answer (200, "Server-Limit", "nan").limit.advertised);
+      response_head (200, "Server-Limit", "1e99").limit.milli_per_s,
+      UINT32_MAX);
+  ck_assert (!response_head (200, "Server-Limit", "").limit.advertised);
+  ck_assert (!response_head (200, "Server-Limit", "few").limit.advertised);
+  ck_assert (!response_head (200, "Server-Limit", "-1").limit.advertised);
+  ck_assert (!response_head (200, "Server-Limit", "nan").limit.advertised);
 }
 END_TEST
 
@@ -423,7 +424,7 @@
   return result;
 }
 
-START_TEST (test_engine_answers)
+START_TEST (test_engine_responses)
 {
   struct beryl_engine_result result;
 
@@ -445,8 +446,8 @@
 }
 END_TEST
 
-/* A runner's handle goes into the path and the fields of later calls to other
- * runners; one with a line end would add fields of its own choice. */
+/* A runner's handle is inserted into the path and header fields of later calls
+ * to other runners; a line break in it would inject header fields. */
 START_TEST (test_unsafe_handles)
 {
   static const char *const bodies[]
@@ -569,13 +570,13 @@
         "[\"\",\"e4402b7d\",250,\"m\"],[],3]}";
   struct h1_field field
       = { "X-Prompt-Prefix", "5c1e07a2:800,91bd3f06:410,e4402b7d:250" };
-  struct h1_head asked
+  struct h1_head prompt_head
       = { .method = "GET", .target = "/", .fields = &field, .field_count = 1 };
   struct h1_head head = { .status = 200 };
   struct beryl_forward_request request = { 0 };
   GArray *keys = g_array_new (FALSE, FALSE, sizeof (uint32_t));
 
-  wire->impl->read_request (wire, &asked, 0, &request);
+  wire->impl->read_request (wire, &prompt_head, 0, &request);
   ck_assert_uint_ne (request.prompt_key, 0);
   wire->impl->read_prompts (wire, &head, body, strlen (body), keys);
   ck_assert_uint_eq (keys->len, 2);
@@ -612,31 +613,32 @@
 END_TEST
 
 static enum gateway_node_request
-question (const char *method, const char *target,
-          struct gateway_location *place)
+node_request (const char *method, const char *target,
+              struct gateway_location *location)
 {
   struct h1_head head = { .method = method, .target = target };
 
-  *place = (struct gateway_location){ 0 };
-  return wire->impl->read_node_request (wire, &head, place);
+  *location = (struct gateway_location){ 0 };
+  return wire->impl->read_node_request (wire, &head, location);
 }
 
-START_TEST (test_questions)
+START_TEST (test_node_requests)
 {
-  struct gateway_location place;
+  struct gateway_location location;
 
-  ck_assert_int_eq (question ("GET", "/v1/ready", &place),
+  ck_assert_int_eq (node_request ("GET", "/v1/ready", &location),
                     GATEWAY_NODE_REQUEST_READY);
-  ck_assert_int_eq (
-      question ("GET", "/v1/resolve?name=f&region=lj&zone=hall%2da", &place),
-      GATEWAY_NODE_REQUEST_ADDRESSES);
-  ck_assert_str_eq (place.data_centre, "hall-a");
-  ck_assert_str_eq (place.region, "lj");
-  ck_assert_int_eq (question ("GET", "/v1/resolve", &place),
+  ck_assert_int_eq (node_request ("GET",
+                                  "/v1/resolve?name=f&region=lj&zone=hall%2da",
+                                  &location),
                     GATEWAY_NODE_REQUEST_ADDRESSES);
-  ck_assert_int_eq (question ("POST", "/v1/ready", &place),
+  ck_assert_str_eq (location.data_centre, "hall-a");
+  ck_assert_str_eq (location.region, "lj");
+  ck_assert_int_eq (node_request ("GET", "/v1/resolve", &location),
+                    GATEWAY_NODE_REQUEST_ADDRESSES);
+  ck_assert_int_eq (node_request ("POST", "/v1/ready", &location),
                     GATEWAY_NODE_REQUEST_NONE);
-  ck_assert_int_eq (question ("GET", "/v1/readyx", &place),
+  ck_assert_int_eq (node_request ("GET", "/v1/readyx", &location),
                     GATEWAY_NODE_REQUEST_NONE);
 }
 END_TEST
@@ -666,21 +668,21 @@
   tcase_add_test (tcase, test_malformed_configurations);
   tcase_add_test (tcase, test_endpoint);
   tcase_add_test (tcase, test_malformed_endpoints);
-  tcase_add_test (tcase, test_least_endpoint);
-  tcase_add_test (tcase, test_request_is_read);
-  tcase_add_test (tcase, test_strange_ids);
-  tcase_add_test (tcase, test_request_is_passed_on);
-  tcase_add_test (tcase, test_prefill_and_run);
-  tcase_add_test (tcase, test_answers);
+  tcase_add_test (tcase, test_minimal_endpoint);
+  tcase_add_test (tcase, test_read_request);
+  tcase_add_test (tcase, test_unprintable_ids);
+  tcase_add_test (tcase, test_format_request);
+  tcase_add_test (tcase, test_format_prefill_and_run);
+  tcase_add_test (tcase, test_responses);
   tcase_add_test (tcase, test_limits);
-  tcase_add_test (tcase, test_engine_answers);
+  tcase_add_test (tcase, test_engine_responses);
   tcase_add_test (tcase, test_unsafe_handles);
   tcase_add_test (tcase, test_engine_calls);
   tcase_add_test (tcase, test_order);
   tcase_add_test (tcase, test_report);
   tcase_add_test (tcase, test_prompts);
   tcase_add_test (tcase, test_refusal);
-  tcase_add_test (tcase, test_questions);
+  tcase_add_test (tcase, test_node_requests);
   tcase_add_test (tcase, test_addresses);
   suite_add_tcase (suite, tcase);
   return suite_run (suite);
