--- a/controld/accept_task.c
+++ b/controld/accept_task.c
@@ -7,13 +7,13 @@
 
 #include "checkpoint.h"
 #include "config_task.h"
-#include "facts.h"
+#include "instance_tracker.h"
 #include "role_task.h"
 #include "status_task.h"
 
 #define WRITE_MS 4000
 /* After a write that failed. */
-#define RETRY_MS 300
+#define RETRY_DELAY_MS 300
 
 static const char *const kinds[]
     = { "system",  "organisation", "model",   "service",
@@ -40,20 +40,20 @@
   struct control *control;
   struct beryl_acceptor *acceptor;
   struct watch watches[G_N_ELEMENTS (kinds)];
-  struct facts *facts;
+  struct instance_tracker *tracker;
   struct checkpoint *checkpoint;
   uint64_t request; /* write or read-back under way; 0: none */
   char *entry;      /* being created */
   size_t entry_bytes;
   uint64_t entry_version;
   GPtrArray *accepted; /* with the entry */
-  struct loop_timer *retry;
+  struct loop_timer *retry_timer;
 };
 
 static void accept_propose (struct accept_task *task);
 
 static void
-accepted_free (void *data)
+accepted_object_free (void *data)
 {
   struct accepted *a = data;
 
@@ -63,52 +63,52 @@
 }
 
 static void
-acceptor_judged (struct beryl_acceptor_owner *owner,
-                 const struct beryl_validation_result *judgement)
+acceptor_validated (struct beryl_acceptor_owner *owner,
+                    const struct beryl_validation_result *result)
 {
   struct accept_task *task = (struct accept_task *)owner;
   struct accepted *a;
 
-  if (!judgement->accepted)
+  if (!result->accepted)
     {
       g_warning ("%s %s version %" G_GUINT64_FORMAT " rejected: %s",
-                 judgement->kind, judgement->name, judgement->version,
-                 judgement->findings);
+                 result->kind, result->name, result->version,
+                 result->findings);
       counters_add (task->control->counters, "beryl_config_rejected_total", "",
                     1);
-      status_task_judged (task->control->status, judgement, 0);
+      status_task_validated (task->control->status, result, 0);
       return;
     }
   a = g_new0 (struct accepted, 1);
-  a->kind = g_strdup (judgement->kind);
-  a->name = g_strdup (judgement->name);
-  a->version = judgement->version;
+  a->kind = g_strdup (result->kind);
+  a->name = g_strdup (result->name);
+  a->version = result->version;
   g_ptr_array_add (task->accepted, a);
 }
 
 static const struct beryl_acceptor_owner_impl owner_impl
-    = { .validated = acceptor_judged };
+    = { .validated = acceptor_validated };
 
 static void
 accept_retry (void *user)
 {
   struct accept_task *task = user;
 
-  loop_timer_stop (task->retry);
-  task->retry = NULL;
+  loop_timer_stop (task->retry_timer);
+  task->retry_timer = NULL;
   accept_propose (task);
 }
 
 static void
-accept_later (struct accept_task *task)
+accept_schedule_retry (struct accept_task *task)
 {
-  if (task->retry == NULL)
-    task->retry = loop_timer_start (task->control->loop, RETRY_MS, 0,
-                                    accept_retry, task);
+  if (task->retry_timer == NULL)
+    task->retry_timer = loop_timer_start (task->control->loop, RETRY_DELAY_MS,
+                                          0, accept_retry, task);
 }
 
 static void
-entry_forget (struct accept_task *task)
+entry_discard (struct accept_task *task)
 {
   free (task->entry);
   task->entry = NULL;
@@ -116,19 +116,19 @@
 }
 
 static void
-entry_statuses (struct accept_task *task)
+entry_report_status (struct accept_task *task)
 {
   for (guint i = 0; i < task->accepted->len; i++)
     {
       const struct accepted *a = g_ptr_array_index (task->accepted, i);
-      struct beryl_validation_result judgement
+      struct beryl_validation_result result
           = { a->kind, a->name, a->version, true, "" };
 
       g_info ("%s %s version %" G_GUINT64_FORMAT
               " accepted in configuration %" G_GUINT64_FORMAT,
               a->kind, a->name, a->version, task->entry_version);
-      status_task_judged (task->control->status, &judgement,
-                          task->entry_version);
+      status_task_validated (task->control->status, &result,
+                             task->entry_version);
     }
   counters_add (task->control->counters, "beryl_config_accepted_total", "",
                 task->accepted->len);
@@ -136,12 +136,12 @@
 
 /* Puts an entry that is in the log into force here. */
 static void
-entry_take (struct accept_task *task, const char *text, size_t bytes_count)
+entry_apply (struct accept_task *task, const char *text, size_t bytes_count)
 {
   char *array = g_strdup_printf ("[%.*s]", (int)bytes_count, text);
 
-  config_task_take_entries (task->control->config, array, strlen (array),
-                            "the acceptor");
+  config_task_apply_entries (task->control->config, array, strlen (array),
+                             "the acceptor");
   g_free (array);
 }
 
@@ -154,23 +154,23 @@
   task->request = 0;
   if (result->code == BERYL_OK)
     {
-      json_t *there = json_loadb (result->objects[0].value,
-                                  result->objects[0].value_bytes, 0, NULL);
+      json_t *stored = json_loadb (result->objects[0].value,
+                                   result->objects[0].value_bytes, 0, NULL);
       json_t *ours = json_loadb (task->entry, task->entry_bytes, 0, NULL);
 
-      if (json_equal (there, ours))
-        entry_statuses (task);
-      json_decref (there);
+      if (json_equal (stored, ours))
+        entry_report_status (task);
+      json_decref (stored);
       json_decref (ours);
-      entry_forget (task);
-      entry_take (task, result->objects[0].value,
-                  result->objects[0].value_bytes);
+      entry_discard (task);
+      entry_apply (task, result->objects[0].value,
+                   result->objects[0].value_bytes);
       /* A new acceptor may be many entries behind. */
       config_task_read_log (task->control->config);
     }
   else
-    entry_forget (task);
-  accept_later (task);
+    entry_discard (task);
+  accept_schedule_retry (task);
 }
 
 static void
@@ -203,16 +203,16 @@
     {
       g_warning ("entry %" G_GUINT64_FORMAT " not written",
                  task->entry_version);
-      entry_forget (task);
-      accept_later (task);
+      entry_discard (task);
+      accept_schedule_retry (task);
       return;
     }
-  entry_statuses (task);
+  entry_report_status (task);
   task->entry = NULL;
-  entry_forget (task);
-  entry_take (task, entry, task->entry_bytes);
+  entry_discard (task);
+  entry_apply (task, entry, task->entry_bytes);
   free (entry);
-  checkpoint_consider (task->checkpoint);
+  checkpoint_start_if_due (task->checkpoint);
   accept_propose (task);
 }
 
@@ -244,7 +244,8 @@
   task->entry = beryl_acceptor_propose (task->acceptor, &task->entry_bytes);
   if (task->entry == NULL)
     return;
-  task->entry_version = beryl_config_log_version (task->control->spread) + 1;
+  task->entry_version
+      = beryl_config_log_version (task->control->config_log) + 1;
   entry_write (task);
 }
 
@@ -271,15 +272,15 @@
     = { .event = watch_event, .synced = watch_synced };
 
 static void
-facts_moved (void *user)
+tracker_changed (void *user)
 {
   accept_propose (user);
 }
 
 void
-accept_task_second (struct accept_task *task)
+accept_task_tick (struct accept_task *task)
 {
-  if (facts_second (task->facts))
+  if (instance_tracker_tick (task->tracker))
     accept_propose (task);
 }
 
@@ -296,8 +297,8 @@
 
   task->base.impl = &owner_impl;
   task->control = control;
-  task->acceptor = beryl_acceptor_create (control->spread, &task->base);
-  task->accepted = g_ptr_array_new_with_free_func (accepted_free);
+  task->acceptor = beryl_acceptor_create (control->config_log, &task->base);
+  task->accepted = g_ptr_array_new_with_free_func (accepted_object_free);
   task->checkpoint = checkpoint_create (control);
   for (size_t i = 0; i < G_N_ELEMENTS (kinds); i++)
     {
@@ -307,7 +308,8 @@
           control->platform, BERYL_USE_CONFIG, kinds[i], &watch_callbacks,
           &task->watches[i]);
     }
-  task->facts = facts_create (control, task->acceptor, facts_moved, task);
+  task->tracker = instance_tracker_create (control, task->acceptor,
+                                           tracker_changed, task);
   return task;
 }
 
@@ -318,13 +320,13 @@
     return;
   for (size_t i = 0; i < G_N_ELEMENTS (kinds); i++)
     platform_client_unwatch (task->control->platform, task->watches[i].watch);
-  facts_destroy (task->facts);
+  instance_tracker_destroy (task->tracker);
   if (task->request != 0)
     platform_client_forget (task->control->platform, task->request);
-  loop_timer_stop (task->retry);
+  loop_timer_stop (task->retry_timer);
   checkpoint_destroy (task->checkpoint);
   beryl_acceptor_destroy (task->acceptor);
-  entry_forget (task);
+  entry_discard (task);
   g_ptr_array_unref (task->accepted);
   g_free (task);
 }
--- a/controld/accept_task.h
+++ b/controld/accept_task.h
@@ -20,6 +20,6 @@
 void accept_task_wake (struct accept_task *task);
 
 /** Once a second: witness the members with the instance list. */
-void accept_task_second (struct accept_task *task);
+void accept_task_tick (struct accept_task *task);
 
 #endif
--- a/controld/checkpoint.c
+++ b/controld/checkpoint.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 /* Entries between two checkpoints. */
-#define SPACING 256
+#define INTERVAL_ENTRIES 256
 /* Of one part; the platform holds values up to 1 MB. */
 #define PART_BYTES (512U * 1024U)
 #define WRITE_MS 5000
@@ -15,16 +15,16 @@
 struct checkpoint
 {
   struct control *control;
-  uint64_t request;        /* under way; 0: none */
-  uint64_t version;        /* being written */
-  uint64_t done;           /* last written by this process */
-  json_t *state;           /* the snapshot */
-  size_t next;             /* change to be written next */
-  uint32_t parts;          /* written */
-  uint64_t former_version; /* of the checkpoint that is replaced */
-  uint32_t former_parts;
-  uint64_t delete_next; /* entries before this are gone */
-  GQueue doomed;        /* "kind/name" */
+  uint64_t request;          /* under way; 0: none */
+  uint64_t version;          /* being written */
+  uint64_t written_version;  /* last written by this process */
+  json_t *snapshot;          /* the snapshot */
+  size_t next_change;        /* change to be written next */
+  uint32_t parts;            /* written */
+  uint64_t previous_version; /* of the checkpoint that is replaced */
+  uint32_t previous_parts;
+  uint64_t next_delete; /* entries before this are gone */
+  GQueue obsolete;      /* "kind/name" */
 };
 
 static const struct platform_client_options options
@@ -36,9 +36,11 @@
   struct checkpoint *c = g_new0 (struct checkpoint, 1);
 
   c->control = control;
-  c->done = beryl_config_log_version (control->spread);
-  c->done -= c->done % SPACING;
-  c->delete_next = c->done > SPACING ? c->done - SPACING + 1 : 1;
+  c->written_version = beryl_config_log_version (control->config_log);
+  c->written_version -= c->written_version % INTERVAL_ENTRIES;
+  c->next_delete = c->written_version > INTERVAL_ENTRIES
+                       ? c->written_version - INTERVAL_ENTRIES + 1
+                       : 1;
   return c;
 }
 
@@ -49,28 +51,28 @@
     return;
   if (c->request != 0)
     platform_client_forget (c->control->platform, c->request);
-  json_decref (c->state);
-  g_queue_clear_full (&c->doomed, g_free);
+  json_decref (c->snapshot);
+  g_queue_clear_full (&c->obsolete, g_free);
   g_free (c);
 }
 
-static void doomed_delete (struct checkpoint *c);
+static void obsolete_delete (struct checkpoint *c);
 
 static void
-doomed_deleted (void *user, const struct beryl_platform_result *result)
+obsolete_deleted (void *user, const struct beryl_platform_result *result)
 {
   struct checkpoint *c = user;
 
   (void)result;
   c->request = 0;
-  doomed_delete (c);
+  obsolete_delete (c);
 }
 
 /* One after the other: nobody waits for it. */
 static void
-doomed_delete (struct checkpoint *c)
+obsolete_delete (struct checkpoint *c)
 {
-  char *name = g_queue_pop_head (&c->doomed);
+  char *name = g_queue_pop_head (&c->obsolete);
   char *slash = name != NULL ? strchr (name, '/') : NULL;
 
   if (slash != NULL)
@@ -78,27 +80,27 @@
       *slash = '\0';
       c->request
           = platform_client_delete (c->control->platform, &options, name,
-                                    slash + 1, 0, doomed_deleted, c);
+                                    slash + 1, 0, obsolete_deleted, c);
     }
   g_free (name);
 }
 
 static void
-doomed_collect (struct checkpoint *c)
+obsolete_collect (struct checkpoint *c)
 {
   char name[BERYL_NAME_BYTES];
 
-  for (uint32_t i = 0; i < c->former_parts; i++)
+  for (uint32_t i = 0; i < c->previous_parts; i++)
     {
-      beryl_config_log_part_name (c->former_version, i, name);
-      g_queue_push_tail (&c->doomed,
+      beryl_config_log_part_name (c->previous_version, i, name);
+      g_queue_push_tail (&c->obsolete,
                          g_strdup_printf (BERYL_CHECKPOINT_KIND "/%s", name));
     }
   /* One generation of entries stays, for nodes that are a little behind. */
-  while (c->delete_next + SPACING <= c->version)
+  while (c->next_delete + INTERVAL_ENTRIES <= c->version)
     {
-      beryl_config_log_entry_name (c->delete_next++, name);
-      g_queue_push_tail (&c->doomed,
+      beryl_config_log_entry_name (c->next_delete++, name);
+      g_queue_push_tail (&c->obsolete,
                          g_strdup_printf (BERYL_ACCEPTED_KIND "/%s", name));
     }
 }
@@ -113,9 +115,9 @@
     return;
   g_info ("checkpoint at %" G_GUINT64_FORMAT " written in %u parts",
           c->version, c->parts);
-  c->done = c->version;
-  doomed_collect (c);
-  doomed_delete (c);
+  c->written_version = c->version;
+  obsolete_collect (c);
+  obsolete_delete (c);
 }
 
 static void
@@ -135,16 +137,16 @@
     {
       json_t *head = json_loadb (result->objects[0].value,
                                  result->objects[0].value_bytes, 0, NULL);
-      json_int_t there
+      json_int_t stored_version
           = json_integer_value (json_object_get (head, "version"));
 
-      c->former_version = (uint64_t)there;
-      c->former_parts
+      c->previous_version = (uint64_t)stored_version;
+      c->previous_parts
           = (uint32_t)json_integer_value (json_object_get (head, "parts"));
       json_decref (head);
       /* A former acceptor that was paused must not set it back: entries
        * that it would need are gone. */
-      if ((uint64_t)there >= c->version)
+      if ((uint64_t)stored_version >= c->version)
         return;
       write.condition = BERYL_IF_VERSION;
       write.version = result->objects[0].version;
@@ -159,18 +161,19 @@
 static char *
 part_format (struct checkpoint *c, size_t *bytes_count)
 {
-  json_t *changes = json_object_get (c->state, "changes");
+  json_t *changes = json_object_get (c->snapshot, "changes");
   json_t *part = json_object ();
   json_t *some = json_array ();
   size_t bytes = 0;
   char *text;
 
-  json_object_set (part, "version", json_object_get (c->state, "version"));
-  json_object_set (part, "revisions", json_object_get (c->state, "revisions"));
+  json_object_set (part, "version", json_object_get (c->snapshot, "version"));
+  json_object_set (part, "revisions",
+                   json_object_get (c->snapshot, "revisions"));
   json_object_set_new (part, "changes", some);
-  while (c->next < json_array_size (changes) && bytes < PART_BYTES)
+  while (c->next_change < json_array_size (changes) && bytes < PART_BYTES)
     {
-      json_t *change = json_array_get (changes, c->next++);
+      json_t *change = json_array_get (changes, c->next_change++);
 
       bytes += json_dumpb (change, NULL, 0, JSON_COMPACT);
       json_array_append (some, change);
@@ -192,7 +195,8 @@
   if (result->code != BERYL_OK)
     return;
   c->parts++;
-  if (c->next < json_array_size (json_object_get (c->state, "changes")))
+  if (c->next_change
+      < json_array_size (json_object_get (c->snapshot, "changes")))
     {
       part_write (c);
       return;
@@ -224,21 +228,21 @@
 }
 
 void
-checkpoint_consider (struct checkpoint *c)
+checkpoint_start_if_due (struct checkpoint *c)
 {
-  uint64_t version = beryl_config_log_version (c->control->spread);
+  uint64_t version = beryl_config_log_version (c->control->config_log);
   size_t bytes = 0;
   char *text;
 
-  if (c->request != 0 || version < c->done + SPACING)
+  if (c->request != 0 || version < c->written_version + INTERVAL_ENTRIES)
     return;
-  c->former_parts = 0;
-  text = beryl_config_log_snapshot (c->control->spread, &bytes);
-  json_decref (c->state);
-  c->state = json_loadb (text, bytes, 0, NULL);
+  c->previous_parts = 0;
+  text = beryl_config_log_snapshot (c->control->config_log, &bytes);
+  json_decref (c->snapshot);
+  c->snapshot = json_loadb (text, bytes, 0, NULL);
   free (text);
   c->version = version;
-  c->next = 0;
+  c->next_change = 0;
   c->parts = 0;
   part_write (c);
 }
--- a/controld/checkpoint.h
+++ b/controld/checkpoint.h
@@ -18,6 +18,6 @@
 void checkpoint_destroy (struct checkpoint *checkpoint);
 
 /** Begin a checkpoint if enough entries came since the last. */
-void checkpoint_consider (struct checkpoint *checkpoint);
+void checkpoint_start_if_due (struct checkpoint *checkpoint);
 
 #endif
--- a/controld/cleanup_task.c
+++ b/controld/cleanup_task.c
@@ -13,19 +13,19 @@
 #include "http/client.h"
 #include "common/ticker.h"
 
-#define CANCEL_MS 2000
+#define CANCEL_TIMEOUT_MS 2000
 #define ANSWER_BYTES 4096
 /* Nodes that keep the windows of another one. */
-#define KEEPERS 2
+#define REPLICAS 2
 
 struct cleanup_task
 {
   struct control *control;
   struct beryl_hold_cleanup *cleanup;
   struct ticker *ticker;
-  GHashTable *kept; /* node to struct local_holds * */
-  GPtrArray *calls; /* struct cancel * */
-  uint64_t told;    /* hash of the windows and keepers told last */
+  GHashTable *replicas; /* node to struct local_holds * */
+  GPtrArray *calls;     /* struct cancel * */
+  uint64_t sent_hash;   /* hash of the windows and keepers told last */
 };
 
 /* One cancel call to an engine. */
@@ -40,7 +40,7 @@
 };
 
 static void
-cleanup_arm (struct cleanup_task *task)
+cleanup_schedule (struct cleanup_task *task)
 {
   ticker_set (task->ticker, beryl_hold_cleanup_next_ms (task->cleanup));
 }
@@ -83,7 +83,7 @@
             c->window.to);
   json_decref (json);
   cancel_end (c);
-  cleanup_arm (task);
+  cleanup_schedule (task);
 }
 
 static void
@@ -97,7 +97,7 @@
   (void)sent;
   g_info ("cancel at %s failed: %s", c->window.endpoint, reason);
   cancel_end (c);
-  cleanup_arm (task);
+  cleanup_schedule (task);
 }
 
 static const struct http_call_handler_impl cancel_impl = {
@@ -144,7 +144,7 @@
   request.port = endpoint->port;
   request.headers = &header;
   request.header_count = 1;
-  request.timeout_ms = CANCEL_MS;
+  request.timeout_ms = CANCEL_TIMEOUT_MS;
   request.body = body;
   request.body_bytes = (size_t)snprintf (
       body, sizeof body,
@@ -167,7 +167,7 @@
     cancel_start (task, &window);
   counters_set (task->control->counters, "beryl_cleanup_windows", "",
                 beryl_hold_cleanup_count (task->cleanup));
-  cleanup_arm (task);
+  cleanup_schedule (task);
 }
 
 static void
@@ -183,15 +183,16 @@
 }
 
 void
-cleanup_task_dead (struct cleanup_task *task, const struct local_holds *holds)
+cleanup_task_cancel (struct cleanup_task *task,
+                     const struct local_holds *holds)
 {
   for (size_t i = 0; i < holds->count; i++)
     window_add (task, &holds->items[i]);
-  cleanup_arm (task);
+  cleanup_schedule (task);
 }
 
 static void
-kept_free (void *data)
+replica_free (void *data)
 {
   struct local_holds *holds = data;
 
@@ -200,21 +201,21 @@
 }
 
 void
-cleanup_task_keep (struct cleanup_task *task, const char *node,
-                   const struct local_holds *holds)
+cleanup_task_replicate (struct cleanup_task *task, const char *node,
+                        const struct local_holds *holds)
 {
   struct local_holds *copy = g_new0 (struct local_holds, 1);
 
   copy->items = g_memdup2 (holds->items, holds->count * sizeof *copy->items);
   copy->count = holds->count;
-  g_hash_table_replace (task->kept, g_strdup (node), copy);
+  g_hash_table_replace (task->replicas, g_strdup (node), copy);
 }
 
 void
-cleanup_task_node_dead (struct cleanup_task *task, const char *node,
-                        uint64_t live)
+cleanup_task_cancel_node (struct cleanup_task *task, const char *node,
+                          uint64_t live)
 {
-  struct local_holds *holds = g_hash_table_lookup (task->kept, node);
+  struct local_holds *holds = g_hash_table_lookup (task->replicas, node);
 
   if (holds == NULL)
     return;
@@ -222,20 +223,20 @@
     if (holds->items[i].incarnation != live)
       window_add (task, &holds->items[i]);
   if (live == 0)
-    g_hash_table_remove (task->kept, node);
-  cleanup_arm (task);
+    g_hash_table_remove (task->replicas, node);
+  cleanup_schedule (task);
 }
 
 static uint64_t
-keeper_score (const char *node, const char *keeper)
+replica_score (const char *node, const char *replica)
 {
-  return XXH3_64bits_withSeed (keeper, strlen (keeper),
+  return XXH3_64bits_withSeed (replica, strlen (replica),
                                XXH3_64bits (node, strlen (node)));
 }
 
 /* The live member with the highest score below BELOW. */
 static const struct beryl_member *
-keeper_next (const struct control *control, uint64_t below, uint64_t *score)
+replica_next (const struct control *control, uint64_t below, uint64_t *score)
 {
   const char *self = control->settings.node;
   const struct beryl_member *best = NULL;
@@ -245,7 +246,7 @@
     {
       const struct beryl_member *m
           = beryl_membership_get (control->members, i);
-      uint64_t s = keeper_score (self, m->name);
+      uint64_t s = replica_score (self, m->name);
 
       if (m->state != BERYL_MEMBER_ALIVE || m->leaving
           || strcmp (m->name, self) == 0 || s >= below || s < *score)
@@ -257,16 +258,16 @@
 }
 
 static size_t
-keepers_find (const struct control *control,
-              const struct beryl_member *keepers[KEEPERS])
+replicas_find (const struct control *control,
+               const struct beryl_member *replicas[REPLICAS])
 {
   uint64_t below = UINT64_MAX;
   size_t n = 0;
 
-  while (n < KEEPERS)
+  while (n < REPLICAS)
     {
-      keepers[n] = keeper_next (control, below, &below);
-      if (keepers[n] == NULL)
+      replicas[n] = replica_next (control, below, &below);
+      if (replicas[n] == NULL)
         break;
       n++;
     }
@@ -277,26 +278,26 @@
  * same for hours.  Told once only, they would be lost with a node whose
  * keepers died before it, and its streams would hold the engines' memory. */
 void
-cleanup_task_second (struct cleanup_task *task)
+cleanup_task_tick (struct cleanup_task *task)
 {
   const struct local_holds *holds = entry_task_holds (task->control->entry);
   uint64_t hash
       = XXH3_64bits (holds->items, holds->count * sizeof *holds->items);
-  const struct beryl_member *keepers[KEEPERS];
+  const struct beryl_member *replicas[REPLICAS];
   size_t n;
 
   if (holds->count == 0)
     return;
-  n = keepers_find (task->control, keepers);
+  n = replicas_find (task->control, replicas);
   for (size_t i = 0; i < n; i++)
-    hash = XXH3_64bits_withSeed (&keepers[i]->incarnation,
-                                 sizeof keepers[i]->incarnation,
-                                 hash ^ keeper_score ("", keepers[i]->name));
-  if (hash == task->told)
+    hash = XXH3_64bits_withSeed (&replicas[i]->incarnation,
+                                 sizeof replicas[i]->incarnation,
+                                 hash ^ replica_score ("", replicas[i]->name));
+  if (hash == task->sent_hash)
     return;
-  task->told = hash;
+  task->sent_hash = hash;
   for (size_t i = 0; i < n; i++)
-    gossip_task_send_holds (task->control->gossip, keepers[i], holds);
+    gossip_task_send_holds (task->control->gossip, replicas[i], holds);
 }
 
 struct cleanup_task *
@@ -307,8 +308,8 @@
   task->control = control;
   task->cleanup = beryl_hold_cleanup_create ();
   task->ticker = ticker_create (control->loop, cleanup_tick, task);
-  task->kept
-      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, kept_free);
+  task->replicas
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, replica_free);
   task->calls = g_ptr_array_new ();
   return task;
 }
@@ -328,6 +329,6 @@
   g_ptr_array_unref (task->calls);
   ticker_destroy (task->ticker);
   beryl_hold_cleanup_destroy (task->cleanup);
-  g_hash_table_destroy (task->kept);
+  g_hash_table_destroy (task->replicas);
   g_free (task);
 }
--- a/controld/cleanup_task.h
+++ b/controld/cleanup_task.h
@@ -13,19 +13,19 @@
 void cleanup_task_destroy (struct cleanup_task *task);
 
 /** An entryd is dead for certain: cancel its windows until confirmed. */
-void cleanup_task_dead (struct cleanup_task *task,
-                        const struct local_holds *holds);
+void cleanup_task_cancel (struct cleanup_task *task,
+                          const struct local_holds *holds);
 
 /** Keep the windows of NODE; replaces what was kept. */
-void cleanup_task_keep (struct cleanup_task *task, const char *node,
-                        const struct local_holds *holds);
+void cleanup_task_replicate (struct cleanup_task *task, const char *node,
+                             const struct local_holds *holds);
 
 /** NODE is dead by the instance list, or restarted: cancel what is kept of
  * it, but for the incarnation LIVE (0: none lives). */
-void cleanup_task_node_dead (struct cleanup_task *task, const char *node,
-                             uint64_t live);
+void cleanup_task_cancel_node (struct cleanup_task *task, const char *node,
+                               uint64_t live);
 
 /** Tell the windows of this node to those that keep them. */
-void cleanup_task_second (struct cleanup_task *task);
+void cleanup_task_tick (struct cleanup_task *task);
 
 #endif
--- a/controld/config_task.c
+++ b/controld/config_task.c
@@ -8,24 +8,24 @@
 #include "gossip_task.h"
 
 /* Of one request to the platform. */
-#define READ_MS 5000
+#define READ_TIMEOUT_MS 5000
 
 struct config_task
 {
   struct control *control;
   uint64_t watch;   /* 0: none */
-  uint64_t reading; /* request under way; 0: none */
+  uint64_t request; /* request under way; 0: none */
   struct beryl_config *config;
   uint64_t config_version; /* of CONFIG */
   /* Parts of the checkpoint while they are read. */
-  uint64_t base_version;
+  uint64_t checkpoint_version;
   uint32_t part;
   uint32_t part_count;
-  json_t *base;
+  json_t *checkpoint;
 };
 
 static const struct platform_client_options read_options
-    = { .use = BERYL_USE_CONFIG, .timeout_ms = READ_MS };
+    = { .use = BERYL_USE_CONFIG, .timeout_ms = READ_TIMEOUT_MS };
 
 struct config_task *
 config_task_create (struct control *control)
@@ -33,7 +33,7 @@
   struct config_task *task = g_new0 (struct config_task, 1);
 
   task->control = control;
-  control->spread = beryl_config_log_create ();
+  control->config_log = beryl_config_log_create ();
   return task;
 }
 
@@ -42,7 +42,7 @@
 {
   if (task == NULL)
     return;
-  json_decref (task->base);
+  json_decref (task->checkpoint);
   beryl_config_destroy (task->config);
   g_free (task);
 }
@@ -50,7 +50,7 @@
 const struct beryl_config *
 config_task_parsed (struct config_task *task)
 {
-  uint64_t version = beryl_config_log_version (task->control->spread);
+  uint64_t version = beryl_config_log_version (task->control->config_log);
   struct beryl_findings *findings;
   struct beryl_config *config;
   size_t bytes = 0;
@@ -58,7 +58,7 @@
 
   if (version == 0 || version == task->config_version)
     return task->config;
-  text = beryl_config_log_objects (task->control->spread, &bytes);
+  text = beryl_config_log_objects (task->control->config_log, &bytes);
   findings = beryl_findings_create ();
   config = beryl_config_parse (text, bytes, version, findings);
   beryl_findings_destroy (findings);
@@ -79,7 +79,7 @@
 static void
 config_advanced (struct config_task *task, uint64_t before, const char *from)
 {
-  uint64_t version = beryl_config_log_version (task->control->spread);
+  uint64_t version = beryl_config_log_version (task->control->config_log);
 
   if (version == before)
     return;
@@ -93,7 +93,7 @@
 {
   struct beryl_error error = { 0 };
   enum beryl_config_log_result result = beryl_config_log_apply (
-      task->control->spread, text, bytes_count, &error);
+      task->control->config_log, text, bytes_count, &error);
 
   if (result == BERYL_CONFIG_LOG_INVALID)
     g_warning ("entry from %s refused: %s", from, error.message);
@@ -101,10 +101,10 @@
 }
 
 void
-config_task_take_entries (struct config_task *task, const char *text,
-                          size_t bytes_count, const char *from)
+config_task_apply_entries (struct config_task *task, const char *text,
+                           size_t bytes_count, const char *from)
 {
-  uint64_t before = beryl_config_log_version (task->control->spread);
+  uint64_t before = beryl_config_log_version (task->control->config_log);
   json_t *array = json_loadb (text, bytes_count, 0, NULL);
   json_t *entry;
   size_t i;
@@ -122,13 +122,14 @@
 }
 
 void
-config_task_take_snapshot (struct config_task *task, const char *text,
+config_task_load_snapshot (struct config_task *task, const char *text,
                            size_t bytes_count, const char *from)
 {
-  uint64_t before = beryl_config_log_version (task->control->spread);
+  uint64_t before = beryl_config_log_version (task->control->config_log);
   struct beryl_error error = { 0 };
 
-  if (beryl_config_log_load (task->control->spread, text, bytes_count, &error)
+  if (beryl_config_log_load (task->control->config_log, text, bytes_count,
+                             &error)
       == BERYL_CONFIG_LOG_INVALID)
     g_warning ("snapshot from %s refused: %s", from, error.message);
   config_advanced (task, before, from);
@@ -140,9 +141,9 @@
 log_listed (void *user, const struct beryl_platform_result *result)
 {
   struct config_task *task = user;
-  uint64_t before = beryl_config_log_version (task->control->spread);
+  uint64_t before = beryl_config_log_version (task->control->config_log);
 
-  task->reading = 0;
+  task->request = 0;
   if (result->code != BERYL_OK)
     return;
   for (size_t i = 0; i < result->object_count; i++)
@@ -154,20 +155,20 @@
 static void
 log_list (struct config_task *task)
 {
-  task->reading
+  task->request
       = platform_client_list (task->control->platform, &read_options,
                               BERYL_ACCEPTED_KIND, "log-", log_listed, task);
 }
 
 static void
-base_take (struct config_task *task)
+checkpoint_apply (struct config_task *task)
 {
-  char *text = json_dumps (task->base, JSON_COMPACT);
+  char *text = json_dumps (task->checkpoint, JSON_COMPACT);
 
-  json_decref (task->base);
-  task->base = NULL;
+  json_decref (task->checkpoint);
+  task->checkpoint = NULL;
   if (text != NULL)
-    config_task_take_snapshot (task, text, strlen (text), "the checkpoint");
+    config_task_load_snapshot (task, text, strlen (text), "the checkpoint");
   free (text);
   log_list (task);
 }
@@ -180,23 +181,23 @@
   struct config_task *task = user;
   json_t *part;
 
-  task->reading = 0;
+  task->request = 0;
   if (result->code != BERYL_OK)
     return;
   part = json_loadb (result->objects[0].value, result->objects[0].value_bytes,
                      0, NULL);
   if (part == NULL)
     return;
-  if (task->base == NULL)
-    task->base = json_deep_copy (part);
+  if (task->checkpoint == NULL)
+    task->checkpoint = json_deep_copy (part);
   else
-    json_array_extend (json_object_get (task->base, "changes"),
+    json_array_extend (json_object_get (task->checkpoint, "changes"),
                        json_object_get (part, "changes"));
   json_decref (part);
   if (++task->part < task->part_count)
     part_get (task);
   else
-    base_take (task);
+    checkpoint_apply (task);
 }
 
 static void
@@ -204,8 +205,8 @@
 {
   char name[BERYL_NAME_BYTES];
 
-  beryl_config_log_part_name (task->base_version, task->part, name);
-  task->reading
+  beryl_config_log_part_name (task->checkpoint_version, task->part, name);
+  task->request
       = platform_client_get (task->control->platform, &read_options,
                              BERYL_CHECKPOINT_KIND, name, 0, part_read, task);
 }
@@ -216,7 +217,7 @@
   struct config_task *task = user;
   json_t *head;
 
-  task->reading = 0;
+  task->request = 0;
   if (result->code == BERYL_ERROR_NOT_FOUND)
     {
       log_list (task);
@@ -226,15 +227,16 @@
     return;
   head = json_loadb (result->objects[0].value, result->objects[0].value_bytes,
                      0, NULL);
-  task->base_version
+  task->checkpoint_version
       = (uint64_t)json_integer_value (json_object_get (head, "version"));
   task->part_count
       = (uint32_t)json_integer_value (json_object_get (head, "parts"));
   task->part = 0;
   json_decref (head);
-  json_decref (task->base);
-  task->base = NULL;
-  if (task->base_version > beryl_config_log_version (task->control->spread)
+  json_decref (task->checkpoint);
+  task->checkpoint = NULL;
+  if (task->checkpoint_version
+          > beryl_config_log_version (task->control->config_log)
       && task->part_count > 0)
     part_get (task);
   else
@@ -244,9 +246,9 @@
 void
 config_task_read_log (struct config_task *task)
 {
-  if (task->reading != 0)
+  if (task->request != 0)
     return;
-  task->reading = platform_client_get (
+  task->request = platform_client_get (
       task->control->platform, &read_options, BERYL_CHECKPOINT_KIND,
       BERYL_CHECKPOINT_HEAD, 0, head_read, task);
 }
@@ -255,7 +257,7 @@
 watch_event (void *user, const struct beryl_platform_event *event)
 {
   struct config_task *task = user;
-  uint64_t before = beryl_config_log_version (task->control->spread);
+  uint64_t before = beryl_config_log_version (task->control->config_log);
 
   if (event->deleted || !g_str_has_prefix (event->object.name, "log-"))
     return;
@@ -273,7 +275,7 @@
   struct config_task *task = user;
 
   (void)revision;
-  if (task->reading != 0)
+  if (task->request != 0)
     return;
   beryl_membership_confirm_config (task->control->members,
                                    control_now_ms (task->control));
--- a/controld/config_task.h
+++ b/controld/config_task.h
@@ -14,9 +14,9 @@
 void config_task_destroy (struct config_task *task);
 
 /** Take what a peer gave: a JSON array of entries, or a snapshot. */
-void config_task_take_entries (struct config_task *task, const char *text,
-                               size_t bytes_count, const char *from);
-void config_task_take_snapshot (struct config_task *task, const char *text,
+void config_task_apply_entries (struct config_task *task, const char *text,
+                                size_t bytes_count, const char *from);
+void config_task_load_snapshot (struct config_task *task, const char *text,
                                 size_t bytes_count, const char *from);
 
 /** Watch the log, or stop. */
--- a/controld/control.c
+++ b/controld/control.c
@@ -15,18 +15,18 @@
 #include "role_task.h"
 #include "status_task.h"
 
-#define SECOND_MS 1000
+#define TICK_MS 1000
 /* A node without a configuration asks the platform after so long, in case
  * that a peer has it. */
 #define BOOTSTRAP_MS 300
 /* Nodes that are started together do not ask in step. */
 #define BOOTSTRAP_JITTER_MS 500
 /* Neither heard a peer nor the platform for so long: look at the platform. */
-#define LONELY_MS 10000
+#define CONTACT_TIMEOUT_MS 10000
 /* A planned stop waits for entryd at most so long. */
-#define STOP_MS 600000
+#define ENTRY_STOP_TIMEOUT_MS 600000
 /* For gossip to tell that this node leaves. */
-#define FAREWELL_MS 1500
+#define LEAVE_ANNOUNCE_MS 1500
 
 int64_t
 control_now_ms (const struct control *control)
@@ -57,12 +57,12 @@
 control_config_changed (struct control *control)
 {
   beryl_membership_set_config (control->members,
-                               beryl_config_log_version (control->spread),
+                               beryl_config_log_version (control->config_log),
                                control_now_ms (control));
   control_applied_changed (control);
   gossip_task_wake (control->gossip);
   entry_task_wake (control->entry);
-  status_task_expect (control->status);
+  status_task_watch_rollout (control->status);
   if (control->accept != NULL)
     accept_task_wake (control->accept);
   if (control->planner != NULL)
@@ -76,11 +76,11 @@
   if (control->cleanup == NULL)
     return;
   if (member->state == BERYL_MEMBER_DEAD)
-    cleanup_task_node_dead (control->cleanup, member->name, 0);
+    cleanup_task_cancel_node (control->cleanup, member->name, 0);
   else if (member->state == BERYL_MEMBER_ALIVE
            && member->entry_incarnation != 0)
-    cleanup_task_node_dead (control->cleanup, member->name,
-                            member->entry_incarnation);
+    cleanup_task_cancel_node (control->cleanup, member->name,
+                              member->entry_incarnation);
   entry_task_wake (control->entry);
 }
 
@@ -116,16 +116,16 @@
 {
   gossip_task_wake (control->gossip);
   entry_task_wake (control->entry);
-  if (control->said_farewell && !entry_task_connected (control->entry))
+  if (control->leave_announced && !entry_task_connected (control->entry))
     loop_quit (control->loop);
 }
 
 void
-control_loads (struct control *control, const struct local_loads *loads,
-               const char *node)
+control_report_loads (struct control *control, const struct local_loads *loads,
+                      const char *node)
 {
   if (control->planner != NULL)
-    planner_task_loads (control->planner, loads, node);
+    planner_task_report_loads (control->planner, loads, node);
 }
 
 static const struct beryl_member *
@@ -144,21 +144,22 @@
 }
 
 void
-control_local_loads (struct control *control, const struct local_loads *loads)
+control_report_local_loads (struct control *control,
+                            const struct local_loads *loads)
 {
   const struct beryl_member *planner = planner_find (control);
 
   if (planner == NULL)
     return;
   if (planner == beryl_membership_self (control->members))
-    control_loads (control, loads, control->settings.node);
+    control_report_loads (control, loads, control->settings.node);
   else
     gossip_task_send_loads (control->gossip, planner, loads);
 }
 
 static void
-seeds_listed (void *user, uint64_t revision,
-              const struct beryl_instance *items, size_t count)
+instances_listed (void *user, uint64_t revision,
+                  const struct beryl_instance *items, size_t count)
 {
   struct control *control = user;
   struct beryl_listed_instance *listed
@@ -195,18 +196,18 @@
 }
 
 static const struct platform_watch_callbacks seed_callbacks
-    = { .instances = seeds_listed };
+    = { .instances = instances_listed };
 
 static bool
-is_lonely (const struct control *control)
+has_lost_contact (const struct control *control)
 {
   int64_t now_ms = control_now_ms (control);
   int64_t stale_ms = beryl_membership_config_age_ms (control->members, now_ms);
 
   return beryl_membership_count (control->members) > 1
          && now_ms - beryl_membership_last_contact_ms (control->members)
-                > LONELY_MS
-         && (stale_ms < 0 || stale_ms > LONELY_MS);
+                > CONTACT_TIMEOUT_MS
+         && (stale_ms < 0 || stale_ms > CONTACT_TIMEOUT_MS);
 }
 
 /* A node with peers gets the configuration from them, and one that has none
@@ -215,25 +216,25 @@
 static bool
 needs_log (const struct control *control)
 {
-  if (is_lonely (control))
+  if (has_lost_contact (control))
     return true;
-  return beryl_config_log_version (control->spread) == 0
+  return beryl_config_log_version (control->config_log) == 0
          && !gossip_task_has_peers (control->gossip);
 }
 
 static void
-control_second (void *user)
+control_tick (void *user)
 {
   struct control *control = user;
 
   if (control->stopping)
     return;
-  gossip_task_seek (control->gossip);
+  gossip_task_contact_seeds (control->gossip);
   role_task_update (control->roles);
   status_task_in_force (control->status);
-  cleanup_task_second (control->cleanup);
+  cleanup_task_tick (control->cleanup);
   if (control->accept != NULL)
-    accept_task_second (control->accept);
+    accept_task_tick (control->accept);
   if (needs_log (control))
     config_task_read_log (control->config);
 }
@@ -243,11 +244,11 @@
 {
   struct control *control = user;
 
-  loop_timer_stop (control->bootstrap);
-  control->bootstrap = NULL;
-  gossip_task_seek (control->gossip);
+  loop_timer_stop (control->bootstrap_timer);
+  control->bootstrap_timer = NULL;
+  gossip_task_contact_seeds (control->gossip);
   role_task_update (control->roles);
-  if (beryl_config_log_version (control->spread) == 0)
+  if (beryl_config_log_version (control->config_log) == 0)
     config_task_read_log (control->config);
 }
 
@@ -308,9 +309,9 @@
   control->roles = role_task_create (control);
   control->seed_watch = platform_client_watch_instances (
       control->platform, &seed_callbacks, control);
-  control->second
-      = loop_timer_start (loop, SECOND_MS, SECOND_MS, control_second, control);
-  control->bootstrap = loop_timer_start (
+  control->tick_timer
+      = loop_timer_start (loop, TICK_MS, TICK_MS, control_tick, control);
+  control->bootstrap_timer = loop_timer_start (
       loop,
       BOOTSTRAP_MS + (int64_t)control_random (control, BOOTSTRAP_JITTER_MS), 0,
       control_bootstrap, control);
@@ -318,21 +319,21 @@
 }
 
 static void
-control_farewell (void *user)
+control_finish_stop (void *user)
 {
   struct control *control = user;
 
   loop_timer_stop (control->stop_timer);
   control->stop_timer = NULL;
-  control->said_farewell = true;
+  control->leave_announced = true;
   if (!entry_task_connected (control->entry))
     {
       loop_quit (control->loop);
       return;
     }
   g_info ("waiting for entryd to end");
-  control->stop_timer = loop_timer_start (control->loop, STOP_MS, 0,
-                                          control_farewell, control);
+  control->stop_timer = loop_timer_start (control->loop, ENTRY_STOP_TIMEOUT_MS,
+                                          0, control_finish_stop, control);
 }
 
 void
@@ -344,15 +345,15 @@
   gossip_task_wake (control->gossip);
   entry_task_wake (control->entry);
   role_task_release (control->roles);
-  control->stop_timer = loop_timer_start (control->loop, FAREWELL_MS, 0,
-                                          control_farewell, control);
+  control->stop_timer = loop_timer_start (control->loop, LEAVE_ANNOUNCE_MS, 0,
+                                          control_finish_stop, control);
 }
 
 void
 control_close (struct control *control)
 {
-  loop_timer_stop (control->second);
-  loop_timer_stop (control->bootstrap);
+  loop_timer_stop (control->tick_timer);
+  loop_timer_stop (control->bootstrap_timer);
   loop_timer_stop (control->stop_timer);
   accept_task_destroy (control->accept);
   planner_task_destroy (control->planner);
@@ -370,7 +371,7 @@
 {
   metrics_task_destroy (control->metrics);
   beryl_membership_destroy (control->members);
-  beryl_config_log_destroy (control->spread);
+  beryl_config_log_destroy (control->config_log);
   counters_destroy (control->counters);
   g_free (control);
 }
--- a/controld/control.h
+++ b/controld/control.h
@@ -45,8 +45,8 @@
   struct http_context *http;
   struct counters *counters;
   struct platform_client *platform;
-  struct beryl_config_log *spread;  /**< written by the config task only */
-  struct beryl_membership *members; /**< written by the gossip task only */
+  struct beryl_config_log *config_log; /**< written by the config task only */
+  struct beryl_membership *members;    /**< written by the gossip task only */
   struct gossip_task *gossip;
   struct config_task *config;
   struct role_task *roles;
@@ -54,15 +54,15 @@
   struct status_task *status;
   struct cleanup_task *cleanup;
   struct metrics_task *metrics;
-  struct loop_timer *second;    /**< runs control_second */
-  struct accept_task *accept;   /**< while the acceptor; else NULL */
-  struct planner_task *planner; /**< while the planner; else NULL */
-  struct loop_timer *bootstrap;
+  struct loop_timer *tick_timer; /**< runs control_second */
+  struct accept_task *accept;    /**< while the acceptor; else NULL */
+  struct planner_task *planner;  /**< while the planner; else NULL */
+  struct loop_timer *bootstrap_timer;
   struct loop_timer *stop_timer;
   uint64_t seed_watch; /**< of the instance list, until it was read */
   uint64_t random;     /**< state of control_random */
   bool stopping;
-  bool said_farewell; /**< gossip has told that this node leaves */
+  bool leave_announced; /**< gossip has told that this node leaves */
 };
 
 /** Create all tasks and listen. */
@@ -104,11 +104,11 @@
 void control_entry_changed (struct control *control);
 
 /** Demand of NODE's entryd reached this process. */
-void control_loads (struct control *control, const struct local_loads *loads,
-                    const char *node);
+void control_report_loads (struct control *control,
+                           const struct local_loads *loads, const char *node);
 
 /** A new demand report of the local entryd: pass it to the planner. */
-void control_local_loads (struct control *control,
-                          const struct local_loads *loads);
+void control_report_local_loads (struct control *control,
+                                 const struct local_loads *loads);
 
 #endif
--- a/controld/drains.c
+++ b/controld/drains.c
@@ -4,24 +4,24 @@
 
 /* All nodes have heard of it by then, and what they had sent before has
  * arrived. */
-#define DRAIN_MS 5000
+#define DRAIN_SETTLE_MS 5000
 #define WRITE_MS 3000
 #define LIST_MS 60000
 
 struct drains
 {
   struct control *control;
-  uint64_t listing;  /* request under way; 0: none */
-  GHashTable *since; /* endpoint to the time when its fact was seen */
+  uint64_t listing;          /* request under way; 0: none */
+  GHashTable *leaving_since; /* endpoint to the time when its fact was seen */
 };
 
 static void
-since_set (struct drains *d, const char *endpoint)
+drain_record (struct drains *d, const char *endpoint)
 {
   int64_t *since_ms = g_new (int64_t, 1);
 
   *since_ms = control_now_ms (d->control);
-  g_hash_table_replace (d->since, g_strdup (endpoint), since_ms);
+  g_hash_table_replace (d->leaving_since, g_strdup (endpoint), since_ms);
 }
 
 /* A former planner may have died in the middle of a drain. */
@@ -32,7 +32,7 @@
 
   d->listing = 0;
   for (size_t i = 0; result->code == BERYL_OK && i < result->object_count; i++)
-    since_set (d, result->objects[i].name);
+    drain_record (d, result->objects[i].name);
 }
 
 struct drains *
@@ -43,7 +43,8 @@
   struct drains *d = g_new0 (struct drains, 1);
 
   d->control = control;
-  d->since = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  d->leaving_since
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   d->listing = platform_client_list (control->platform, &options,
                                      BERYL_DRAIN_KIND, "", drains_listed, d);
   return d;
@@ -56,7 +57,7 @@
     return;
   if (d->listing != 0)
     platform_client_forget (d->control->platform, d->listing);
-  g_hash_table_destroy (d->since);
+  g_hash_table_destroy (d->leaving_since);
   g_free (d);
 }
 
@@ -85,22 +86,22 @@
 }
 
 bool
-drains_done (struct drains *d, const char *endpoint)
+drains_ensure (struct drains *d, const char *endpoint)
 {
   struct beryl_config_log_object fact;
   const int64_t *since_ms;
 
-  if (!beryl_config_log_find (d->control->spread, BERYL_INSTANCE_KIND,
+  if (!beryl_config_log_find (d->control->config_log, BERYL_INSTANCE_KIND,
                               endpoint, &fact))
     {
-      g_hash_table_remove (d->since, endpoint);
+      g_hash_table_remove (d->leaving_since, endpoint);
       drain_write (d, endpoint);
       return false;
     }
-  since_ms = g_hash_table_lookup (d->since, endpoint);
+  since_ms = g_hash_table_lookup (d->leaving_since, endpoint);
   if (since_ms != NULL)
-    return control_now_ms (d->control) - *since_ms >= DRAIN_MS;
-  since_set (d, endpoint);
+    return control_now_ms (d->control) - *since_ms >= DRAIN_SETTLE_MS;
+  drain_record (d, endpoint);
   return false;
 }
 
@@ -110,7 +111,7 @@
   struct platform_client_options options
       = { .use = BERYL_USE_CONFIG, .timeout_ms = WRITE_MS };
 
-  if (g_hash_table_remove (d->since, endpoint))
+  if (g_hash_table_remove (d->leaving_since, endpoint))
     platform_client_delete (d->control->platform, &options, BERYL_DRAIN_KIND,
                             endpoint, 0, drain_written, NULL);
 }
--- a/controld/drains.h
+++ b/controld/drains.h
@@ -20,7 +20,7 @@
 
 /** Whether no new work reaches ENDPOINT any more; begins its drain if it has
  * none. */
-bool drains_done (struct drains *drains, const char *endpoint);
+bool drains_ensure (struct drains *drains, const char *endpoint);
 
 /** Let work in again, if ENDPOINT was drained. */
 void drains_end (struct drains *drains, const char *endpoint);
--- a/controld/entry_task.c
+++ b/controld/entry_task.c
@@ -11,7 +11,7 @@
 #include "wire/link.h"
 
 /* Changes of the view are joined for so long. */
-#define VIEW_SPACING_MS 20
+#define VIEW_DELAY_MS 20
 /* A node that hears neither peers nor the platform for so long takes no new
  * callers: its configuration may be old. */
 #define ISOLATED_MS 60000
@@ -26,10 +26,10 @@
   struct local_holds holds;
   struct frame_writer *writer;
   struct ticker *ticker;
-  struct loop_timer *grace; /* after the connection broke */
-  uint64_t sent_config;     /* version whose objects entryd has */
-  uint64_t applied;         /* version that entryd uses; 0: not said yet */
-  uint64_t views;
+  struct loop_timer *grace_timer; /* after the connection broke */
+  uint64_t sent_version;          /* version whose objects entryd has */
+  uint64_t applied_version; /* version that entryd uses; 0: not said yet */
+  uint64_t views_sent;
 };
 
 static void
@@ -47,25 +47,25 @@
 {
   struct entry_task *task = user;
 
-  loop_timer_stop (task->grace);
-  task->grace = NULL;
+  loop_timer_stop (task->grace_timer);
+  task->grace_timer = NULL;
   g_warning ("entryd %016" G_GINT64_MODIFIER "x is dead (%s), %zu windows of "
              "streams to cancel",
              task->hello.incarnation,
              beryl_death_name (BERYL_DEATH_LINK_BROKEN), task->holds.count);
-  cleanup_task_dead (task->control->cleanup, &task->holds);
+  cleanup_task_cancel (task->control->cleanup, &task->holds);
   holds_clear (task);
   memset (&task->hello, 0, sizeof task->hello);
   control_applied_changed (task->control);
 }
 
 static void
-entry_gone (struct entry_task *task)
+entry_disconnected (struct entry_task *task)
 {
   task->link = NULL;
-  task->sent_config = 0;
-  if (task->grace == NULL && task->hello.incarnation != 0)
-    task->grace = loop_timer_start (
+  task->sent_version = 0;
+  if (task->grace_timer == NULL && task->hello.incarnation != 0)
+    task->grace_timer = loop_timer_start (
         task->control->loop, BERYL_DEATH_LINK_GRACE_MS, 0, entry_died, task);
   beryl_membership_set_entry (task->control->members, 0, 0, 0,
                               control_now_ms (task->control));
@@ -73,14 +73,14 @@
 }
 
 static void
-take_hello (struct entry_task *task, const struct local_hello *hello)
+handle_hello (struct entry_task *task, const struct local_hello *hello)
 {
   /* Another incarnation at once proves that the former one is dead. */
   if (task->hello.incarnation != 0
       && task->hello.incarnation != hello->incarnation)
     entry_died (task);
-  loop_timer_stop (task->grace);
-  task->grace = NULL;
+  loop_timer_stop (task->grace_timer);
+  task->grace_timer = NULL;
   task->hello = *hello;
   g_info ("entryd %016" G_GINT64_MODIFIER "x connected, port %u",
           hello->incarnation, hello->http_port);
@@ -93,7 +93,7 @@
 }
 
 static void
-take_holds (struct entry_task *task, const struct local_holds *holds)
+store_holds (struct entry_task *task, const struct local_holds *holds)
 {
   holds_clear (task);
   task->holds.items
@@ -118,13 +118,13 @@
   switch (message.type)
     {
     case LOCAL_HELLO:
-      take_hello (task, &message.hello);
+      handle_hello (task, &message.hello);
       break;
     case LOCAL_HOLDS:
-      take_holds (task, &message.holds);
+      store_holds (task, &message.holds);
       break;
     case LOCAL_LOAD:
-      control_local_loads (task->control, &message.loads);
+      control_report_local_loads (task->control, &message.loads);
       break;
     case LOCAL_LEAVE:
       beryl_membership_leave (task->control->members,
@@ -132,7 +132,7 @@
       control_entry_changed (task->control);
       break;
     case LOCAL_APPLIED:
-      task->applied = message.applied.config_version;
+      task->applied_version = message.applied.config_version;
       control_applied_changed (task->control);
       break;
     case LOCAL_VIEW:
@@ -150,7 +150,7 @@
   if (link != task->link)
     return;
   g_info ("entryd's connection ended: %s", reason);
-  entry_gone (task);
+  entry_disconnected (task);
 }
 
 static const struct link_handler_impl handler_impl = {
@@ -168,8 +168,8 @@
   if (task->link != NULL)
     link_close (task->link);
   task->link = link;
-  task->sent_config = 0;
-  task->applied = 0;
+  task->sent_version = 0;
+  task->applied_version = 0;
   return &task->base;
 }
 
@@ -189,7 +189,7 @@
 }
 
 static bool
-member_shown (const struct beryl_member *member)
+member_is_visible (const struct beryl_member *member)
 {
   return member->state != BERYL_MEMBER_DEAD && member->entry_incarnation != 0;
 }
@@ -215,7 +215,7 @@
           = beryl_membership_get (control->members, i);
       struct local_member *to = &view->members[view->member_count];
 
-      if (!member_shown (from))
+      if (!member_is_visible (from))
         continue;
       g_strlcpy (to->node, from->name, sizeof to->node);
       g_strlcpy (to->address, from->address, sizeof to->address);
@@ -232,13 +232,13 @@
 static void
 view_leaving (const struct control *control, struct local_view *view)
 {
-  size_t count = beryl_config_log_count (control->spread);
+  size_t count = beryl_config_log_count (control->config_log);
 
   view->leaving = g_malloc0_n (count + 1, sizeof *view->leaving);
   for (size_t i = 0; i < count; i++)
     {
       struct beryl_config_log_object object
-          = beryl_config_log_get (control->spread, i);
+          = beryl_config_log_get (control->config_log, i);
 
       if (strcmp (object.kind, BERYL_INSTANCE_KIND) == 0)
         g_strlcpy (view->leaving[view->leaving_count++], object.name,
@@ -256,10 +256,10 @@
 
   if (task->link == NULL || task->hello.incarnation == 0)
     return;
-  view->config_version = beryl_config_log_version (control->spread);
-  if (view->config_version != task->sent_config)
+  view->config_version = beryl_config_log_version (control->config_log);
+  if (view->config_version != task->sent_version)
     view->objects_json
-        = beryl_config_log_objects (control->spread, &view->objects_bytes);
+        = beryl_config_log_objects (control->config_log, &view->objects_bytes);
   view_members (control, view);
   view_leaving (control, view);
   view->stale_ms = beryl_membership_config_age_ms (control->members,
@@ -268,9 +268,10 @@
   local_put (task->writer, &message);
   if (link_send (task->link, task->writer))
     {
-      task->sent_config = view->config_version;
-      task->views++;
-      counters_set (control->counters, "beryl_views_total", "", task->views);
+      task->sent_version = view->config_version;
+      task->views_sent++;
+      counters_set (control->counters, "beryl_views_total", "",
+                    task->views_sent);
     }
   local_message_clear (&message);
 }
@@ -300,7 +301,7 @@
 {
   if (task == NULL)
     return;
-  loop_timer_stop (task->grace);
+  loop_timer_stop (task->grace_timer);
   ticker_destroy (task->ticker);
   if (task->link != NULL)
     link_close (task->link);
@@ -319,7 +320,7 @@
 void
 entry_task_wake (struct entry_task *task)
 {
-  ticker_set (task->ticker, control_now_ms (task->control) + VIEW_SPACING_MS);
+  ticker_set (task->ticker, control_now_ms (task->control) + VIEW_DELAY_MS);
 }
 
 bool
@@ -333,8 +334,8 @@
 {
   /* One whose connection broke may live until it is known to be dead. */
   if (task->hello.incarnation == 0)
-    return beryl_config_log_version (task->control->spread);
-  return task->applied;
+    return beryl_config_log_version (task->control->config_log);
+  return task->applied_version;
 }
 
 const struct local_holds *
--- a/controld/gossip_task.c
+++ b/controld/gossip_task.c
@@ -45,8 +45,8 @@
 }
 
 static void
-task_behind (struct beryl_membership_owner *owner,
-             const struct beryl_member *peer)
+task_pull_config (struct beryl_membership_owner *owner,
+                  const struct beryl_member *peer)
 {
   struct gossip_task *task = (struct gossip_task *)owner;
 
@@ -65,7 +65,7 @@
 static const struct beryl_membership_owner_impl owner_impl = {
   .send = task_send,
   .changed = task_changed,
-  .pull_config = task_behind,
+  .pull_config = task_pull_config,
   .sync = task_sync,
 };
 
@@ -196,7 +196,7 @@
 }
 
 void
-gossip_task_seek (struct gossip_task *task)
+gossip_task_contact_seeds (struct gossip_task *task)
 {
   char **seeds;
 
@@ -220,7 +220,7 @@
 {
   struct local_message message = { .type = LOCAL_LOAD, .loads = *loads };
 
-  peer_port_tell (task->peers, member, &message);
+  peer_port_send (task->peers, member, &message);
 }
 
 void
@@ -230,11 +230,11 @@
 {
   struct local_message message = { .type = LOCAL_HOLDS, .holds = *holds };
 
-  peer_port_tell (task->peers, member, &message);
+  peer_port_send (task->peers, member, &message);
 }
 
 static uint64_t
-members_in (const struct control *control, enum beryl_member_state state)
+members_count (const struct control *control, enum beryl_member_state state)
 {
   uint64_t count = 0;
 
@@ -249,7 +249,7 @@
 }
 
 static uint64_t
-members_leaving (const struct control *control)
+members_count_leaving (const struct control *control)
 {
   uint64_t count = 0;
 
@@ -264,7 +264,7 @@
 }
 
 void
-gossip_task_count (struct gossip_task *task)
+gossip_task_update_counters (struct gossip_task *task)
 {
   struct counters *set = task->control->counters;
 
@@ -279,10 +279,10 @@
   counters_set (set, "beryl_gossip_refused_total", "",
                 datagram_refused (task->datagram));
   counters_set (set, "beryl_members", "state=\"alive\"",
-                members_in (task->control, BERYL_MEMBER_ALIVE));
+                members_count (task->control, BERYL_MEMBER_ALIVE));
   counters_set (set, "beryl_members", "state=\"leaving\"",
-                members_leaving (task->control));
+                members_count_leaving (task->control));
   counters_set (set, "beryl_members", "state=\"suspect\"",
-                members_in (task->control, BERYL_MEMBER_SUSPECT));
-  peer_port_count (task->peers);
+                members_count (task->control, BERYL_MEMBER_SUSPECT));
+  peer_port_update_counters (task->peers);
 }
--- a/controld/gossip_task.h
+++ b/controld/gossip_task.h
@@ -25,7 +25,7 @@
 bool gossip_task_has_peers (const struct gossip_task *task);
 
 /** Contact the seeds of the settings, unless some member is known to live. */
-void gossip_task_seek (struct gossip_task *task);
+void gossip_task_contact_seeds (struct gossip_task *task);
 
 /** Send the demand of this node's entryd to the planner at MEMBER. */
 void gossip_task_send_loads (struct gossip_task *task,
@@ -39,6 +39,6 @@
                              const struct local_holds *holds);
 
 /** Write the counters. */
-void gossip_task_count (struct gossip_task *task);
+void gossip_task_update_counters (struct gossip_task *task);
 
 #endif
--- a/controld/facts.h
+++ b/controld/instance_tracker.h
@@ -9,21 +9,21 @@
 
 #include "control.h"
 
-struct facts;
+struct instance_tracker;
 
 /** The acceptor was told something new. */
-typedef void facts_moved_cb (void *user);
+typedef void instance_tracker_changed_cb (void *user);
 
 /** Begin to watch; ACCEPTOR is borrowed. */
-struct facts *facts_create (struct control *control,
+struct instance_tracker *instance_tracker_create (struct control *control,
                             struct beryl_acceptor *acceptor,
-                            facts_moved_cb *moved, void *user);
+                            instance_tracker_changed_cb *moved, void *user);
 
 /** End; NULL is allowed. */
-void facts_destroy (struct facts *facts);
+void instance_tracker_destroy (struct instance_tracker *facts);
 
 /** Once a second: take endpoints back, witness the members, delete drains
  * without a planner.  False until the list was read. */
-bool facts_second (struct facts *facts);
+bool instance_tracker_tick (struct instance_tracker *facts);
 
 #endif
--- a/controld/metrics_task.c
+++ b/controld/metrics_task.c
@@ -60,7 +60,7 @@
 
   struct http_traffic traffic = http_context_client_traffic (control->http);
 
-  gossip_task_count (control->gossip);
+  gossip_task_update_counters (control->gossip);
   counters_set (set, "beryl_http_client_bytes_total", "direction=\"sent\"",
                 traffic.sent_bytes);
   counters_set (set, "beryl_http_client_bytes_total", "direction=\"received\"",
@@ -68,11 +68,11 @@
   counters_set (set, "beryl_process_resident_bytes", "", resident_bytes ());
   counters_set (set, "beryl_process_cpu_ms_total", "", cpu_ms ());
   counters_set (set, "beryl_config_version", "",
-                beryl_config_log_version (control->spread));
+                beryl_config_log_version (control->config_log));
   counters_set (set, "beryl_config_applied_version", "",
                 beryl_membership_self (control->members)->config_applied);
   counters_set (set, "beryl_config_objects", "",
-                beryl_config_log_count (control->spread));
+                beryl_config_log_count (control->config_log));
   if (stale_ms >= 0)
     counters_set (set, "beryl_config_stale_ms", "", (uint64_t)stale_ms);
 }
--- a/controld/orphans.c
+++ b/controld/orphaned_drains.c
@@ -1,4 +1,4 @@
-#include "orphans.h"
+#include "orphaned_drains.h"
 
 #include <glib.h>
 
@@ -7,24 +7,24 @@
 #define CALL_MS 3000
 /* Readings of the planner's lease, one each lifetime, that must all be the
  * same: a planner renews it several times in one. */
-#define SAME_READINGS 5
+#define UNCHANGED_READS 5
 /* Deletions begun in one second: the platform's write budget is shared. */
 #define DELETES_PER_SECOND 10
 
-struct orphans
+struct orphaned_drains
 {
   struct control *control;
-  GHashTable *drains;     /* endpoint to its version, uint64_t * */
-  uint64_t reading;       /* request under way; 0: none */
-  int64_t read_ms;        /* when it is read next */
-  uint64_t lease_version; /* at the last reading */
-  uint32_t same;          /* readings that showed it */
+  GHashTable *drains;       /* endpoint to its version, uint64_t * */
+  uint64_t request;         /* request under way; 0: none */
+  int64_t next_read_ms;     /* when it is read next */
+  uint64_t lease_version;   /* at the last reading */
+  uint32_t unchanged_reads; /* readings that showed it */
 };
 
-struct orphans *
-orphans_create (struct control *control)
+struct orphaned_drains *
+orphaned_drains_create (struct control *control)
 {
-  struct orphans *o = g_new0 (struct orphans, 1);
+  struct orphaned_drains *o = g_new0 (struct orphaned_drains, 1);
 
   o->control = control;
   o->drains = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
@@ -32,18 +32,19 @@
 }
 
 void
-orphans_destroy (struct orphans *o)
+orphaned_drains_destroy (struct orphaned_drains *o)
 {
   if (o == NULL)
     return;
-  if (o->reading != 0)
-    platform_client_forget (o->control->platform, o->reading);
+  if (o->request != 0)
+    platform_client_forget (o->control->platform, o->request);
   g_hash_table_destroy (o->drains);
   g_free (o);
 }
 
 void
-orphans_observe (struct orphans *o, const char *endpoint, uint64_t version)
+orphaned_drains_observe (struct orphaned_drains *o, const char *endpoint,
+                         uint64_t version)
 {
   if (version == 0)
     g_hash_table_remove (o->drains, endpoint);
@@ -72,32 +73,34 @@
 static void
 lease_read (void *user, const struct beryl_platform_result *result)
 {
-  struct orphans *o = user;
+  struct orphaned_drains *o = user;
   uint64_t version = 0;
 
-  o->reading = 0;
+  o->request = 0;
   if (result->code == BERYL_OK)
     version = result->objects[0].version;
   else if (result->code != BERYL_ERROR_NOT_FOUND)
     {
-      o->same = 0;
+      o->unchanged_reads = 0;
       return;
     }
-  o->same = o->same > 0 && version == o->lease_version ? o->same + 1 : 1;
+  o->unchanged_reads = o->unchanged_reads > 0 && version == o->lease_version
+                           ? o->unchanged_reads + 1
+                           : 1;
   o->lease_version = version;
 }
 
 static void
-lease_ask (struct orphans *o)
+lease_poll (struct orphaned_drains *o)
 {
   struct platform_client_options options
       = { .use = BERYL_USE_CONFIG, .timeout_ms = CALL_MS };
   int64_t now_ms = control_now_ms (o->control);
 
-  if (o->reading != 0 || now_ms < o->read_ms)
+  if (o->request != 0 || now_ms < o->next_read_ms)
     return;
-  o->read_ms = now_ms + o->control->settings.lease_ttl_ms;
-  o->reading = platform_client_get (
+  o->next_read_ms = now_ms + o->control->settings.lease_ttl_ms;
+  o->request = platform_client_get (
       o->control->platform, &options, CONTROL_LEASE_KIND,
       control_role_name (CONTROL_ROLE_PLANNER), 0, lease_read, o);
 }
@@ -114,7 +117,7 @@
  * newer one, and that has to stay.  What could not be deleted is tried again
  * until the watch shows it gone. */
 static void
-drains_delete (struct orphans *o)
+drains_delete (struct orphaned_drains *o)
 {
   struct platform_client_options options
       = { .use = BERYL_USE_CONFIG, .timeout_ms = CALL_MS };
@@ -143,17 +146,17 @@
  * goes on renewing, and one that lost its lease in an outage is still there.
  * Both must be silent. */
 void
-orphans_second (struct orphans *o)
+orphaned_drains_tick (struct orphaned_drains *o)
 {
   if (g_hash_table_size (o->drains) == 0 || planner_is_member (o->control)
       || beryl_platform_is_unreachable (
           platform_client_core (o->control->platform)))
     {
-      o->same = 0;
+      o->unchanged_reads = 0;
       return;
     }
-  if (o->same >= SAME_READINGS)
+  if (o->unchanged_reads >= UNCHANGED_READS)
     drains_delete (o);
   else
-    lease_ask (o);
+    lease_poll (o);
 }
--- a/controld/orphans.h
+++ b/controld/orphaned_drains.h
@@ -9,19 +9,19 @@
 
 #include "control.h"
 
-struct orphans;
+struct orphaned_drains;
 
 /** Create without drains. */
-struct orphans *orphans_create (struct control *control);
+struct orphaned_drains *orphaned_drains_create (struct control *control);
 
 /** Release; NULL is allowed.  A deletion under way may still take effect. */
-void orphans_destroy (struct orphans *orphans);
+void orphaned_drains_destroy (struct orphaned_drains *orphans);
 
 /** A drain exists, or (VERSION 0) does not any more. */
-void orphans_observe (struct orphans *orphans, const char *endpoint,
+void orphaned_drains_observe (struct orphaned_drains *orphans, const char *endpoint,
                       uint64_t version);
 
 /** Once a second: look for the planner, and delete what it left. */
-void orphans_second (struct orphans *orphans);
+void orphaned_drains_tick (struct orphaned_drains *orphans);
 
 #endif
--- a/controld/peer_port.c
+++ b/controld/peer_port.c
@@ -10,7 +10,7 @@
 #include "wire/link.h"
 
 /* A connection that is not finished by then is closed. */
-#define EXCHANGE_MS 5000
+#define EXCHANGE_TIMEOUT_MS 5000
 #define EXCHANGES_MAX 64
 /* Entries in one answer. */
 #define ENTRIES_BYTES (256U * 1024U)
@@ -27,7 +27,7 @@
   struct link_handler base;
   struct peer_port *port;
   struct link *link;
-  bool trusted; /* the other side has proved the key */
+  bool authenticated; /* the other side has proved the key */
   bool is_pull;
   char node[BERYL_NAME_BYTES]; /* the other side */
   uint8_t challenge[SECRET_CHALLENGE_BYTES];
@@ -51,7 +51,7 @@
 };
 
 static bool
-has_key (const struct peer_port *port)
+requires_key (const struct peer_port *port)
 {
   return port->control->settings.cluster_key[0] != '\0';
 }
@@ -93,7 +93,7 @@
 answer_pull (struct exchange *x, uint64_t after)
 {
   struct peer_port *port = x->port;
-  const struct beryl_config_log *spread = port->control->spread;
+  const struct beryl_config_log *spread = port->control->config_log;
   enum gossip_frame type = GOSSIP_ENTRIES;
   size_t bytes = 0;
   char *text;
@@ -143,20 +143,20 @@
 }
 
 static void
-take_message (struct exchange *x, struct frame *frame)
+handle_message (struct exchange *x, struct frame *frame)
 {
   struct control *control = x->port->control;
   struct local_message message;
 
   if (local_read (frame, &message) && message.type == LOCAL_LOAD)
-    control_loads (control, &message.loads, x->node);
+    control_report_loads (control, &message.loads, x->node);
   else if (message.type == LOCAL_HOLDS)
-    cleanup_task_keep (control->cleanup, x->node, &message.holds);
+    cleanup_task_replicate (control->cleanup, x->node, &message.holds);
   local_message_clear (&message);
 }
 
 static void
-accepted_prove (struct exchange *x, struct frame *frame)
+accepted_authenticate (struct exchange *x, struct frame *frame)
 {
   const struct control_settings *s = &x->port->control->settings;
   struct frame_map map = frame_root (frame);
@@ -164,12 +164,13 @@
   const void *proof = frame_bytes (map, FIELD_SECRET, &bytes);
 
   frame_string (map, FIELD_NODE, x->node, sizeof x->node);
-  x->trusted = frame_type (frame) == GOSSIP_SECRET && frame_valid (frame)
-               && (!has_key (x->port)
-                   || secret_check (s->cluster_key, x->challenge, proof, bytes)
-                   || secret_check (s->cluster_key_accepted, x->challenge,
+  x->authenticated
+      = frame_type (frame) == GOSSIP_SECRET && frame_valid (frame)
+        && (!requires_key (x->port)
+            || secret_verify_proof (s->cluster_key, x->challenge, proof, bytes)
+            || secret_verify_proof (s->cluster_key_accepted, x->challenge,
                                     proof, bytes));
-  if (x->trusted)
+  if (x->authenticated)
     return;
   x->port->refused++;
   g_warning ("connection from %s refused: wrong cluster key",
@@ -185,9 +186,9 @@
   uint64_t number = 0;
 
   (void)link;
-  if (!x->trusted)
+  if (!x->authenticated)
     {
-      accepted_prove (x, frame);
+      accepted_authenticate (x, frame);
       return;
     }
   switch (frame_type (frame))
@@ -205,7 +206,7 @@
       exchange_end (x);
       return;
     default:
-      take_message (x, frame);
+      handle_message (x, frame);
       exchange_end (x);
       return;
     }
@@ -268,12 +269,12 @@
       = frame_bytes (frame_root (frame), FIELD_SECRET, &bytes);
 
   if (bytes != SECRET_CHALLENGE_BYTES
-      || (key[0] != '\0' && !secret_prove (key, challenge, proof)))
+      || (key[0] != '\0' && !secret_compute_proof (key, challenge, proof)))
     {
       exchange_end (x);
       return;
     }
-  x->trusted = true;
+  x->authenticated = true;
   frame_writer_reset (port->writer, GOSSIP_SECRET);
   frame_put_bytes (port->writer, FIELD_SECRET, proof, sizeof proof);
   frame_put_string (port->writer, FIELD_NODE, port->control->settings.node);
@@ -282,7 +283,7 @@
 }
 
 static void
-take_text (struct exchange *x, struct frame *frame)
+apply_config (struct exchange *x, struct frame *frame)
 {
   struct config_task *config = x->port->control->config;
   size_t bytes = 0;
@@ -291,9 +292,9 @@
   if (text == NULL)
     return;
   if (frame_type (frame) == GOSSIP_ENTRIES)
-    config_task_take_entries (config, text, bytes, x->node);
+    config_task_apply_entries (config, text, bytes, x->node);
   else
-    config_task_take_snapshot (config, text, bytes, x->node);
+    config_task_load_snapshot (config, text, bytes, x->node);
 }
 
 /* One answer ends the exchange; after a list ours goes back first. */
@@ -307,12 +308,12 @@
   switch (frame_type (frame))
     {
     case GOSSIP_SECRET:
-      if (!x->trusted)
+      if (!x->authenticated)
         request_send (x, frame);
       return;
     case GOSSIP_ENTRIES:
     case GOSSIP_SNAPSHOT:
-      take_text (x, frame);
+      apply_config (x, frame);
       break;
     case GOSSIP_MEMBERS:
       merge_members (x, frame);
@@ -377,7 +378,7 @@
     return;
   request = frame_writer_create (GOSSIP_PULL);
   gossip_put_number (request, GOSSIP_PULL,
-                     beryl_config_log_version (port->control->spread));
+                     beryl_config_log_version (port->control->config_log));
   x = request_start (port, member, request);
   if (x == NULL)
     return;
@@ -387,7 +388,7 @@
 }
 
 void
-peer_port_tell (struct peer_port *port, const struct beryl_member *member,
+peer_port_send (struct peer_port *port, const struct beryl_member *member,
                 const struct local_message *message)
 {
   struct frame_writer *request = frame_writer_create (LOCAL_LOAD);
@@ -407,7 +408,7 @@
     {
       struct exchange *x = g_ptr_array_index (port->exchanges, i - 1);
 
-      if (now_ms - x->started_ms >= EXCHANGE_MS)
+      if (now_ms - x->started_ms >= EXCHANGE_TIMEOUT_MS)
         exchange_end (x);
     }
 }
@@ -428,8 +429,8 @@
       peer_port_destroy (port);
       return NULL;
     }
-  port->timer = loop_timer_start (control->loop, EXCHANGE_MS / 5,
-                                  EXCHANGE_MS / 5, port_expire, port);
+  port->timer = loop_timer_start (control->loop, EXCHANGE_TIMEOUT_MS / 5,
+                                  EXCHANGE_TIMEOUT_MS / 5, port_expire, port);
   return port;
 }
 
@@ -454,7 +455,7 @@
 }
 
 void
-peer_port_count (struct peer_port *port)
+peer_port_update_counters (struct peer_port *port)
 {
   struct counters *set = port->control->counters;
 
--- a/controld/peer_port.h
+++ b/controld/peer_port.h
@@ -28,10 +28,10 @@
                      const struct beryl_member *member);
 
 /** Send one message (LOCAL_LOAD or LOCAL_HOLDS) to MEMBER. */
-void peer_port_tell (struct peer_port *port, const struct beryl_member *member,
+void peer_port_send (struct peer_port *port, const struct beryl_member *member,
                      const struct local_message *message);
 
 /** Write the counters. */
-void peer_port_count (struct peer_port *port);
+void peer_port_update_counters (struct peer_port *port);
 
 #endif
--- a/controld/planner_task.c
+++ b/controld/planner_task.c
@@ -9,18 +9,18 @@
 #include "config_task.h"
 #include "drains.h"
 #include "http/client.h"
-#include "plans.h"
+#include "profile_store.h"
 #include "role_task.h"
 
 #define TICK_MS 1000
 #define CALL_MS 2000
 /* All engines are asked for their state in one sweep, a few at a time. */
-#define POLL_MS 100
+#define POLL_INTERVAL_MS 100
 #define SWEEP_MS 15000
-#define POLLS_MIN 2
-#define POLLS_MAX 40
+#define POLL_BATCH_MIN 2
+#define POLL_BATCH_MAX 40
 /* Calls under way; the last ones are for orders. */
-#define POLLING_MAX 200
+#define POLL_CALLS_MAX 200
 #define CALLS_MAX 256
 #define ANSWER_BYTES 8192
 #define ORDER_BYTES 400
@@ -32,10 +32,10 @@
   struct beryl_planner *planner;
   struct beryl_config *config; /* own copy: the planner points into it */
   struct loop_timer *timer;
-  struct loop_timer *polling;
+  struct loop_timer *poll_timer;
   size_t next_poll;
   GPtrArray *calls; /* struct call * */
-  struct plans *plans;
+  struct profile_store *profiles;
   struct drains *drains;
 };
 
@@ -96,7 +96,7 @@
 }
 
 static const char *
-text_of (json_t *object, const char *key)
+json_text (json_t *object, const char *key)
 {
   const char *text = json_string_value (json_object_get (object, key));
 
@@ -113,7 +113,7 @@
 }
 
 static void
-state_take (struct call *c)
+state_handle (struct call *c)
 {
   json_t *json = json_loadb (c->answer, c->answer_bytes, 0, NULL);
   json_t *serve = json_object_get (json, "serve");
@@ -121,9 +121,9 @@
 
   if (serve != NULL)
     {
-      state.role = role_parse (text_of (serve, "role"));
-      state.model = state.role != 0 ? text_of (serve, "model") : "";
-      state.version = state.role != 0 ? text_of (serve, "version") : "";
+      state.role = role_parse (json_text (serve, "role"));
+      state.model = state.role != 0 ? json_text (serve, "model") : "";
+      state.version = state.role != 0 ? json_text (serve, "version") : "";
       state.loading = json_is_true (json_object_get (json, "loading"));
       state.ready = json_is_true (json_object_get (json, "ready"));
     }
@@ -132,7 +132,7 @@
   /* A cold engine refuses what it is sent; calls that wait for a warm one are
    * held as long as all are leaving.  Once it serves, work may come in. */
   if (serve != NULL && (state.role == 0 || state.loading))
-    drains_done (c->task->drains, c->endpoint);
+    drains_ensure (c->task->drains, c->endpoint);
   else if (state.ready
            && beryl_planner_order_applied (c->task->planner, c->endpoint))
     drains_end (c->task->drains, c->endpoint);
@@ -146,7 +146,7 @@
 }
 
 static void
-load_take (struct call *c)
+load_handle (struct call *c)
 {
   json_t *json = json_loadb (c->answer, c->answer_bytes, 0, NULL);
   const struct beryl_endpoint *endpoint = endpoint_find (c->task, c->endpoint);
@@ -165,9 +165,9 @@
   unsigned int status = http_call_status (call);
 
   if (c->kind == CALL_STATE && status == 200)
-    state_take (c);
+    state_handle (c);
   else if (c->kind == CALL_LOAD && status == 200)
-    load_take (c);
+    load_handle (c);
   else if (c->kind == CALL_ORDER && status == 409)
     {
       g_warning ("%s refused an order: %.*s", c->endpoint,
@@ -245,8 +245,8 @@
  * what is still late; one that does not gets orders only once those of the
  * former holder must have arrived. */
 static bool
-may_order (const struct planner_task *task,
-           const struct beryl_endpoint *endpoint, uint64_t *fence)
+order_allowed (const struct planner_task *task,
+               const struct beryl_endpoint *endpoint, uint64_t *fence)
 {
   const struct role_task *roles = task->control->roles;
 
@@ -266,9 +266,9 @@
   char body[ORDER_BYTES];
   uint64_t fence = 0;
 
-  if (endpoint == NULL || !may_order (task, endpoint, &fence))
+  if (endpoint == NULL || !order_allowed (task, endpoint, &fence))
     return;
-  if (order->interrupts && !drains_done (task->drains, order->endpoint))
+  if (order->interrupts && !drains_ensure (task->drains, order->endpoint))
     return;
   g_info ("order to %s: %s %s as %s (%s), fence %" G_GUINT64_FORMAT,
           order->endpoint, order->model, order->version, role, order->reason,
@@ -294,10 +294,11 @@
 {
   struct planner_task *task = user;
   size_t count = task->config != NULL ? task->config->endpoint_count : 0;
-  size_t polls = CLAMP (count * POLL_MS / SWEEP_MS + 1, POLLS_MIN, POLLS_MAX);
+  size_t polls = CLAMP (count * POLL_INTERVAL_MS / SWEEP_MS + 1,
+                        POLL_BATCH_MIN, POLL_BATCH_MAX);
 
-  for (size_t i = 0; i < count && i < polls && task->calls->len < POLLING_MAX;
-       i++)
+  for (size_t i = 0;
+       i < count && i < polls && task->calls->len < POLL_CALLS_MAX; i++)
     {
       const struct beryl_endpoint *endpoint
           = &task->config->endpoints[task->next_poll++ % count];
@@ -314,7 +315,7 @@
 
   if (task->config == NULL)
     return;
-  plans_tick (task->plans);
+  profile_store_tick (task->profiles);
   beryl_planner_tick (task->planner, control_now_ms (task->control));
 }
 
@@ -322,17 +323,18 @@
 planner_task_config (struct planner_task *task)
 {
   struct beryl_findings *findings;
-  struct beryl_config *former = task->config;
+  struct beryl_config *previous = task->config;
   struct beryl_config *config;
   size_t bytes = 0;
   char *text;
 
-  if (beryl_config_log_version (task->control->spread) == 0)
+  if (beryl_config_log_version (task->control->config_log) == 0)
     return;
-  text = beryl_config_log_objects (task->control->spread, &bytes);
+  text = beryl_config_log_objects (task->control->config_log, &bytes);
   findings = beryl_findings_create ();
   config = beryl_config_parse (
-      text, bytes, beryl_config_log_version (task->control->spread), findings);
+      text, bytes, beryl_config_log_version (task->control->config_log),
+      findings);
   beryl_findings_destroy (findings);
   free (text);
   if (config == NULL)
@@ -340,12 +342,12 @@
   task->config = config;
   beryl_planner_set_config (task->planner, config,
                             control_now_ms (task->control));
-  beryl_config_destroy (former);
+  beryl_config_destroy (previous);
 }
 
 void
-planner_task_loads (struct planner_task *task, const struct local_loads *loads,
-                    const char *node)
+planner_task_report_loads (struct planner_task *task,
+                           const struct local_loads *loads, const char *node)
 {
   for (size_t i = 0; i < loads->count; i++)
     {
@@ -374,11 +376,11 @@
   task->calls = g_ptr_array_new ();
   task->drains = drains_create (control);
   planner_task_config (task);
-  task->plans = plans_create (control, task->planner);
+  task->profiles = profile_store_create (control, task->planner);
   task->timer
       = loop_timer_start (control->loop, TICK_MS, TICK_MS, planner_tick, task);
-  task->polling
-      = loop_timer_start (control->loop, POLL_MS, POLL_MS, engines_poll, task);
+  task->poll_timer = loop_timer_start (control->loop, POLL_INTERVAL_MS,
+                                       POLL_INTERVAL_MS, engines_poll, task);
   return task;
 }
 
@@ -388,7 +390,7 @@
   if (task == NULL)
     return;
   loop_timer_stop (task->timer);
-  loop_timer_stop (task->polling);
+  loop_timer_stop (task->poll_timer);
   for (guint i = 0; i < task->calls->len; i++)
     {
       struct call *c = g_ptr_array_index (task->calls, i);
@@ -398,7 +400,7 @@
     }
   g_ptr_array_unref (task->calls);
   drains_destroy (task->drains);
-  plans_destroy (task->plans);
+  profile_store_destroy (task->profiles);
   beryl_planner_destroy (task->planner);
   beryl_config_destroy (task->config);
   g_free (task);
--- a/controld/planner_task.h
+++ b/controld/planner_task.h
@@ -19,7 +19,8 @@
 void planner_task_config (struct planner_task *task);
 
 /** Demand of NODE's entryd. */
-void planner_task_loads (struct planner_task *task,
-                         const struct local_loads *loads, const char *node);
+void planner_task_report_loads (struct planner_task *task,
+                                const struct local_loads *loads,
+                                const char *node);
 
 #endif
--- a/controld/plans.h
+++ b/controld/profile_store.h
@@ -8,16 +8,16 @@
 #include "beryl/planner.h"
 #include "control.h"
 
-struct plans;
+struct profile_store;
 
 /** Begin to restore PLANNER's profiles; it is borrowed. */
-struct plans *plans_create (struct control *control,
+struct profile_store *profile_store_create (struct control *control,
                             struct beryl_planner *planner);
 
 /** Release; NULL is allowed.  A write under way may still take effect. */
-void plans_destroy (struct plans *plans);
+void profile_store_destroy (struct profile_store *plans);
 
 /** Save the profiles from time to time, once they were restored. */
-void plans_tick (struct plans *plans);
+void profile_store_tick (struct profile_store *plans);
 
 #endif
--- a/controld/role_task.c
+++ b/controld/role_task.c
@@ -6,7 +6,7 @@
 #include "common/stored_lease.h"
 
 /* Nodes that compete for a role; the others do not read its object. */
-#define CONTENDERS 3
+#define CANDIDATES 3
 
 /* One lease. */
 struct role
@@ -118,7 +118,7 @@
     {
       struct role *role = &task->roles[i];
       bool wanted = beryl_membership_is_candidate (
-          control->members, role->object, role->data_centre, CONTENDERS);
+          control->members, role->object, role->data_centre, CANDIDATES);
 
       if (i == CONTROL_ROLE_PLANNER && !control->settings.planner)
         wanted = false;
--- a/controld/secret.c
+++ b/controld/secret.c
@@ -6,8 +6,8 @@
 #include <string.h>
 
 bool
-secret_prove (const char *key, const uint8_t *challenge,
-              uint8_t proof[SECRET_PROOF_BYTES])
+secret_compute_proof (const char *key, const uint8_t *challenge,
+                      uint8_t proof[SECRET_PROOF_BYTES])
 {
   unsigned int bytes = SECRET_PROOF_BYTES;
 
@@ -18,13 +18,13 @@
 }
 
 bool
-secret_check (const char *key, const uint8_t *challenge, const void *proof,
-              size_t proof_bytes)
+secret_verify_proof (const char *key, const uint8_t *challenge,
+                     const void *proof, size_t proof_bytes)
 {
   uint8_t expected[SECRET_PROOF_BYTES];
 
   if (key[0] == '\0' || proof_bytes != SECRET_PROOF_BYTES
-      || !secret_prove (key, challenge, expected))
+      || !secret_compute_proof (key, challenge, expected))
     return false;
   return CRYPTO_memcmp (expected, proof, SECRET_PROOF_BYTES) == 0;
 }
--- a/controld/secret.h
+++ b/controld/secret.h
@@ -13,11 +13,11 @@
 #define SECRET_PROOF_BYTES 32
 
 /** Compute the proof of KEY for CHALLENGE. */
-bool secret_prove (const char *key, const uint8_t *challenge,
-                   uint8_t proof[SECRET_PROOF_BYTES]);
+bool secret_compute_proof (const char *key, const uint8_t *challenge,
+                           uint8_t proof[SECRET_PROOF_BYTES]);
 
 /** Compare in constant time. */
-bool secret_check (const char *key, const uint8_t *challenge,
-                   const void *proof, size_t proof_bytes);
+bool secret_verify_proof (const char *key, const uint8_t *challenge,
+                          const void *proof, size_t proof_bytes);
 
 #endif
--- a/controld/status_task.c
+++ b/controld/status_task.c
@@ -11,27 +11,27 @@
 #define STATUS_KIND "status"
 #define WRITE_MS 5000
 /* Between two writes of this process. */
-#define SPACING_MS 100
+#define WRITE_INTERVAL_MS 100
 /* Between two writes of the same "in force" object. */
-#define IN_FORCE_SPACING_MS 300
+#define IN_FORCE_INTERVAL_MS 300
 /* After a change the nodes' reports arrive within this; the operator waits
  * for the status. */
-#define EXPECT_MS 5000
-#define EXPECT_SPACING_MS 150
+#define ROLLOUT_WATCH_MS 5000
+#define ROLLOUT_POLL_MS 150
 #define BEHIND_MAX 20
 #define QUEUE_MAX 20000
 
 struct status_task
 {
   struct control *control;
-  GHashTable *waiting; /* object name to JSON text, the newest only */
-  GQueue order;        /* names, oldest first */
+  GHashTable *pending; /* object name to JSON text, the newest only */
+  GQueue queue;        /* names, oldest first */
   struct loop_timer *timer;
   uint64_t request;
   char *in_force; /* as last queued */
   int64_t in_force_ms;
-  struct loop_timer *expect; /* looks often until EXPECT_UNTIL_MS */
-  int64_t expect_until_ms;
+  struct loop_timer *rollout_timer; /* looks often until EXPECT_UNTIL_MS */
+  int64_t rollout_until_ms;
 };
 
 static const struct platform_client_options options
@@ -43,7 +43,7 @@
   struct status_task *task = g_new0 (struct status_task, 1);
 
   task->control = control;
-  task->waiting
+  task->pending
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, free);
   return task;
 }
@@ -56,9 +56,9 @@
   if (task->request != 0)
     platform_client_forget (task->control->platform, task->request);
   loop_timer_stop (task->timer);
-  loop_timer_stop (task->expect);
-  g_queue_clear_full (&task->order, g_free);
-  g_hash_table_destroy (task->waiting);
+  loop_timer_stop (task->rollout_timer);
+  g_queue_clear_full (&task->queue, g_free);
+  g_hash_table_destroy (task->pending);
   g_free (task->in_force);
   g_free (task);
 }
@@ -99,15 +99,15 @@
 
   if (task->request != 0)
     return;
-  name = g_queue_pop_head (&task->order);
+  name = g_queue_pop_head (&task->queue);
   if (name == NULL)
     {
       loop_timer_stop (task->timer);
       task->timer = NULL;
       return;
     }
-  status_write (task, name, g_hash_table_lookup (task->waiting, name));
-  g_hash_table_remove (task->waiting, name);
+  status_write (task, name, g_hash_table_lookup (task->pending, name));
+  g_hash_table_remove (task->pending, name);
   g_free (name);
 }
 
@@ -116,16 +116,16 @@
 static void
 status_queue (struct status_task *task, const char *name, char *value)
 {
-  if (value == NULL || g_hash_table_size (task->waiting) >= QUEUE_MAX)
+  if (value == NULL || g_hash_table_size (task->pending) >= QUEUE_MAX)
     {
       free (value);
       return;
     }
-  if (!g_hash_table_contains (task->waiting, name))
-    g_queue_push_tail (&task->order, g_strdup (name));
-  g_hash_table_replace (task->waiting, g_strdup (name), value);
+  if (!g_hash_table_contains (task->pending, name))
+    g_queue_push_tail (&task->queue, g_strdup (name));
+  g_hash_table_replace (task->pending, g_strdup (name), value);
   if (task->timer == NULL)
-    task->timer = loop_timer_start (task->control->loop, 1, SPACING_MS,
+    task->timer = loop_timer_start (task->control->loop, 1, WRITE_INTERVAL_MS,
                                     status_next, task);
 }
 
@@ -144,32 +144,31 @@
 }
 
 void
-status_task_judged (struct status_task *task,
-                    const struct beryl_validation_result *judgement,
-                    uint64_t version)
+status_task_validated (struct status_task *task,
+                       const struct beryl_validation_result *result,
+                       uint64_t version)
 {
   json_t *json = json_object ();
   char object[BERYL_NAME_BYTES];
 
-  json_object_set_new (json, "kind", json_string (judgement->kind));
-  json_object_set_new (json, "name", json_string (judgement->name));
+  json_object_set_new (json, "kind", json_string (result->kind));
+  json_object_set_new (json, "name", json_string (result->name));
   json_object_set_new (json, "version",
-                       json_integer ((json_int_t)judgement->version));
+                       json_integer ((json_int_t)result->version));
   json_object_set_new (
-      json, "state",
-      json_string (judgement->accepted ? "accepted" : "rejected"));
-  if (judgement->accepted)
+      json, "state", json_string (result->accepted ? "accepted" : "rejected"));
+  if (result->accepted)
     json_object_set_new (json, "configuration",
                          json_integer ((json_int_t)version));
   else
-    json_object_set_new (json, "findings", json_string (judgement->findings));
-  status_name (judgement->kind, judgement->name, object);
+    json_object_set_new (json, "findings", json_string (result->findings));
+  status_name (result->kind, result->name, object);
   status_queue (task, object, json_dumps (json, JSON_COMPACT));
   json_decref (json);
 }
 
 static bool
-counts_here (const struct status_task *task, const struct beryl_member *member)
+is_counted (const struct status_task *task, const struct beryl_member *member)
 {
   return member->state != BERYL_MEMBER_DEAD && !member->leaving
          && member->incarnation != 0
@@ -183,7 +182,7 @@
 in_force_json (const struct status_task *task)
 {
   const struct beryl_membership *m = task->control->members;
-  uint64_t newest = beryl_config_log_version (task->control->spread);
+  uint64_t newest = beryl_config_log_version (task->control->config_log);
   uint64_t lowest = newest;
   json_t *json = json_object ();
   json_t *behind = json_array ();
@@ -193,7 +192,7 @@
     {
       const struct beryl_member *member = beryl_membership_get (m, i);
 
-      if (!counts_here (task, member))
+      if (!is_counted (task, member))
         continue;
       nodes++;
       if (member->config_applied < lowest)
@@ -221,7 +220,7 @@
   char *text;
 
   if (!role_task_held (task->control->roles, CONTROL_ROLE_WATCHER, NULL)
-      || now_ms - task->in_force_ms < IN_FORCE_SPACING_MS)
+      || now_ms - task->in_force_ms < IN_FORCE_INTERVAL_MS)
     return;
   json = in_force_json (task);
   text = json_dumps (json, JSON_COMPACT);
@@ -239,24 +238,25 @@
 }
 
 static void
-expect_look (void *user)
+rollout_poll (void *user)
 {
   struct status_task *task = user;
 
   status_task_in_force (task);
-  if (control_now_ms (task->control) < task->expect_until_ms)
+  if (control_now_ms (task->control) < task->rollout_until_ms)
     return;
-  loop_timer_stop (task->expect);
-  task->expect = NULL;
+  loop_timer_stop (task->rollout_timer);
+  task->rollout_timer = NULL;
 }
 
 void
-status_task_expect (struct status_task *task)
+status_task_watch_rollout (struct status_task *task)
 {
   if (!role_task_held (task->control->roles, CONTROL_ROLE_WATCHER, NULL))
     return;
-  task->expect_until_ms = control_now_ms (task->control) + EXPECT_MS;
-  if (task->expect == NULL)
-    task->expect = loop_timer_start (task->control->loop, EXPECT_SPACING_MS,
-                                     EXPECT_SPACING_MS, expect_look, task);
+  task->rollout_until_ms = control_now_ms (task->control) + ROLLOUT_WATCH_MS;
+  if (task->rollout_timer == NULL)
+    task->rollout_timer
+        = loop_timer_start (task->control->loop, ROLLOUT_POLL_MS,
+                            ROLLOUT_POLL_MS, rollout_poll, task);
 }
--- a/controld/status_task.h
+++ b/controld/status_task.h
@@ -13,12 +13,12 @@
 void status_task_destroy (struct status_task *task);
 
 /** An object was judged; accepted ones are in configuration VERSION. */
-void status_task_judged (struct status_task *task,
-                         const struct beryl_validation_result *judgement,
-                         uint64_t version);
+void status_task_validated (struct status_task *task,
+                            const struct beryl_validation_result *judgement,
+                            uint64_t version);
 
 /** A configuration is on its way: look often for a few seconds. */
-void status_task_expect (struct status_task *task);
+void status_task_watch_rollout (struct status_task *task);
 
 /** As the watcher: write where the configuration of this data centre is in
  * force, if that changed. */
--- a/tests/control/stage.c
+++ b/tests/control/stage.c
@@ -245,7 +245,7 @@
 all_have (struct stage *s, uint64_t version)
 {
   for (int i = 0; i < s->count; i++)
-    if (beryl_config_log_version (s->nodes[i]->spread) < version)
+    if (beryl_config_log_version (s->nodes[i]->config_log) < version)
       return false;
   return true;
 }
--- a/tests/control/test_controld.c
+++ b/tests/control/test_controld.c
@@ -139,7 +139,7 @@
               gossip_task_port (s.nodes[0]->gossip));
   stage_node (&s, "other", seeds);
   ck_assert (!stage_await (&s, second_is_alone, 3000));
-  ck_assert_uint_eq (beryl_config_log_version (s.nodes[1]->spread), 0);
+  ck_assert_uint_eq (beryl_config_log_version (s.nodes[1]->config_log), 0);
   ck_assert_uint_eq (beryl_membership_count (s.nodes[0]->members), 1);
   stage_close (&s);
 }
--- a/tests/control/test_orders.c
+++ b/tests/control/test_orders.c
@@ -22,7 +22,7 @@
 {
   struct beryl_config_log_object fact;
 
-  return !beryl_config_log_find (s->nodes[0]->spread, BERYL_INSTANCE_KIND,
+  return !beryl_config_log_find (s->nodes[0]->config_log, BERYL_INSTANCE_KIND,
                                  "engine-1", &fact);
 }
 
@@ -85,7 +85,7 @@
   struct local_loads loads = { &load, 1 };
 
   load.waiting = s->waiting;
-  control_local_loads (s->nodes[0], &loads);
+  control_report_local_loads (s->nodes[0], &loads);
 }
 
 /* Story: nobody calls, so the engine is unloaded to cost nothing; a call
@@ -109,8 +109,8 @@
   ck_assert (stage_await (&s, engine_serves, 10000));
   s.waiting = 0;
   ck_assert (stage_await (&s, engine_rests, 20000));
-  ck_assert (beryl_config_log_find (s.nodes[0]->spread, BERYL_INSTANCE_KIND,
-                                    "engine-1", &fact));
+  ck_assert (beryl_config_log_find (s.nodes[0]->config_log,
+                                    BERYL_INSTANCE_KIND, "engine-1", &fact));
   s.waiting = 1;
   ck_assert (stage_await (&s, engine_serves, 10000));
   ck_assert (stage_await (&s, facts_gone, 10000));
@@ -150,8 +150,8 @@
   role_task_release (s.nodes[0]->roles);
   ck_assert (stage_await (&s, facts_gone, 20000));
   stage_await (&s, stage_never, 2500);
-  ck_assert (beryl_config_log_find (s.nodes[0]->spread, BERYL_INSTANCE_KIND,
-                                    "engine-2", &fact));
+  ck_assert (beryl_config_log_find (s.nodes[0]->config_log,
+                                    BERYL_INSTANCE_KIND, "engine-2", &fact));
   stage_close (&s);
 }
 END_TEST
