--- a/controld/accept_task.c
+++ b/controld/accept_task.c
@@ -12,7 +12,7 @@
 #include "status_task.h"
 
 #define WRITE_MS 4000
-/* After a write that failed. */
+/* Delay after a failed write. */
 #define RETRY_DELAY_MS 300
 
 static const char *const kinds[]
@@ -26,8 +26,8 @@
   uint64_t watch;
 };
 
-/* An accepted judgement that waits for its entry to be created. */
-struct accepted
+/* An accepted object whose log entry is not written yet. */
+struct accepted_object
 {
   char *kind;
   char *name;
@@ -42,11 +42,11 @@
   struct watch watches[G_N_ELEMENTS (kinds)];
   struct instance_tracker *tracker;
   struct checkpoint *checkpoint;
-  uint64_t request; /* write or read-back under way; 0: none */
-  char *entry;      /* being created */
+  uint64_t request; /* pending write or read-back; 0: none */
+  char *entry;      /* entry being written; NULL: none */
   size_t entry_bytes;
   uint64_t entry_version;
-  GPtrArray *accepted; /* with the entry */
+  GPtrArray *accepted; /* objects that the entry accepts */
   struct loop_timer *retry_timer;
 };
 
@@ -55,7 +55,7 @@
 static void
 accepted_object_free (void *data)
 {
-  struct accepted *a = data;
+  struct accepted_object *a = data;
 
   g_free (a->kind);
   g_free (a->name);
@@ -67,7 +67,7 @@
                     const struct beryl_validation_result *result)
 {
   struct accept_task *task = (struct accept_task *)owner;
-  struct accepted *a;
+  struct accepted_object *a;
 
   if (!result->accepted)
     {
@@ -79,7 +79,7 @@
       status_task_validated (task->control->status, result, 0);
       return;
     }
-  a = g_new0 (struct accepted, 1);
+  a = g_new0 (struct accepted_object, 1);
   a->kind = g_strdup (result->kind);
   a->name = g_strdup (result->name);
   a->version = result->version;
@@ -120,7 +120,7 @@
 {
   for (guint i = 0; i < task->accepted->len; i++)
     {
-      const struct accepted *a = g_ptr_array_index (task->accepted, i);
+      const struct accepted_object *a = g_ptr_array_index (task->accepted, i);
       struct beryl_validation_result result
           = { a->kind, a->name, a->version, true, "" };
 
@@ -134,7 +134,7 @@
                 task->accepted->len);
 }
 
-/* Puts an entry that is in the log into force here. */
+/* Applies an entry of the log to the local configuration. */
 static void
 entry_apply (struct accept_task *task, const char *text, size_t bytes_count)
 {
@@ -145,7 +145,8 @@
   g_free (array);
 }
 
-/* Whatever stands under the number counts, ours or another acceptor's. */
+/* The stored entry is authoritative, whether this acceptor or another one
+ * wrote it. */
 static void
 entry_read_back (void *user, const struct beryl_platform_result *result)
 {
@@ -201,7 +202,7 @@
     }
   if (result->code != BERYL_OK)
     {
-      g_warning ("entry %" G_GUINT64_FORMAT " not written",
+      g_warning ("writing log entry %" G_GUINT64_FORMAT " failed",
                  task->entry_version);
       entry_discard (task);
       accept_schedule_retry (task);
@@ -238,7 +239,8 @@
 {
   if (task->request != 0 || task->entry != NULL)
     return;
-  /* The create is the fence; this only spares a former holder the work. */
+  /* Correctness rests on the conditional create; this check only saves a
+   * previous holder the work. */
   if (!role_task_held (task->control->roles, CONTROL_ROLE_ACCEPTOR, NULL))
     return;
   task->entry = beryl_acceptor_propose (task->acceptor, &task->entry_bytes);
--- a/controld/accept_task.h
+++ b/controld/accept_task.h
@@ -1,7 +1,7 @@
 /** @file
- * The acceptor's work while its role is held: watch the operators' objects
- * and the instance list, create the log's entries, fold old ones into a
- * checkpoint, and write what was found out to status objects.
+ * The acceptor's work while the role is held: watch the operators' objects
+ * and the instance list, append log entries, fold old entries into a
+ * checkpoint, and report validation results as status objects.
  */
 #ifndef CONTROLD_ACCEPT_TASK_H
 #define CONTROLD_ACCEPT_TASK_H
@@ -10,16 +10,17 @@
 
 struct accept_task;
 
-/** Begin. */
+/** Start the acceptor. */
 struct accept_task *accept_task_create (struct control *control);
 
-/** End; NULL is allowed.  A write under way may still take effect. */
+/** Stop and release; NULL is allowed.  A pending write may still take
+ * effect. */
 void accept_task_destroy (struct accept_task *task);
 
-/** The log moved: judge again. */
+/** Propose the next entry after a change of the log. */
 void accept_task_wake (struct accept_task *task);
 
-/** Once a second: witness the members with the instance list. */
+/** Run the instance tracker; called once a second. */
 void accept_task_tick (struct accept_task *task);
 
 #endif
--- a/controld/checkpoint.c
+++ b/controld/checkpoint.c
@@ -6,25 +6,25 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Entries between two checkpoints. */
+/* Log entries between two checkpoints. */
 #define INTERVAL_ENTRIES 256
-/* Of one part; the platform holds values up to 1 MB. */
+/* Target size of a part; the platform stores values of up to 1 MB. */
 #define PART_BYTES (512U * 1024U)
 #define WRITE_MS 5000
 
 struct checkpoint
 {
   struct control *control;
-  uint64_t request;          /* under way; 0: none */
-  uint64_t version;          /* being written */
-  uint64_t written_version;  /* last written by this process */
-  json_t *snapshot;          /* the snapshot */
-  size_t next_change;        /* change to be written next */
-  uint32_t parts;            /* written */
-  uint64_t previous_version; /* of the checkpoint that is replaced */
+  uint64_t request;          /* pending request; 0: none */
+  uint64_t version;          /* version of the checkpoint being written */
+  uint64_t written_version;  /* version of the last checkpoint */
+  json_t *snapshot;          /* snapshot being written */
+  size_t next_change;        /* index of the next change to write */
+  uint32_t parts;            /* parts written so far */
+  uint64_t previous_version; /* version of the replaced checkpoint */
   uint32_t previous_parts;
-  uint64_t next_delete; /* entries before this are gone */
-  GQueue obsolete;      /* "kind/name" */
+  uint64_t next_delete; /* first entry that is not deleted */
+  GQueue obsolete;      /* objects to delete, as "kind/name" */
 };
 
 static const struct platform_client_options options
@@ -68,7 +68,7 @@
   obsolete_delete (c);
 }
 
-/* One after the other: nobody waits for it. */
+/* Deletes one object at a time, as nothing waits for it. */
 static void
 obsolete_delete (struct checkpoint *c)
 {
@@ -96,7 +96,7 @@
       g_queue_push_tail (&c->obsolete,
                          g_strdup_printf (BERYL_CHECKPOINT_KIND "/%s", name));
     }
-  /* One generation of entries stays, for nodes that are a little behind. */
+  /* Keep one interval of entries for nodes that are slightly behind. */
   while (c->next_delete + INTERVAL_ENTRIES <= c->version)
     {
       beryl_config_log_entry_name (c->next_delete++, name);
@@ -144,8 +144,8 @@
       c->previous_parts
           = (uint32_t)json_integer_value (json_object_get (head, "parts"));
       json_decref (head);
-      /* A former acceptor that was paused must not set it back: entries
-       * that it would need are gone. */
+      /* A paused previous acceptor must not move the head back: the entries
+       * after its checkpoint are already deleted. */
       if ((uint64_t)stored_version >= c->version)
         return;
       write.condition = BERYL_IF_VERSION;
@@ -206,7 +206,7 @@
                                     BERYL_CHECKPOINT_HEAD, 0, head_read, c);
 }
 
-/* A part's content follows from its name, so writing it twice is harmless. */
+/* A part's name determines its content, so rewriting it is harmless. */
 static void
 part_write (struct checkpoint *c)
 {
--- a/controld/checkpoint.h
+++ b/controld/checkpoint.h
@@ -1,8 +1,8 @@
 /** @file
  * Folds old entries of the accepted log into a checkpoint.
  *
- * Order of the writes: the parts, then the head that names them, then the
- * deletions of what the checkpoint before it no longer needs.  A crash at any
+ * The parts are written first, then the head that names them; then the
+ * previous checkpoint's parts and old entries are deleted.  A crash at any
  * point leaves a readable log.
  */
 #ifndef CONTROLD_CHECKPOINT_H
@@ -12,12 +12,13 @@
 
 struct checkpoint;
 
+/** Create; the last checkpoint is assumed at a multiple of the interval. */
 struct checkpoint *checkpoint_create (struct control *control);
 
-/** Release; NULL is allowed.  Writes under way may still take effect. */
+/** Release; NULL is allowed.  A pending write may still take effect. */
 void checkpoint_destroy (struct checkpoint *checkpoint);
 
-/** Begin a checkpoint if enough entries came since the last. */
+/** Start a checkpoint if enough entries were added since the last one. */
 void checkpoint_start_if_due (struct checkpoint *checkpoint);
 
 #endif
--- a/controld/cleanup_task.c
+++ b/controld/cleanup_task.c
@@ -15,7 +15,7 @@
 
 #define CANCEL_TIMEOUT_MS 2000
 #define ANSWER_BYTES 4096
-/* Nodes that keep the windows of another one. */
+/* Number of nodes that store a copy of a node's windows. */
 #define REPLICAS 2
 
 struct cleanup_task
@@ -23,9 +23,9 @@
   struct control *control;
   struct beryl_hold_cleanup *cleanup;
   struct ticker *ticker;
-  GHashTable *replicas; /* node to struct local_holds * */
+  GHashTable *replicas; /* node name to struct local_holds * */
   GPtrArray *calls;     /* struct cancel * */
-  uint64_t sent_hash;   /* hash of the windows and keepers told last */
+  uint64_t sent_hash;   /* hash of the windows and replicas of the last send */
 };
 
 /* One cancel call to an engine. */
@@ -77,7 +77,7 @@
       && beryl_hold_cleanup_answered (
           task->cleanup, c->window.endpoint, c->window.incarnation,
           (uint64_t)json_integer_value (held), control_now_ms (task->control)))
-    g_info ("%s holds no stream of %016" G_GINT64_MODIFIER
+    g_info ("%s confirmed that it holds no stream of %016" G_GINT64_MODIFIER
             "x between %" G_GUINT64_FORMAT " and %" G_GUINT64_FORMAT,
             c->window.endpoint, c->window.incarnation, c->window.from,
             c->window.to);
@@ -234,7 +234,7 @@
                                XXH3_64bits (node, strlen (node)));
 }
 
-/* The live member with the highest score below BELOW. */
+/* Returns the live member with the highest score below BELOW. */
 static const struct beryl_member *
 replica_next (const struct control *control, uint64_t below, uint64_t *score)
 {
@@ -274,9 +274,10 @@
   return n;
 }
 
-/* The keepers count as well as the windows: those of long streams stay the
- * same for hours.  Told once only, they would be lost with a node whose
- * keepers died before it, and its streams would hold the engines' memory. */
+/* The hash covers the replicas as well as the windows, because the windows of
+ * long streams stay the same for hours.  Otherwise, windows that were sent
+ * once would be lost when the replicas die before the node, and its streams
+ * would keep the engines' memory. */
 void
 cleanup_task_tick (struct cleanup_task *task)
 {
--- a/controld/config_task.c
+++ b/controld/config_task.c
@@ -7,17 +7,17 @@
 
 #include "gossip_task.h"
 
-/* Of one request to the platform. */
+/* Timeout of one request to the platform. */
 #define READ_TIMEOUT_MS 5000
 
 struct config_task
 {
   struct control *control;
-  uint64_t watch;   /* 0: none */
-  uint64_t request; /* request under way; 0: none */
+  uint64_t watch;   /* watch of the log; 0: none */
+  uint64_t request; /* pending request; 0: none */
   struct beryl_config *config;
-  uint64_t config_version; /* of CONFIG */
-  /* Parts of the checkpoint while they are read. */
+  uint64_t config_version; /* version that CONFIG was parsed from */
+  /* State of reading the checkpoint's parts. */
   uint64_t checkpoint_version;
   uint32_t part;
   uint32_t part_count;
@@ -66,8 +66,8 @@
   task->config_version = version;
   if (config == NULL)
     {
-      g_warning ("accepted configuration %" G_GUINT64_FORMAT
-                 " cannot be read; the last one stays in use",
+      g_warning ("cannot parse accepted configuration %" G_GUINT64_FORMAT
+                 "; keeping the previous one",
                  version);
       return task->config;
     }
@@ -83,7 +83,7 @@
 
   if (version == before)
     return;
-  g_info ("configuration %" G_GUINT64_FORMAT " taken, from %s", version, from);
+  g_info ("configuration %" G_GUINT64_FORMAT " loaded from %s", version, from);
   control_config_changed (task->control);
 }
 
@@ -96,7 +96,7 @@
       task->control->config_log, text, bytes_count, &error);
 
   if (result == BERYL_CONFIG_LOG_INVALID)
-    g_warning ("entry from %s refused: %s", from, error.message);
+    g_warning ("invalid log entry from %s: %s", from, error.message);
   return result;
 }
 
@@ -131,12 +131,11 @@
   if (beryl_config_log_load (task->control->config_log, text, bytes_count,
                              &error)
       == BERYL_CONFIG_LOG_INVALID)
-    g_warning ("snapshot from %s refused: %s", from, error.message);
+    g_warning ("invalid snapshot from %s: %s", from, error.message);
   config_advanced (task, before, from);
 }
 
-/* The log after the checkpoint, in order of names, which is that of the
- * versions. */
+/* Objects are listed by name, which is the order of the versions. */
 static void
 log_listed (void *user, const struct beryl_platform_result *result)
 {
@@ -261,7 +260,7 @@
 
   if (event->deleted || !g_str_has_prefix (event->object.name, "log-"))
     return;
-  /* Entries before it were folded into a checkpoint. */
+  /* A gap means that earlier entries were folded into a checkpoint. */
   if (entry_apply (task, event->object.value, event->object.value_bytes,
                    "the watch")
       == BERYL_CONFIG_LOG_GAP)
--- a/controld/control.c
+++ b/controld/control.c
@@ -16,16 +16,17 @@
 #include "status_task.h"
 
 #define TICK_MS 1000
-/* A node without a configuration asks the platform after so long, in case
- * that a peer has it. */
+/* Delay before a node without a configuration reads it from the platform;
+ * a peer may provide it first. */
 #define BOOTSTRAP_MS 300
-/* Nodes that are started together do not ask in step. */
+/* Spreads the reads of nodes that start together. */
 #define BOOTSTRAP_JITTER_MS 500
-/* Neither heard a peer nor the platform for so long: look at the platform. */
+/* Time without contact to peers and without confirmed configuration after
+ * which the log is read from the platform. */
 #define CONTACT_TIMEOUT_MS 10000
-/* A planned stop waits for entryd at most so long. */
+/* Longest wait for entryd to disconnect in a planned stop. */
 #define ENTRY_STOP_TIMEOUT_MS 600000
-/* For gossip to tell that this node leaves. */
+/* Time for gossip to spread that this node leaves. */
 #define LEAVE_ANNOUNCE_MS 1500
 
 int64_t
@@ -186,8 +187,8 @@
                                   control_now_ms (control));
   g_free (listed);
   gossip_task_wake (control->gossip);
-  /* The list was needed for the first contact only; the acceptor watches it
-   * for all. */
+  /* Needed for the first contact only; afterwards the acceptor watches the
+   * list on behalf of all nodes. */
   if (beryl_membership_count (control->members) > 1 || entries > 0)
     {
       platform_client_unwatch (control->platform, control->seed_watch);
@@ -210,9 +211,9 @@
          && (stale_ms < 0 || stale_ms > CONTACT_TIMEOUT_MS);
 }
 
-/* A node with peers gets the configuration from them, and one that has none
- * to give hears of the first from its watcher: without any configuration a
- * whole fleet would otherwise read the log each second. */
+/* A node with peers gets the configuration from them or from its watcher.
+ * While no configuration exists at all, reading the log here as well would
+ * make the whole fleet read it every second. */
 static bool
 needs_log (const struct control *control)
 {
@@ -331,7 +332,7 @@
       loop_quit (control->loop);
       return;
     }
-  g_info ("waiting for entryd to end");
+  g_info ("waiting for entryd to disconnect");
   control->stop_timer = loop_timer_start (control->loop, ENTRY_STOP_TIMEOUT_MS,
                                           0, control_finish_stop, control);
 }
@@ -340,7 +341,7 @@
 control_stop (struct control *control)
 {
   control->stopping = true;
-  g_info ("stopping: leaving gossip and handing over the roles");
+  g_info ("stopping: leaving the membership and releasing the roles");
   beryl_membership_leave (control->members, control_now_ms (control));
   gossip_task_wake (control->gossip);
   entry_task_wake (control->entry);
--- a/controld/drains.c
+++ b/controld/drains.c
@@ -2,8 +2,8 @@
 
 #include <glib.h>
 
-/* All nodes have heard of it by then, and what they had sent before has
- * arrived. */
+/* Time for all nodes to learn of a drain and for work that was sent before
+ * to arrive. */
 #define DRAIN_SETTLE_MS 5000
 #define WRITE_MS 3000
 #define LIST_MS 60000
@@ -11,8 +11,9 @@
 struct drains
 {
   struct control *control;
-  uint64_t listing;          /* request under way; 0: none */
-  GHashTable *leaving_since; /* endpoint to the time when its fact was seen */
+  uint64_t listing;          /* pending list request; 0: none */
+  GHashTable *leaving_since; /* endpoint to the time its leaving fact was
+                              * seen, int64_t * in ms */
 };
 
 static void
@@ -24,7 +25,7 @@
   g_hash_table_replace (d->leaving_since, g_strdup (endpoint), since_ms);
 }
 
-/* A former planner may have died in the middle of a drain. */
+/* A previous planner may have died during a drain. */
 static void
 drains_listed (void *user, const struct beryl_platform_result *result)
 {
@@ -66,7 +67,8 @@
 {
   (void)user;
   if (result->code != BERYL_OK)
-    g_info ("drain not written: %s", beryl_error_code_name (result->code));
+    g_info ("updating a drain failed: %s",
+            beryl_error_code_name (result->code));
 }
 
 static void
--- a/controld/drains.h
+++ b/controld/drains.h
@@ -1,9 +1,9 @@
 /** @file
- * Engines that take no new work before the planner unloads them.
+ * Drains engines before the planner unloads them.
  *
- * An engine that is unloaded in the middle of streams cuts off their callers.
- * An object of kind BERYL_DRAIN_KIND makes it leave for all nodes; some
- * seconds later nothing new can reach it.
+ * Unloading an engine in the middle of streams would cut off their callers.
+ * An object of kind BERYL_DRAIN_KIND marks the engine as leaving at all
+ * nodes; some seconds later no new work can reach it.
  */
 #ifndef CONTROLD_DRAINS_H
 #define CONTROLD_DRAINS_H
@@ -12,17 +12,17 @@
 
 struct drains;
 
-/** Create, with what a former planner left. */
+/** Create, and read the drains that a previous planner left. */
 struct drains *drains_create (struct control *control);
 
 /** Release; NULL is allowed. */
 void drains_destroy (struct drains *drains);
 
-/** Whether no new work reaches ENDPOINT any more; begins its drain if it has
- * none. */
+/** Start draining ENDPOINT unless that was done, and return whether new work
+ * can no longer reach it. */
 bool drains_ensure (struct drains *drains, const char *endpoint);
 
-/** Let work in again, if ENDPOINT was drained. */
+/** Delete the drain of ENDPOINT, if there is one. */
 void drains_end (struct drains *drains, const char *endpoint);
 
 #endif
--- a/controld/entry_task.c
+++ b/controld/entry_task.c
@@ -10,10 +10,10 @@
 #include "common/ticker.h"
 #include "wire/link.h"
 
-/* Changes of the view are joined for so long. */
+/* Changes within this time are sent as one view. */
 #define VIEW_DELAY_MS 20
-/* A node that hears neither peers nor the platform for so long takes no new
- * callers: its configuration may be old. */
+/* A node without contact to peers and platform for this long is reported as
+ * isolated and accepts no new calls, as its configuration may be stale. */
 #define ISOLATED_MS 60000
 
 struct entry_task
@@ -21,14 +21,14 @@
   struct link_handler base;
   struct control *control;
   struct link_listener *listener;
-  struct link *link; /* the entryd of this instance; NULL: away */
+  struct link *link; /* this instance's entryd; NULL: not connected */
   struct local_hello hello;
   struct local_holds holds;
   struct frame_writer *writer;
   struct ticker *ticker;
-  struct loop_timer *grace_timer; /* after the connection broke */
-  uint64_t sent_version;          /* version whose objects entryd has */
-  uint64_t applied_version; /* version that entryd uses; 0: not said yet */
+  struct loop_timer *grace_timer; /* runs after a disconnect */
+  uint64_t sent_version;          /* configuration version sent to entryd */
+  uint64_t applied_version; /* version that entryd reported; 0: none yet */
   uint64_t views_sent;
 };
 
@@ -40,8 +40,8 @@
   task->holds.count = 0;
 }
 
-/* The end of the loopback connection is a proof of death once a live entryd
- * would have connected again. */
+/* A closed loopback connection proves that entryd is dead once the time has
+ * passed within which a live one reconnects. */
 static void
 entry_died (void *user)
 {
@@ -49,8 +49,8 @@
 
   loop_timer_stop (task->grace_timer);
   task->grace_timer = NULL;
-  g_warning ("entryd %016" G_GINT64_MODIFIER "x is dead (%s), %zu windows of "
-             "streams to cancel",
+  g_warning ("entryd %016" G_GINT64_MODIFIER "x is dead (%s), cancelling %zu "
+             "stream windows",
              task->hello.incarnation,
              beryl_death_name (BERYL_DEATH_LINK_BROKEN), task->holds.count);
   cleanup_task_cancel (task->control->cleanup, &task->holds);
@@ -75,7 +75,7 @@
 static void
 handle_hello (struct entry_task *task, const struct local_hello *hello)
 {
-  /* Another incarnation at once proves that the former one is dead. */
+  /* A new incarnation proves that the previous one is dead. */
   if (task->hello.incarnation != 0
       && task->hello.incarnation != hello->incarnation)
     entry_died (task);
@@ -149,7 +149,7 @@
 
   if (link != task->link)
     return;
-  g_info ("entryd's connection ended: %s", reason);
+  g_info ("entryd disconnected: %s", reason);
   entry_disconnected (task);
 }
 
@@ -158,8 +158,8 @@
   .closed = entry_closed,
 };
 
-/* A restarted entryd may connect before the end of the old connection was
- * seen; the new one counts. */
+/* A restarted entryd may connect before the old connection is seen to close;
+ * the new connection replaces it. */
 static struct link_handler *
 entry_accept (void *user, struct link *link)
 {
@@ -332,7 +332,7 @@
 uint64_t
 entry_task_applied (const struct entry_task *task)
 {
-  /* One whose connection broke may live until it is known to be dead. */
+  /* A disconnected entryd counts as alive until it is declared dead. */
   if (task->hello.incarnation == 0)
     return beryl_config_log_version (task->control->config_log);
   return task->applied_version;
--- a/controld/entry_task.h
+++ b/controld/entry_task.h
@@ -1,13 +1,13 @@
 /** @file
- * The loopback connection to this instance's beryl-entryd: views go down,
- * holds and demand come up.
+ * The loopback connection to this instance's beryl-entryd: controld sends
+ * views, entryd reports holds and demand.
  */
 #ifndef CONTROLD_ENTRY_TASK_H
 #define CONTROLD_ENTRY_TASK_H
 
 #include "control.h"
 
-/** Listen on the loopback address. */
+/** Listen on the loopback address; NULL and ERROR on failure. */
 struct entry_task *entry_task_create (struct control *control,
                                       struct beryl_error *error);
 
@@ -17,17 +17,18 @@
 /** Return the port in use. */
 uint16_t entry_task_port (const struct entry_task *task);
 
-/** Something in the view changed: send it soon. */
+/** Schedule sending the view after a change. */
 void entry_task_wake (struct entry_task *task);
 
-/** Whether an entryd is connected. */
+/** Return whether an entryd is connected. */
 bool entry_task_connected (const struct entry_task *task);
 
-/** Return the configuration that entryd said it uses.  Without an entryd
- * nobody here can use an old one: the version that the next one gets. */
+/** Return the configuration version that entryd reported as applied.
+ * Without an entryd nothing here can use an old configuration, so this is the
+ * version that the next entryd receives. */
 uint64_t entry_task_applied (const struct entry_task *task);
 
-/** Return what entryd holds, as it said last. */
+/** Return the holds that entryd reported last. */
 const struct local_holds *entry_task_holds (const struct entry_task *task);
 
 #endif
--- a/controld/gossip_task.c
+++ b/controld/gossip_task.c
@@ -112,8 +112,8 @@
   memcpy (self->data_centre, from->data_centre, sizeof self->data_centre);
   memcpy (self->region, from->region, sizeof self->region);
   self->port = port;
-  /* Above that of any former life, unless the clock was set back; then
-   * the others tell, and it is raised. */
+  /* Higher than any previous incarnation, unless the clock was set back; in
+   * that case peers report the higher one and it is raised. */
   self->incarnation = (uint64_t)g_get_real_time () / 1000;
   settings.seed = control_random (task->control, UINT64_MAX);
   settings.probe_ms = from->probe_ms;
--- a/controld/instance_tracker.h
+++ b/controld/instance_tracker.h
@@ -1,29 +1,31 @@
 /** @file
- * Which endpoints are leaving, and which nodes are listed.
+ * Tracks leaving endpoints and listed nodes.
  *
- * Both come from the platform's instance list and the planner's drains; the
- * first become facts of the acceptor's log, the second witness the members.
+ * Leaving endpoints come from the platform's instance list and from drain
+ * objects and become instance facts in the acceptor's log.  Listed nodes
+ * confirm the membership.
  */
-#ifndef CONTROLD_FACTS_H
-#define CONTROLD_FACTS_H
+#ifndef CONTROLD_INSTANCE_TRACKER_H
+#define CONTROLD_INSTANCE_TRACKER_H
 
 #include "control.h"
 
 struct instance_tracker;
 
-/** The acceptor was told something new. */
+/** Called after the acceptor was given new facts. */
 typedef void instance_tracker_changed_cb (void *user);
 
-/** Begin to watch; ACCEPTOR is borrowed. */
-struct instance_tracker *instance_tracker_create (struct control *control,
-                            struct beryl_acceptor *acceptor,
-                            instance_tracker_changed_cb *moved, void *user);
+/** Start watching; ACCEPTOR is borrowed. */
+struct instance_tracker *
+instance_tracker_create (struct control *control,
+                         struct beryl_acceptor *acceptor,
+                         instance_tracker_changed_cb *moved, void *user);
 
-/** End; NULL is allowed. */
+/** Stop watching and release; NULL is allowed. */
 void instance_tracker_destroy (struct instance_tracker *facts);
 
-/** Once a second: take endpoints back, witness the members, delete drains
- * without a planner.  False until the list was read. */
+/** Expire leaving endpoints, confirm the members and delete orphaned drains;
+ * called once a second.  False until the list was read. */
 bool instance_tracker_tick (struct instance_tracker *facts);
 
 #endif
--- a/controld/metrics_task.c
+++ b/controld/metrics_task.c
@@ -32,7 +32,7 @@
     {
       char *end;
 
-      /* The whole size comes first. */
+      /* The first field is the total size, the second the resident set. */
       strtoull (line, &end, 10);
       pages = strtoull (end, NULL, 10);
     }
--- a/controld/orphaned_drains.c
+++ b/controld/orphaned_drains.c
@@ -5,20 +5,20 @@
 #include "role_task.h"
 
 #define CALL_MS 3000
-/* Readings of the planner's lease, one each lifetime, that must all be the
- * same: a planner renews it several times in one. */
+/* Consecutive reads of the planner's lease, one per TTL, that must show the
+ * same version: a live planner renews several times per TTL. */
 #define UNCHANGED_READS 5
-/* Deletions begun in one second: the platform's write budget is shared. */
+/* Deletion rate limit, as the platform's write budget is shared. */
 #define DELETES_PER_SECOND 10
 
 struct orphaned_drains
 {
   struct control *control;
-  GHashTable *drains;       /* endpoint to its version, uint64_t * */
-  uint64_t request;         /* request under way; 0: none */
-  int64_t next_read_ms;     /* when it is read next */
-  uint64_t lease_version;   /* at the last reading */
-  uint32_t unchanged_reads; /* readings that showed it */
+  GHashTable *drains;       /* endpoint to the drain's version, uint64_t * */
+  uint64_t request;         /* pending lease read; 0: none */
+  int64_t next_read_ms;     /* time of the next lease read */
+  uint64_t lease_version;   /* lease version at the last read */
+  uint32_t unchanged_reads; /* consecutive reads with that version */
 };
 
 struct orphaned_drains *
@@ -68,8 +68,8 @@
   return false;
 }
 
-/* A reading that failed begins the count anew: after an outage the planner
- * needs a moment to renew, and the object would look the same for long. */
+/* A failed read restarts the count: after an outage the planner needs time to
+ * renew, and until then the lease looks unchanged. */
 static void
 lease_read (void *user, const struct beryl_platform_result *result)
 {
@@ -110,12 +110,13 @@
 {
   (void)user;
   if (result->code != BERYL_OK)
-    g_info ("drain not deleted: %s", beryl_error_code_name (result->code));
+    g_info ("deleting a drain failed: %s",
+            beryl_error_code_name (result->code));
 }
 
-/* Only the version that was seen: a planner that begins just now writes a
- * newer one, and that has to stay.  What could not be deleted is tried again
- * until the watch shows it gone. */
+/* Deletes only the observed versions: a planner that starts now writes newer
+ * ones, which must stay.  Failed deletions are retried until the watch reports
+ * the drain as deleted. */
 static void
 drains_delete (struct orphaned_drains *o)
 {
@@ -130,7 +131,7 @@
                   && g_hash_table_iter_next (&iter, &endpoint, &version);
        i++)
     {
-      g_warning ("no planner runs: deleting its drain of %s",
+      g_warning ("no planner is running: deleting its drain of %s",
                  (const char *)endpoint);
       counters_add (o->control->counters, "beryl_orphaned_drains_total", "",
                     1);
@@ -140,11 +141,11 @@
     }
 }
 
-/* Switched off, a planner leaves its drains; the engines named there stay
- * leaving, and calls for them are held until their deadlines.  Neither
- * membership nor the lease is enough to tell: a planner behind a partition
- * goes on renewing, and one that lost its lease in an outage is still there.
- * Both must be silent. */
+/* A planner that is switched off leaves its drains behind; their engines stay
+ * leaving, and calls for them are held until their deadlines.  Neither the
+ * membership nor the lease alone proves that no planner runs: a partitioned
+ * planner keeps renewing, and one that lost its lease in an outage is still
+ * running.  Both must show no planner. */
 void
 orphaned_drains_tick (struct orphaned_drains *o)
 {
--- a/controld/orphaned_drains.h
+++ b/controld/orphaned_drains.h
@@ -1,11 +1,11 @@
 /** @file
- * Drains whose planner is gone.
+ * Deletes drains when no planner runs any more.
  *
  * The planner's drains keep cold engines leaving until it loads them again.
- * When no planner runs any more, the acceptor deletes them.
+ * Without a planner, the acceptor deletes them.
  */
-#ifndef CONTROLD_ORPHANS_H
-#define CONTROLD_ORPHANS_H
+#ifndef CONTROLD_ORPHANED_DRAINS_H
+#define CONTROLD_ORPHANED_DRAINS_H
 
 #include "control.h"
 
@@ -14,14 +14,15 @@
 /** Create without drains. */
 struct orphaned_drains *orphaned_drains_create (struct control *control);
 
-/** Release; NULL is allowed.  A deletion under way may still take effect. */
+/** Release; NULL is allowed.  A pending deletion may still take effect. */
 void orphaned_drains_destroy (struct orphaned_drains *orphans);
 
-/** A drain exists, or (VERSION 0) does not any more. */
-void orphaned_drains_observe (struct orphaned_drains *orphans, const char *endpoint,
-                      uint64_t version);
+/** Record that a drain exists at VERSION, or is gone if VERSION is 0. */
+void orphaned_drains_observe (struct orphaned_drains *orphans,
+                              const char *endpoint, uint64_t version);
 
-/** Once a second: look for the planner, and delete what it left. */
+/** Check for a planner and delete drains that have none; called once a
+ * second. */
 void orphaned_drains_tick (struct orphaned_drains *orphans);
 
 #endif
--- a/controld/peer_port.c
+++ b/controld/peer_port.c
@@ -9,10 +9,10 @@
 #include "wire/gossip.h"
 #include "wire/link.h"
 
-/* A connection that is not finished by then is closed. */
+/* Connections are closed after this time. */
 #define EXCHANGE_TIMEOUT_MS 5000
 #define EXCHANGES_MAX 64
-/* Entries in one answer. */
+/* Size limit of the log entries in one answer. */
 #define ENTRIES_BYTES (256U * 1024U)
 
 enum field
@@ -21,17 +21,17 @@
   FIELD_NODE,
 };
 
-/* One connection, in either direction. */
+/* One incoming or outgoing connection. */
 struct exchange
 {
   struct link_handler base;
   struct peer_port *port;
   struct link *link;
-  bool authenticated; /* the other side has proved the key */
+  bool authenticated; /* the challenge was answered */
   bool is_pull;
-  char node[BERYL_NAME_BYTES]; /* the other side */
+  char node[BERYL_NAME_BYTES]; /* name of the peer */
   uint8_t challenge[SECRET_CHALLENGE_BYTES];
-  struct frame_writer *request; /* sent once connected and proved */
+  struct frame_writer *request; /* outgoing; sent after the proof */
   int64_t started_ms;
 };
 
@@ -228,8 +228,8 @@
   .closed = exchange_closed,
 };
 
-/* The challenge goes out at once, also without a key, so that there is one
- * way to begin. */
+/* The challenge is sent even without a key, so that every exchange starts the
+ * same way. */
 static void
 challenge_send (struct exchange *x)
 {
@@ -297,7 +297,8 @@
     config_task_load_snapshot (config, text, bytes, x->node);
 }
 
-/* One answer ends the exchange; after a list ours goes back first. */
+/* An answer ends the exchange, except that a member list is answered with
+ * ours; the peer closes after it. */
 static void
 request_frame (struct link_handler *handler, struct link *link,
                struct frame *frame)
@@ -331,7 +332,7 @@
   .closed = exchange_closed,
 };
 
-/* Takes REQUEST over. */
+/* Takes ownership of REQUEST. */
 static struct exchange *
 request_start (struct peer_port *port, const struct beryl_member *member,
                struct frame_writer *request)
@@ -397,7 +398,7 @@
   request_start (port, member, request);
 }
 
-/* A peer that died or hangs must not keep connections open. */
+/* Closes the connections of peers that died or hang. */
 static void
 port_expire (void *user)
 {
--- a/controld/peer_port.h
+++ b/controld/peer_port.h
@@ -1,6 +1,6 @@
 /** @file
- * Connections between controlds: comparison of member lists, pull of the
- * configuration, demand and holds of other nodes.
+ * TCP connections between controlds: member list synchronisation,
+ * configuration pulls, demand reports and replicated holds.
  */
 #ifndef CONTROLD_PEER_PORT_H
 #define CONTROLD_PEER_PORT_H
@@ -9,7 +9,7 @@
 
 struct peer_port;
 
-/** Listen. */
+/** Listen; NULL and ERROR on failure. */
 struct peer_port *peer_port_create (struct control *control,
                                     struct beryl_error *error);
 
@@ -19,11 +19,11 @@
 /** Return the port in use. */
 uint16_t peer_port_number (const struct peer_port *port);
 
-/** Compare member lists with MEMBER. */
+/** Synchronise member lists with MEMBER. */
 void peer_port_compare (struct peer_port *port,
                         const struct beryl_member *member);
 
-/** Pull the configuration from MEMBER, unless a pull is under way. */
+/** Pull the configuration from MEMBER, unless a pull is in progress. */
 void peer_port_pull (struct peer_port *port,
                      const struct beryl_member *member);
 
@@ -31,7 +31,7 @@
 void peer_port_send (struct peer_port *port, const struct beryl_member *member,
                      const struct local_message *message);
 
-/** Write the counters. */
+/** Update the peer counters. */
 void peer_port_update_counters (struct peer_port *port);
 
 #endif
--- a/controld/planner_task.c
+++ b/controld/planner_task.c
@@ -14,12 +14,13 @@
 
 #define TICK_MS 1000
 #define CALL_MS 2000
-/* All engines are asked for their state in one sweep, a few at a time. */
+/* All engines are polled once per sweep, a batch at a time. */
 #define POLL_INTERVAL_MS 100
 #define SWEEP_MS 15000
 #define POLL_BATCH_MIN 2
 #define POLL_BATCH_MAX 40
-/* Calls under way; the last ones are for orders. */
+/* Limits of concurrent calls; those above POLL_CALLS_MAX are reserved for
+ * orders. */
 #define POLL_CALLS_MAX 200
 #define CALLS_MAX 256
 #define ANSWER_BYTES 8192
@@ -30,7 +31,7 @@
   struct beryl_planner_owner base;
   struct control *control;
   struct beryl_planner *planner;
-  struct beryl_config *config; /* own copy: the planner points into it */
+  struct beryl_config *config; /* referenced by the planner */
   struct loop_timer *timer;
   struct loop_timer *poll_timer;
   size_t next_poll;
@@ -42,7 +43,7 @@
 enum call_kind
 {
   CALL_STATE,
-  CALL_LOAD, /* is it idle?  then the order */
+  CALL_LOAD, /* checks that the engine is idle before an order */
   CALL_ORDER,
 };
 
@@ -54,7 +55,7 @@
   struct http_call *call;
   char endpoint[BERYL_NAME_BYTES];
   enum call_kind kind;
-  char order[ORDER_BYTES]; /* CALL_LOAD: to be sent if it is idle */
+  char order[ORDER_BYTES]; /* CALL_LOAD: sent if the engine is idle */
   char answer[ANSWER_BYTES];
   size_t answer_bytes;
 };
@@ -129,8 +130,8 @@
     }
   beryl_planner_report_engine (c->task->planner, &state,
                                control_now_ms (c->task->control));
-  /* A cold engine refuses what it is sent; calls that wait for a warm one are
-   * held as long as all are leaving.  Once it serves, work may come in. */
+  /* A cold engine refuses calls.  While all engines are leaving, calls are
+   * held until one is warm; the drain ends once the engine serves. */
   if (serve != NULL && (state.role == 0 || state.loading))
     drains_ensure (c->task->drains, c->endpoint);
   else if (state.ready
@@ -181,8 +182,9 @@
   call_end (c);
 }
 
-/* An order that failed is repeated by the planner until the engine's state
- * shows it; one that does not answer is no spare. */
+/* The planner repeats a failed order until the engine's state shows it.  An
+ * engine that does not answer is reported without state, so that it is not
+ * used as a spare. */
 static void
 call_failed (struct http_call_handler *handler, struct http_call *call,
              bool sent, const char *reason)
@@ -193,7 +195,7 @@
   (void)call;
   (void)sent;
   if (c->kind != CALL_STATE)
-    g_info ("order to %s failed: %s", c->endpoint, reason);
+    g_info ("call to %s for an order failed: %s", c->endpoint, reason);
   else
     beryl_planner_report_engine (c->task->planner, &state,
                                  control_now_ms (c->task->control));
@@ -240,10 +242,10 @@
   c->call = http_call_start (task->control->http, &request, &c->base);
 }
 
-/* The lease is looked at right before each order, as this process may have
- * been paused at any line.  An engine that checks the fencing number refuses
- * what is still late; one that does not gets orders only once those of the
- * former holder must have arrived. */
+/* The lease is checked right before each order, as this process may have been
+ * paused at any point.  An engine that checks the fencing number refuses
+ * orders that still arrive late; any other engine gets orders only after all
+ * orders of the previous holder must have arrived. */
 static bool
 order_allowed (const struct planner_task *task,
                const struct beryl_endpoint *endpoint, uint64_t *fence)
@@ -285,10 +287,10 @@
 static const struct beryl_planner_owner_impl owner_impl
     = { .order = order_send };
 
-/* At a fixed number a second the sweep of a large fleet took minutes, and the
- * planner ordered by what had long changed.  Engines that do not answer keep
- * their calls for CALL_MS each: when many are away the sweep waits, so that
- * orders find room. */
+/* The batch grows with the fleet: at a fixed polling rate a sweep of a large
+ * fleet took minutes, and orders were based on stale state.  Engines that do
+ * not answer occupy a call for CALL_MS each; when there are many, the sweep
+ * pauses at POLL_CALLS_MAX so that orders can still be sent. */
 static void
 engines_poll (void *user)
 {
--- a/controld/profile_store.c
+++ b/controld/profile_store.c
@@ -5,8 +5,7 @@
 
 #define WRITE_MS 3000
 #define LIST_MS 60000
-/* What was learned of the days is kept in objects of this kind, for the next
- * planner. */
+/* Kind of the objects that hold the profiles. */
 #define PROFILE_KIND "plans"
 #define SAVE_INTERVAL_MS 600000
 
@@ -14,8 +13,8 @@
 {
   struct control *control;
   struct beryl_planner *planner; /* borrowed */
-  uint64_t request;              /* request under way; 0: none */
-  int64_t next_save_ms;          /* when profiles are saved next */
+  uint64_t request;              /* pending list request; 0: none */
+  int64_t next_save_ms;          /* time of the next save */
 };
 
 static void
@@ -23,7 +22,8 @@
 {
   (void)user;
   if (result->code != BERYL_OK)
-    g_info ("plan not written: %s", beryl_error_code_name (result->code));
+    g_info ("saving a profile failed: %s",
+            beryl_error_code_name (result->code));
 }
 
 static void
--- a/controld/role_task.c
+++ b/controld/role_task.c
@@ -5,7 +5,7 @@
 
 #include "common/stored_lease.h"
 
-/* Nodes that compete for a role; the others do not read its object. */
+/* Nodes that compete for a role; the others do not read its lease. */
 #define CANDIDATES 3
 
 /* One lease. */
@@ -14,8 +14,8 @@
   struct stored_lease_owner base;
   struct control *control;
   enum control_role role;
-  char object[BERYL_NAME_BYTES]; /* its name in the platform */
-  const char *data_centre;       /* "": all */
+  char object[BERYL_NAME_BYTES]; /* name of the lease object */
+  const char *data_centre;       /* data centre of the candidates; "": all */
   struct stored_lease *lease;
 };
 
@@ -122,8 +122,8 @@
 
       if (i == CONTROL_ROLE_PLANNER && !control->settings.planner)
         wanted = false;
-      /* A holder stays: when others join, moving the role would only cost
-       * a gap. */
+      /* A holder keeps the role when better candidates join, as moving it
+       * would only leave a gap without a holder. */
       stored_lease_want (role->lease,
                          wanted || stored_lease_held (role->lease, NULL));
     }
--- a/controld/role_task.h
+++ b/controld/role_task.h
@@ -1,5 +1,5 @@
 /** @file
- * The leases on the roles, over the platform's objects of kind
+ * Leases on the roles, stored as platform objects of kind
  * CONTROL_LEASE_KIND.
  */
 #ifndef CONTROLD_ROLE_TASK_H
@@ -7,7 +7,7 @@
 
 #include "control.h"
 
-/** The leases' objects are of this kind, and named for their roles. */
+/** Kind of the lease objects, which are named after their roles. */
 #define CONTROL_LEASE_KIND "leases"
 
 /** Create all leases. */
@@ -16,17 +16,19 @@
 /** Release; NULL is allowed. */
 void role_task_destroy (struct role_task *task);
 
-/** Compete for the roles that this node stands for among the members. */
+/** Compete for the roles for which this node is a candidate. */
 void role_task_update (struct role_task *task);
 
-/** Release all roles, for a planned stop. */
+/** Release all roles for a planned stop; no role is acquired afterwards. */
 void role_task_release (struct role_task *task);
 
-/** Whether ROLE is held right now; FENCE (may be NULL) is its number. */
+/** Return whether ROLE is held now, and its fencing number in FENCE, which
+ * may be NULL. */
 bool role_task_held (const struct role_task *task, enum control_role role,
                      uint64_t *fence);
 
-/** Whether it is held and no order of a former holder can still arrive. */
+/** Return whether ROLE is held and no order of a previous holder can still
+ * arrive. */
 bool role_task_settled (const struct role_task *task, enum control_role role);
 
 /** Return the role's name. */
--- a/controld/status_task.c
+++ b/controld/status_task.c
@@ -10,12 +10,12 @@
 
 #define STATUS_KIND "status"
 #define WRITE_MS 5000
-/* Between two writes of this process. */
+/* Time between two writes of this process. */
 #define WRITE_INTERVAL_MS 100
-/* Between two writes of the same "in force" object. */
+/* Shortest time between two writes of the in-force object. */
 #define IN_FORCE_INTERVAL_MS 300
-/* After a change the nodes' reports arrive within this; the operator waits
- * for the status. */
+/* After a change, the nodes' reports are checked more often for this long,
+ * because the operator is waiting for the status. */
 #define ROLLOUT_WATCH_MS 5000
 #define ROLLOUT_POLL_MS 150
 #define BEHIND_MAX 20
@@ -24,13 +24,13 @@
 struct status_task
 {
   struct control *control;
-  GHashTable *pending; /* object name to JSON text, the newest only */
-  GQueue queue;        /* names, oldest first */
+  GHashTable *pending; /* object name to its newest JSON text */
+  GQueue queue;        /* names of the pending objects, oldest first */
   struct loop_timer *timer;
   uint64_t request;
-  char *in_force; /* as last queued */
+  char *in_force; /* text that was queued last */
   int64_t in_force_ms;
-  struct loop_timer *rollout_timer; /* looks often until EXPECT_UNTIL_MS */
+  struct loop_timer *rollout_timer; /* runs until rollout_until_ms */
   int64_t rollout_until_ms;
 };
 
@@ -76,8 +76,8 @@
       result->code == BERYL_OK ? "result=\"ok\"" : "result=\"failed\"", 1);
 }
 
-/* A status is the newest judgement of its writer; the operators' tools look
- * at the version inside, so the last writer may win. */
+/* The last writer wins: the operators' tools check the object version inside
+ * the status. */
 static void
 status_write (struct status_task *task, const char *name, const char *value)
 {
@@ -111,8 +111,8 @@
   g_free (name);
 }
 
-/* Takes VALUE over.  A newer status of the same name takes the older one's
- * place in the queue. */
+/* Takes ownership of VALUE.  A newer status replaces a pending one of the
+ * same name and keeps its place in the queue. */
 static void
 status_queue (struct status_task *task, const char *name, char *value)
 {
@@ -129,7 +129,7 @@
                                     status_next, task);
 }
 
-/* "kind.name", or with a hash in place of the end if that is too long. */
+/* Formats "kind.name"; the end is replaced by a hash if that is too long. */
 static void
 status_name (const char *kind, const char *name, char object[BERYL_NAME_BYTES])
 {
@@ -176,7 +176,7 @@
                 == 0;
 }
 
-/* Unreachable nodes count as behind: they may still serve with an old
+/* Unreachable nodes are included: they may still serve with an old
  * configuration. */
 static json_t *
 in_force_json (const struct status_task *task)
--- a/controld/status_task.h
+++ b/controld/status_task.h
@@ -1,27 +1,31 @@
 /** @file
- * Status objects for the operators, written at a bounded rate: what was
- * found out about each object, and where configurations are in force.
+ * Status objects for operators, written at a bounded rate: the validation
+ * result of each object, and the configuration in force in the data centre.
  */
 #ifndef CONTROLD_STATUS_TASK_H
 #define CONTROLD_STATUS_TASK_H
 
 #include "control.h"
 
+/** Create without pending writes. */
 struct status_task *status_task_create (struct control *control);
 
 /** Release; NULL is allowed. */
 void status_task_destroy (struct status_task *task);
 
-/** An object was judged; accepted ones are in configuration VERSION. */
+/** Queue the status of a validated object.
+ *
+ * @param version configuration that contains the object, if accepted */
 void status_task_validated (struct status_task *task,
-                            const struct beryl_validation_result *judgement,
+                            const struct beryl_validation_result *result,
                             uint64_t version);
 
-/** A configuration is on its way: look often for a few seconds. */
+/** As the watcher: check more often for a few seconds which configuration is
+ * in force, while a new one rolls out. */
 void status_task_watch_rollout (struct status_task *task);
 
-/** As the watcher: write where the configuration of this data centre is in
- * force, if that changed. */
+/** As the watcher: queue the in-force status of this data centre if it
+ * changed. */
 void status_task_in_force (struct status_task *task);
 
 #endif
