--- a/berylctl/command_apply.c
+++ b/berylctl/command_apply.c
@@ -4,16 +4,16 @@
 
 #include "ctl.h"
 
-/* One object of the files on its way. */
+/* One object to apply. */
 struct change
 {
   const char *kind;
   const char *name;
-  json_t *object;   /* as the file says */
-  json_t *current;  /* as stored, or NULL */
-  uint64_t base;    /* version that the file was made from; 0: none */
-  uint64_t version; /* of CURRENT; 0: absent */
-  uint64_t written; /* new version */
+  json_t *object;           /* as in the file */
+  json_t *current;          /* as stored, or NULL */
+  uint64_t base_version;    /* version the file is based on; 0: none */
+  uint64_t version;         /* version of CURRENT; 0: absent */
+  uint64_t written_version; /* version after the write; 0: not written */
 };
 
 static json_t *
@@ -44,16 +44,17 @@
                         json_object_get (current_value (change), "spec"));
 }
 
-/* The specification that the file was made from, if it is still known. */
+/* Returns the specification that the file is based on, or NULL if it is no
+ * longer stored. */
 static const json_t *
 base_spec (const struct change *change)
 {
   const json_t *previous
       = json_object_get (current_value (change), "previous");
 
-  if (change->base != 0
+  if (change->base_version != 0
       && (uint64_t)json_integer_value (json_object_get (previous, "version"))
-             == change->base)
+             == change->base_version)
     return json_object_get (previous, "spec");
   return NULL;
 }
@@ -61,7 +62,7 @@
 static enum ctl_exit
 report_conflict (const struct change *change)
 {
-  if (change->base == 0)
+  if (change->base_version == 0)
     fprintf (stderr,
              "berylctl: %s %s exists and differs; take it with get -o yaml, "
              "edit that (it carries its version), or use --force\n",
@@ -70,7 +71,8 @@
     fprintf (stderr,
              "berylctl: %s %s was changed since version %llu; nothing was "
              "written\n",
-             change->kind, change->name, (unsigned long long)change->base);
+             change->kind, change->name,
+             (unsigned long long)change->base_version);
   printf ("%s %s:\n", change->kind, change->name);
   ctl_print_three_way (base_spec (change),
                        json_object_get (current_value (change), "spec"),
@@ -79,15 +81,15 @@
 }
 
 static bool
-may_write (const struct ctl *ctl, const struct change *change)
+write_allowed (const struct ctl *ctl, const struct change *change)
 {
   if (ctl->force)
     return true;
-  return change->base == change->version;
+  return change->base_version == change->version;
 }
 
-/* The stored object keeps the specification before it, so that a later
- * conflict can be shown three ways. */
+/* The stored object includes the previous specification, so that a later
+ * conflict can be shown as a three-way diff. */
 static json_t *
 value_to_write (const struct change *change)
 {
@@ -107,21 +109,21 @@
   struct beryl_error error = { 0 };
   json_t *value = value_to_write (change);
 
-  change->written = ctl_put (ctl, change->kind, change->name, value,
-                             change->version, &error);
+  change->written_version = ctl_put (ctl, change->kind, change->name, value,
+                                     change->version, &error);
   json_decref (value);
-  if (change->written != 0)
+  if (change->written_version != 0)
     {
       printf ("%s %s %s, version %llu\n", change->kind, change->name,
               change->version != 0 ? "changed" : "created",
-              (unsigned long long)change->written);
+              (unsigned long long)change->written_version);
       return CTL_OK;
     }
   if (error.code != BERYL_ERROR_CONFLICT)
-    return ctl_fail (&error);
+    return ctl_report_error (&error);
   error = (struct beryl_error){ 0 };
   if (!read_current (ctl, change, &error))
-    return ctl_fail (&error);
+    return ctl_report_error (&error);
   return report_conflict (change);
 }
 
@@ -131,13 +133,13 @@
   struct beryl_error error = { 0 };
 
   if (!read_current (ctl, change, &error))
-    return ctl_fail (&error);
+    return ctl_report_error (&error);
   if (is_unchanged (change))
     {
       printf ("%s %s unchanged\n", change->kind, change->name);
       return CTL_OK;
     }
-  if (!may_write (ctl, change))
+  if (!write_allowed (ctl, change))
     return report_conflict (change);
   return write_change (ctl, change);
 }
@@ -149,34 +151,33 @@
   change->object = object;
   change->kind = json_string_value (json_object_get (object, "kind"));
   change->name = json_string_value (json_object_get (object, "name"));
-  change->base
+  change->base_version
       = (uint64_t)json_integer_value (json_object_get (object, "version"));
 }
 
-/* All are written first and waited for then, so that many objects need one
- * wait and not one each. */
+/* Writes all objects before waiting, so that the waits overlap. */
 static enum ctl_exit
 apply_all (struct ctl *ctl, struct change *changes, size_t count)
 {
-  enum ctl_exit worst = CTL_OK;
+  enum ctl_exit worst_code = CTL_OK;
 
   for (size_t i = 0; i < count; i++)
     {
       enum ctl_exit code = apply_change (ctl, &changes[i]);
 
-      worst = code > worst ? code : worst;
+      worst_code = code > worst_code ? code : worst_code;
     }
   for (size_t i = 0; i < count && ctl->timeout_ms > 0; i++)
     {
       enum ctl_exit code;
 
-      if (changes[i].written == 0)
+      if (changes[i].written_version == 0)
         continue;
       code = ctl_wait_in_force (ctl, changes[i].kind, changes[i].name,
-                                changes[i].written);
-      worst = code > worst ? code : worst;
+                                changes[i].written_version);
+      worst_code = code > worst_code ? code : worst_code;
     }
-  return worst;
+  return worst_code;
 }
 
 enum ctl_exit
--- a/berylctl/command_delete.c
+++ b/berylctl/command_delete.c
@@ -14,12 +14,12 @@
     return CTL_USAGE;
   object = ctl_get (ctl, kind, argv[1], &error);
   if (object == NULL)
-    return ctl_fail (&error);
+    return ctl_report_error (&error);
   version = (uint64_t)json_integer_value (json_object_get (object, "version"));
   json_decref (object);
-  /* Only what was just read: an edit that came in between is not lost. */
+  /* Deletes only the version that was read, so no concurrent edit is lost. */
   if (!ctl_delete (ctl, kind, argv[1], version, &error))
-    return ctl_fail (&error);
+    return ctl_report_error (&error);
   printf ("%s %s deleted\n", kind, argv[1]);
   return CTL_OK;
 }
--- a/berylctl/command_describe.c
+++ b/berylctl/command_describe.c
@@ -16,7 +16,7 @@
     return CTL_USAGE;
   object = ctl_get (ctl, kind, argv[1], &error);
   if (object == NULL)
-    return ctl_fail (&error);
+    return ctl_report_error (&error);
   ctl_status_name (kind, argv[1], status_name, sizeof status_name);
   status = ctl_get (ctl, "status", status_name, &status_error);
   whole = ctl_plain_object (json_object_get (object, "value"));
@@ -24,7 +24,7 @@
   if (status != NULL)
     json_object_set (whole, "status", json_object_get (status, "value"));
   else
-    json_object_set_new (whole, "status", json_string ("not judged yet"));
+    json_object_set_new (whole, "status", json_string ("not validated yet"));
   if (ctl->format == CTL_FORMAT_JSON)
     ctl_print_json (whole);
   else
--- a/berylctl/command_diff.c
+++ b/berylctl/command_diff.c
@@ -11,7 +11,7 @@
   json_t *current = ctl_get (ctl, kind, name, &error);
 
   if (current == NULL && error.code != BERYL_ERROR_NOT_FOUND)
-    return ctl_fail (&error);
+    return ctl_report_error (&error);
   printf ("%s %s%s\n", kind, name, current == NULL ? " (new)" : "");
   *differences += ctl_print_difference (
       json_object_get (json_object_get (current, "value"), "spec"),
--- a/berylctl/command_drain.c
+++ b/berylctl/command_drain.c
@@ -12,7 +12,7 @@
   uint64_t written;
 
   if (object == NULL)
-    return ctl_fail (&error);
+    return ctl_report_error (&error);
   version = (uint64_t)json_integer_value (json_object_get (object, "version"));
   value = json_deep_copy (json_object_get (object, "value"));
   json_decref (object);
@@ -21,7 +21,7 @@
   written = ctl_put (ctl, "endpoint", argv[0], value, version, &error);
   json_decref (value);
   if (written == 0)
-    return ctl_fail (&error);
+    return ctl_report_error (&error);
   printf ("endpoint %s is leaving\n", argv[0]);
   return ctl_wait_in_force (ctl, "endpoint", argv[0], written);
 }
--- a/berylctl/command_explain.c
+++ b/berylctl/command_explain.c
@@ -4,7 +4,7 @@
 #include "ctl.h"
 
 static const char *
-text_of (const json_t *value, const char *key)
+json_text (const json_t *value, const char *key)
 {
   const char *text = json_string_value (json_object_get (value, key));
 
@@ -21,10 +21,10 @@
   {
     printf ("%s: %s, prefill %s, decode %s, first token in "
             "%" JSON_INTEGER_FORMAT " ms\n  weighed: %s\n",
-            text_of (item, "verdict"), text_of (item, "reason"),
-            text_of (item, "prefill"), text_of (item, "decode"),
+            json_text (item, "verdict"), json_text (item, "reason"),
+            json_text (item, "prefill"), json_text (item, "decode"),
             json_integer_value (json_object_get (item, "first_token_ms")),
-            text_of (item, "alternatives"));
+            json_text (item, "alternatives"));
   }
 }
 
@@ -47,7 +47,7 @@
   g_free (path);
   g_free (escaped);
   if (text == NULL)
-    return ctl_fail (&error);
+    return ctl_report_error (&error);
   root = json_loads (text, 0, NULL);
   g_free (text);
   if (status == 200 && ctl->format == CTL_FORMAT_TABLE)
--- a/berylctl/command_get.c
+++ b/berylctl/command_get.c
@@ -3,9 +3,9 @@
 
 #include "ctl.h"
 
-/* The form that apply takes back: the object with its version. */
+/* Returns the object with its version, in the form that apply reads. */
 static json_t *
-editable (const json_t *stored)
+editable_object (const json_t *stored)
 {
   json_t *object = ctl_plain_object (json_object_get (stored, "value"));
 
@@ -60,11 +60,11 @@
     return CTL_USAGE;
   list = read_objects (ctl, kind, argc > 1 ? argv[1] : NULL, &error);
   if (list == NULL)
-    return ctl_fail (&error);
+    return ctl_report_error (&error);
   objects = json_array ();
   json_array_foreach (list, i, item)
   {
-    json_array_append_new (objects, editable (item));
+    json_array_append_new (objects, editable_object (item));
   }
   if (ctl->format == CTL_FORMAT_TABLE)
     print_names (list);
--- a/berylctl/command_status.c
+++ b/berylctl/command_status.c
@@ -5,7 +5,7 @@
 #include "ctl.h"
 
 static const char *
-text_of (const json_t *value, const char *key)
+json_text (const json_t *value, const char *key)
 {
   const char *text = json_string_value (json_object_get (value, key));
 
@@ -30,7 +30,7 @@
       g_strdup_printf (
           "%s\t%" JSON_INTEGER_FORMAT "\t%" JSON_INTEGER_FORMAT
           "\t%" JSON_INTEGER_FORMAT "\t%s",
-          text_of (value, "data_centre"),
+          json_text (value, "data_centre"),
           json_integer_value (json_object_get (value, "configuration")),
           json_integer_value (json_object_get (value, "newest")),
           json_integer_value (json_object_get (value, "nodes")), names->str));
@@ -59,9 +59,9 @@
   {
     const json_t *value = json_object_get (item, "value");
 
-    if (strcmp (text_of (value, "state"), "rejected") == 0)
-      printf ("rejected: %s %s: %s\n", text_of (value, "kind"),
-              text_of (value, "name"), text_of (value, "findings"));
+    if (strcmp (json_text (value, "state"), "rejected") == 0)
+      printf ("rejected: %s %s: %s\n", json_text (value, "kind"),
+              json_text (value, "name"), json_text (value, "findings"));
   }
 }
 
@@ -72,7 +72,7 @@
   json_t *list = ctl_list (ctl, "status", "", &error);
 
   if (list == NULL)
-    return ctl_fail (&error);
+    return ctl_report_error (&error);
   if (ctl->format == CTL_FORMAT_JSON)
     ctl_print_json (list);
   else if (ctl->format == CTL_FORMAT_YAML)
--- a/berylctl/command_top.c
+++ b/berylctl/command_top.c
@@ -82,7 +82,7 @@
   json_t *item;
 
   if (members == NULL)
-    return ctl_fail (&error);
+    return ctl_report_error (&error);
   rows = g_ptr_array_new_with_free_func (g_free);
   g_ptr_array_add (
       rows,
--- a/berylctl/command_watch.c
+++ b/berylctl/command_watch.c
@@ -17,7 +17,7 @@
   *(bool *)user = true;
 }
 
-/* Runs until it is interrupted. */
+/* Prints changes until it is interrupted. */
 enum ctl_exit
 command_watch (struct ctl *ctl, int argc, char **argv)
 {
--- a/berylctl/ctl.h
+++ b/berylctl/ctl.h
@@ -1,5 +1,5 @@
 /** @file
- * What the commands of berylctl share.
+ * Types and functions shared by the commands of berylctl.
  */
 #ifndef BERYLCTL_CTL_H
 #define BERYLCTL_CTL_H
@@ -15,7 +15,7 @@
 #include "common/yaml.h"
 #include "http/context.h"
 
-/** Exit codes; they are listed in berylctl(1). */
+/** Exit codes, as documented in berylctl(1). */
 enum ctl_exit
 {
   CTL_OK = 0,
@@ -30,7 +30,7 @@
   CTL_REJECTED = 9,
 };
 
-/** Forms of output. */
+/** Output formats. */
 enum ctl_format
 {
   CTL_FORMAT_TABLE,
@@ -38,106 +38,114 @@
   CTL_FORMAT_YAML,
 };
 
-/** Options and connections. */
+/** Command-line options and connections. */
 struct ctl
 {
   enum ctl_format format;
   char platform_address[64];
   uint16_t platform_port;
   char entry_address[64];
-  uint16_t entry_port; /**< 0: found in the instance list */
-  const char *token;   /**< of an operator, for explain */
+  uint16_t entry_port; /**< 0: --entry was not given */
+  const char *token;   /**< operators' token for entry nodes; may be
+                        * NULL */
   int64_t timeout_ms;
-  const char *log; /**< explain reads it; "-": standard input */
-  bool force;
-  bool whole;
+  const char *log; /**< gateway log for explain, or NULL; "-": stdin */
+  bool force;      /**< write regardless of the stored version */
+  bool whole;      /**< the files are a complete configuration */
   struct loop *loop;
   struct http_context *http;
   struct platform_client *platform;
 };
 
-/** Connect on first use. */
+/** Create the loop and the platform client on first use. */
 void ctl_connect (struct ctl *ctl);
 
-/** Release the connections. */
+/** Release what ctl_connect() created. */
 void ctl_disconnect (struct ctl *ctl);
 
-/** Run the loop until *DONE. */
+/** Run the loop until *DONE is true. */
 void ctl_wait (struct ctl *ctl, const bool *done);
 
-/** Run the loop for MS. */
+/** Run the loop for MS milliseconds. */
 void ctl_sleep (struct ctl *ctl, int64_t ms);
 
-/** Read an object as {"kind","name","version","value"}; NULL and ERROR if
- * that fails. */
+/** Read an object as {"kind","name","version","value"}; NULL and ERROR on
+ * failure. */
 json_t *ctl_get (struct ctl *ctl, const char *kind, const char *name,
                  struct beryl_error *error);
 
-/** Read all objects of KIND whose names begin with PREFIX as an array. */
+/** Read all objects of KIND whose names start with PREFIX as an array; NULL
+ * and ERROR on failure. */
 json_t *ctl_list (struct ctl *ctl, const char *kind, const char *prefix,
                   struct beryl_error *error);
 
-/** Write VALUE if the object's version is VERSION (0: it is absent).
- * Returns the new version; 0 and ERROR if that fails. */
+/** Write VALUE if the stored version is VERSION (0: the object is absent).
+ * Returns the new version; 0 and ERROR on failure. */
 uint64_t ctl_put (struct ctl *ctl, const char *kind, const char *name,
                   json_t *value, uint64_t version, struct beryl_error *error);
 
-/** Delete an object if its version is VERSION. */
+/** Delete an object if its version is VERSION; false and ERROR on failure. */
 bool ctl_delete (struct ctl *ctl, const char *kind, const char *name,
                  uint64_t version, struct beryl_error *error);
 
-/** GET a path of an HTTP server; returns its body, to be released with
- * g_free(), and *STATUS; NULL and ERROR without an answer. */
+/** GET a path of an HTTP server.  Returns the body, to be released with
+ * g_free(), and *STATUS; NULL and ERROR if there is no answer. */
 char *ctl_http_get (struct ctl *ctl, const char *address, uint16_t port,
                     const char *path, unsigned int *status,
                     struct beryl_error *error);
 
-/** Explain request ID from the log lines of beryl-gatewayd in PATH. */
+/** Explain request ID from the beryl-gatewayd log in PATH. */
 enum ctl_exit ctl_explain_log (const char *path, const char *id);
 
 /** Print ERROR and return its exit code. */
-enum ctl_exit ctl_fail (const struct beryl_error *error);
+enum ctl_exit ctl_report_error (const struct beryl_error *error);
 
-/** Objects of files, each found valid on its own. */
+/** Objects read from files, each of which is valid by itself. */
 struct ctl_objects
 {
   json_t *items; /**< array of the objects, with "version" if given */
 };
 
-/** Read and check files; all findings of all files are printed together. */
+/** Read and check files; the findings of all files are printed together. */
 bool ctl_objects_load (struct ctl *ctl, struct ctl_objects *objects,
                        char *const *paths, int path_count);
+
+/** Release the objects. */
 void ctl_objects_clear (struct ctl_objects *objects);
 
-/** Return the kind's canonical name if TEXT is a kind, or NULL. */
+/** Return the canonical name of the kind TEXT; NULL, with a message, if there
+ * is no such kind. */
 const char *ctl_kind (const char *text);
 
-/** Return a copy of OBJECT without what only the tools use. */
+/** Return a copy of OBJECT without the members that only the tools use. */
 json_t *ctl_plain_object (const json_t *object);
 
-/** Write VALUE on standard output. */
+/** Print VALUE on standard output; YAML prints an array as one document per
+ * item. */
 void ctl_print_json (const json_t *value);
 void ctl_print_yaml (const json_t *value);
 
-/** One row of a table; cells are separated by tabs. */
+/** Print rows as an aligned table; cells are separated by tabs. */
 void ctl_print_table (char *const *rows, size_t row_count);
 
-/** Print each member that differs, by path; returns their number. */
+/** Print each member that differs by its path; return their number. */
 size_t ctl_print_difference (const json_t *before, const json_t *after);
 
-/** Print each member that differs in three versions; BASE may be NULL. */
+/** Print each member that differs between THEIRS and YOURS, with its BASE
+ * value unless BASE is NULL. */
 void ctl_print_three_way (const json_t *base, const json_t *theirs,
                           const json_t *yours);
 
-/** Wait until an object's version is in force in all data centres. */
+/** Wait until an object's version is in force in all data centres; prints why
+ * if it is rejected or the timeout expires. */
 enum ctl_exit ctl_wait_in_force (struct ctl *ctl, const char *kind,
                                  const char *name, uint64_t version);
 
-/** The name of an object's status object. */
+/** Format the name of an object's status object. */
 void ctl_status_name (const char *kind, const char *name, char *status,
                       size_t status_bytes);
 
-/** A command: a file of its own each. */
+/** Runs a command; ARGV are its arguments without its name. */
 typedef enum ctl_exit ctl_command (struct ctl *ctl, int argc, char **argv);
 
 ctl_command command_apply;
--- a/berylctl/difference.c
+++ b/berylctl/difference.c
@@ -5,7 +5,7 @@
 
 #include "ctl.h"
 
-/* Puts each scalar of VALUE into LEAVES by its path. */
+/* Inserts each scalar of VALUE into LEAVES, keyed by its path. */
 static void
 flatten (const json_t *value, const char *path, GTree *leaves)
 {
@@ -47,7 +47,7 @@
 }
 
 static GTree *
-leaves_of (const json_t *value)
+leaves_create (const json_t *value)
 {
   GTree *leaves = g_tree_new_full (compare, NULL, g_free, free);
 
@@ -64,14 +64,14 @@
 }
 
 static const char *
-leaf (GTree *leaves, const char *path)
+leaf_text (GTree *leaves, const char *path)
 {
   const char *text = g_tree_lookup (leaves, path);
 
   return text != NULL ? text : "(absent)";
 }
 
-struct two
+struct diff
 {
   GTree *before;
   GTree *after;
@@ -81,13 +81,13 @@
 static gboolean
 print_change (gpointer key, gpointer value, gpointer data)
 {
-  struct two *two = data;
-  const char *before = leaf (two->before, key);
-  const char *after = leaf (two->after, key);
+  struct diff *diff = data;
+  const char *before = leaf_text (diff->before, key);
+  const char *after = leaf_text (diff->after, key);
 
   if (strcmp (before, after) == 0)
     return FALSE;
-  two->count++;
+  diff->count++;
   printf ("  %s: %s -> %s\n", (char *)key, before, after);
   return FALSE;
 }
@@ -95,37 +95,37 @@
 size_t
 ctl_print_difference (const json_t *before, const json_t *after)
 {
-  struct two two = { leaves_of (before), leaves_of (after), 0 };
+  struct diff diff = { leaves_create (before), leaves_create (after), 0 };
   GTree *paths = g_tree_new_full (compare, NULL, NULL, NULL);
 
-  g_tree_foreach (two.before, add_path, paths);
-  g_tree_foreach (two.after, add_path, paths);
-  g_tree_foreach (paths, print_change, &two);
+  g_tree_foreach (diff.before, add_path, paths);
+  g_tree_foreach (diff.after, add_path, paths);
+  g_tree_foreach (paths, print_change, &diff);
   g_tree_destroy (paths);
-  g_tree_destroy (two.before);
-  g_tree_destroy (two.after);
-  return two.count;
+  g_tree_destroy (diff.before);
+  g_tree_destroy (diff.after);
+  return diff.count;
 }
 
-struct three
+struct conflict
 {
-  GTree *base; /* NULL: not known */
+  GTree *base; /* NULL: unknown */
   GTree *theirs;
   GTree *yours;
 };
 
 static const char *
-who_changed (const struct three *three, const char *path)
+who_changed (const struct conflict *conflict, const char *path)
 {
   const char *base;
   bool theirs;
   bool yours;
 
-  if (three->base == NULL)
+  if (conflict->base == NULL)
     return "differs";
-  base = leaf (three->base, path);
-  theirs = strcmp (leaf (three->theirs, path), base) != 0;
-  yours = strcmp (leaf (three->yours, path), base) != 0;
+  base = leaf_text (conflict->base, path);
+  theirs = strcmp (leaf_text (conflict->theirs, path), base) != 0;
+  yours = strcmp (leaf_text (conflict->yours, path), base) != 0;
   if (theirs && yours)
     return "both changed";
   return theirs ? "they changed" : "you changed";
@@ -134,15 +134,15 @@
 static gboolean
 print_conflict (gpointer key, gpointer value, gpointer data)
 {
-  struct three *three = data;
-  const char *theirs = leaf (three->theirs, key);
-  const char *yours = leaf (three->yours, key);
+  struct conflict *conflict = data;
+  const char *theirs = leaf_text (conflict->theirs, key);
+  const char *yours = leaf_text (conflict->yours, key);
 
   if (strcmp (theirs, yours) == 0)
     return FALSE;
-  printf ("  %s (%s)\n", (char *)key, who_changed (three, key));
-  if (three->base != NULL)
-    printf ("    base:   %s\n", leaf (three->base, key));
+  printf ("  %s (%s)\n", (char *)key, who_changed (conflict, key));
+  if (conflict->base != NULL)
+    printf ("    base:   %s\n", leaf_text (conflict->base, key));
   printf ("    theirs: %s\n    yours:  %s\n", theirs, yours);
   return FALSE;
 }
@@ -151,17 +151,18 @@
 ctl_print_three_way (const json_t *base, const json_t *theirs,
                      const json_t *yours)
 {
-  struct three three = { NULL, leaves_of (theirs), leaves_of (yours) };
+  struct conflict conflict
+      = { NULL, leaves_create (theirs), leaves_create (yours) };
   GTree *paths = g_tree_new_full (compare, NULL, NULL, NULL);
 
   if (base != NULL)
-    three.base = leaves_of (base);
-  g_tree_foreach (three.theirs, add_path, paths);
-  g_tree_foreach (three.yours, add_path, paths);
-  g_tree_foreach (paths, print_conflict, &three);
+    conflict.base = leaves_create (base);
+  g_tree_foreach (conflict.theirs, add_path, paths);
+  g_tree_foreach (conflict.yours, add_path, paths);
+  g_tree_foreach (paths, print_conflict, &conflict);
   g_tree_destroy (paths);
-  if (three.base != NULL)
-    g_tree_destroy (three.base);
-  g_tree_destroy (three.theirs);
-  g_tree_destroy (three.yours);
+  if (conflict.base != NULL)
+    g_tree_destroy (conflict.base);
+  g_tree_destroy (conflict.theirs);
+  g_tree_destroy (conflict.yours);
 }
--- a/berylctl/explain_log.c
+++ b/berylctl/explain_log.c
@@ -4,106 +4,112 @@
 
 #include "ctl.h"
 
-/* Explains a request from the log lines of beryl-gatewayd: its own decisions,
- * and what its node believed of its endpoints and of the store meanwhile. */
+/* Explains a request from the log of beryl-gatewayd: the decisions on the
+ * request, and the node's events on its endpoints and the store meanwhile. */
 
-/* News so long before a request may have decided about it. */
-#define BEFORE_MS 3000
-#define AFTER_MS 1000
+/* Node events are shown from this long before the request's first line until
+ * this long after its last one, as they may have influenced it. */
+#define CONTEXT_BEFORE_MS 3000
+#define CONTEXT_AFTER_MS 1000
 
 struct line
 {
-  int64_t at_ms;
-  const char *text; /* behind the level */
+  int64_t at_ms;    /* Unix time */
+  const char *text; /* after the level */
 };
 
-/* What a step's outcome says. */
-struct meaning
+/* Description of a step's outcome; OUTCOME NULL matches any. */
+struct outcome_text
 {
   const char *step;
   const char *outcome;
   const char *text;
 };
 
-static const struct meaning meanings[] = {
+static const struct outcome_text outcome_texts[] = {
   { "reserve", "granted", "the engine reserved {n} tokens of memory" },
   { "reserve", "full", "the engine has no room for {n} tokens" },
   { "wait", "engines_full",
-    "no engine was asked: the emptiest is foreseen to fill {n}% of its "
+    "no engine was asked: the least loaded is forecast to use {n}% of its "
     "memory" },
   { "wait", "engines_refuse", "all engines that were asked are full" },
   { "wait", "prefill_behind",
-    "its prompt would be read {n} ms later, behind others: too late" },
-  { "wait", "no_engine", "no engine of the service takes work" },
-  { "prefill", "sent", "{n} prompt tokens are to be read there" },
-  { "prefill", "done", "the prompt was read in {n} ms" },
-  { "prefill", "refused", "the engine did not read the prompt, status {n}" },
-  { "prefill", "wrong_stage", "the engine does other work now" },
+    "the prefill queue would delay its prompt by {n} ms: too late" },
+  { "wait", "no_engine", "no engine of the service accepts work" },
+  { "prefill", "sent", "sent with {n} prompt tokens to process" },
+  { "prefill", "done", "the prompt was processed in {n} ms" },
+  { "prefill", "refused",
+    "the engine did not process the prompt, status {n}" },
+  { "prefill", "wrong_stage", "the engine serves another stage now" },
   { "prefill", "broken", "the connection broke" },
   { "decode", "kv_taken", "sent with its KV cache" },
   { "decode", "left",
-    "not sent: the engine is leaving; another one is looked for" },
-  { "decode", "warm", "sent without prefill: the engine has the prompt" },
-  { "decode", "alone", "sent without prefill: the engine reads the prompt" },
+    "not sent: the engine is leaving; another one is selected" },
+  { "decode", "warm",
+    "sent without prefill: the engine has the prompt in its cache" },
+  { "decode", "alone",
+    "sent without prefill: the engine processes the prompt itself" },
   { "send", "sent", "send number {n}" },
   { "send", "not_run",
-    "the endpoint said that it did not run it, status {n}" },
-  { "send", "wrong_stage", "the engine does other work now" },
+    "the endpoint reported that it did not run it, status {n}" },
+  { "send", "wrong_stage", "the engine serves another stage now" },
   { "send", "no_connection", "no connection" },
   { "send", "reset", "the connection broke" },
-  { "send", "closed", "the connection ended before the answer was whole" },
-  { "send", "garbled", "what came is no answer" },
+  { "send", "closed", "the connection closed before the answer was complete" },
+  { "send", "garbled", "the answer is malformed" },
   { "head", "answered", "the answer began, status {n}" },
   { "head", "error", "the endpoint failed, status {n}" },
   { "stall", "seen", "no event for {n} ms" },
   { "stall", "preempted",
-    "the engine has stopped the run for want of memory" },
-  { "stall", "engine_silent", "the engine is taken for dead after {n} ms" },
+    "the engine has preempted the run for lack of memory" },
+  { "stall", "engine_silent", "the engine is considered dead after {n} ms" },
   { "stall", "engine_dead", "the engine cannot be connected to" },
-  { "move", "asked", "the run is to go on there after {n} events" },
-  { "move", "done", "its memory is there" },
-  { "move", "no_room", "there was no room; it goes on where it was" },
+  { "move", "asked", "the run is to continue there after {n} events" },
+  { "move", "done", "its KV cache is there" },
+  { "move", "no_room", "there was no room; it continues where it was" },
   { "move", "not_moved", "it was not moved, status {n}" },
-  { "move", "no_target", "the engine is filling up and no other has room" },
+  { "move", "no_target",
+    "the engine is running out of memory and no other has room" },
   { "answer", "whole",
-    "answered whole: {n} (events of a stream, or its status)" },
+    "answered completely: {n} (events of a stream, or the status)" },
   { "cut", NULL, "ended as incomplete after {n} events" },
-  { "refuse", "no_route", "refused: no route has its host and path" },
+  { "refuse", "no_route", "refused: no route matches its host and path" },
   { "refuse", "no_configuration",
     "refused as not run: no configuration is known yet" },
   { "refuse", "no_endpoint",
-    "refused as not run: no endpoint of the service takes work" },
+    "refused as not run: no endpoint of the service accepts work" },
   { "refuse", "no_room",
-    "refused as not run: no engine had room in time; back after {n} ms" },
+    "refused as not run: no engine had room in time; retry after {n} ms" },
   { "refuse", "endpoints_full",
-    "refused as not run: every endpoint rejected it; back after {n} ms" },
+    "refused as not run: every endpoint rejected it; retry after {n} ms" },
   { "refuse", "deadline", "its deadline has passed" },
   { "refuse", "endpoint_failed",
     "its endpoint failed and it may not be sent again" },
   { "refuse", "quarantined",
-    "refused: endpoints that ran what it asks have crashed" },
+    "refused: endpoints that ran the same request have crashed" },
   { "refuse", "limited",
-    "refused as not run: its endpoints name a limit and have reached it; back "
-    "after {n} ms" },
+    "refused as not run: its endpoints report a limit and have reached it; "
+    "retry after {n} ms" },
   { "refuse", "stopping",
     "refused as not run: the node is stopping, another one serves" },
-  { "caller_gone", NULL, "its caller has left after {n} events" },
+  { "caller_gone", NULL, "its caller disconnected after {n} events" },
 };
 
 static const char *
-meaning_of (const char *step, const char *outcome)
+outcome_text (const char *step, const char *outcome)
 {
-  for (size_t i = 0; i < G_N_ELEMENTS (meanings); i++)
-    if (strcmp (meanings[i].step, step) == 0
-        && (meanings[i].outcome == NULL
-            || strcmp (meanings[i].outcome, outcome) == 0))
-      return meanings[i].text;
+  for (size_t i = 0; i < G_N_ELEMENTS (outcome_texts); i++)
+    if (strcmp (outcome_texts[i].step, step) == 0
+        && (outcome_texts[i].outcome == NULL
+            || strcmp (outcome_texts[i].outcome, outcome) == 0))
+      return outcome_texts[i].text;
   return "";
 }
 
-/* Returns the value of KEY in a line of key=value words, to be freed. */
+/* Returns the value of KEY in a line of key=value words, or "-"; to be
+ * released with g_free(). */
 static char *
-value_of (const char *text, const char *key)
+line_value (const char *text, const char *key)
 {
   char *needle = g_strdup_printf (" %s=", key);
   const char *at = strstr (text, needle);
@@ -119,7 +125,7 @@
   return value;
 }
 
-/* A line is "TIME program level: text", maybe with something before it. */
+/* Parses "TIME program level: text", which may follow other words. */
 static bool
 line_parse (const char *raw, struct line *line)
 {
@@ -145,9 +151,10 @@
   return true;
 }
 
-/* Lines that point into TEXT, which is cut at its line ends. */
+/* Returns the parsed lines, which point into TEXT; its newlines are replaced
+ * by NUL. */
 static GArray *
-split (char *text)
+lines_parse (char *text)
 {
   GArray *lines = g_array_new (FALSE, FALSE, sizeof (struct line));
   char *rest = text;
@@ -164,7 +171,7 @@
 }
 
 static bool
-is_of_request (const struct line *line, const char *id)
+is_request_line (const struct line *line, const char *id)
 {
   char *own = g_strdup_printf ("request id=%s ", id);
   bool is = g_str_has_prefix (line->text, own);
@@ -173,9 +180,9 @@
   return is;
 }
 
-/* Whether LINE tells of something that a request may depend on. */
+/* Returns whether LINE reports an event that may influence the request. */
 static bool
-is_of_node (const struct line *line, GHashTable *endpoints)
+is_context (const struct line *line, GHashTable *endpoints)
 {
   static const char *const always[] = {
     "store ", "configuration ", "started ", "stop", "lease ", "reload "
@@ -198,22 +205,22 @@
 static void
 print_decision (const struct line *line, int64_t first_ms)
 {
-  char *step = value_of (line->text, "step");
-  char *outcome = value_of (line->text, "outcome");
-  char *endpoint = value_of (line->text, "endpoint");
-  char *number = value_of (line->text, "n");
-  char *configuration = value_of (line->text, "configuration");
-  char *seen = value_of (line->text, "seen");
+  char *step = line_value (line->text, "step");
+  char *outcome = line_value (line->text, "outcome");
+  char *endpoint = line_value (line->text, "endpoint");
+  char *number = line_value (line->text, "n");
+  char *configuration = line_value (line->text, "configuration");
+  char *seen = line_value (line->text, "seen");
 
-  char **parts = g_strsplit (meaning_of (step, outcome), "{n}", 2);
-  char *meaning = g_strjoinv (number, parts);
+  char **parts = g_strsplit (outcome_text (step, outcome), "{n}", 2);
+  char *text = g_strjoinv (number, parts);
 
   printf ("%7" G_GINT64_FORMAT " ms  %-11s %-14s %-16s %s"
           " [configuration %s, entry %s]\n",
-          line->at_ms - first_ms, step, outcome, endpoint, meaning,
-          configuration, seen);
+          line->at_ms - first_ms, step, outcome, endpoint, text, configuration,
+          seen);
   g_strfreev (parts);
-  g_free (meaning);
+  g_free (text);
   g_free (step);
   g_free (outcome);
   g_free (endpoint);
@@ -223,9 +230,9 @@
 }
 
 static void
-note_endpoint (GHashTable *endpoints, const struct line *line)
+collect_endpoint (GHashTable *endpoints, const struct line *line)
 {
-  char *endpoint = value_of (line->text, "endpoint");
+  char *endpoint = line_value (line->text, "endpoint");
 
   if (strcmp (endpoint, "-") == 0)
     g_free (endpoint);
@@ -234,18 +241,18 @@
 }
 
 static void
-print_all (const GArray *lines, const char *id, GHashTable *endpoints,
-           int64_t first_ms, int64_t last_ms)
+print_lines (const GArray *lines, const char *id, GHashTable *endpoints,
+             int64_t first_ms, int64_t last_ms)
 {
   for (guint i = 0; i < lines->len; i++)
     {
       const struct line *line = &g_array_index (lines, struct line, i);
 
-      if (is_of_request (line, id))
+      if (is_request_line (line, id))
         print_decision (line, first_ms);
-      else if (line->at_ms >= first_ms - BEFORE_MS
-               && line->at_ms <= last_ms + AFTER_MS
-               && is_of_node (line, endpoints))
+      else if (line->at_ms >= first_ms - CONTEXT_BEFORE_MS
+               && line->at_ms <= last_ms + CONTEXT_AFTER_MS
+               && is_context (line, endpoints))
         printf ("%7" G_GINT64_FORMAT " ms  node: %s\n", line->at_ms - first_ms,
                 line->text);
     }
@@ -282,22 +289,22 @@
   int64_t first_ms = 0, last_ms = 0;
 
   if (text == NULL)
-    return ctl_fail (&error);
-  lines = split (text);
+    return ctl_report_error (&error);
+  lines = lines_parse (text);
   endpoints = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   for (guint i = 0; i < lines->len; i++)
     {
       const struct line *line = &g_array_index (lines, struct line, i);
 
-      if (!is_of_request (line, id))
+      if (!is_request_line (line, id))
         continue;
       if (first_ms == 0)
         first_ms = line->at_ms;
       last_ms = line->at_ms;
-      note_endpoint (endpoints, line);
+      collect_endpoint (endpoints, line);
     }
   if (first_ms != 0)
-    print_all (lines, id, endpoints, first_ms, last_ms);
+    print_lines (lines, id, endpoints, first_ms, last_ms);
   else
     fprintf (stderr, "berylctl: %s has no line of request %s\n", path, id);
   g_hash_table_destroy (endpoints);
--- a/berylctl/in_force.c
+++ b/berylctl/in_force.c
@@ -10,7 +10,7 @@
 #define IN_FORCE_PREFIX "in-force."
 #define POLL_MS 200
 
-/* As beryl-controld names them. */
+/* Must match status_name() of beryl-controld. */
 void
 ctl_status_name (const char *kind, const char *name, char *status,
                  size_t status_bytes)
@@ -27,41 +27,42 @@
 }
 
 static json_int_t
-member (const json_t *object, const char *key)
+value_integer (const json_t *object, const char *key)
 {
   return json_integer_value (
       json_object_get (json_object_get (object, "value"), key));
 }
 
-/* What the system found out about a version of an object. */
-enum judged
+/* Validation result of a version of an object. */
+enum validation_state
 {
-  JUDGED_NOT_YET,
-  JUDGED_ACCEPTED,
-  JUDGED_REJECTED,
+  VALIDATION_PENDING,
+  VALIDATION_ACCEPTED,
+  VALIDATION_REJECTED,
 };
 
-static enum judged
-judged (struct ctl *ctl, const char *kind, const char *name, uint64_t version,
-        json_int_t *configuration)
+static enum validation_state
+validation_read (struct ctl *ctl, const char *kind, const char *name,
+                 uint64_t version, json_int_t *configuration)
 {
   char status_name[BERYL_NAME_BYTES];
   struct beryl_error error = { 0 };
   json_t *status;
   const char *state;
-  enum judged result = JUDGED_NOT_YET;
+  enum validation_state result = VALIDATION_PENDING;
 
   ctl_status_name (kind, name, status_name, sizeof status_name);
   status = ctl_get (ctl, STATUS_KIND, status_name, &error);
   if (status == NULL)
-    return JUDGED_NOT_YET;
+    return VALIDATION_PENDING;
   state = json_string_value (
       json_object_get (json_object_get (status, "value"), "state"));
-  if (member (status, "version") >= (json_int_t)version && state != NULL)
-    result
-        = strcmp (state, "accepted") == 0 ? JUDGED_ACCEPTED : JUDGED_REJECTED;
-  *configuration = member (status, "configuration");
-  if (result == JUDGED_REJECTED)
+  if (value_integer (status, "version") >= (json_int_t)version
+      && state != NULL)
+    result = strcmp (state, "accepted") == 0 ? VALIDATION_ACCEPTED
+                                             : VALIDATION_REJECTED;
+  *configuration = value_integer (status, "configuration");
+  if (result == VALIDATION_REJECTED)
     fprintf (stderr, "berylctl: %s %s is rejected:\n%s\n", kind, name,
              json_string_value (json_object_get (
                  json_object_get (status, "value"), "findings")));
@@ -69,10 +70,10 @@
   return result;
 }
 
-/* Whether all data centres have CONFIGURATION; REPORT prints those that have
- * not. */
+/* Returns whether CONFIGURATION is in force in all data centres; REPORT prints
+ * those where it is not. */
 static bool
-everywhere (struct ctl *ctl, json_int_t configuration, bool report)
+in_force_everywhere (struct ctl *ctl, json_int_t configuration, bool report)
 {
   struct beryl_error error = { 0 };
   json_t *list = ctl_list (ctl, STATUS_KIND, IN_FORCE_PREFIX, &error);
@@ -82,9 +83,9 @@
 
   json_array_foreach (list, i, item)
   {
-    /* A data centre whose nodes have all left holds nothing back. */
-    if (member (item, "configuration") >= configuration
-        || member (item, "nodes") == 0)
+    /* Data centres whose nodes have all left are ignored. */
+    if (value_integer (item, "configuration") >= configuration
+        || value_integer (item, "nodes") == 0)
       continue;
     all = false;
     if (report)
@@ -93,7 +94,7 @@
                ", wanted %" JSON_INTEGER_FORMAT "\n",
                json_string_value (json_object_get (
                    json_object_get (item, "value"), "data_centre")),
-               member (item, "configuration"), configuration);
+               value_integer (item, "configuration"), configuration);
   }
   json_decref (list);
   return all;
@@ -105,22 +106,23 @@
 {
   int64_t end_ms = loop_now_ms (ctl->loop) + ctl->timeout_ms;
   json_int_t configuration = 0;
-  enum judged state = JUDGED_NOT_YET;
+  enum validation_state state = VALIDATION_PENDING;
 
   while (loop_now_ms (ctl->loop) < end_ms)
     {
-      if (state == JUDGED_NOT_YET)
-        state = judged (ctl, kind, name, version, &configuration);
-      if (state == JUDGED_REJECTED)
+      if (state == VALIDATION_PENDING)
+        state = validation_read (ctl, kind, name, version, &configuration);
+      if (state == VALIDATION_REJECTED)
         return CTL_REJECTED;
-      if (state == JUDGED_ACCEPTED && everywhere (ctl, configuration, false))
+      if (state == VALIDATION_ACCEPTED
+          && in_force_everywhere (ctl, configuration, false))
         return CTL_OK;
       ctl_sleep (ctl, POLL_MS);
     }
-  if (state == JUDGED_NOT_YET)
-    fprintf (stderr, "berylctl: %s %s is written but not judged yet\n", kind,
-             name);
-  else if (everywhere (ctl, configuration, true))
+  if (state == VALIDATION_PENDING)
+    fprintf (stderr, "berylctl: %s %s is written but not validated yet\n",
+             kind, name);
+  else if (in_force_everywhere (ctl, configuration, true))
     return CTL_OK;
   return CTL_NOT_IN_FORCE;
 }
--- a/berylctl/main.c
+++ b/berylctl/main.c
@@ -1,5 +1,5 @@
 /** @file
- * berylctl: the operators' tool.
+ * berylctl: the operators' command-line tool.
  */
 #include <getopt.h>
 #include <glib.h>
@@ -12,7 +12,7 @@
 #define DEFAULT_PLATFORM "127.0.0.1:7700"
 #define DEFAULT_TIMEOUT_MS 15000
 
-/* A command of the table. */
+/* Entry of the command table. */
 struct command
 {
   const char *name;
@@ -23,7 +23,7 @@
   const char *help;
 };
 
-/* Sorted by name. */
+/* Sorted by name for bsearch(). */
 static const struct command commands[] = {
   { "apply", 1, -1, command_apply, "FILE...",
     "write objects and wait until they are in force" },
@@ -81,8 +81,8 @@
 }
 
 static bool
-parse_place (const char *text, char *address, size_t address_bytes,
-             uint16_t *port)
+parse_address (const char *text, char *address, size_t address_bytes,
+               uint16_t *port)
 {
   const char *colon = strrchr (text, ':');
   char *end;
@@ -125,13 +125,13 @@
 }
 
 static bool
-take_option (struct ctl *ctl, int option)
+apply_option (struct ctl *ctl, int option)
 {
   switch (option)
     {
     case 'e':
-      return parse_place (optarg, ctl->entry_address,
-                          sizeof ctl->entry_address, &ctl->entry_port);
+      return parse_address (optarg, ctl->entry_address,
+                            sizeof ctl->entry_address, &ctl->entry_port);
     case 'f':
       ctl->force = true;
       return true;
@@ -141,8 +141,8 @@
     case 'o':
       return parse_format (optarg, &ctl->format);
     case 'p':
-      return parse_place (optarg, ctl->platform_address,
-                          sizeof ctl->platform_address, &ctl->platform_port);
+      return parse_address (optarg, ctl->platform_address,
+                            sizeof ctl->platform_address, &ctl->platform_port);
     case 't':
       return parse_timeout (optarg, &ctl->timeout_ms);
     case 'w':
@@ -182,8 +182,9 @@
 
   log_init ("berylctl", LOG_FORMAT_TEXT, "error");
   ctl.token = g_getenv ("BERYL_TOKEN");
-  parse_place (place != NULL ? place : DEFAULT_PLATFORM, ctl.platform_address,
-               sizeof ctl.platform_address, &ctl.platform_port);
+  parse_address (place != NULL ? place : DEFAULT_PLATFORM,
+                 ctl.platform_address, sizeof ctl.platform_address,
+                 &ctl.platform_port);
   while ((option = getopt_long (argc, argv, "e:fhl:o:p:t:vw", options, NULL))
          != -1)
     {
@@ -197,7 +198,7 @@
           puts ("berylctl " BERYL_VERSION);
           return CTL_OK;
         }
-      if (!take_option (&ctl, option))
+      if (!apply_option (&ctl, option))
         {
           print_usage (stderr);
           return CTL_USAGE;
--- a/berylctl/objects.c
+++ b/berylctl/objects.c
@@ -29,10 +29,11 @@
   return plain;
 }
 
-/* Adds FINDINGS of a document to TO, below its pointer. */
+/* Adds the FINDINGS on document number DOCUMENT to TO, their paths prefixed by
+ * its JSON pointer. */
 static void
-add_below (const struct beryl_findings *findings, size_t document,
-           struct beryl_findings *to)
+add_prefixed (const struct beryl_findings *findings, size_t document,
+              struct beryl_findings *to)
 {
   for (size_t i = 0; i < beryl_findings_count (findings); i++)
     {
@@ -58,7 +59,7 @@
     char *text = json_dumps (document, JSON_COMPACT | JSON_ENCODE_ANY);
 
     beryl_config_check_object (text, strlen (text), own);
-    add_below (own, i, below);
+    add_prefixed (own, i, below);
     free (text);
     beryl_findings_destroy (own);
   }
@@ -67,7 +68,7 @@
 }
 
 static void
-check_whole (const json_t *items, struct beryl_findings *findings)
+check_configuration (const json_t *items, struct beryl_findings *findings)
 {
   char *text = json_dumps (items, JSON_COMPACT);
 
@@ -94,7 +95,7 @@
       yaml_file_destroy (file);
     }
   if (beryl_findings_count (findings) == 0 && ctl->whole)
-    check_whole (objects->items, findings);
+    check_configuration (objects->items, findings);
   valid = beryl_findings_count (findings) == 0;
   settings_print_findings (findings);
   beryl_findings_destroy (findings);
--- a/berylctl/output.c
+++ b/berylctl/output.c
@@ -29,7 +29,7 @@
   yaml_emitter_emit (emitter, &event);
 }
 
-/* Whether TEXT would be read back as something else than text. */
+/* Returns whether a plain TEXT would not be parsed as a string. */
 static bool
 needs_quotes (const char *text)
 {
@@ -134,7 +134,7 @@
   yaml_emitter_emit (emitter, &event);
 }
 
-/* An array becomes one document an item, the form that apply takes. */
+/* An array is printed as one document per item, the form that apply reads. */
 void
 ctl_print_yaml (const json_t *value)
 {
--- a/berylctl/session.c
+++ b/berylctl/session.c
@@ -9,7 +9,7 @@
 #define CALL_TIMEOUT_MS 5000
 #define BODY_BYTES (16U << 20)
 
-/* A request of this program that waits for its end. */
+/* A platform request that is waited for. */
 struct pending
 {
   bool done;
@@ -60,7 +60,7 @@
 }
 
 static void
-wake (void *user)
+timer_expired (void *user)
 {
   *(bool *)user = true;
 }
@@ -72,7 +72,7 @@
   struct loop_timer *timer;
 
   ctl_connect (ctl);
-  timer = loop_timer_start (ctl->loop, ms, 0, wake, &done);
+  timer = loop_timer_start (ctl->loop, ms, 0, timer_expired, &done);
   ctl_wait (ctl, &done);
   loop_timer_stop (timer);
 }
@@ -89,7 +89,7 @@
 }
 
 static void
-ended (void *user, const struct beryl_platform_result *result)
+request_done (void *user, const struct beryl_platform_result *result)
 {
   struct pending *pending = user;
 
@@ -103,13 +103,13 @@
 }
 
 static bool
-check (const struct pending *pending, const char *kind, const char *name,
-       struct beryl_error *error)
+request_succeeded (const struct pending *pending, const char *kind,
+                   const char *name, struct beryl_error *error)
 {
   static const char *const texts[] = {
     [BERYL_ERROR_INVALID] = "the object API's answer is malformed",
     [BERYL_ERROR_NOT_FOUND] = "there is no such object",
-    [BERYL_ERROR_CONFLICT] = "somebody else has changed it",
+    [BERYL_ERROR_CONFLICT] = "it was changed by somebody else",
     [BERYL_ERROR_LIMIT] = "a limit was reached",
     [BERYL_ERROR_UNAVAILABLE] = "the object API is away; nothing was changed",
     [BERYL_ERROR_UNKNOWN] = "no answer; it may have been changed",
@@ -131,10 +131,10 @@
   json_t *object = NULL;
 
   ctl_connect (ctl);
-  platform_client_get (ctl->platform, &options, kind, name, 0, ended,
+  platform_client_get (ctl->platform, &options, kind, name, 0, request_done,
                        &pending);
   ctl_wait (ctl, &pending.done);
-  if (check (&pending, kind, name, error))
+  if (request_succeeded (&pending, kind, name, error))
     object = json_incref (json_array_get (pending.objects, 0));
   json_decref (pending.objects);
   return object;
@@ -147,10 +147,10 @@
   struct pending pending = { 0 };
 
   ctl_connect (ctl);
-  platform_client_list (ctl->platform, &options, kind, prefix, ended,
+  platform_client_list (ctl->platform, &options, kind, prefix, request_done,
                         &pending);
   ctl_wait (ctl, &pending.done);
-  if (check (&pending, kind, prefix, error))
+  if (request_succeeded (&pending, kind, prefix, error))
     return pending.objects;
   json_decref (pending.objects);
   return NULL;
@@ -172,17 +172,18 @@
   };
 
   ctl_connect (ctl);
-  /* A reply may be lost; the nonce tells afterwards whose write it was. */
+  /* If the reply is lost, the nonce identifies the stored write as ours. */
   beryl_platform_nonce (platform_client_core (ctl->platform), nonce);
   json_object_set_new (value, "nonce", json_string (nonce));
   text = json_dumps (value, JSON_COMPACT);
   write.value = text;
   write.value_bytes = strlen (text);
-  platform_client_put (ctl->platform, &options, &write, ended, &pending);
+  platform_client_put (ctl->platform, &options, &write, request_done,
+                       &pending);
   ctl_wait (ctl, &pending.done);
   free (text);
   json_decref (pending.objects);
-  return check (&pending, kind, name, error) ? pending.version : 0;
+  return request_succeeded (&pending, kind, name, error) ? pending.version : 0;
 }
 
 bool
@@ -192,11 +193,11 @@
   struct pending pending = { 0 };
 
   ctl_connect (ctl);
-  platform_client_delete (ctl->platform, &options, kind, name, version, ended,
-                          &pending);
+  platform_client_delete (ctl->platform, &options, kind, name, version,
+                          request_done, &pending);
   ctl_wait (ctl, &pending.done);
   json_decref (pending.objects);
-  return check (&pending, kind, name, error);
+  return request_succeeded (&pending, kind, name, error);
 }
 
 struct fetch
@@ -277,7 +278,7 @@
 }
 
 enum ctl_exit
-ctl_fail (const struct beryl_error *error)
+ctl_report_error (const struct beryl_error *error)
 {
   fprintf (stderr, "berylctl: %s\n", error->message);
   switch (error->code)
