--- a/tests/control/bench_membership.c
+++ b/tests/control/bench_membership.c
@@ -6,16 +6,16 @@
 #include "cluster.h"
 
 #define LIMIT_MS 120000
-#define REST_MS 30000
+#define IDLE_MS 30000
 #define SIZES 5
 
 struct row
 {
   int nodes;
-  int64_t found_ms;
-  uint64_t rest_bytes_per_s;
-  int64_t dead_ms;
-  int64_t lost_ms;
+  int64_t converged_ms;
+  uint64_t idle_bytes_per_s;
+  int64_t detect_node_ms;
+  int64_t detect_data_centre_ms;
 };
 
 static void
@@ -26,15 +26,15 @@
   uint64_t before;
 
   c->loss_percent = loss_percent;
-  row->found_ms = cluster_until_alive (c, LIMIT_MS);
-  cluster_run (c, REST_MS);
+  row->converged_ms = cluster_until_alive (c, LIMIT_MS);
+  cluster_run (c, IDLE_MS);
   before = cluster_sent_bytes (c);
-  cluster_run (c, REST_MS);
-  row->rest_bytes_per_s = (cluster_sent_bytes (c) - before)
-                          / (uint64_t)row->nodes / (REST_MS / 1000);
+  cluster_run (c, IDLE_MS);
+  row->idle_bytes_per_s = (cluster_sent_bytes (c) - before)
+                          / (uint64_t)row->nodes / (IDLE_MS / 1000);
   c->nodes[1].down = true;
-  row->dead_ms = cluster_until_suspected (c, 1, LIMIT_MS);
-  row->lost_ms = cluster_lose_data_centre (c, 2, LIMIT_MS);
+  row->detect_node_ms = cluster_until_suspected (c, 1, LIMIT_MS);
+  row->detect_data_centre_ms = cluster_lose_data_centre (c, 2, LIMIT_MS);
   cluster_destroy (c);
 }
 
@@ -54,8 +54,8 @@
     {
       row_measure (&rows[i], loss_percent);
       printf ("%5d  %8ld  %8lu  %7ld  %10ld\n", rows[i].nodes,
-              rows[i].found_ms, rows[i].rest_bytes_per_s, rows[i].dead_ms,
-              rows[i].lost_ms);
+              rows[i].converged_ms, rows[i].idle_bytes_per_s,
+              rows[i].detect_node_ms, rows[i].detect_data_centre_ms);
       fflush (stdout);
     }
   printf ("{\"bench\":\"membership\",\"loss_percent\":%u,\"rows\":[",
@@ -63,8 +63,9 @@
   for (int i = 0; i < SIZES; i++)
     printf ("%s{\"nodes\":%d,\"found_ms\":%ld,\"rest_bytes_per_s\":%lu,"
             "\"dead_ms\":%ld,\"lost_data_centre_ms\":%ld}",
-            i > 0 ? "," : "", rows[i].nodes, rows[i].found_ms,
-            rows[i].rest_bytes_per_s, rows[i].dead_ms, rows[i].lost_ms);
+            i > 0 ? "," : "", rows[i].nodes, rows[i].converged_ms,
+            rows[i].idle_bytes_per_s, rows[i].detect_node_ms,
+            rows[i].detect_data_centre_ms);
   printf ("]}\n");
   return 0;
 }
--- a/tests/control/bench_planner.c
+++ b/tests/control/bench_planner.c
@@ -8,11 +8,11 @@
 #include "fleet_sim.h"
 
 #define DAY_S 86400
-#define LEARN_DAYS 2
+#define WARMUP_DAYS 2
 #define DAYS 5
 #define SIZINGS 4
 #define LOADS 2
-#define PLACES 2
+#define DATA_CENTRE_COUNTS 2
 
 /* Office hours, nothing at night, a steep start at nine, a dip at noon. */
 static double
@@ -69,26 +69,26 @@
                                          .call_ms = 20000,
                                          .deadline_ms = 30000,
                                          .seed = 11 };
-  struct fleet_sim *town = fleet_sim_create (&settings);
-  struct sim *chance = sim_create (5);
+  struct fleet_sim *fleet = fleet_sim_create (&settings);
+  struct sim *random = sim_create (5);
   double level = 1;
-  double wave = 1;
+  double noise = 1;
 
   for (int day = 0; day < DAYS; day++)
     {
-      level = 0.75 + (double)sim_random (chance, 50) / 100;
-      if (day == LEARN_DAYS)
-        fleet_sim_reset_counts (town);
+      level = 0.75 + (double)sim_random (random, 50) / 100;
+      if (day == WARMUP_DAYS)
+        fleet_sim_reset_counts (fleet);
       for (int second = 0; second < DAY_S; second++)
         {
           if (second % 900 == 0)
-            wave = 0.85 + (double)sim_random (chance, 30) / 100;
-          fleet_sim_run_second (town, curve->rate (second) * level * wave);
+            noise = 0.85 + (double)sim_random (random, 30) / 100;
+          fleet_sim_run_second (fleet, curve->rate (second) * level * noise);
         }
     }
-  row->counts = *fleet_sim_counts (town);
-  sim_destroy (chance);
-  fleet_sim_destroy (town);
+  row->counts = *fleet_sim_counts (fleet);
+  sim_destroy (random);
+  fleet_sim_destroy (fleet);
 }
 
 static double
@@ -101,30 +101,30 @@
 static double
 hours_a_day (const struct row *row)
 {
-  return row->counts.engine_hours / (DAYS - LEARN_DAYS);
+  return row->counts.engine_hours / (DAYS - WARMUP_DAYS);
 }
 
 int
 main (void)
 {
   static const int64_t load_ms[LOADS] = { 60000, 300000 };
-  static const int places[PLACES] = { 3, 1 };
-  struct row rows[PLACES * LOADS * 2 * SIZINGS];
+  static const int data_centre_counts[DATA_CENTRE_COUNTS] = { 3, 1 };
+  struct row rows[DATA_CENTRE_COUNTS * LOADS * 2 * SIZINGS];
   int count = 0;
 
   printf ("curve   halls  load s  sizing     engine-hours/day  cold waits  "
           "in time %%  loads\n");
-  for (int c = 0; c < 2 * PLACES; c++)
+  for (int c = 0; c < 2 * DATA_CENTRE_COUNTS; c++)
     for (int l = 0; l < LOADS; l++)
       for (int i = 0; i < SIZINGS; i++)
         {
           struct row *row = &rows[count++];
 
-          row->curve = curves[c / PLACES].name;
-          row->data_centres = places[c % PLACES];
+          row->curve = curves[c / DATA_CENTRE_COUNTS].name;
+          row->data_centres = data_centre_counts[c % DATA_CENTRE_COUNTS];
           row->sizing = (enum beryl_sizing)i;
           row->load_ms = load_ms[l];
-          row_measure (row, &curves[c / PLACES]);
+          row_measure (row, &curves[c / DATA_CENTRE_COUNTS]);
           printf ("%-7s %5d  %6ld  %-9s  %16.1f  %10lu  %9.2f  %5u\n",
                   row->curve, row->data_centres, row->load_ms / 1000,
                   beryl_sizing_name (row->sizing), hours_a_day (row),
--- a/tests/control/stage.h
+++ b/tests/control/control_fixture.h
@@ -1,8 +1,8 @@
 /** @file
  * Real controlds, a platform and an engine at the interface, on one loop.
  */
-#ifndef TESTS_CONTROL_STAGE_H
-#define TESTS_CONTROL_STAGE_H
+#ifndef TESTS_CONTROL_CONTROL_FIXTURE_H
+#define TESTS_CONTROL_CONTROL_FIXTURE_H
 
 #include <glib.h>
 
@@ -25,8 +25,8 @@
   "{\"api_version\":\"beryl/v1\",\"kind\":\"service\",\"name\":\"s\","        \
   "\"spec\":{\"model\":\"m\"}}"
 
-/** All of a test's parts; stage_open clears it. */
-struct stage
+/** All of a test's parts; fixture_open clears it. */
+struct control_fixture
 {
   struct loop *loop;
   struct http_context *http;
@@ -37,11 +37,11 @@
   struct control *dead[NODES_MAX]; /* released with the stage */
   int dead_count;
   struct http_call_handler caller;
-  int calls; /* under way */
-  bool reading;
-  GString *read; /* body of the answer to stage_reads */
+  int pending_calls; /* under way */
+  bool capture_response;
+  GString *response; /* body of the answer to fixture_wait_for_text */
   struct control_link_owner owner;
-  uint64_t view_config;
+  uint64_t view_config_version;
   size_t view_members;
   size_t view_leaving;
   uint32_t views_with_objects;
@@ -51,61 +51,67 @@
   char engine_role[16]; /* as ordered */
   uint32_t load_reads;
   uint32_t state_reads;
-  uint32_t waiting;
-  bool (*until) (struct stage *s);
+  uint32_t reported_waiting;
+  bool (*condition) (struct control_fixture *f);
   int64_t deadline_ms;
   bool reached;
 };
 
 /** Create a loop, a platform, and NODES nodes that are listed. */
-void stage_open (struct stage *s, int nodes);
+void fixture_open (struct control_fixture *f, int nodes);
 
 /** Close and release everything. */
-void stage_close (struct stage *s);
+void fixture_close (struct control_fixture *f);
 
 /** Run until UNTIL holds, for at most MOST_MS; whether it did. */
-bool stage_await (struct stage *s, bool (*until) (struct stage *s),
-                  int64_t most_ms);
+bool fixture_wait_until (struct control_fixture *f,
+                         bool (*condition) (struct control_fixture *f),
+                         int64_t timeout_ms);
 
 /** Write BODY to the platform. */
-void stage_put (struct stage *s, const char *path, const char *body);
+void fixture_put (struct control_fixture *f, const char *path,
+                  const char *body);
 
 /** Whether PART comes to be in the object at PATH within some seconds. */
-bool stage_reads (struct stage *s, const char *path, const char *part);
+bool fixture_wait_for_text (struct control_fixture *f, const char *path,
+                            const char *part);
 
 /** Delete from the platform. */
-void stage_delete (struct stage *s, const char *path);
+void fixture_delete (struct control_fixture *f, const char *path);
 
 /** Add a node with this cluster key and these seeds. */
-void stage_node (struct stage *s, const char *key, const char *seeds);
+void fixture_add_node (struct control_fixture *f, const char *key,
+                       const char *seeds);
 
 /** List the node I at the platform. */
-void stage_list (struct stage *s, int i);
+void fixture_list_node (struct control_fixture *f, int i);
 
 /** Let node I die without a word; the last node takes its number. */
-void stage_kill (struct stage *s, int i);
+void fixture_kill_node (struct control_fixture *f, int i);
 
 /** Open the engine with IMPL, and write a model, its service "s" and the
  * endpoint "engine-1". */
-void stage_engine (struct stage *s, const struct http_handler_impl *impl);
+void fixture_add_engine (struct control_fixture *f,
+                         const struct http_handler_impl *impl);
 
 /** Write COUNT more endpoints of "s" at the engine's address. */
-void stage_endpoints (struct stage *s, int count);
+void fixture_add_endpoints (struct control_fixture *f, int count);
 
 /** The stage of an engine's handler. */
-struct stage *stage_of_engine (struct http_handler *handler);
+struct control_fixture *fixture_of_engine (struct http_handler *handler);
 
 /** For an engine's handler: nothing to do. */
-void stage_engine_closed (struct http_handler *handler,
-                          struct http_exchange *ex, bool whole);
+void fixture_engine_closed (struct http_handler *handler,
+                            struct http_exchange *ex, bool whole);
 
 /** Connect an entryd's side of the loopback connection to the first node. */
-struct control_link *stage_link (struct stage *s, uint64_t incarnation);
-
-/** Conditions for stage_await. */
-bool stage_never (struct stage *s);
-bool stage_all_know_all (struct stage *s);
-bool stage_all_have_1 (struct stage *s);
-bool stage_all_have_2 (struct stage *s);
+struct control_link *fixture_connect_entry (struct control_fixture *f,
+                                            uint64_t incarnation);
+
+/** Conditions for fixture_wait_until. */
+bool fixture_never (struct control_fixture *f);
+bool fixture_all_members_alive (struct control_fixture *f);
+bool fixture_all_have_version_1 (struct control_fixture *f);
+bool fixture_all_have_version_2 (struct control_fixture *f);
 
 #endif
--- a/tests/control/test_local.c
+++ b/tests/control/test_local.c
@@ -112,7 +112,7 @@
 END_TEST
 
 /* A controld at the interface, and an entryd's owner. */
-struct stage
+struct link_fixture
 {
   struct link_handler server;
   struct control_link_owner owner;
@@ -127,26 +127,27 @@
   uint32_t downs;
 };
 
-static struct stage *
-stage_of_owner (struct control_link_owner *owner)
+static struct link_fixture *
+fixture_of_owner (struct control_link_owner *owner)
 {
-  return (struct stage *)((char *)owner - offsetof (struct stage, owner));
+  return (struct link_fixture *)((char *)owner
+                                 - offsetof (struct link_fixture, owner));
 }
 
 static void
 server_frame (struct link_handler *handler, struct link *link,
               struct frame *frame)
 {
-  struct stage *s = (struct stage *)handler;
+  struct link_fixture *f = (struct link_fixture *)handler;
   struct local_message message;
   struct local_message view = { .type = LOCAL_VIEW };
   struct frame_writer *writer = frame_writer_create (LOCAL_VIEW);
 
   ck_assert (local_read (frame, &message));
-  s->hellos += message.type == LOCAL_HELLO;
-  s->holds += message.type == LOCAL_HOLDS;
-  s->leaves += message.type == LOCAL_LEAVE;
-  s->applied += message.type == LOCAL_APPLIED;
+  f->hellos += message.type == LOCAL_HELLO;
+  f->holds += message.type == LOCAL_HOLDS;
+  f->leaves += message.type == LOCAL_LEAVE;
+  f->applied += message.type == LOCAL_APPLIED;
   local_put (writer, &view);
   link_send (link, writer);
   frame_writer_destroy (writer);
@@ -159,7 +160,7 @@
 {
   (void)link;
   (void)reason;
-  ((struct stage *)handler)->accepted = NULL;
+  ((struct link_fixture *)handler)->accepted = NULL;
 }
 
 static const struct link_handler_impl server_impl
@@ -168,42 +169,42 @@
 static struct link_handler *
 server_accept (void *user, struct link *link)
 {
-  struct stage *s = user;
+  struct link_fixture *f = user;
 
-  s->accepted = link;
-  return &s->server;
+  f->accepted = link;
+  return &f->server;
 }
 
 static void
 owner_view (struct control_link_owner *owner, const struct local_view *view)
 {
-  struct stage *s = stage_of_owner (owner);
+  struct link_fixture *f = fixture_of_owner (owner);
 
   (void)view;
-  s->views++;
-  if (s->leaves == 1 && s->accepted != NULL)
+  f->views++;
+  if (f->leaves == 1 && f->accepted != NULL)
     {
-      link_close (s->accepted);
-      s->accepted = NULL;
+      link_close (f->accepted);
+      f->accepted = NULL;
     }
-  if (s->leaves == 2)
-    loop_quit (s->loop);
+  if (f->leaves == 2)
+    loop_quit (f->loop);
 }
 
 static void
 owner_connected (struct control_link_owner *owner, bool up)
 {
-  struct stage *s = stage_of_owner (owner);
+  struct link_fixture *f = fixture_of_owner (owner);
 
-  s->ups += up;
-  s->downs += !up;
+  f->ups += up;
+  f->downs += !up;
 }
 
 static const struct control_link_owner_impl owner_impl
     = { .view = owner_view, .connected = owner_connected };
 
 static void
-stage_timeout (void *user)
+fixture_timeout (void *user)
 {
   loop_quit (user);
 }
@@ -211,9 +212,10 @@
 /* Story: controld is restarted while entryd serves.  Entryd must reconnect
  * and say again who it is, what it holds and that it is leaving; otherwise
  * the new controld would hand out a leaving node and never clean up. */
-START_TEST (link_repeats_itself_after_a_restart)
+START_TEST (link_resends_state_after_restart)
 {
-  struct stage s = { .server.impl = &server_impl, .owner.impl = &owner_impl };
+  struct link_fixture f
+      = { .server.impl = &server_impl, .owner.impl = &owner_impl };
   struct local_hello hello = { .incarnation = 5 };
   struct local_hold hold = { "engine-1", 5, 1, 2 };
   struct local_holds holds = { &hold, 1 };
@@ -221,29 +223,29 @@
   struct control_link *link;
   struct loop_timer *timer;
 
-  s.loop = loop_create ();
-  listener = link_listen (s.loop, "127.0.0.1", 0, server_accept, &s, NULL);
+  f.loop = loop_create ();
+  listener = link_listen (f.loop, "127.0.0.1", 0, server_accept, &f, NULL);
   ck_assert_ptr_nonnull (listener);
-  link = control_link_create (s.loop, link_listener_port (listener), &hello, 1,
-                              &s.owner);
+  link = control_link_create (f.loop, link_listener_port (listener), &hello, 1,
+                              &f.owner);
   control_link_holds (link, &holds);
   control_link_applied (link, 7);
   control_link_applied (link, 7);
   control_link_leave (link);
-  timer = loop_timer_start (s.loop, 5000, 0, stage_timeout, s.loop);
-  loop_run (s.loop);
+  timer = loop_timer_start (f.loop, 5000, 0, fixture_timeout, f.loop);
+  loop_run (f.loop);
   loop_timer_stop (timer);
-  ck_assert_uint_eq (s.hellos, 2);
-  ck_assert_uint_eq (s.holds, 2);
-  ck_assert_uint_eq (s.leaves, 2);
-  ck_assert_uint_eq (s.applied, 2);
-  ck_assert_uint_eq (s.ups, 2);
-  ck_assert_uint_eq (s.downs, 1);
+  ck_assert_uint_eq (f.hellos, 2);
+  ck_assert_uint_eq (f.holds, 2);
+  ck_assert_uint_eq (f.leaves, 2);
+  ck_assert_uint_eq (f.applied, 2);
+  ck_assert_uint_eq (f.ups, 2);
+  ck_assert_uint_eq (f.downs, 1);
   control_link_destroy (link);
-  if (s.accepted != NULL)
-    link_close (s.accepted);
+  if (f.accepted != NULL)
+    link_close (f.accepted);
   link_listener_close (listener);
-  loop_destroy (s.loop);
+  loop_destroy (f.loop);
 }
 END_TEST
 
@@ -259,7 +261,7 @@
   tcase_add_test (t, view_round_trip);
   tcase_add_test (t, holds_and_loads_round_trip);
   tcase_add_test (t, malformed_is_refused);
-  tcase_add_test (t, link_repeats_itself_after_a_restart);
+  tcase_add_test (t, link_resends_state_after_restart);
   suite_add_tcase (s, t);
   r = srunner_create (s);
   srunner_run_all (r, CK_NORMAL);
--- a/tests/control/test_planner.c
+++ b/tests/control/test_planner.c
@@ -4,7 +4,7 @@
 
 #include "fleet_sim.h"
 
-static const struct fleet_sim_settings usual
+static const struct fleet_sim_settings default_settings
     = { .sizing = BERYL_SIZING_REACTIVE,
         .engines = 12,
         .data_centres = 3,
@@ -22,9 +22,9 @@
 
 /* Story: nobody calls at night.  Engines that stay warm cost money; and the
  * first caller of the morning must be held and served, not refused. */
-START_TEST (to_nothing_and_back)
+START_TEST (scale_to_zero_and_back)
 {
-  struct fleet_sim *t = fleet_sim_create (&usual);
+  struct fleet_sim *t = fleet_sim_create (&default_settings);
 
   run (t, 1800, 2);
   ck_assert_int_gt (fleet_sim_warm (t, NULL), 1);
@@ -44,7 +44,7 @@
  * store's rate is shared and the first is warm only when the last is. */
 START_TEST (loads_are_paced)
 {
-  struct fleet_sim *t = fleet_sim_create (&usual);
+  struct fleet_sim *t = fleet_sim_create (&default_settings);
 
   run (t, 20, 8);
   ck_assert_uint_le (fleet_sim_counts (t)->loads, 2);
@@ -59,17 +59,19 @@
  * carry the load until replacements are warm. */
 START_TEST (spread_over_data_centres)
 {
-  struct fleet_sim *t = fleet_sim_create (&usual);
-  int most = 0;
+  struct fleet_sim *t = fleet_sim_create (&default_settings);
+  int max_per_dc = 0;
   int all;
 
   run (t, 1800, 4);
   all = fleet_sim_warm (t, NULL);
   for (int dc = 0; dc < 3; dc++)
-    most = fleet_sim_warm_in (t, dc) > most ? fleet_sim_warm_in (t, dc) : most;
-  ck_assert_int_le (most * 3, all + 2);
+    max_per_dc = fleet_sim_warm_in (t, dc) > max_per_dc
+                     ? fleet_sim_warm_in (t, dc)
+                     : max_per_dc;
+  ck_assert_int_le (max_per_dc * 3, all + 2);
   /* 4 calls a second of 20 s are 80 streams: 5 engines at 0.8 use. */
-  ck_assert_int_ge (all - most, 5);
+  ck_assert_int_ge (all - max_per_dc, 5);
   fleet_sim_destroy (t);
 }
 END_TEST
@@ -79,8 +81,8 @@
  * one is warm. */
 START_TEST (version_rolls_out_under_load)
 {
-  struct fleet_sim *t = fleet_sim_create (&usual);
-  int least = 99;
+  struct fleet_sim *t = fleet_sim_create (&default_settings);
+  int min_warm = 99;
 
   run (t, 1800, 4);
   fleet_sim_reset_counts (t);
@@ -88,13 +90,13 @@
   for (int i = 0; i < 3600; i++)
     {
       fleet_sim_run_second (t, 4);
-      least = fleet_sim_warm (t, NULL) < least ? fleet_sim_warm (t, NULL)
-                                               : least;
+      min_warm = fleet_sim_warm (t, NULL) < min_warm ? fleet_sim_warm (t, NULL)
+                                                     : min_warm;
     }
   ck_assert_int_eq (fleet_sim_warm (t, "v1"), 0);
   ck_assert_int_ge (fleet_sim_warm (t, "v2"), (int)fleet_sim_wanted (t));
   /* 8 are wanted (5 and a data centre's spare), one of them may change. */
-  ck_assert_int_ge (least, 7);
+  ck_assert_int_ge (min_warm, 7);
   ck_assert_uint_eq (fleet_sim_counts (t)->started_in_time,
                      fleet_sim_counts (t)->calls);
   fleet_sim_destroy (t);
@@ -105,9 +107,9 @@
  * must still end, a few engines at a time, never all. */
 START_TEST (version_rolls_out_without_spares)
 {
-  struct fleet_sim_settings settings = usual;
+  struct fleet_sim_settings settings = default_settings;
   struct fleet_sim *t;
-  int least = 99;
+  int min_warm = 99;
 
   settings.engines = 4;
   settings.min_endpoints = 4;
@@ -118,20 +120,20 @@
   for (int i = 0; i < 1800; i++)
     {
       fleet_sim_run_second (t, 1);
-      least = fleet_sim_warm (t, NULL) < least ? fleet_sim_warm (t, NULL)
-                                               : least;
+      min_warm = fleet_sim_warm (t, NULL) < min_warm ? fleet_sim_warm (t, NULL)
+                                                     : min_warm;
     }
   ck_assert_int_eq (fleet_sim_warm (t, "v2"), 4);
-  ck_assert_int_ge (least, 3);
+  ck_assert_int_ge (min_warm, 3);
   fleet_sim_destroy (t);
 }
 END_TEST
 
 /* Story: the load swings every minute.  Without hysteresis engines would be
  * unloaded and loaded all the time, each time with an empty cache. */
-START_TEST (swinging_load_keeps_engines)
+START_TEST (oscillating_load_keeps_engines)
 {
-  struct fleet_sim *t = fleet_sim_create (&usual);
+  struct fleet_sim *t = fleet_sim_create (&default_settings);
 
   run (t, 1800, 4);
   fleet_sim_reset_counts (t);
@@ -147,7 +149,7 @@
  * others without waiting for them. */
 START_TEST (dead_engines_are_replaced)
 {
-  struct fleet_sim *t = fleet_sim_create (&usual);
+  struct fleet_sim *t = fleet_sim_create (&default_settings);
   int before;
   int killed = 0;
 
@@ -167,9 +169,9 @@
 
 /* Story: a planner takes over in the middle of the day.  It knows no demand
  * yet and must neither unload what is warm nor order it anew. */
-START_TEST (new_planner_adopts)
+START_TEST (new_planner_keeps_engines)
 {
-  struct fleet_sim *t = fleet_sim_create (&usual);
+  struct fleet_sim *t = fleet_sim_create (&default_settings);
   uint32_t orders = 0;
   int before;
 
@@ -222,9 +224,9 @@
  * that load for minutes. */
 START_TEST (profile_outlives_the_planner)
 {
-  struct fleet_sim_settings settings = usual;
+  struct fleet_sim_settings settings = default_settings;
   struct fleet_sim *t;
-  int coming = 0;
+  int ordered = 0;
 
   settings.sizing = BERYL_SIZING_CORRECTED;
   t = fleet_sim_create (&settings);
@@ -236,8 +238,8 @@
   run (t, 540, 0);
   run (t, 60, 0.05);
   for (int i = 0; i < 12; i++)
-    coming += fleet_sim_engine (t, i)->role != 0;
-  ck_assert_int_ge (coming, 3);
+    ordered += fleet_sim_engine (t, i)->role != 0;
+  ck_assert_int_ge (ordered, 3);
   fleet_sim_destroy (t);
 }
 END_TEST
@@ -251,14 +253,14 @@
   int failed;
 
   tcase_set_timeout (t, 50);
-  tcase_add_test (t, to_nothing_and_back);
+  tcase_add_test (t, scale_to_zero_and_back);
   tcase_add_test (t, loads_are_paced);
   tcase_add_test (t, spread_over_data_centres);
   tcase_add_test (t, version_rolls_out_under_load);
   tcase_add_test (t, version_rolls_out_without_spares);
-  tcase_add_test (t, swinging_load_keeps_engines);
+  tcase_add_test (t, oscillating_load_keeps_engines);
   tcase_add_test (t, dead_engines_are_replaced);
-  tcase_add_test (t, new_planner_adopts);
+  tcase_add_test (t, new_planner_keeps_engines);
   tcase_add_test (t, correction_follows_a_busier_day);
   tcase_add_test (t, profile_outlives_the_planner);
   suite_add_tcase (s, t);
--- a/tests/control/test_sweep.c
+++ b/tests/control/test_sweep.c
@@ -1,4 +1,4 @@
-#include "stage.h"
+#include "control_fixture.h"
 
 #include <check.h>
 #include <glib.h>
@@ -9,7 +9,7 @@
 /* More by the command line, for measurements. */
 static int engine_count = 900;
 /* Fifteen seconds for a sweep, and a third more for a slow machine. */
-#define SWEEP_MOST_MS 20000
+#define SWEEP_LIMIT_MS 20000
 
 static void
 engine_request (struct http_handler *handler, struct http_exchange *ex)
@@ -19,49 +19,49 @@
                                "\"ready\":true}";
 
   if (strcmp (http_exchange_path (ex), "/v1/state") == 0)
-    stage_of_engine (handler)->state_reads++;
+    fixture_of_engine (handler)->state_reads++;
   http_exchange_respond (ex, 200, "application/json", answer,
                          sizeof answer - 1);
 }
 
 static const struct http_handler_impl engine_impl
-    = { .request = engine_request, .closed = stage_engine_closed };
+    = { .request = engine_request, .closed = fixture_engine_closed };
 
 static bool
-planner_has_all (struct stage *s)
+planner_has_all (struct control_fixture *f)
 {
-  const struct beryl_config *config = config_task_parsed (s->nodes[0]->config);
+  const struct beryl_config *config = config_task_parsed (f->nodes[0]->config);
 
-  return s->nodes[0]->planner != NULL && config != NULL
+  return f->nodes[0]->planner != NULL && config != NULL
          && config->endpoint_count == (size_t)engine_count;
 }
 
 static bool
-all_were_asked (struct stage *s)
+all_were_polled (struct control_fixture *f)
 {
-  return s->state_reads >= (uint32_t)engine_count;
+  return f->state_reads >= (uint32_t)engine_count;
 }
 
 /* Story: a fleet of hundreds of engines.  The planner asks 20 a second, so
  * that it learns of an engine's death or load after minutes, and calls wait
  * for an engine that it believes warm. */
-START_TEST (large_fleet_is_swept)
+START_TEST (large_fleet_is_polled)
 {
-  struct stage s;
-  int64_t begun_ms;
+  struct control_fixture f;
+  int64_t started_ms;
 
-  stage_open (&s, 0);
-  s.planner = true;
-  stage_node (&s, "key", "");
-  stage_engine (&s, &engine_impl);
-  stage_endpoints (&s, engine_count - 1);
-  ck_assert (stage_await (&s, planner_has_all, 30000));
-  s.state_reads = 0;
-  begun_ms = loop_now_ms (s.loop);
-  ck_assert (stage_await (&s, all_were_asked, SWEEP_MOST_MS));
+  fixture_open (&f, 0);
+  f.planner = true;
+  fixture_add_node (&f, "key", "");
+  fixture_add_engine (&f, &engine_impl);
+  fixture_add_endpoints (&f, engine_count - 1);
+  ck_assert (fixture_wait_until (&f, planner_has_all, 30000));
+  f.state_reads = 0;
+  started_ms = loop_now_ms (f.loop);
+  ck_assert (fixture_wait_until (&f, all_were_polled, SWEEP_LIMIT_MS));
   printf ("%d engines asked in %ld ms\n", engine_count,
-          (long)(loop_now_ms (s.loop) - begun_ms));
-  stage_close (&s);
+          (long)(loop_now_ms (f.loop) - started_ms));
+  fixture_close (&f);
 }
 END_TEST
 
@@ -76,7 +76,7 @@
   if (argc > 1)
     engine_count = atoi (argv[1]);
   tcase_set_timeout (t, 60);
-  tcase_add_test (t, large_fleet_is_swept);
+  tcase_add_test (t, large_fleet_is_polled);
   suite_add_tcase (s, t);
   r = srunner_create (s);
   srunner_run_all (r, CK_NORMAL);
