--- a/tests/control/bench_membership.c
+++ b/tests/control/bench_membership.c
@@ -1,5 +1,5 @@
-/* Membership in virtual time at several sizes: bytes at rest, time until a
- * dead node and a lost data centre are suspect everywhere. */
+/* Membership in virtual time at several cluster sizes: idle traffic, and the
+ * time until a dead node and a lost data centre are suspect everywhere. */
 #include <stdio.h>
 #include <stdlib.h>
 
--- a/tests/control/bench_planner.c
+++ b/tests/control/bench_planner.c
@@ -1,6 +1,7 @@
-/* Ways to size the pools on days' curves in virtual time: engine-hours, calls
- * that came while no engine was warm, calls that got a slot by their
- * deadline.  The first two days are for learning and not counted. */
+/* Compares pool sizing policies on daily load curves in virtual time:
+ * engine-hours, calls that arrived while no engine was warm, and calls that
+ * got a slot by their deadline.  The first two days are warm-up and not
+ * counted. */
 #include <math.h>
 #include <stdio.h>
 
@@ -14,7 +15,7 @@
 #define LOADS 2
 #define DATA_CENTRE_COUNTS 2
 
-/* Office hours, nothing at night, a steep start at nine, a dip at noon. */
+/* Office hours: no load at night, a steep rise at nine, a dip at noon. */
 static double
 office_rate (int second)
 {
@@ -29,7 +30,7 @@
   return 4 + sin ((hour - 9) * M_PI / 4.5);
 }
 
-/* All day with a peak in the evening and a burst before each hour's break. */
+/* Load all day, with an evening peak and a burst near the end of each hour. */
 static double
 radio_rate (int second)
 {
@@ -53,12 +54,12 @@
   const char *curve;
   enum beryl_sizing sizing;
   int64_t load_ms;
-  int data_centres; /* with one there is no spare for the loss of one */
+  int data_centres; /* 1: no spare capacity for a lost one */
   struct fleet_sim_counts counts;
 };
 
-/* Days differ from each other by up to a quarter, and so do the quarters of
- * an hour in a day. */
+/* The load varies randomly between days (up to 25 %) and between the quarter
+ * hours of a day (up to 15 %). */
 static void
 row_measure (struct row *row, const struct curve *curve)
 {
--- a/tests/control/control_fixture.c
+++ b/tests/control/control_fixture.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #define POLL_MS 10
-/* Calls to the platform at once. */
+/* Concurrent requests to the platform. */
 #define CALLS_MAX 25
 #define READS_MAX 40
 #define READ_INTERVAL_MS 200
--- a/tests/control/test_cleanup.c
+++ b/tests/control/test_cleanup.c
@@ -33,8 +33,8 @@
   return f->view_config_version >= 1;
 }
 
-/* Story: entryd is killed in the middle of streams.  Nobody else knows them;
- * unless controld cancels them, the engine's memory stays held. */
+/* entryd is killed while it has streams.  controld must cancel them, or they
+ * keep the engine's memory. */
 START_TEST (dead_entryd_is_cleaned_up)
 {
   struct control_fixture f;
@@ -71,15 +71,14 @@
   return true;
 }
 
-/* The windows were told to the keepers by then. */
+/* Time to send the windows to the replicas. */
 #define REPLICATION_MS 2500
-/* A suspect that is not listed is dead by then. */
+/* Time to declare a suspect dead that is not listed. */
 #define DEATH_MS 20000
 
-/* Story: a machine dies, entryd and controld at once, in the middle of
- * streams.  Its windows are kept by two other nodes, and these must cancel
- * them; but not while it is only suspect, as it may be cut off and its
- * streams alive. */
+/* An instance dies with its entryd and controld while it has streams.  The two
+ * replicas of its windows must cancel them, but not while the node is only
+ * suspect: it may be partitioned with its streams still running. */
 START_TEST (dead_instance_is_cleaned_up)
 {
   struct control_fixture f;
@@ -115,9 +114,9 @@
   return m != NULL && m->state == BERYL_MEMBER_SUSPECT;
 }
 
-/* Story: the only keeper of a node's windows dies; a long stream runs on, so
- * that the windows do not change.  Then the node dies too.  The node that
- * joined meanwhile must have been told the windows, or nobody knows them. */
+/* The only replica of a node's windows dies, then the node itself.  A long
+ * stream keeps the windows unchanged meanwhile.  They must still be sent to a
+ * node that joined in between, or they are lost. */
 START_TEST (replica_is_replaced)
 {
   struct control_fixture f;
--- a/tests/control/test_controld.c
+++ b/tests/control/test_controld.c
@@ -4,8 +4,8 @@
 #include <glib.h>
 #include <string.h>
 
-/* Story: operators apply a model and a service; every node must have both
- * within a moment, though only one of them watches the platform. */
+/* Every node must get an applied model and service within seconds, although
+ * only one of them watches the platform. */
 START_TEST (change_reaches_all_nodes)
 {
   struct control_fixture f;
@@ -28,9 +28,9 @@
 }
 END_TEST
 
-/* Story: the platform is out while a node is replaced.  The new node cannot
- * read the list nor the log; it must get both from a peer, and the others
- * must go on with what was accepted. */
+/* A node is replaced during a platform outage.  It can read neither the
+ * instance list nor the log, so it must get members and configuration from a
+ * peer; the others must keep the accepted configuration. */
 START_TEST (outage_during_a_replacement)
 {
   struct control_fixture f;
@@ -60,8 +60,8 @@
          && f->view_leaving == 1;
 }
 
-/* Story: an endpoint is marked leaving in the platform's list.  Entryd must
- * hear of it in its view, or it goes on sending it work. */
+/* An endpoint that is marked leaving in the platform's list must appear in
+ * entryd's view; otherwise entryd keeps sending work to it. */
 START_TEST (view_reaches_entryd)
 {
   struct control_fixture f;
@@ -92,9 +92,9 @@
   return f->view_config_version >= 1;
 }
 
-/* Story: an operator is told that an edit is in force and takes an engine
- * away, while an entryd still sends it work: controld had the edit, entryd had
- * not taken it yet.  In force is what entryd has said that it uses. */
+/* A configuration is in force only once entryd has reported that it applied
+ * it.  When controld's own version counted, an operator could remove an engine
+ * to which entryd still sent work. */
 START_TEST (in_force_waits_for_entryd)
 {
   struct control_fixture f;
@@ -124,9 +124,8 @@
   return m != NULL && m->state == BERYL_MEMBER_ALIVE;
 }
 
-/* Story: a process without the cluster's key is started by mistake, or by
- * somebody else, and lists itself.  It must neither learn the members and
- * the configuration nor change them. */
+/* A process with another cluster key must neither read nor change the members
+ * and the configuration, even if it knows a node's address. */
 START_TEST (wrong_key_is_refused)
 {
   struct control_fixture f;
@@ -168,9 +167,8 @@
   return holder_of (f, CONTROL_ROLE_ACCEPTOR) >= 0;
 }
 
-/* Story: the node that accepts changes dies without a word.  Another must
- * take over within the lease's time, and changes made meanwhile must come
- * into force. */
+/* The acceptor dies without releasing its lease.  Another node must take over
+ * once the lease expires, and changes made meanwhile must come into force. */
 START_TEST (acceptor_dies)
 {
   struct control_fixture f;
--- a/tests/control/test_local.c
+++ b/tests/control/test_local.c
@@ -84,8 +84,8 @@
 }
 END_TEST
 
-/* Story: a process gone wrong sends fields of the wrong type or an
- * impossible port; the reader must refuse the whole message. */
+/* A message with an out-of-range port or of an unknown type must be refused as
+ * a whole. */
 START_TEST (malformed_is_refused)
 {
   struct frame_writer *writer = frame_writer_create (LOCAL_HELLO);
@@ -111,7 +111,7 @@
 }
 END_TEST
 
-/* A controld at the interface, and an entryd's owner. */
+/* A fake controld and the owner of entryd's side of the connection. */
 struct link_fixture
 {
   struct link_handler server;
@@ -209,9 +209,9 @@
   loop_quit (user);
 }
 
-/* Story: controld is restarted while entryd serves.  Entryd must reconnect
- * and say again who it is, what it holds and that it is leaving; otherwise
- * the new controld would hand out a leaving node and never clean up. */
+/* controld restarts while entryd serves.  entryd must reconnect and resend its
+ * hello, holds and leave message; otherwise the new controld would announce a
+ * leaving node and never clean up. */
 START_TEST (link_resends_state_after_restart)
 {
   struct link_fixture f
--- a/tests/control/test_orders.c
+++ b/tests/control/test_orders.c
@@ -26,8 +26,8 @@
                                  "engine-1", &fact);
 }
 
-/* A fake engine that takes orders; it is asked for its load before it is
- * unloaded. */
+/* A fake engine that follows orders.  Its load must be read before an order
+ * unloads it. */
 static void
 orders_request (struct http_handler *handler, struct http_exchange *ex)
 {
@@ -89,9 +89,8 @@
   control_report_local_loads (f->nodes[0], &loads);
 }
 
-/* Story: nobody calls, so the engine is unloaded to cost nothing; a call
- * waits, and it is loaded again.  Before it is unloaded all nodes must have
- * heard that it takes no new work, or a stream would be cut off. */
+/* An idle engine is unloaded, and loaded again when a call waits.  It must be
+ * leaving at all nodes before it is unloaded, or streams would be cut off. */
 START_TEST (idle_engine_is_unloaded_and_reloaded)
 {
   struct control_fixture f;
@@ -101,8 +100,8 @@
   fixture_open (&f, 0);
   f.planner = true;
   fixture_add_node (&f, "key", "");
-  /* The instance list stays empty and has no revision: facts must go all the
-   * same. */
+  /* The instance list stays empty and has no revision; facts must still be
+   * withdrawn. */
   fixture_add_engine (&f, &orders_impl);
   ck_assert (fixture_wait_until (&f, planner_runs, 5000));
   f.reported_waiting = 1;
@@ -126,10 +125,10 @@
   return !engine_not_leaving (f);
 }
 
-/* Story: operators switch the planner off while the engine is cold.  Its
- * drain stays, the engine is leaving for ever, and calls are held until their
- * deadlines, also once operators have loaded it by hand.  The acceptor must
- * take the drain away; but not one that operators wrote themselves. */
+/* The planner is switched off while the engine is cold.  Its drain would keep
+ * the engine leaving forever, and calls would be held until their deadlines,
+ * even after operators load the engine by hand.  The acceptor must delete this
+ * drain, but not one that an operator wrote. */
 START_TEST (orphaned_drain_is_deleted)
 {
   struct control_fixture f;
--- a/tests/control/test_planner.c
+++ b/tests/control/test_planner.c
@@ -20,8 +20,8 @@
     fleet_sim_run_second (t, calls_per_s);
 }
 
-/* Story: nobody calls at night.  Engines that stay warm cost money; and the
- * first caller of the morning must be held and served, not refused. */
+/* Without calls all engines must be unloaded to save cost; the first call
+ * afterwards must be held and served, not refused. */
 START_TEST (scale_to_zero_and_back)
 {
   struct fleet_sim *t = fleet_sim_create (&default_settings);
@@ -40,8 +40,8 @@
 }
 END_TEST
 
-/* Story: a burst needs six engines at once.  If all load together the weight
- * store's rate is shared and the first is warm only when the last is. */
+/* A burst needs many engines at once.  Loading all together would share the
+ * weight store's rate, so that the first is warm only when the last is. */
 START_TEST (loads_are_paced)
 {
   struct fleet_sim *t = fleet_sim_create (&default_settings);
@@ -55,7 +55,7 @@
 }
 END_TEST
 
-/* Story: a data centre is lost at the peak.  The engines of the others must
+/* When a data centre is lost at peak load, the engines of the others must
  * carry the load until replacements are warm. */
 START_TEST (spread_over_data_centres)
 {
@@ -70,15 +70,15 @@
                      ? fleet_sim_warm_in (t, dc)
                      : max_per_dc;
   ck_assert_int_le (max_per_dc * 3, all + 2);
-  /* 4 calls a second of 20 s are 80 streams: 5 engines at 0.8 use. */
+  /* 4 calls/s of 20 s each are 80 streams: 5 engines at 0.8 utilisation. */
   ck_assert_int_ge (all - max_per_dc, 5);
   fleet_sim_destroy (t);
 }
 END_TEST
 
-/* Story: a new version of the model is declared at full load.  If all engines
- * loaded it at once nobody would serve; the old one must serve until the new
- * one is warm. */
+/* A new model version is rolled out under load.  If all engines loaded it at
+ * once, none would serve; the old version must serve until the new one is
+ * warm. */
 START_TEST (version_rolls_out_under_load)
 {
   struct fleet_sim *t = fleet_sim_create (&default_settings);
@@ -95,7 +95,7 @@
     }
   ck_assert_int_eq (fleet_sim_warm (t, "v1"), 0);
   ck_assert_int_ge (fleet_sim_warm (t, "v2"), (int)fleet_sim_wanted (t));
-  /* 8 are wanted (5 and a data centre's spare), one of them may change. */
+  /* 8 are wanted (5 and the spares for a data centre), one may be loading. */
   ck_assert_int_ge (min_warm, 7);
   ck_assert_uint_eq (fleet_sim_counts (t)->started_in_time,
                      fleet_sim_counts (t)->calls);
@@ -103,8 +103,8 @@
 }
 END_TEST
 
-/* Story: all declared engines are in use, there is no spare.  The roll-out
- * must still end, a few engines at a time, never all. */
+/* All declared engines are in use, so there is no spare.  The roll-out must
+ * still finish, with a few engines at a time. */
 START_TEST (version_rolls_out_without_spares)
 {
   struct fleet_sim_settings settings = default_settings;
@@ -129,8 +129,8 @@
 }
 END_TEST
 
-/* Story: the load swings every minute.  Without hysteresis engines would be
- * unloaded and loaded all the time, each time with an empty cache. */
+/* The load oscillates every minute.  Without hysteresis engines would be
+ * unloaded and reloaded continually, each time with an empty cache. */
 START_TEST (oscillating_load_keeps_engines)
 {
   struct fleet_sim *t = fleet_sim_create (&default_settings);
@@ -139,14 +139,14 @@
   fleet_sim_reset_counts (t);
   for (int i = 0; i < 60; i++)
     run (t, 60, i % 2 == 0 ? 4 : 1);
-  /* At most one load in ten swings. */
+  /* At most one load per ten changes of the load. */
   ck_assert_uint_le (fleet_sim_counts (t)->loads, 6);
   fleet_sim_destroy (t);
 }
 END_TEST
 
-/* Story: warm engines die.  They answer nothing, and must be replaced by
- * others without waiting for them. */
+/* Warm engines die and stop answering.  They must be replaced without waiting
+ * for them. */
 START_TEST (dead_engines_are_replaced)
 {
   struct fleet_sim *t = fleet_sim_create (&default_settings);
@@ -167,8 +167,8 @@
 }
 END_TEST
 
-/* Story: a planner takes over in the middle of the day.  It knows no demand
- * yet and must neither unload what is warm nor order it anew. */
+/* A new planner takes over under load.  Before it knows the demand, it must
+ * neither unload warm engines nor repeat their orders. */
 START_TEST (new_planner_keeps_engines)
 {
   struct fleet_sim *t = fleet_sim_create (&default_settings);
@@ -190,8 +190,8 @@
 }
 END_TEST
 
-/* Story: the same day comes again, but with half more callers.  The bare
- * forecast falls short all day; the corrected one follows. */
+/* The second day has 1.5 times the load of the first.  The plain forecast is
+ * too low all day; the corrected one must follow. */
 START_TEST (correction_follows_a_busier_day)
 {
   struct beryl_sizer *bare
@@ -219,9 +219,9 @@
 }
 END_TEST
 
-/* Story: the planner's node is replaced at night.  The next planner must know
- * the steep start of the office day, or its first callers wait for engines
- * that load for minutes. */
+/* The planner is replaced at night.  The next one must restore the profile
+ * with its steep morning start, or the first calls wait minutes for engines to
+ * load. */
 START_TEST (profile_outlives_the_planner)
 {
   struct fleet_sim_settings settings = default_settings;
@@ -230,7 +230,7 @@
 
   settings.sizing = BERYL_SIZING_CORRECTED;
   t = fleet_sim_create (&settings);
-  /* A day of twelve busy hours and a night, up to a minute before its end. */
+  /* 12 busy and 12 idle hours, up to ten minutes before the end of the day. */
   run (t, 12 * 3600, 3);
   run (t, 12 * 3600 - 600, 0);
   ck_assert_int_eq (fleet_sim_warm (t, NULL), 0);
--- a/tests/control/test_sweep.c
+++ b/tests/control/test_sweep.c
@@ -6,9 +6,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* More by the command line, for measurements. */
+/* Can be set on the command line for measurements. */
 static int engine_count = 900;
-/* Fifteen seconds for a sweep, and a third more for a slow machine. */
+/* A sweep takes 15 s; a third more is allowed for slow machines. */
 #define SWEEP_LIMIT_MS 20000
 
 static void
@@ -42,9 +42,9 @@
   return f->state_reads >= (uint32_t)engine_count;
 }
 
-/* Story: a fleet of hundreds of engines.  The planner asks 20 a second, so
- * that it learns of an engine's death or load after minutes, and calls wait
- * for an engine that it believes warm. */
+/* All engines of a large fleet must be polled within one sweep.  At a fixed 20
+ * polls a second the planner saw state changes after minutes, and calls waited
+ * for engines that it believed warm. */
 START_TEST (large_fleet_is_polled)
 {
   struct control_fixture f;
