--- a/tests/control/bench_planner.c
+++ b/tests/control/bench_planner.c
@@ -113,7 +113,7 @@
   struct row rows[DATA_CENTRE_COUNTS * LOADS * 2 * SIZINGS];
   int count = 0;
 
-  printf ("curve   halls  load s  sizing     engine-hours/day  cold waits  "
+  printf ("curve     DCs  load s  sizing     engine-hours/day  cold waits  "
           "in time %%  loads\n");
   for (int c = 0; c < 2 * DATA_CENTRE_COUNTS; c++)
     for (int l = 0; l < LOADS; l++)
--- a/tests/control/test_planner.c
+++ b/tests/control/test_planner.c
@@ -248,7 +248,7 @@
 main (void)
 {
   Suite *s = suite_create ("planner");
-  TCase *t = tcase_create ("town");
+  TCase *t = tcase_create ("fleet");
   SRunner *r;
   int failed;
 
