--- a/controld/entry_task.c
+++ b/controld/entry_task.c
@@ -10,10 +10,10 @@
 #include "common/ticker.h"
 #include "wire/link.h"
 
-/* Changes of the view are joined for so long. */
-#define VIEW_SPACING_MS 20
-/* A node that hears neither peers nor the platform for so long takes no new
- * callers: its configuration may be old. */
+/* Changes within this time are sent as one view. */
+#define VIEW_DELAY_MS 20
+/* A node without contact to peers and platform for this long is reported as
+ * isolated and accepts no new calls, as its configuration may be stale. */
 #define ISOLATED_MS 60000
 
 struct entry_task
@@ -21,15 +21,15 @@
   struct link_handler base;
   struct control *control;
   struct link_listener *listener;
-  struct link *link; /* the entryd of this instance; NULL: away */
+  struct link *link; /* this instance's entryd; NULL: not connected */
   struct local_hello hello;
   struct local_holds holds;
   struct frame_writer *writer;
   struct ticker *ticker;
-  struct loop_timer *grace; /* after the connection broke */
-  uint64_t sent_config;     /* version whose objects entryd has */
-  uint64_t applied;         /* version that entryd uses; 0: not said yet */
-  uint64_t views;
+  struct loop_timer *grace_timer; /* runs after a disconnect */
+  uint64_t sent_version;          /* configuration version sent to entryd */
+  uint64_t applied_version; /* version that entryd reported; 0: none yet */
+  uint64_t views_sent;
 };
 
 static void
@@ -40,33 +40,33 @@
   task->holds.count = 0;
 }
 
-/* The end of the loopback connection is a proof of death once a live entryd
- * would have connected again. */
+/* A closed loopback connection proves that entryd is dead once the time has
+ * passed within which a live one reconnects. */
 static void
 entry_died (void *user)
 {
   struct entry_task *task = user;
 
-  loop_timer_stop (task->grace);
-  task->grace = NULL;
-  g_warning ("entryd %016" G_GINT64_MODIFIER "x is dead (%s), %zu windows of "
-             "streams to cancel",
+  loop_timer_stop (task->grace_timer);
+  task->grace_timer = NULL;
+  g_warning ("entryd %016" G_GINT64_MODIFIER "x is dead (%s), cancelling %zu "
+             "stream windows",
              task->hello.incarnation,
              beryl_death_proof_name (BERYL_DEATH_LINK_BROKEN),
              task->holds.count);
-  cleanup_task_dead (task->control->cleanup, &task->holds);
+  cleanup_task_cancel (task->control->cleanup, &task->holds);
   holds_clear (task);
   memset (&task->hello, 0, sizeof task->hello);
   control_applied_changed (task->control);
 }
 
 static void
-entry_gone (struct entry_task *task)
+entry_disconnected (struct entry_task *task)
 {
   task->link = NULL;
-  task->sent_config = 0;
-  if (task->grace == NULL && task->hello.incarnation != 0)
-    task->grace = loop_timer_start (
+  task->sent_version = 0;
+  if (task->grace_timer == NULL && task->hello.incarnation != 0)
+    task->grace_timer = loop_timer_start (
         task->control->loop, BERYL_DEATH_LINK_GRACE_MS, 0, entry_died, task);
   beryl_membership_set_entry (task->control->members, 0, 0, 0,
                               control_now_ms (task->control));
@@ -74,14 +74,14 @@
 }
 
 static void
-take_hello (struct entry_task *task, const struct local_hello *hello)
+handle_hello (struct entry_task *task, const struct local_hello *hello)
 {
-  /* Another incarnation at once proves that the former one is dead. */
+  /* A new incarnation proves that the previous one is dead. */
   if (task->hello.incarnation != 0
       && task->hello.incarnation != hello->incarnation)
     entry_died (task);
-  loop_timer_stop (task->grace);
-  task->grace = NULL;
+  loop_timer_stop (task->grace_timer);
+  task->grace_timer = NULL;
   task->hello = *hello;
   g_info ("entryd %016" G_GINT64_MODIFIER "x connected, port %u",
           hello->incarnation, hello->http_port);
@@ -94,7 +94,7 @@
 }
 
 static void
-take_holds (struct entry_task *task, const struct local_holds *holds)
+store_holds (struct entry_task *task, const struct local_holds *holds)
 {
   holds_clear (task);
   task->holds.items
@@ -119,13 +119,13 @@
   switch (message.type)
     {
     case LOCAL_HELLO:
-      take_hello (task, &message.hello);
+      handle_hello (task, &message.hello);
       break;
     case LOCAL_HOLDS:
-      take_holds (task, &message.holds);
+      store_holds (task, &message.holds);
       break;
     case LOCAL_LOAD:
-      control_local_loads (task->control, &message.loads);
+      control_report_local_loads (task->control, &message.loads);
       break;
     case LOCAL_LEAVE:
       beryl_membership_leave (task->control->members,
@@ -133,7 +133,7 @@
       control_entry_changed (task->control);
       break;
     case LOCAL_APPLIED:
-      task->applied = message.applied.config_version;
+      task->applied_version = message.applied.config_version;
       control_applied_changed (task->control);
       break;
     case LOCAL_VIEW:
@@ -150,8 +150,8 @@
 
   if (link != task->link)
     return;
-  g_info ("entryd's connection ended: %s", reason);
-  entry_gone (task);
+  g_info ("entryd disconnected: %s", reason);
+  entry_disconnected (task);
 }
 
 static const struct link_handler_impl handler_impl = {
@@ -159,8 +159,8 @@
   .closed = entry_closed,
 };
 
-/* A restarted entryd may connect before the end of the old connection was
- * seen; the new one counts. */
+/* A restarted entryd may connect before the old connection is seen to close;
+ * the new connection replaces it. */
 static struct link_handler *
 entry_accept (void *user, struct link *link)
 {
@@ -169,8 +169,8 @@
   if (task->link != NULL)
     link_close (task->link);
   task->link = link;
-  task->sent_config = 0;
-  task->applied = 0;
+  task->sent_version = 0;
+  task->applied_version = 0;
   return &task->base;
 }
 
@@ -190,7 +190,7 @@
 }
 
 static bool
-member_shown (const struct beryl_member *member)
+member_is_visible (const struct beryl_member *member)
 {
   return member->state != BERYL_MEMBER_DEAD && member->entry_incarnation != 0;
 }
@@ -216,7 +216,7 @@
           = beryl_membership_get (control->members, i);
       struct local_member *to = &view->members[view->member_count];
 
-      if (!member_shown (from))
+      if (!member_is_visible (from))
         continue;
       g_strlcpy (to->node, from->name, sizeof to->node);
       g_strlcpy (to->address, from->address, sizeof to->address);
@@ -233,13 +233,13 @@
 static void
 view_leaving (const struct control *control, struct local_view *view)
 {
-  size_t count = beryl_config_log_count (control->spread);
+  size_t count = beryl_config_log_count (control->config_log);
 
   view->leaving = g_malloc0_n (count + 1, sizeof *view->leaving);
   for (size_t i = 0; i < count; i++)
     {
       struct beryl_config_log_object object
-          = beryl_config_log_get (control->spread, i);
+          = beryl_config_log_get (control->config_log, i);
 
       if (strcmp (object.kind, BERYL_INSTANCE_KIND) == 0)
         g_strlcpy (view->leaving[view->leaving_count++], object.name,
@@ -257,10 +257,10 @@
 
   if (task->link == NULL || task->hello.incarnation == 0)
     return;
-  view->config_version = beryl_config_log_version (control->spread);
-  if (view->config_version != task->sent_config)
+  view->config_version = beryl_config_log_version (control->config_log);
+  if (view->config_version != task->sent_version)
     view->objects_json
-        = beryl_config_log_objects (control->spread, &view->objects_bytes);
+        = beryl_config_log_objects (control->config_log, &view->objects_bytes);
   view_members (control, view);
   view_leaving (control, view);
   view->stale_ms = beryl_membership_config_age_ms (control->members,
@@ -269,9 +269,10 @@
   local_put (task->writer, &message);
   if (link_send (task->link, task->writer))
     {
-      task->sent_config = view->config_version;
-      task->views++;
-      counters_set (control->counters, "beryl_views_total", "", task->views);
+      task->sent_version = view->config_version;
+      task->views_sent++;
+      counters_set (control->counters, "beryl_views_total", "",
+                    task->views_sent);
     }
   local_message_clear (&message);
 }
@@ -301,7 +302,7 @@
 {
   if (task == NULL)
     return;
-  loop_timer_stop (task->grace);
+  loop_timer_stop (task->grace_timer);
   ticker_destroy (task->ticker);
   if (task->link != NULL)
     link_close (task->link);
@@ -320,7 +321,7 @@
 void
 entry_task_wake (struct entry_task *task)
 {
-  ticker_set (task->ticker, control_now_ms (task->control) + VIEW_SPACING_MS);
+  ticker_set (task->ticker, control_now_ms (task->control) + VIEW_DELAY_MS);
 }
 
 bool
@@ -332,10 +333,10 @@
 uint64_t
 entry_task_applied (const struct entry_task *task)
 {
-  /* One whose connection broke may live until it is known to be dead. */
+  /* A disconnected entryd counts as alive until it is declared dead. */
   if (task->hello.incarnation == 0)
-    return beryl_config_log_version (task->control->spread);
-  return task->applied;
+    return beryl_config_log_version (task->control->config_log);
+  return task->applied_version;
 }
 
 const struct local_holds *
--- a/controld/orphans.c
+++ b/controld/orphaned_drains.c
@@ -1,30 +1,30 @@
-#include "orphans.h"
+#include "orphaned_drains.h"
 
 #include <glib.h>
 
 #include "role_task.h"
 
 #define CALL_MS 3000
-/* Readings of the planner's lease, one each lifetime, that must all be the
- * same: a planner renews it several times in one. */
-#define SAME_READINGS 5
-/* Deletions begun in one second: the platform's write budget is shared. */
+/* Consecutive reads of the planner's lease, one per TTL, that must show the
+ * same version: a live planner renews several times per TTL. */
+#define UNCHANGED_READS 5
+/* Deletion rate limit, as the platform's write budget is shared. */
 #define DELETES_PER_SECOND 10
 
-struct orphans
+struct orphaned_drains
 {
   struct control *control;
-  GHashTable *drains;     /* endpoint to its version, uint64_t * */
-  uint64_t reading;       /* request under way; 0: none */
-  int64_t read_ms;        /* when it is read next */
-  uint64_t lease_version; /* at the last reading */
-  uint32_t same;          /* readings that showed it */
+  GHashTable *drains;       /* endpoint to the drain's version, uint64_t * */
+  uint64_t request;         /* pending lease read; 0: none */
+  int64_t next_read_ms;     /* time of the next lease read */
+  uint64_t lease_version;   /* lease version at the last read */
+  uint32_t unchanged_reads; /* consecutive reads with that version */
 };
 
-struct orphans *
-orphans_create (struct control *control)
+struct orphaned_drains *
+orphaned_drains_create (struct control *control)
 {
-  struct orphans *o = g_new0 (struct orphans, 1);
+  struct orphaned_drains *o = g_new0 (struct orphaned_drains, 1);
 
   o->control = control;
   o->drains = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
@@ -32,18 +32,19 @@
 }
 
 void
-orphans_destroy (struct orphans *o)
+orphaned_drains_destroy (struct orphaned_drains *o)
 {
   if (o == NULL)
     return;
-  if (o->reading != 0)
-    platform_client_forget (o->control->platform, o->reading);
+  if (o->request != 0)
+    platform_client_forget (o->control->platform, o->request);
   g_hash_table_destroy (o->drains);
   g_free (o);
 }
 
 void
-orphans_observe (struct orphans *o, const char *endpoint, uint64_t version)
+orphaned_drains_observe (struct orphaned_drains *o, const char *endpoint,
+                         uint64_t version)
 {
   if (version == 0)
     g_hash_table_remove (o->drains, endpoint);
@@ -67,37 +68,39 @@
   return false;
 }
 
-/* A reading that failed begins the count anew: after an outage the planner
- * needs a moment to renew, and the object would look the same for long. */
+/* A failed read restarts the count: after an outage the planner needs time to
+ * renew, and until then the lease looks unchanged. */
 static void
 lease_read (void *user, const struct beryl_platform_result *result)
 {
-  struct orphans *o = user;
+  struct orphaned_drains *o = user;
   uint64_t version = 0;
 
-  o->reading = 0;
+  o->request = 0;
   if (result->code == BERYL_OK)
     version = result->objects[0].version;
   else if (result->code != BERYL_ERROR_NOT_FOUND)
     {
-      o->same = 0;
+      o->unchanged_reads = 0;
       return;
     }
-  o->same = o->same > 0 && version == o->lease_version ? o->same + 1 : 1;
+  o->unchanged_reads = o->unchanged_reads > 0 && version == o->lease_version
+                           ? o->unchanged_reads + 1
+                           : 1;
   o->lease_version = version;
 }
 
 static void
-lease_ask (struct orphans *o)
+lease_poll (struct orphaned_drains *o)
 {
   struct platform_client_options options
       = { .use = BERYL_USE_CONFIG, .timeout_ms = CALL_MS };
   int64_t now_ms = control_now_ms (o->control);
 
-  if (o->reading != 0 || now_ms < o->read_ms)
+  if (o->request != 0 || now_ms < o->next_read_ms)
     return;
-  o->read_ms = now_ms + o->control->settings.lease_ttl_ms;
-  o->reading = platform_client_get (
+  o->next_read_ms = now_ms + o->control->settings.lease_ttl_ms;
+  o->request = platform_client_get (
       o->control->platform, &options, CONTROL_LEASE_KIND,
       control_role_name (CONTROL_ROLE_PLANNER), 0, lease_read, o);
 }
@@ -107,14 +110,15 @@
 {
   (void)user;
   if (result->code != BERYL_OK)
-    g_info ("drain not deleted: %s", beryl_error_code_name (result->code));
+    g_info ("deleting a drain failed: %s",
+            beryl_error_code_name (result->code));
 }
 
-/* Only the version that was seen: a planner that begins just now writes a
- * newer one, and that has to stay.  What could not be deleted is tried again
- * until the watch shows it gone. */
+/* Deletes only the observed versions: a planner that starts now writes newer
+ * ones, which must stay.  Failed deletions are retried until the watch reports
+ * the drain as deleted. */
 static void
-drains_delete (struct orphans *o)
+drains_delete (struct orphaned_drains *o)
 {
   struct platform_client_options options
       = { .use = BERYL_USE_CONFIG, .timeout_ms = CALL_MS };
@@ -127,7 +131,7 @@
                   && g_hash_table_iter_next (&iter, &endpoint, &version);
        i++)
     {
-      g_warning ("no planner runs: deleting its drain of %s",
+      g_warning ("no planner is running: deleting its drain of %s",
                  (const char *)endpoint);
       counters_add (o->control->counters, "beryl_orphaned_drains_total", "",
                     1);
@@ -137,23 +141,23 @@
     }
 }
 
-/* Switched off, a planner leaves its drains; the engines named there stay
- * leaving, and calls for them are held until their deadlines.  Neither
- * membership nor the lease is enough to tell: a planner behind a partition
- * goes on renewing, and one that lost its lease in an outage is still there.
- * Both must be silent. */
+/* A planner that is switched off leaves its drains behind; their engines stay
+ * leaving, and calls for them are held until their deadlines.  Neither the
+ * membership nor the lease alone proves that no planner runs: a partitioned
+ * planner keeps renewing, and one that lost its lease in an outage is still
+ * running.  Both must show no planner. */
 void
-orphans_second (struct orphans *o)
+orphaned_drains_tick (struct orphaned_drains *o)
 {
   if (g_hash_table_size (o->drains) == 0 || planner_is_member (o->control)
       || beryl_platform_is_unreachable (
           platform_client_core (o->control->platform)))
     {
-      o->same = 0;
+      o->unchanged_reads = 0;
       return;
     }
-  if (o->same >= SAME_READINGS)
+  if (o->unchanged_reads >= UNCHANGED_READS)
     drains_delete (o);
   else
-    lease_ask (o);
+    lease_poll (o);
 }
