--- a/entryd/claims_link.c
+++ b/entryd/claims_link.c
@@ -324,7 +324,7 @@
     }
   beryl_claims_claim (link->claims, action->request,
                       action->claim.organisation, action->claim.key,
-                      action->claim.body_hash,
+                      action->claim.call_hash,
                       loop_now_ms (link->entry->loop));
   arm (link);
 }
--- a/entryd/peers_serve.c
+++ b/entryd/peers_serve.c
@@ -51,7 +51,7 @@
 
   event.request = request->handle;
   event.fetch.organisation = message->fetch.organisation;
-  event.fetch.request_id = message->fetch.request_id;
+  event.fetch.id_or_key = message->fetch.request_id;
   event.fetch.offset = message->fetch.offset;
   entry_event (entry, &event);
 }
--- a/entryd/requests_in.c
+++ b/entryd/requests_in.c
@@ -197,7 +197,7 @@
     return;
   event.request = request->handle;
   event.fetch.organisation = caller.organisation->name;
-  event.fetch.request_id = path;
+  event.fetch.id_or_key = path;
   event.fetch.offset = offset;
   entry_event (entry, &event);
 }
--- a/include/beryl/claims.h
+++ b/include/beryl/claims.h
@@ -50,7 +50,7 @@
   uint64_t id;       /**< chosen by the requesting node; echoed in the reply */
   uint64_t key_high; /**< 128-bit digest of organisation and key, upper half */
   uint64_t key_low;
-  uint64_t body_hash;
+  uint64_t call_hash;
   uint64_t incarnation; /**< REQUEST: the claiming incarnation; REPLY: the
                              one that was granted the key */
   enum beryl_claim_result result; /**< REPLY only */
@@ -139,7 +139,7 @@
  * callback. */
 void beryl_claims_claim (struct beryl_claims *claims, uint64_t request,
                          const char *organisation, const char *key,
-                         uint64_t body_hash, int64_t now_ms);
+                         uint64_t call_hash, int64_t now_ms);
 
 /** Handle a message received from NODE. */
 void beryl_claims_handle_message (struct beryl_claims *claims,
--- a/include/beryl/requests.h
+++ b/include/beryl/requests.h
@@ -187,7 +187,7 @@
     struct
     {
       const char *organisation;
-      const char *request_id; /**< request id or key */
+      const char *id_or_key; /**< request id or key */
       uint64_t offset;
     } fetch;
     struct
@@ -289,7 +289,7 @@
     {
       const char *organisation;
       const char *key;
-      uint64_t body_hash; /**< of service, method, path, body and prompt */
+      uint64_t call_hash; /**< of service, method, path, body and prompt */
     } claim;
     struct
     {
--- a/libberyl/requests/admit.c
+++ b/libberyl/requests/admit.c
@@ -56,8 +56,8 @@
 }
 
 static void
-request_configure (struct request *request,
-                   const struct beryl_service *service, int64_t now_ms)
+request_apply_service (struct request *request,
+                       const struct beryl_service *service, int64_t now_ms)
 {
   const struct beryl_call *call = &request->call;
   const struct beryl_call_rule *rule = NULL;
@@ -107,7 +107,7 @@
 {
   if (record_authoritative (record)
       && !BERYL_GUARD (BERYL_GUARD_KEY_BODY,
-                       record->body_hash == call_body_hash (call)))
+                       record->call_hash == call_compute_hash (call)))
     {
       requests_reply_error (requests, call->request,
                             BERYL_PROBLEM_KEY_MISMATCH, BERYL_OUTCOME_NOT_RUN,
@@ -149,7 +149,7 @@
   request_set_phase (requests, request, PHASE_CLAIM);
   action.claim.organisation = request->call.organisation;
   action.claim.key = request->call.key;
-  action.claim.body_hash = call_body_hash (&request->call);
+  action.claim.call_hash = call_compute_hash (&request->call);
   requests_emit (requests, &action);
 }
 
@@ -285,7 +285,7 @@
                             "out of memory");
       return;
     }
-  request_configure (request, service, now_ms);
+  request_apply_service (request, service, now_ms);
   requests_schedule_due (requests, request->call.deadline_ms);
   if (!request_check_model (requests, request, service))
     {
--- a/libberyl/requests/answer.c
+++ b/libberyl/requests/answer.c
@@ -161,7 +161,7 @@
   if (!request->detached)
     reply_end (requests, request->call.request, &request->answer);
   record_close (requests, request, BERYL_OUTCOME_ANSWERED, now_ms);
-  request_unlink (requests, request);
+  request_destroy (requests, request);
 }
 
 void
@@ -182,7 +182,7 @@
     requests_reply_error (requests, request->call.request, problem, outcome,
                           retry_after_ms, detail);
   record_close (requests, request, outcome, now_ms);
-  request_unlink (requests, request);
+  request_destroy (requests, request);
 }
 
 /* An open exchange may have sent bytes to the endpoint without a report yet,
@@ -209,10 +209,11 @@
               const char *detail, int64_t now_ms)
 {
   enum beryl_outcome outcome = request_outcome (request);
-  bool again = problem != BERYL_PROBLEM_CONTEXT_LENGTH
-               && beryl_outcome_allows_retry (outcome, request->idempotent);
+  bool caller_may_retry
+      = problem != BERYL_PROBLEM_CONTEXT_LENGTH
+        && beryl_outcome_allows_retry (outcome, request->idempotent);
 
-  if (again && retry_after_ms == 0)
+  if (caller_may_retry && retry_after_ms == 0)
     retry_after_ms = RETRY_AFTER_MS;
   request_fail_with_outcome (requests, request, problem, outcome,
                              retry_after_ms, detail, now_ms);
--- a/libberyl/requests/attempt.c
+++ b/libberyl/requests/attempt.c
@@ -19,7 +19,7 @@
     return NULL;
   exchange->id = ++requests->last_exchange;
   exchange->request = request;
-  exchange->attempt = request->attempt;
+  exchange->number = request->exchange_number;
   snprintf (exchange->endpoint, sizeof exchange->endpoint, "%s", endpoint);
   if (!map_put (&requests->by_exchange, map_key_from_number (exchange->id),
                 exchange))
@@ -69,14 +69,14 @@
   };
   struct exchange *exchange;
 
-  request->attempt++;
+  request->exchange_number++;
   exchange = exchange_open (requests, request, endpoint);
   if (exchange == NULL)
     return false;
   action.exchange = exchange->id;
   action.start.endpoint = exchange->endpoint;
   action.start.stream = request->stream;
-  action.start.attempt = request->attempt;
+  action.start.attempt = request->exchange_number;
   action.start.kv_handle = request->kv_handle;
   action.start.kv_endpoint = request->prefill;
   action.start.offset = request->reassembly.next;
@@ -100,7 +100,7 @@
 {
   request_set_phase (requests, request, PHASE_SERVICE);
   if (!attempt_start (requests, request, BERYL_ACTION_SERVICE,
-                      request->decode))
+                      request->answer_endpoint))
     attempt_out_of_memory (requests, request, now_ms);
 }
 
@@ -115,7 +115,7 @@
   request->resumes = 0;
   request->decode_refusals = 0;
   request->first_token_seen = false;
-  request->decode[0] = '\0';
+  request->answer_endpoint[0] = '\0';
   request->decode_retry_at_ms = BERYL_NEVER_MS;
   request->engine_call_in_flight = false;
   if (!hold_record (requests, request->prefill, request->stream)
@@ -130,9 +130,9 @@
 {
   request_set_phase (requests, request, PHASE_DECODE);
   request->decode_retry_at_ms = BERYL_NEVER_MS;
-  if (!hold_record (requests, request->decode, request->stream)
+  if (!hold_record (requests, request->answer_endpoint, request->stream)
       || !attempt_start (requests, request, BERYL_ACTION_DECODE,
-                         request->decode))
+                         request->answer_endpoint))
     attempt_out_of_memory (requests, request, now_ms);
 }
 
@@ -173,7 +173,7 @@
     {
       hold_cancel (requests, request->prefill, request->stream,
                    request->engine_call_in_flight, now_ms);
-      hold_cancel (requests, request->decode, request->stream,
+      hold_cancel (requests, request->answer_endpoint, request->stream,
                    request->engine_call_in_flight, now_ms);
     }
   attempt_release (requests, request, how, endpoint, now_ms);
@@ -246,7 +246,7 @@
     request_exclude (request, name);
   request_reset_attempt (request);
   request_set_phase (requests, request, PHASE_PLAN);
-  request->retry_at_ms = now_ms;
+  request->plan_at_ms = now_ms;
 }
 
 /* Reconnects to the same engine for the rest of the same answer. */
@@ -288,7 +288,8 @@
     }
   else if (plan.verdict == BERYL_VERDICT_START)
     {
-      snprintf (request->decode, sizeof request->decode, "%s", plan.decode);
+      snprintf (request->answer_endpoint, sizeof request->answer_endpoint,
+                "%s", plan.decode);
       attempt_decode (requests, request, now_ms);
     }
   else
--- a/libberyl/requests/attempt_event.c
+++ b/libberyl/requests/attempt_event.c
@@ -24,8 +24,9 @@
 {
   enum beryl_outcome outcome
       = sent ? BERYL_OUTCOME_UNKNOWN : BERYL_OUTCOME_NOT_RUN;
-  const char *endpoint
-      = request->phase == PHASE_PREFILL ? request->prefill : request->decode;
+  const char *endpoint = request->phase == PHASE_PREFILL
+                             ? request->prefill
+                             : request->answer_endpoint;
 
   request->engine_call_in_flight |= sent;
   if (request->phase == PHASE_FORWARD)
@@ -38,7 +39,7 @@
   if (request->phase == PHASE_DECODE)
     outcome = BERYL_OUTCOME_UNKNOWN;
   if (request->phase == PHASE_PREFILL && !sent)
-    hold_forget (requests, request->prefill, request->stream);
+    hold_erase_if_active (requests, request->prefill, request->stream);
   exchange_close (requests, request);
   attempt_failed (requests, request, outcome, false, endpoint, 0, now_ms);
 }
@@ -52,9 +53,9 @@
   char refused_by[BERYL_NAME_BYTES];
 
   exchange_close (requests, request);
-  if (strcmp (request->prefill, request->decode) != 0)
-    hold_forget (requests, request->decode, request->stream);
-  memcpy (refused_by, request->decode, sizeof refused_by);
+  if (strcmp (request->prefill, request->answer_endpoint) != 0)
+    hold_erase_if_active (requests, request->answer_endpoint, request->stream);
+  memcpy (refused_by, request->answer_endpoint, sizeof refused_by);
   attempt_bind_decode (requests, request, refused_by, now_ms);
 }
 
@@ -66,8 +67,9 @@
             int64_t retry_after_ms, int64_t now_ms)
 {
   enum beryl_outcome outcome = BERYL_OUTCOME_NOT_RUN;
-  const char *endpoint
-      = request->phase == PHASE_PREFILL ? request->prefill : request->decode;
+  const char *endpoint = request->phase == PHASE_PREFILL
+                             ? request->prefill
+                             : request->answer_endpoint;
 
   /* A full engine sends a retry-after; one that sends none has lost the KV
    * cache or does not serve the model. */
@@ -81,10 +83,10 @@
   if (request->phase == PHASE_DECODE)
     outcome = BERYL_OUTCOME_UNKNOWN;
   if (request->phase == PHASE_PREFILL)
-    hold_forget (requests, request->prefill, request->stream);
+    hold_erase_if_active (requests, request->prefill, request->stream);
   if (request->phase == PHASE_DECODE && request->resumes == 0
-      && strcmp (request->prefill, request->decode) != 0)
-    hold_forget (requests, request->decode, request->stream);
+      && strcmp (request->prefill, request->answer_endpoint) != 0)
+    hold_erase_if_active (requests, request->answer_endpoint, request->stream);
   exchange_close (requests, request);
   attempt_failed (requests, request, outcome, true, endpoint, retry_after_ms,
                   now_ms);
@@ -127,7 +129,7 @@
                 int64_t now_ms)
 {
   if (request->stream.counter != 0
-      && strcmp (request->prefill, request->decode) != 0)
+      && strcmp (request->prefill, request->answer_endpoint) != 0)
     hold_cancel (requests, request->prefill, request->stream, false, now_ms);
 }
 
@@ -149,8 +151,8 @@
 }
 
 static void
-count_tokens (struct beryl_requests *requests, struct request *request,
-              uint32_t tokens, int64_t now_ms)
+on_tokens (struct beryl_requests *requests, struct request *request,
+           uint32_t tokens, int64_t now_ms)
 {
   if (request->phase != PHASE_DECODE)
     return;
@@ -176,14 +178,14 @@
   /* An engine that resumes a stream may still flush bytes of the previous
    * attempt, whose offsets differ from this one's. */
   if (!BERYL_GUARD (BERYL_GUARD_ATTEMPT,
-                    attempt == 0 || attempt == exchange->attempt))
+                    attempt == 0 || attempt == exchange->number))
     return;
-  count_tokens (requests, request, event->data.tokens, now_ms);
+  on_tokens (requests, request, event->data.tokens, now_ms);
   if (!reassembly_add (&request->reassembly, event->data.offset,
                        event->data.bytes, event->data.bytes_count,
                        event->data.tokens, deliver_piece, &delivery))
     attempt_failed (requests, request, BERYL_OUTCOME_UNKNOWN, false,
-                    request->decode, 0, now_ms);
+                    request->answer_endpoint, 0, now_ms);
 }
 
 static void
@@ -210,7 +212,7 @@
               event->end.finish_reason);
   release_export (requests, request, now_ms);
   if (request->phase == PHASE_DECODE)
-    hold_forget (requests, request->decode, request->stream);
+    hold_erase_if_active (requests, request->answer_endpoint, request->stream);
   exchange_close (requests, request);
   attempt_release (requests, request, BERYL_RELEASE_DONE, NULL, now_ms);
   request_complete (requests, request, now_ms);
--- a/libberyl/requests/call.c
+++ b/libberyl/requests/call.c
@@ -85,7 +85,7 @@
 /* Covers service, method, path, body and prompt, so that a key cannot be used
  * for another operation with the same body. */
 uint64_t
-call_body_hash (const struct beryl_call *call)
+call_compute_hash (const struct beryl_call *call)
 {
   uint64_t h = hash_text (call->service, 1);
 
--- a/libberyl/requests/claim_compact.c
+++ b/libberyl/requests/claim_compact.c
@@ -164,7 +164,7 @@
 }
 
 static struct segment *
-current_segment (struct shard *shard)
+removed_segment (struct shard *shard)
 {
   for (size_t i = 0; i < shard->segment_count; i++)
     if (shard->segments[i].from == shard->compaction_from
@@ -222,7 +222,7 @@
 static void
 on_removed (struct shard *shard)
 {
-  struct segment *segment = current_segment (shard);
+  struct segment *segment = removed_segment (shard);
 
   shard->claims->counts.deleted++;
   if (segment == NULL)
--- a/libberyl/requests/claim_log.c
+++ b/libberyl/requests/claim_log.c
@@ -5,7 +5,7 @@
 #include "claim_private.h"
 
 /* A segment object that was read. */
-struct entry
+struct read_segment
 {
   uint64_t from;
   uint64_t to;
@@ -73,26 +73,26 @@
 static int
 compare_entries (const void *a, const void *b)
 {
-  const struct entry *x = a;
-  const struct entry *y = b;
+  const struct read_segment *x = a;
+  const struct read_segment *y = b;
 
   if (x->from != y->from)
     return x->from < y->from ? -1 : 1;
   return x->to == y->to ? 0 : (x->to > y->to ? -1 : 1);
 }
 
-static struct entry *
+static struct read_segment *
 entries_sorted (struct shard *shard, const struct beryl_object *objects,
                 size_t object_count, size_t *count)
 {
-  struct entry *entries = calloc (object_count + 1, sizeof *entries);
+  struct read_segment *entries = calloc (object_count + 1, sizeof *entries);
 
   *count = 0;
   if (entries == NULL)
     return NULL;
   for (size_t i = 0; i < object_count; i++)
     {
-      struct entry *entry = &entries[*count];
+      struct read_segment *entry = &entries[*count];
 
       if (!segment_parse_name (objects[i].name, shard->number, &entry->from,
                                &entry->to))
@@ -109,7 +109,7 @@
  * applied: the claims in the missing segment would be unknown here, and their
  * keys could be granted again. */
 static bool
-entries_contiguous (const struct entry *entries, size_t count)
+entries_contiguous (const struct read_segment *entries, size_t count)
 {
   uint64_t end = count > 0 ? entries[0].from : 0;
 
@@ -134,7 +134,8 @@
  * was written by a home that was suspended until its sequence number had been
  * deleted; claims of such a segment were never granted. */
 static bool
-entry_apply (struct shard *shard, const struct entry *entry, int64_t now_ms)
+entry_apply (struct shard *shard, const struct read_segment *entry,
+             int64_t now_ms)
 {
   struct segment *segment
       = log_add_segment (shard, entry->from, entry->to, now_ms);
@@ -172,7 +173,7 @@
            size_t object_count, int64_t now_ms)
 {
   size_t count;
-  struct entry *entries
+  struct read_segment *entries
       = entries_sorted (shard, objects, object_count, &count);
   bool applied = entries != NULL && entries_contiguous (entries, count);
 
@@ -201,7 +202,7 @@
     segment->claims = shard->batch.count;
   for (struct pending_claim *p = shard->batch.first; p != NULL; p = p->next)
     {
-      struct claim claim = { p->body_hash, p->incarnation, shard->next };
+      struct claim claim = { p->call_hash, p->incarnation, shard->next };
 
       log_put (shard, p->key, &claim);
     }
--- a/libberyl/requests/claim_private.h
+++ b/libberyl/requests/claim_private.h
@@ -19,7 +19,7 @@
 /** A durable claim. */
 struct claim
 {
-  uint64_t body_hash;
+  uint64_t call_hash;
   uint64_t incarnation; /**< incarnation that was granted the key */
   uint64_t sequence;    /**< sequence number of its segment; the first one
                              if the segment is compacted */
@@ -41,14 +41,14 @@
 {
   struct pending_claim *next;
   struct map_key key;
-  uint64_t body_hash;
+  uint64_t call_hash;
   uint64_t incarnation;
   uint64_t id; /**< local: request handle; remote: id in the requester's
                     message */
-  bool remote;
+  bool received;
   bool home_down; /**< the home node's process has ended: write from this
                        node */
-  char node[BERYL_NAME_BYTES];
+  char requester[BERYL_NAME_BYTES];
 };
 
 /** FIFO of pending claims. */
@@ -201,9 +201,9 @@
 int64_t compaction_next_ms (const struct shard *shard);
 
 /* claim_remote.c: claims whose home is another node */
-void remote_claim_send (struct beryl_claims *claims,
-                        struct pending_claim *pending, const char *home,
-                        int64_t now_ms);
+void remote_claim_start (struct beryl_claims *claims,
+                         struct pending_claim *pending, const char *home,
+                         int64_t now_ms);
 void remote_claims_on_reply (struct beryl_claims *claims,
                              const struct beryl_claim_message *message);
 void remote_claims_clear (struct beryl_claims *claims);
--- a/libberyl/requests/claim_remote.c
+++ b/libberyl/requests/claim_remote.c
@@ -33,8 +33,8 @@
 }
 
 static void
-remote_send (struct beryl_claims *claims, struct remote_claim *remote,
-             int64_t now_ms)
+send_claim_request (struct beryl_claims *claims, struct remote_claim *remote,
+                    int64_t now_ms)
 {
   const struct pending_claim *pending = remote->pending;
   struct beryl_claim_message request = {
@@ -42,7 +42,7 @@
     .id = remote->id,
     .key_high = pending->key.high,
     .key_low = pending->key.low,
-    .body_hash = pending->body_hash,
+    .call_hash = pending->call_hash,
     .incarnation = pending->incarnation,
   };
 
@@ -51,8 +51,8 @@
 }
 
 void
-remote_claim_send (struct beryl_claims *claims, struct pending_claim *pending,
-                   const char *home, int64_t now_ms)
+remote_claim_start (struct beryl_claims *claims, struct pending_claim *pending,
+                    const char *home, int64_t now_ms)
 {
   struct remote_claim *remote = calloc (1, sizeof *remote);
 
@@ -65,7 +65,7 @@
   remote->id = ++claims->last_remote_id;
   snprintf (remote->home, sizeof remote->home, "%s", home);
   remote_attach (claims, remote);
-  remote_send (claims, remote, now_ms);
+  send_claim_request (claims, remote, now_ms);
 }
 
 /* A home that was suspended may reply after the requesting process has ended.
@@ -155,7 +155,7 @@
   snprintf (remote->home, sizeof remote->home, "%s",
             beryl_claims_home (claims, number));
   remote_attach (claims, remote);
-  remote_send (claims, remote, now_ms);
+  send_claim_request (claims, remote, now_ms);
 }
 
 void
--- a/libberyl/requests/claim_segment.c
+++ b/libberyl/requests/claim_segment.c
@@ -71,7 +71,7 @@
     }
   *key = (struct map_key){ n[0], n[1] };
   claim->incarnation = n[2];
-  claim->body_hash = n[3];
+  claim->call_hash = n[3];
   return true;
 }
 
@@ -121,7 +121,7 @@
   char text[CLAIM_TEXT_BYTES + 1];
 
   snprintf (text, sizeof text, CLAIM_FORMAT, key.high, key.low,
-            claim->incarnation, claim->body_hash);
+            claim->incarnation, claim->call_hash);
   json_array_append_new (writer->claims, json_string (text));
 }
 
--- a/libberyl/requests/claim_shard.c
+++ b/libberyl/requests/claim_shard.c
@@ -57,7 +57,7 @@
 
   if (claim == NULL)
     return false;
-  if (claim->body_hash != pending->body_hash)
+  if (claim->call_hash != pending->call_hash)
     claims_complete (shard->claims, pending, BERYL_CLAIM_MISMATCH,
                      claim->incarnation);
   else
@@ -186,7 +186,7 @@
     }
   for (struct pending_claim *p = shard->batch.first; p != NULL; p = p->next)
     {
-      struct claim claim = { p->body_hash, p->incarnation, shard->next };
+      struct claim claim = { p->call_hash, p->incarnation, shard->next };
 
       segment_writer_add (writer, p->key, &claim);
     }
@@ -226,18 +226,18 @@
   while ((pending = queue_take (&shard->queue)) != NULL)
     if (pending->home_down && !claims_is_isolated (claims))
       queue_add (&kept, pending);
-    else if (pending->remote)
+    else if (pending->received)
       free (pending);
     else if (claims_is_isolated (claims))
       claims_complete (claims, pending, BERYL_CLAIM_UNKNOWN, 0);
     else
-      remote_claim_send (claims, pending,
-                         beryl_claims_home (claims, shard->number), now_ms);
+      remote_claim_start (claims, pending,
+                          beryl_claims_home (claims, shard->number), now_ms);
   shard->queue = kept;
 }
 
 static bool
-may_write (const struct shard *shard)
+is_connected_home (const struct shard *shard)
 {
   return BERYL_GUARD (BERYL_GUARD_CLAIM_HOME,
                       !claims_is_isolated (shard->claims)
@@ -250,7 +250,7 @@
   if (shard->call != SHARD_IDLE || now_ms < shard->next_ms)
     return;
   answer_queue_from_index (shard);
-  if (shard->batch.count == 0 && !may_write (shard))
+  if (shard->batch.count == 0 && !is_connected_home (shard))
     hand_over_queue (shard, now_ms);
   if (shard->batch.count > 0)
     begin_create (shard, now_ms);
--- a/libberyl/requests/claims.c
+++ b/libberyl/requests/claims.c
@@ -175,14 +175,14 @@
     .id = pending->id,
     .key_high = pending->key.high,
     .key_low = pending->key.low,
-    .body_hash = pending->body_hash,
+    .call_hash = pending->call_hash,
     .incarnation = incarnation,
     .result = result,
   };
 
   update_counts (claims, result);
-  if (pending->remote)
-    owner->impl->send (owner, pending->node, &reply);
+  if (pending->received)
+    owner->impl->send (owner, pending->requester, &reply);
   else
     owner->impl->result (owner, pending->id, result, incarnation);
   free (pending);
@@ -287,7 +287,7 @@
 /* Interval between commits, in microseconds, at this node's share of the
  * commit rate; all homes together stay within what the object API sustains. */
 static int64_t
-commit_cost_us (const struct beryl_claims *claims)
+commit_spacing_us (const struct beryl_claims *claims)
 {
   uint64_t homes = claims->home_count > 0 ? claims->home_count : 1;
 
@@ -298,7 +298,7 @@
 int64_t
 claims_next_commit_ms (const struct beryl_claims *claims)
 {
-  int64_t burst_us = COMMIT_BURST * commit_cost_us (claims);
+  int64_t burst_us = COMMIT_BURST * commit_spacing_us (claims);
 
   int64_t rate_ms = (claims->rate_charged_until_us - burst_us + 999) / 1000;
 
@@ -318,7 +318,7 @@
     return false;
   if (claims->serving_shards)
     return now_ms >= claims_next_commit_ms (claims);
-  return spare_us >= -COMMIT_BURST / 2 * commit_cost_us (claims);
+  return spare_us >= -COMMIT_BURST / 2 * commit_spacing_us (claims);
 }
 
 void
@@ -327,7 +327,7 @@
 {
   if (claims->rate_charged_until_us < now_ms * 1000)
     claims->rate_charged_until_us = now_ms * 1000;
-  claims->rate_charged_until_us += commit_cost_us (claims);
+  claims->rate_charged_until_us += commit_spacing_us (claims);
   claims->next_shard = shard->number + 1;
 }
 
@@ -374,7 +374,7 @@
 void
 beryl_claims_claim (struct beryl_claims *claims, uint64_t request,
                     const char *organisation, const char *key,
-                    uint64_t body_hash, int64_t now_ms)
+                    uint64_t call_hash, int64_t now_ms)
 {
   struct pending_claim *pending = calloc (1, sizeof *pending);
   uint32_t number;
@@ -387,7 +387,7 @@
       return;
     }
   pending->key = map_key_from_name (organisation, key);
-  pending->body_hash = body_hash;
+  pending->call_hash = call_hash;
   pending->incarnation = claims->settings.incarnation;
   pending->id = request;
   number = claims_shard_number (claims, pending->key);
@@ -396,8 +396,8 @@
   else if (claims_is_home (claims, number))
     shard_claim (claims_shard (claims, number), pending, now_ms);
   else
-    remote_claim_send (claims, pending, beryl_claims_home (claims, number),
-                       now_ms);
+    remote_claim_start (claims, pending, beryl_claims_home (claims, number),
+                        now_ms);
 }
 
 static void
@@ -409,11 +409,11 @@
   if (pending == NULL)
     return;
   pending->key = (struct map_key){ message->key_high, message->key_low };
-  pending->body_hash = message->body_hash;
+  pending->call_hash = message->call_hash;
   pending->incarnation = message->incarnation;
   pending->id = message->id;
-  pending->remote = true;
-  snprintf (pending->node, sizeof pending->node, "%s", node);
+  pending->received = true;
+  snprintf (pending->requester, sizeof pending->requester, "%s", node);
   shard_claim (
       claims_shard (claims, claims_shard_number (claims, pending->key)),
       pending, now_ms);
--- a/libberyl/requests/hold.c
+++ b/libberyl/requests/hold.c
@@ -76,8 +76,8 @@
 }
 
 void
-hold_forget (struct beryl_requests *requests, const char *endpoint,
-             struct beryl_stream_id stream)
+hold_erase_if_active (struct beryl_requests *requests, const char *endpoint,
+                      struct beryl_stream_id stream)
 {
   struct hold **at = hold_find (requests, endpoint, stream);
 
--- a/libberyl/requests/hold_windows.c
+++ b/libberyl/requests/hold_windows.c
@@ -10,7 +10,7 @@
  * about every 20 s at 13 requests per second. */
 #define WINDOW_AHEAD_COUNTERS 256
 
-struct window
+struct tracked_window
 {
   struct beryl_hold_window range; /* to be reported */
   uint64_t *held;                 /* counters, unordered */
@@ -21,7 +21,7 @@
 struct beryl_hold_windows
 {
   uint64_t incarnation;
-  struct window *items;
+  struct tracked_window *items;
   size_t count;
   size_t capacity;
 };
@@ -47,7 +47,7 @@
   free (windows);
 }
 
-static struct window *
+static struct tracked_window *
 window_find (const struct beryl_hold_windows *windows, const char *endpoint)
 {
   for (size_t i = 0; i < windows->count; i++)
@@ -56,15 +56,15 @@
   return NULL;
 }
 
-static struct window *
+static struct tracked_window *
 window_add (struct beryl_hold_windows *windows, const char *endpoint)
 {
-  struct window *window;
+  struct tracked_window *window;
 
   if (windows->count == windows->capacity)
     {
       size_t capacity = windows->capacity != 0 ? windows->capacity * 2 : 16;
-      struct window *items
+      struct tracked_window *items
           = realloc (windows->items, capacity * sizeof *items);
 
       if (items == NULL)
@@ -73,7 +73,7 @@
       windows->capacity = capacity;
     }
   window = &windows->items[windows->count++];
-  *window = (struct window){ 0 };
+  *window = (struct tracked_window){ 0 };
   snprintf (window->range.endpoint, sizeof window->range.endpoint, "%s",
             endpoint);
   window->range.incarnation = windows->incarnation;
@@ -82,7 +82,7 @@
 }
 
 static bool
-window_add_counter (struct window *window, uint64_t counter)
+window_add_counter (struct tracked_window *window, uint64_t counter)
 {
   if (window->held_count == window->held_capacity)
     {
@@ -103,7 +103,7 @@
 beryl_hold_windows_record (struct beryl_hold_windows *windows,
                            const char *endpoint, uint64_t counter)
 {
-  struct window *window = window_find (windows, endpoint);
+  struct tracked_window *window = window_find (windows, endpoint);
   struct beryl_hold_window *range;
 
   if (window == NULL)
@@ -124,7 +124,7 @@
 beryl_hold_windows_erase (struct beryl_hold_windows *windows,
                           const char *endpoint, uint64_t counter)
 {
-  struct window *window = window_find (windows, endpoint);
+  struct tracked_window *window = window_find (windows, endpoint);
 
   if (window == NULL)
     return;
@@ -140,14 +140,14 @@
 beryl_hold_windows_get (const struct beryl_hold_windows *windows,
                         const char *endpoint)
 {
-  const struct window *window = window_find (windows, endpoint);
+  const struct tracked_window *window = window_find (windows, endpoint);
 
   return window != NULL ? &window->range : NULL;
 }
 
 /* Returns whether the window changed. */
 static bool
-window_shrink (struct window *window)
+window_shrink (struct tracked_window *window)
 {
   struct beryl_hold_window *range = &window->range;
   uint64_t lowest = UINT64_MAX;
--- a/libberyl/requests/plan.c
+++ b/libberyl/requests/plan.c
@@ -50,7 +50,8 @@
   request->ticket = plan->ticket;
   if (request->plain)
     {
-      snprintf (request->decode, sizeof request->decode, "%s", plan->decode);
+      snprintf (request->answer_endpoint, sizeof request->answer_endpoint,
+                "%s", plan->decode);
       attempt_service (requests, request, now_ms);
       return;
     }
@@ -115,7 +116,7 @@
   request_set_phase (requests, request, PHASE_PLAN);
   if (now_ms < requests->plan_not_before_ms)
     {
-      request->retry_at_ms = requests->plan_not_before_ms;
+      request->plan_at_ms = requests->plan_not_before_ms;
       return;
     }
   beryl_router_plan (requests->router, &job, now_ms, &plan);
@@ -130,7 +131,7 @@
     }
   if (plan.verdict == BERYL_VERDICT_WAIT)
     {
-      request->retry_at_ms = plan.retry_at_ms;
+      request->plan_at_ms = plan.retry_at_ms;
       return;
     }
   plan_emit_decision (requests, request, &plan);
@@ -151,7 +152,7 @@
        request != NULL && planned < limit; request = next)
     {
       next = request->next_waiting;
-      if (!all && now_ms < request->retry_at_ms)
+      if (!all && now_ms < request->plan_at_ms)
         continue;
       request_plan (requests, request, now_ms);
       planned++;
--- a/libberyl/requests/private.h
+++ b/libberyl/requests/private.h
@@ -43,7 +43,7 @@
   struct record *next; /**< next in order of expiry */
   struct map_key key;
   struct map_key id;
-  uint64_t body_hash;    /**< call_body_hash of the call; 0 without a key */
+  uint64_t call_hash;    /**< call_compute_hash of the call; 0 without a key */
   struct answer *answer; /**< NULL: not retained */
   uint64_t reader;       /**< handle of the caller that is reading the
                               answer; 0: none */
@@ -87,7 +87,7 @@
   uint64_t id;
   struct request *request;
   char endpoint[BERYL_NAME_BYTES];
-  uint32_t attempt; /**< the request's attempt number at its start */
+  uint32_t number; /**< the request's attempt number at its start */
   bool paused;
   bool ended;            /**< not used */
   uint64_t answer_bytes; /**< not used */
@@ -120,19 +120,20 @@
 
   uint64_t ticket; /**< router reservation; 0: none */
   char prefill[BERYL_NAME_BYTES];
-  char decode[BERYL_NAME_BYTES]; /**< plain call: the service's endpoint */
+  char answer_endpoint[BERYL_NAME_BYTES]; /**< plain call: the service's
+                                             endpoint */
   char kv_handle[KV_HANDLE_BYTES];
   struct beryl_stream_id stream;
-  uint32_t attempt;         /**< attempt number sent to endpoints: raised at
-                                 each prefill, decode, resume and service
-                                 call */
+  uint32_t exchange_number; /**< attempt number sent to endpoints: raised at
+                         each prefill, decode, resume and service
+                         call */
   uint32_t resumes;         /**< reconnects of the current decode */
   uint32_t refusals;        /**< refusals that ended an attempt */
   uint32_t decode_refusals; /**< refusals of decodes of the current KV cache */
   bool first_token_seen;
   bool engine_call_in_flight; /**< a call to an engine was aborted but may
                                    still arrive there */
-  int64_t retry_at_ms;
+  int64_t plan_at_ms;
   int64_t kv_expires_ms;
   int64_t decode_retry_at_ms; /**< when to look for a decode engine again */
   char excluded[ENDPOINT_EXCLUDED_MAX][BERYL_NAME_BYTES];
@@ -194,12 +195,13 @@
 /* requests.c */
 void requests_emit (struct beryl_requests *requests,
                     const struct beryl_action *action);
-void request_unlink (struct beryl_requests *requests, struct request *request);
+void request_destroy (struct beryl_requests *requests,
+                      struct request *request);
 
 /* call.c: copies of calls */
 bool call_copy (struct beryl_call *copy, const struct beryl_call *call);
 void call_clear (struct beryl_call *copy);
-uint64_t call_body_hash (const struct beryl_call *call);
+uint64_t call_compute_hash (const struct beryl_call *call);
 
 /* admit.c */
 void requests_admit (struct beryl_requests *requests,
@@ -309,8 +311,9 @@
 /* hold.c */
 bool hold_record (struct beryl_requests *requests, const char *endpoint,
                   struct beryl_stream_id stream);
-void hold_forget (struct beryl_requests *requests, const char *endpoint,
-                  struct beryl_stream_id stream);
+void hold_erase_if_active (struct beryl_requests *requests,
+                           const char *endpoint,
+                           struct beryl_stream_id stream);
 void hold_cancel (struct beryl_requests *requests, const char *endpoint,
                   struct beryl_stream_id stream, bool in_flight,
                   int64_t now_ms);
--- a/libberyl/requests/records.c
+++ b/libberyl/requests/records.c
@@ -72,7 +72,7 @@
   else
     map_remove (&requests->by_id, record->id);
   if (keyed && !(existed && record_authoritative (record)))
-    record->body_hash = call_body_hash (call);
+    record->call_hash = call_compute_hash (call);
   record->outcome = BERYL_OUTCOME_PENDING;
   record->delivered = false;
   record->id = map_key_from_name (call->organisation, call->request_id);
@@ -251,11 +251,11 @@
 {
   struct record *record = map_get (
       &requests->by_id,
-      map_key_from_name (event->fetch.organisation, event->fetch.request_id));
+      map_key_from_name (event->fetch.organisation, event->fetch.id_or_key));
 
   if (record == NULL)
     record = record_find (requests, event->fetch.organisation,
-                          event->fetch.request_id);
+                          event->fetch.id_or_key);
   if (record != NULL && record->keyed && !record_authoritative (record))
     return NULL;
   return record;
--- a/libberyl/requests/requests.c
+++ b/libberyl/requests/requests.c
@@ -41,7 +41,7 @@
 }
 
 void
-request_unlink (struct beryl_requests *requests, struct request *request)
+request_destroy (struct beryl_requests *requests, struct request *request)
 {
   request_set_phase (requests, request, PHASE_NONE);
   if (request->previous != NULL)
@@ -136,8 +136,8 @@
 }
 
 static void
-requests_handle_request_event (struct beryl_requests *requests,
-                               const struct beryl_event *event, int64_t now_ms)
+requests_dispatch_by_handle (struct beryl_requests *requests,
+                             const struct beryl_event *event, int64_t now_ms)
 {
   struct request *request = request_for_event (requests, event);
 
@@ -176,7 +176,7 @@
     case BERYL_EVENT_CALLER_GONE:
     case BERYL_EVENT_CALLER_CAUGHT_UP:
     case BERYL_EVENT_CLAIM_RESULT:
-      requests_handle_request_event (requests, event, now_ms);
+      requests_dispatch_by_handle (requests, event, now_ms);
       return;
     case BERYL_EVENT_CANCEL_CONFIRMED:
       hold_confirmed (requests, event->cancel.endpoint, event->cancel.stream,
--- a/libberyl/requests/timers.c
+++ b/libberyl/requests/timers.c
@@ -123,7 +123,7 @@
     for (const struct request *r = requests->waiting[c].first; r != NULL;
          r = r->next_waiting)
       {
-        due_ms = earlier (due_ms, r->retry_at_ms);
+        due_ms = earlier (due_ms, r->plan_at_ms);
         waiting = true;
       }
   if (!waiting)
--- a/tests/requests/cluster_actions.c
+++ b/tests/requests/cluster_actions.c
@@ -148,7 +148,7 @@
 {
   beryl_claims_claim (node->claims, action->request,
                       action->claim.organisation, action->claim.key,
-                      action->claim.body_hash, node->cluster->now_ms);
+                      action->claim.call_hash, node->cluster->now_ms);
 }
 
 static void
--- a/tests/requests/cluster_callers.c
+++ b/tests/requests/cluster_callers.c
@@ -174,7 +174,7 @@
 
   event.request = j->attempts[attempt].handle;
   event.fetch.organisation = j->organisation;
-  event.fetch.request_id = j->key;
+  event.fetch.id_or_key = j->key;
   if (attempt > 0 && !j->attempts[attempt - 1].fetch)
     event.fetch.offset = j->attempts[attempt - 1].received;
   j->attempts[attempt].received = 0;
--- a/tests/requests/test_claims.c
+++ b/tests/requests/test_claims.c
@@ -454,7 +454,7 @@
                                        .id = 1,
                                        .key_high = 5,
                                        .key_low = 6,
-                                       .body_hash = 1,
+                                       .call_hash = 1,
                                        .incarnation = 1,
                                        .result = BERYL_CLAIM_GRANTED };
 
--- a/tests/requests/test_peer.c
+++ b/tests/requests/test_peer.c
@@ -103,7 +103,7 @@
   ck_assert_uint_eq (read.claim.id, 5);
   ck_assert_uint_eq (read.claim.key_high, 1);
   ck_assert_uint_eq (read.claim.key_low, 2);
-  ck_assert_uint_eq (read.claim.body_hash, 3);
+  ck_assert_uint_eq (read.claim.call_hash, 3);
   ck_assert_uint_eq (read.claim.incarnation, 4);
   ck_assert_int_eq (read.claim.result, BERYL_CLAIM_TAKEN);
   message = (struct peer_message){ .type = PEER_DATA, .id = 3 };
--- a/tests/requests/transcript.c
+++ b/tests/requests/transcript.c
@@ -332,7 +332,7 @@
     {
       event->type = BERYL_EVENT_FETCH;
       event->fetch.organisation = get (line, "organisation", "permits");
-      event->fetch.request_id = get (line, "of", "");
+      event->fetch.id_or_key = get (line, "of", "");
       event->fetch.offset = get_number (line, "offset", 0);
     }
   else if (strcmp (line->verb, "forward-error") == 0)
--- a/wire/peer.c
+++ b/wire/peer.c
@@ -119,7 +119,7 @@
   frame_put_uint (writer, FIELD_ID, claim->id);
   frame_put_uint (writer, FIELD_KEY_HIGH, claim->key_high);
   frame_put_uint (writer, FIELD_KEY_LOW, claim->key_low);
-  frame_put_uint (writer, FIELD_BODY_HASH, claim->body_hash);
+  frame_put_uint (writer, FIELD_BODY_HASH, claim->call_hash);
   frame_put_uint (writer, FIELD_INCARNATION, claim->incarnation);
   frame_put_uint (writer, FIELD_RESULT, claim->result);
 }
@@ -237,7 +237,7 @@
   claim->id = frame_need_uint (map, FIELD_ID);
   claim->key_high = frame_need_uint (map, FIELD_KEY_HIGH);
   claim->key_low = frame_need_uint (map, FIELD_KEY_LOW);
-  claim->body_hash = frame_need_uint (map, FIELD_BODY_HASH);
+  claim->call_hash = frame_need_uint (map, FIELD_BODY_HASH);
   claim->incarnation = frame_need_uint (map, FIELD_INCARNATION);
   claim->result = (enum beryl_claim_result)need_at_most (map, FIELD_RESULT,
                                                          BERYL_CLAIM_UNKNOWN);
