--- a/include/beryl/claims.h
+++ b/include/beryl/claims.h
@@ -1,6 +1,6 @@
 /** @file
- * The claim log durably assigns each free key to one incarnation before any
- * byte of the call is sent to an endpoint.
+ * The claim log durably assigns each claimed key (BERYL_KEY_FREE) to one
+ * incarnation before any byte of the call is sent to an endpoint.
  *
  * A key belongs to a shard, and a shard has a home node, chosen by rendezvous
  * hashing over the members.  The home writes batches of claims as segments:
@@ -78,7 +78,8 @@
                const char *name);
   /** Create the object NAME only if it is absent, then call
    * beryl_claims_write_done.  VALUE contains NONCE, by which the platform
-   * client recognises this write if its reply was lost. */
+   * client recognises the write if it repeats it within this call after a lost
+   * reply.  A write of an earlier call is not recognised: it is a conflict. */
   void (*create) (struct beryl_claims_owner *owner, uint64_t call,
                   const char *name, const char *value, size_t value_bytes,
                   const char *nonce);
@@ -183,8 +184,8 @@
   uint64_t segments;              /**< segments written */
   uint64_t create_conflicts;      /**< creates that found the sequence
                                        number taken */
-  uint64_t lost_replies_resolved; /**< writes that were found to have
-                                       succeeded after a lost reply */
+  uint64_t lost_replies_resolved; /**< segments written after at least one
+                                     create whose reply was lost */
   uint64_t reads;                 /**< lists and gets sent */
   uint64_t deleted;               /**< objects deleted */
   uint64_t keys;                  /**< keys held in memory */
--- a/include/beryl/holds.h
+++ b/include/beryl/holds.h
@@ -58,8 +58,9 @@
                         const char *endpoint);
 
 /** Raise the start of each window to the oldest stream that is still held, or
- * empty it if none is, and copy up to MAX windows that changed to OUT, to be
- * reported occasionally.  Returns the number copied. */
+ * empty it if none is, and copy the windows that changed to OUT, to be
+ * reported occasionally.  Stops after MAX changed windows and leaves the
+ * others for a later call.  Returns the number copied. */
 size_t beryl_hold_windows_shrink (struct beryl_hold_windows *windows,
                                   struct beryl_hold_window *out, size_t max);
 
--- a/include/beryl/lease.h
+++ b/include/beryl/lease.h
@@ -2,15 +2,16 @@
  * A lease on a role, stored in one object of the platform's object API.
  *
  * Clocks of different nodes are never compared.  The holder measures its term
- * from before it sent the renewal and stops early; any other node waits for
- * the full term from when it first saw the object's version change.  The
- * fencing token is the object's version at acquisition, which only grows;
- * versions must not be reused after a deletion.
+ * from before it sent the renewal and stops a margin early; any other node
+ * waits for the full term and the margin from when it first saw the object's
+ * version change.  The fencing token is the object's version at acquisition,
+ * which only grows; versions must not be reused after a deletion.
  *
- * Right before each order the holder must call beryl_lease_held, and the order
- * must carry the fencing token, since the holder may be suspended between the
- * two and lose the lease meanwhile.  Receivers that ignore the token may be
- * given orders only once beryl_lease_settled returns true.
+ * Right before it sends an order (a command to another component) the holder
+ * must call beryl_lease_held, and the order must carry the fencing token,
+ * since the holder may be suspended between the two and lose the lease
+ * meanwhile.  Receivers that ignore the token may be given orders only once
+ * beryl_lease_settled returns true.
  */
 #ifndef BERYL_LEASE_H
 #define BERYL_LEASE_H
@@ -70,12 +71,14 @@
   const char *name;   /**< name of the role, for the owner's use */
   const char *holder; /**< name of this node, unique among live nodes */
   int64_t ttl_ms;
-  int64_t margin_ms; /**< time before expiry at which the holder stops;
-                          covers differing clock rates */
+  int64_t margin_ms; /**< time before expiry at which the holder stops, and
+                        after expiry that the other nodes wait; covers
+                        differing clock rates */
   int64_t poll_ms;   /**< interval between reads while another node holds
                           the lease */
-  /** Longest suspension of a process plus longest delivery time of an
-   * order. */
+  /** Time after acquisition from which no order of a former holder can arrive
+   * any more: at least the longest suspension of a process plus the longest
+   * delivery time of an order. */
   int64_t settle_ms;
   uint64_t seed; /**< first nonce less 1.  Nonces count up from it and must
                       not repeat between processes, so seeds must be far
--- a/include/beryl/requests.h
+++ b/include/beryl/requests.h
@@ -34,7 +34,8 @@
 {
   BERYL_KEY_NONE,
   BERYL_KEY_BOUND, /**< names the one incarnation that may run the call */
-  BERYL_KEY_FREE,  /**< chosen by the caller; claimed in the object API */
+  BERYL_KEY_FREE,  /**< chosen by the caller, not bound to an incarnation; a
+                      non-idempotent call claims it in the object API */
 };
 
 /** Types of input events. */
@@ -47,12 +48,12 @@
                                      effect */
   BERYL_EVENT_EXCHANGE_REFUSED, /**< the endpoint rejected the call without
                                      running it */
-  BERYL_EVENT_EXCHANGE_HEAD,    /**< plain service: status and content type
-                                     received */
-  BERYL_EVENT_PREFILL_DONE,     /**< prefill finished; KV cache exported */
-  BERYL_EVENT_EXCHANGE_DATA,    /**< answer bytes received, with their
-                                     offset */
-  BERYL_EVENT_EXCHANGE_END,     /**< the answer is complete */
+  BERYL_EVENT_EXCHANGE_HEAD, /**< status and content type received from a plain
+                                service or a forward */
+  BERYL_EVENT_PREFILL_DONE,  /**< prefill finished; KV cache exported */
+  BERYL_EVENT_EXCHANGE_DATA, /**< answer bytes received, with their
+                                  offset */
+  BERYL_EVENT_EXCHANGE_END,  /**< the answer is complete */
   BERYL_EVENT_EXCHANGE_FAILED,  /**< reset, timeout or error */
   BERYL_EVENT_FORWARD_ERROR,    /**< the node forwarded to replied with an
                                      error */
@@ -70,11 +71,12 @@
 enum beryl_claim_result
 {
   BERYL_CLAIM_GRANTED,     /**< durably recorded: this node may run the call */
-  BERYL_CLAIM_TAKEN,       /**< the key was already granted to another call */
+  BERYL_CLAIM_TAKEN,       /**< already granted, to the incarnation given */
   BERYL_CLAIM_MISMATCH,    /**< the key was used for a different request */
-  BERYL_CLAIM_UNAVAILABLE, /**< not granted; the call has not run */
-  BERYL_CLAIM_UNKNOWN,     /**< not granted; the call has not run, but an
-                                earlier one with the key may have */
+  BERYL_CLAIM_UNAVAILABLE, /**< not known to be granted; no call with the key
+                              has run */
+  BERYL_CLAIM_UNKNOWN, /**< not known to be granted; this call has not run, but
+                          an earlier one with the key may have */
 };
 
 /** Errors reported to callers; each has a stable type in problem+json. */
@@ -160,9 +162,9 @@
     struct
     {
       const char *finish_reason; /**< model services only; may be NULL */
-      uint64_t answer_bytes;     /**< total length reported by the endpoint; 0
-                                    means 0 for a decode, and otherwise that
-                                    none was reported */
+      uint64_t answer_bytes; /**< total length reported by the endpoint; 0: an
+                                empty answer if it comes from a decode,
+                                otherwise unknown */
     } end;
     struct
     {
--- a/libberyl/lease/lease.c
+++ b/libberyl/lease/lease.c
@@ -10,8 +10,9 @@
  * in a row may have unknown outcomes. */
 #define WRITES_REMEMBERED 8
 
-/* A failed call is retried after the poll interval divided by this: sooner
- * than the next poll, but not at once, so that an outage causes no burst. */
+/* A failed call, or a release that waits for the call in flight, is retried
+ * after the poll interval divided by this: sooner than the next poll, but not
+ * at once, so that an outage causes no burst. */
 #define RETRY_DIVISOR 4
 
 struct sent_write
@@ -40,7 +41,7 @@
   uint64_t nonce;
   bool candidate;
   enum lease_io io;
-  struct beryl_lease_record observed; /* with the highest version so far */
+  struct beryl_lease_record observed; /* newest; version 0: deleted */
   bool observed_any;                  /* OBSERVED is valid */
   int64_t observed_ms;                /* first observation of its version */
   struct sent_write writes[WRITES_REMEMBERED];
@@ -133,9 +134,9 @@
 lease_confirm (struct beryl_lease *lease, uint64_t version, int64_t sent_ms,
                int64_t now_ms)
 {
-  /* The term starts when the write was sent: the reply may be late, and other
-   * nodes count from the write itself.  FROM_REPLY is true only in a mutation
-   * test (BERYL_GUARD). */
+  /* The term starts when the write was sent: other nodes count from when they
+   * see the write, which may be long before the reply arrives.  FROM_REPLY is
+   * true only in a mutation test (BERYL_GUARD). */
   bool from_reply = BERYL_GUARD (BERYL_GUARD_LEASE_SENT, false);
   int64_t from_ms = from_reply ? now_ms : sent_ms;
   int64_t until_ms = from_ms + lease->ttl_ms - lease->margin_ms;
@@ -200,7 +201,7 @@
 
 /* Returns when no other node can hold the role any more.  The term is counted
  * from when this node first observed the version, which is later than the
- * holder's own start. */
+ * holder's own start; the margin covers differing clock rates. */
 static int64_t
 lease_free_from_ms (const struct beryl_lease *lease)
 {
--- a/libberyl/requests/admit.c
+++ b/libberyl/requests/admit.c
@@ -1,5 +1,5 @@
-/* Admission of calls: checks the key, configures the request, and claims,
- * forwards or plans it. */
+/* Admission of calls: checks the key, applies the service's settings, and
+ * claims, forwards or plans the request. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -122,6 +122,7 @@
                             "a call with this key is running");
       return true;
     }
+  /* PENDING gets here only if a mutation test disables the guard above. */
   if (BERYL_GUARD (BERYL_GUARD_KEY_ENDED,
                    record->outcome == BERYL_OUTCOME_NOT_RUN
                        || record->outcome == BERYL_OUTCOME_PENDING))
@@ -185,9 +186,10 @@
                               == requests->settings.incarnation);
 }
 
-/* A call with a free key is forwarded here because the claim names this
- * incarnation; without a record here, an earlier call with the key may have
- * run. */
+/* A call with a free key is forwarded here because its claim was granted to
+ * this incarnation, which records such a call before it claims the key.
+ * Without a record nothing shows that no earlier call with the key has run, so
+ * the call is not run as a new one. */
 static bool
 forwarded_without_record (const struct beryl_call *call,
                           const struct record *record)
--- a/libberyl/requests/answer.c
+++ b/libberyl/requests/answer.c
@@ -194,8 +194,8 @@
   if (request->reply_started || request->exchange != NULL
       || request->phase == PHASE_DECODE)
     return BERYL_OUTCOME_UNKNOWN;
-  /* Only the result of the claim tells whether another node has run the
-   * key. */
+  /* Only the result of the claim tells whether another node has run a
+   * call with the key. */
   if (request->phase == PHASE_CLAIM)
     return BERYL_OUTCOME_UNKNOWN;
   return BERYL_GUARD (BERYL_GUARD_MAY_HAVE_RUN, !request->may_have_run)
--- a/libberyl/requests/attempt.c
+++ b/libberyl/requests/attempt.c
@@ -1,5 +1,7 @@
 /* Attempts to run a request at endpoints: start, resume, failure and retry.
- * An attempt is the call of a plain service, or a prefill with its decode. */
+ * An attempt is the call of a plain service, or a prefill with its decode.
+ * The attempt number sent to endpoints is the exchange number, so it grows
+ * several times in one attempt. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -152,8 +154,8 @@
 attempt_stop (struct beryl_requests *requests, struct request *request,
               enum beryl_release how, const char *endpoint, int64_t now_ms)
 {
-  /* A request that waits for a plan has no decode to retry; binding one
-   * without a ticket would count as another refusal. */
+  /* A due retry would ask the router to bind a decode after the ticket was
+   * released; the router's refusal would count against the request. */
   request->decode_retry_at_ms = BERYL_NEVER_MS;
   if (request->phase == PHASE_PLAN)
     beryl_router_drop_waiting (requests->router, request->call.request);
--- a/libberyl/requests/attempt_event.c
+++ b/libberyl/requests/attempt_event.c
@@ -53,6 +53,8 @@
   char refused_by[BERYL_NAME_BYTES];
 
   exchange_close (requests, request);
+  /* If both engines are the same, its one hold covers the export too, which is
+   * still needed. */
   if (strcmp (request->prefill, request->answer_endpoint) != 0)
     hold_erase_if_active (requests, request->answer_endpoint, request->stream);
   memcpy (refused_by, request->answer_endpoint, sizeof refused_by);
@@ -84,6 +86,8 @@
     outcome = BERYL_OUTCOME_UNKNOWN;
   if (request->phase == PHASE_PREFILL)
     hold_erase_if_active (requests, request->prefill, request->stream);
+  /* If a resume was refused, the engine may still have memory of the earlier
+   * decode; attempt_failed cancels that hold. */
   if (request->phase == PHASE_DECODE && request->resumes == 0
       && strcmp (request->prefill, request->answer_endpoint) != 0)
     hold_erase_if_active (requests, request->answer_endpoint, request->stream);
@@ -122,8 +126,8 @@
   attempt_bind_decode (requests, request, NULL, now_ms);
 }
 
-/* Cancels the prefill engine's export early: the decode engine has imported
- * the KV cache. */
+/* Cancels the prefill engine's export, which is no longer needed once the
+ * decode engine has sent its first token or the answer's end. */
 static void
 release_export (struct beryl_requests *requests, struct request *request,
                 int64_t now_ms)
@@ -176,7 +180,7 @@
   uint32_t attempt = event->data.attempt;
 
   /* An engine that resumes a stream may still flush bytes of the previous
-   * attempt, whose offsets differ from this one's. */
+   * exchange, whose offsets differ from this one's. */
   if (!BERYL_GUARD (BERYL_GUARD_ATTEMPT,
                     attempt == 0 || attempt == exchange->number))
     return;
--- a/libberyl/requests/claim_compact.c
+++ b/libberyl/requests/claim_compact.c
@@ -237,8 +237,9 @@
                        int64_t now_ms)
 {
   enum compaction_state call = shard->compaction;
-  /* Segments may be deleted only after their compacted form was written;
-   * otherwise claims would be lost and their keys could run again. */
+  /* Segments may be deleted only after the compacted segment that replaces
+   * them was written; otherwise claims would be lost and calls with their keys
+   * could run again. */
   bool done = BERYL_GUARD (BERYL_GUARD_CHECKPOINT_WHOLE, code == BERYL_OK);
 
   shard->compaction = COMPACTION_IDLE;
--- a/libberyl/requests/claim_log.c
+++ b/libberyl/requests/claim_log.c
@@ -131,8 +131,9 @@
 
 /* Adds a segment to the list of segments, and its claims to the index if it
  * extends the known log.  A segment before the end is either known already, or
- * was written by a home that was suspended until its sequence number had been
- * deleted; claims of such a segment were never granted. */
+ * was written by a home that was suspended until the original segment with
+ * this sequence number had been deleted; on_written grants no claims of such a
+ * segment. */
 static bool
 entry_apply (struct shard *shard, const struct read_segment *entry,
              int64_t now_ms)
@@ -177,6 +178,8 @@
       = entries_sorted (shard, objects, object_count, &count);
   bool applied = entries != NULL && entries_contiguous (entries, count);
 
+  /* If the log begins after its known end, all known segments have been
+   * deleted meanwhile. */
   if (applied && count > 0
       && (!shard->loaded || entries[0].from > shard->next))
     {
--- a/libberyl/requests/claim_private.h
+++ b/libberyl/requests/claim_private.h
@@ -12,8 +12,8 @@
 #define SEGMENT_NAME_BYTES 64
 /** Most claims in one segment. */
 #define SEGMENT_CLAIMS_MAX 2000
-/** Most claims in one compacted segment.  At 67 bytes per claim this is about
- * half of 1 MB, the object API's limit. */
+/** Most claims in one compacted segment.  At 67 bytes per claim the
+ * object stays at about half of the object API's limit of 1 MB. */
 #define COMPACTED_CLAIMS_MAX 8000
 
 /** A durable claim. */
@@ -112,7 +112,7 @@
   int64_t compaction_next_ms;
 };
 
-/** A claim that was sent to its home node. */
+/** A claim of this node that was sent to the shard's home node. */
 struct remote_claim
 {
   struct remote_claim *next;
@@ -228,7 +228,8 @@
                       struct pending_claim *pending,
                       enum beryl_claim_result result, uint64_t incarnation);
 bool claims_is_isolated (const struct beryl_claims *claims);
-/** Whether this node is SHARD's home; also true if it is isolated. */
+/** Whether this node is SHARD's home.  Also true if it is isolated: there is
+ * no home to send a claim to, so the claim ends on this node. */
 bool claims_is_home (const struct beryl_claims *claims, uint32_t shard);
 void queue_add (struct pending_queue *queue, struct pending_claim *pending);
 struct pending_claim *queue_take (struct pending_queue *queue);
--- a/libberyl/requests/claim_remote.c
+++ b/libberyl/requests/claim_remote.c
@@ -70,8 +70,8 @@
 
 /* A home that was suspended may reply after the requesting process has ended.
  * Its successor on the same node numbers requests from 1 again, so the late
- * reply's id may match a new request for a different key, which must not be
- * granted by it. */
+ * reply's id may match a request of the successor for a different key.  The
+ * reply must not grant that key. */
 static bool
 reply_matches (const struct beryl_claims *claims,
                const struct remote_claim *remote,
@@ -100,10 +100,10 @@
   claims_complete (claims, pending, message->result, message->incarnation);
 }
 
-/* Handles the claim on this node, which has become home or whose home's
- * process has ended.  Any node may write to any shard, since creating a
- * segment only if absent is what excludes double grants; homes only make races
- * rare. */
+/* Handles the claim on this node: it has become home or is isolated, or the
+ * home's process has ended.  Any node can write to any shard without double
+ * grants, since a segment is created only if absent.  Homes make conflicts
+ * rare and keep the home's index complete (see retry_remote). */
 static void
 claim_locally (struct beryl_claims *claims, struct remote_claim *remote,
                int64_t now_ms)
@@ -137,9 +137,9 @@
 }
 
 /* The home does not reply, possibly because of the network only.  Writing to
- * its shard from here would not run a key twice, but the home would still
- * believe that its index is complete and, in an outage of the object API,
- * would report "not run" for a key that has run.  So the request is repeated
+ * its shard from here would not grant a key twice, but the home would still
+ * take its index for complete and, in an outage of the object API, would
+ * report "not run" for a key whose call has run.  So the request is repeated
  * until the home replies or the members have another home. */
 static void
 retry_remote (struct beryl_claims *claims, struct remote_claim *remote,
--- a/libberyl/requests/claim_shard.c
+++ b/libberyl/requests/claim_shard.c
@@ -9,8 +9,8 @@
 #define BACKOFF_MAX_MS 1000
 /* Number of lost replies after which a repeated write is abandoned and its
  * claims fail.  Those calls have not run and will not run; the write may still
- * have taken effect, and then a later claim finds the key granted to this
- * node. */
+ * have taken effect, and then a later claim finds the key granted to the
+ * claiming incarnation. */
 #define LOST_REPLIES_MAX 5
 
 struct shard *
@@ -200,8 +200,8 @@
 
 /* Whether the known end of the log is recent enough to write after it.  Old
  * segments are deleted, which frees their numbers: a home that was suspended
- * for longer could create one of them again and believe that it had won the
- * race. */
+ * for longer than delete_after_ms could create one of them again and take that
+ * for success. */
 static bool
 log_end_is_current (const struct shard *shard, int64_t now_ms)
 {
@@ -236,6 +236,8 @@
   shard->queue = kept;
 }
 
+/* Whether this node is the shard's home and not isolated.  Only claims whose
+ * home has ended (HOME_DOWN) are written by another node. */
 static bool
 is_connected_home (const struct shard *shard)
 {
@@ -317,7 +319,8 @@
   shard->loaded = true;
   shard->sole_writer = false; /* the list may lag */
   shard->verified_ms = shard->call_ms;
-  /* The list may not contain the conflicting segment yet. */
+  /* The list may not contain the conflicting segment yet: then the next create
+   * conflicts again.  The delay keeps this from looping without a pause. */
   if (shard->must_catch_up)
     back_off (shard, now_ms);
   shard->must_catch_up = false;
@@ -336,7 +339,8 @@
   else if (code == BERYL_OK && !get)
     on_listed (shard, objects, object_count, now_ms);
   else if (get && code == BERYL_ERROR_NOT_FOUND)
-    begin_list (shard, now_ms); /* lagging read or compacted */
+    begin_list (shard, now_ms); /* the read lagged, or the segment has been
+                                   compacted */
   else
     {
       back_off (shard, now_ms);
@@ -362,8 +366,9 @@
 {
   struct pending_claim *pending;
 
-  /* The process was suspended while the write was in flight: the number that
-   * was created may be an old one whose segment had been deleted. */
+  /* The write took very long, for example because the process was suspended:
+   * the number that was created may be an old one whose segment had been
+   * deleted. */
   if (!log_end_is_current (shard, now_ms))
     {
       requeue_batch (shard);
--- a/libberyl/requests/claims.c
+++ b/libberyl/requests/claims.c
@@ -14,21 +14,23 @@
 #define COMPACT_MIN_SEGMENTS_DEFAULT 16
 #define COMMIT_INTERVAL_DEFAULT_MS 20
 #define COMMITS_PER_S_DEFAULT 120
-/* Commits that an idle node may make in a burst; half of them outside of the
- * tick. */
+/* Commits that an idle node may make in a burst; claims_may_commit keeps half
+ * of them for the tick. */
 #define COMMIT_BURST 8
 #define RETENTION_DEFAULT_MS 3600000
 #define DELETE_AFTER_DEFAULT_MS 600000
 #define REQUEST_TIMEOUT_DEFAULT_MS 500
-/* A tick is due this long after the last event; a much longer gap means that
- * the process was suspended, which must be noticed before other nodes could
- * have replaced this home. */
+/* A tick is due this long after the last event. */
 #define TICK_INTERVAL_MAX_MS 200
+/* A gap of this length between events means that the process was suspended.
+ * It must be shorter than the silence after which other nodes replace this
+ * home. */
 #define SUSPENSION_DETECTED_MS (3 * TICK_INTERVAL_MAX_MS)
 /* How long a process waits after a suspension for the member changes that it
  * missed. */
 #define SUSPENSION_RECOVERY_MS 100
-/* How long a new home does not trust its view of the log to be complete. */
+/* Time for which other nodes may still write to a shard on behalf of its
+ * previous home, so that the new home's view of the log may be incomplete. */
 #define HOME_ESTABLISHED_MS 2000
 
 static void
--- a/libberyl/requests/hold.c
+++ b/libberyl/requests/hold.c
@@ -42,8 +42,9 @@
 }
 
 /* A hold is recorded before it is created.  If the process dies in between,
- * its control daemon cancels one stream too many; in the opposite order,
- * engine memory would stay occupied by an unknown stream. */
+ * its control daemon cancels a stream that does not exist, which is harmless;
+ * in the opposite order, engine memory would stay occupied by an unknown
+ * stream. */
 bool
 hold_record (struct beryl_requests *requests, const char *endpoint,
              struct beryl_stream_id stream)
@@ -75,6 +76,8 @@
   free (hold);
 }
 
+/* Erases a hold that no longer exists, unless it is being cancelled: then it
+ * is kept until the cancel is confirmed or the endpoint is removed. */
 void
 hold_erase_if_active (struct beryl_requests *requests, const char *endpoint,
                       struct beryl_stream_id stream)
--- a/libberyl/requests/hold_windows.c
+++ b/libberyl/requests/hold_windows.c
@@ -10,9 +10,10 @@
  * about every 20 s at 13 requests per second. */
 #define WINDOW_AHEAD_COUNTERS 256
 
+/* The streams held at one engine. */
 struct tracked_window
 {
-  struct beryl_hold_window range; /* to be reported */
+  struct beryl_hold_window range; /* what the control daemon must know */
   uint64_t *held;                 /* counters, unordered */
   size_t held_count;
   size_t held_capacity;
--- a/libberyl/requests/plan.c
+++ b/libberyl/requests/plan.c
@@ -68,7 +68,7 @@
   int64_t retry_after_ms
       = plan->retry_after_ms > 0 ? plan->retry_after_ms : REFUSED_RETRY_MS;
 
-  /* The router's "concurrency_limit" and "rate_limit". */
+  /* Matches the router's reasons "concurrency_limit" and "rate_limit". */
   if (strstr (reason, "limit") != NULL)
     problem = BERYL_PROBLEM_OVER_LIMIT;
   request_fail (requests, request, problem, retry_after_ms, reason, now_ms);
@@ -160,8 +160,9 @@
   return planned;
 }
 
-/* Plans waiting requests again: at the time that the router named, or all of
- * them when an attempt has ended and may have freed capacity. */
+/* Plans waiting requests again, at most PLANS_PER_EVENT: those that are due,
+ * or any if capacity may have been freed or the router's own time is due.
+ * Requests beyond that number are planned when they are due. */
 void
 requests_plan_waiting (struct beryl_requests *requests, int64_t now_ms)
 {
--- a/libberyl/requests/private.h
+++ b/libberyl/requests/private.h
@@ -36,8 +36,7 @@
 
 /** What is kept of a call after it has ended.  The record of a call with a key
  * lives as long as this incarnation, so that no second call with the key runs;
- * its answer and its request id are kept only for the retention time.  "The
- * key has run" is short for: a call with the key has run. */
+ * its answer and its request id are kept only for the retention time. */
 struct record
 {
   struct record *next; /**< next in order of expiry */
@@ -47,9 +46,9 @@
   struct answer *answer; /**< NULL: not retained */
   uint64_t reader;       /**< handle of the caller that is reading the
                               answer; 0: none */
-  int64_t expires_ms;
+  int64_t expires_ms;    /**< BERYL_NEVER_MS: not listed for expiry */
   enum beryl_outcome outcome; /**< PENDING while the call is open */
-  bool keyed;                 /**< found by KEY, which must not run twice */
+  bool keyed; /**< in by_key: no second call with KEY may run */
   bool free_key;
   bool claimed;   /**< a free key whose claim was granted to this
                        incarnation */
@@ -87,7 +86,7 @@
   uint64_t id;
   struct request *request;
   char endpoint[BERYL_NAME_BYTES];
-  uint32_t number; /**< the request's attempt number at its start */
+  uint32_t number; /**< the request's exchange number at its start */
   bool paused;
   bool ended;            /**< not used */
   uint64_t answer_bytes; /**< not used */
@@ -120,20 +119,20 @@
 
   uint64_t ticket; /**< router reservation; 0: none */
   char prefill[BERYL_NAME_BYTES];
-  char answer_endpoint[BERYL_NAME_BYTES]; /**< plain call: the service's
-                                             endpoint */
+  char answer_endpoint[BERYL_NAME_BYTES]; /**< decode engine, or the plain
+                                             service's endpoint */
   char kv_handle[KV_HANDLE_BYTES];
   struct beryl_stream_id stream;
-  uint32_t exchange_number; /**< attempt number sent to endpoints: raised at
-                         each prefill, decode, resume and service
-                         call */
+  uint32_t exchange_number; /**< number of the latest exchange with an endpoint
+                               (prefill, decode, resume or service call); sent
+                               as its attempt number */
   uint32_t resumes;         /**< reconnects of the current decode */
   uint32_t refusals;        /**< refusals that ended an attempt */
   uint32_t decode_refusals; /**< refusals of decodes of the current KV cache */
   bool first_token_seen;
-  bool engine_call_in_flight; /**< a call to an engine was aborted but may
-                                   still arrive there */
-  int64_t plan_at_ms;
+  bool engine_call_in_flight; /**< a call that was aborted, or failed after it
+                                 was sent, may still arrive */
+  int64_t plan_at_ms; /**< PHASE_PLAN: when the request is planned again */
   int64_t kv_expires_ms;
   int64_t decode_retry_at_ms; /**< when to look for a decode engine again */
   char excluded[ENDPOINT_EXCLUDED_MAX][BERYL_NAME_BYTES];
@@ -212,7 +211,7 @@
 void request_forward (struct beryl_requests *requests, struct request *request,
                       uint64_t incarnation);
 
-/* plan.c */
+/* plan.c: log of decisions */
 /** Emit a routing decision, for the owner to log. */
 void plan_emit_decision (struct beryl_requests *requests,
                          const struct request *request,
@@ -224,7 +223,7 @@
 void requests_schedule_due (struct beryl_requests *requests, int64_t due_ms);
 void requests_handle_due (struct beryl_requests *requests, int64_t now_ms);
 
-/* plan.c */
+/* plan.c: planning */
 void request_plan (struct beryl_requests *requests, struct request *request,
                    int64_t now_ms);
 void requests_detect_suspension (struct beryl_requests *requests,
--- a/libberyl/requests/reassembly.c
+++ b/libberyl/requests/reassembly.c
@@ -15,7 +15,7 @@
 };
 
 /* A resumed or reordered stream may repeat bytes, which would show as repeated
- * text.  Only bytes beyond NEXT are delivered. */
+ * text.  Only bytes from offset NEXT on are delivered. */
 static void
 deliver (struct reassembly *reassembly, uint64_t offset, const char *bytes,
          size_t bytes_count, uint32_t tokens, reassembly_sink sink, void *data)
--- a/libberyl/requests/records.c
+++ b/libberyl/requests/records.c
@@ -1,12 +1,12 @@
-/* Records of calls: keys, outcomes and retained answers.  A key whose call may
- * have run is never run again by this incarnation. */
+/* Records of calls: keys, outcomes and retained answers.  Once a call with
+ * a key may have run, this incarnation runs no other call with the key. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "private.h"
 
-/* An answer is retained only if at least this many of its size fit the limit,
- * so that one answer cannot evict all others. */
+/* An answer is retained only if answer_retention_bytes has room for this many
+ * answers of its size, so that one answer cannot evict all others. */
 #define RETAINED_ANSWERS_MIN 4
 
 struct record *
@@ -32,10 +32,11 @@
   return map_key_from_name (scope, call->key);
 }
 
-/* Whether the record says authoritatively what became of its key.  A free key
- * that was not granted to this node may belong to another node's call with
- * another body: the record of a call here then says neither whether a call
- * with the key has run, nor for which body the key was used. */
+/* Whether the record's outcome and hash hold for its key.  A free key counts
+ * only if its claim was granted to this incarnation: otherwise it may belong
+ * to another node's call with other contents: the record of a call here then
+ * says neither whether a call with the key has run, nor for which call the key
+ * was used. */
 bool
 record_authoritative (const struct record *record)
 {
@@ -188,8 +189,8 @@
 
 /* When a key is used again after its call has not run, its record gets a new
  * expiry time but keeps its place in the list.  Such a record, or one whose
- * call is open again, is moved to the end when it reaches the front, one in
- * each call. */
+ * call is open again, is moved to the end when it reaches the front, at most
+ * one each time that this function runs. */
 void
 records_expire (struct beryl_requests *requests, int64_t now_ms)
 {
--- a/libberyl/requests/requests.c
+++ b/libberyl/requests/requests.c
@@ -154,7 +154,7 @@
     case BERYL_EVENT_CALLER_CAUGHT_UP:
       request_on_caller_caught_up (requests, request);
       return;
-    default:
+    default: /* BERYL_EVENT_CLAIM_RESULT */
       request_on_claim_result (requests, request, event, now_ms);
       return;
     }
@@ -169,7 +169,8 @@
   switch (event->type)
     {
     case BERYL_EVENT_CALL:
-      /* Calls are admitted while draining, so the end is reported again. */
+      /* Calls are admitted while draining, so DRAINED is sent again when
+       * they have ended. */
       requests->drained_reported = false;
       requests_admit (requests, &event->call, now_ms);
       return;
--- a/libberyl/requests/retry_budget.h
+++ b/libberyl/requests/retry_budget.h
@@ -13,7 +13,8 @@
 
 #include "beryl/ids.h"
 
-/** Most retries that an idle service may accumulate. */
+/** Most retries that a service may accumulate; a new budget starts with as
+ * many. */
 #define RETRY_BUDGET_BURST 10
 
 /** Retry budget of one service, in hundredths of a retry. */
--- a/libberyl/requests/timers.c
+++ b/libberyl/requests/timers.c
@@ -90,7 +90,7 @@
 }
 
 /* Scans the open requests only when one may be due: a scan on each event would
- * make the cost of a token grow with the number of open requests. */
+ * make the cost of one event grow with the number of open requests. */
 void
 requests_handle_due (struct beryl_requests *requests, int64_t now_ms)
 {
