--- a/libberyl/requests/admit.c
+++ b/libberyl/requests/admit.c
@@ -1,5 +1,5 @@
-/* Admission of calls: checks the key, configures the request, and claims,
- * forwards or plans it. */
+/* Admission of calls: checks the key, applies the service's settings, and
+ * claims, forwards or plans the request. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -56,8 +56,8 @@
 }
 
 static void
-request_configure (struct request *request,
-                   const struct beryl_service *service, int64_t now_ms)
+request_apply_service (struct request *request,
+                       const struct beryl_service *service, int64_t now_ms)
 {
   const struct beryl_call *call = &request->call;
   const struct beryl_call_rule *rule = NULL;
@@ -107,7 +107,7 @@
 {
   if (record_authoritative (record)
       && !BERYL_GUARD (BERYL_GUARD_KEY_BODY,
-                       record->body_hash == call_body_hash (call)))
+                       record->call_hash == call_compute_hash (call)))
     {
       requests_reply_error (requests, call->request,
                             BERYL_PROBLEM_KEY_MISMATCH, BERYL_OUTCOME_NOT_RUN,
@@ -122,6 +122,7 @@
                             "a call with this key is running");
       return true;
     }
+  /* PENDING gets here only if a mutation test disables the guard above. */
   if (BERYL_GUARD (BERYL_GUARD_KEY_ENDED,
                    record->outcome == BERYL_OUTCOME_NOT_RUN
                        || record->outcome == BERYL_OUTCOME_PENDING))
@@ -149,7 +150,7 @@
   request_set_phase (requests, request, PHASE_CLAIM);
   action.claim.organisation = request->call.organisation;
   action.claim.key = request->call.key;
-  action.claim.body_hash = call_body_hash (&request->call);
+  action.claim.call_hash = call_compute_hash (&request->call);
   requests_emit (requests, &action);
 }
 
@@ -185,9 +186,10 @@
                               == requests->settings.incarnation);
 }
 
-/* A call with a free key is forwarded here because the claim names this
- * incarnation; without a record here, an earlier call with the key may have
- * run. */
+/* A call with a free key is forwarded here because its claim was granted to
+ * this incarnation, which records such a call before it claims the key.
+ * Without a record nothing shows that no earlier call with the key has run, so
+ * the call is not run as a new one. */
 static bool
 forwarded_without_record (const struct beryl_call *call,
                           const struct record *record)
@@ -285,7 +287,7 @@
                             "out of memory");
       return;
     }
-  request_configure (request, service, now_ms);
+  request_apply_service (request, service, now_ms);
   requests_schedule_due (requests, request->call.deadline_ms);
   if (!request_check_model (requests, request, service))
     {
--- a/libberyl/requests/claim_compact.c
+++ b/libberyl/requests/claim_compact.c
@@ -164,7 +164,7 @@
 }
 
 static struct segment *
-current_segment (struct shard *shard)
+removed_segment (struct shard *shard)
 {
   for (size_t i = 0; i < shard->segment_count; i++)
     if (shard->segments[i].from == shard->compaction_from
@@ -222,7 +222,7 @@
 static void
 on_removed (struct shard *shard)
 {
-  struct segment *segment = current_segment (shard);
+  struct segment *segment = removed_segment (shard);
 
   shard->claims->counts.deleted++;
   if (segment == NULL)
@@ -237,8 +237,9 @@
                        int64_t now_ms)
 {
   enum compaction_state call = shard->compaction;
-  /* Segments may be deleted only after their compacted form was written;
-   * otherwise claims would be lost and their keys could run again. */
+  /* Segments may be deleted only after the compacted segment that replaces
+   * them was written; otherwise claims would be lost and calls with their keys
+   * could run again. */
   bool done = BERYL_GUARD (BERYL_GUARD_CHECKPOINT_WHOLE, code == BERYL_OK);
 
   shard->compaction = COMPACTION_IDLE;
--- a/libberyl/requests/claim_private.h
+++ b/libberyl/requests/claim_private.h
@@ -12,14 +12,14 @@
 #define SEGMENT_NAME_BYTES 64
 /** Most claims in one segment. */
 #define SEGMENT_CLAIMS_MAX 2000
-/** Most claims in one compacted segment.  At 67 bytes per claim this is about
- * half of 1 MB, the object API's limit. */
+/** Most claims in one compacted segment.  At 67 bytes per claim the
+ * object stays at about half of the object API's limit of 1 MB. */
 #define COMPACTED_CLAIMS_MAX 8000
 
 /** A durable claim. */
 struct claim
 {
-  uint64_t body_hash;
+  uint64_t call_hash;
   uint64_t incarnation; /**< incarnation that was granted the key */
   uint64_t sequence;    /**< sequence number of its segment; the first one
                              if the segment is compacted */
@@ -41,14 +41,14 @@
 {
   struct pending_claim *next;
   struct map_key key;
-  uint64_t body_hash;
+  uint64_t call_hash;
   uint64_t incarnation;
   uint64_t id; /**< local: request handle; remote: id in the requester's
                     message */
-  bool remote;
+  bool received;
   bool home_down; /**< the home node's process has ended: write from this
                        node */
-  char node[BERYL_NAME_BYTES];
+  char requester[BERYL_NAME_BYTES];
 };
 
 /** FIFO of pending claims. */
@@ -112,7 +112,7 @@
   int64_t compaction_next_ms;
 };
 
-/** A claim that was sent to its home node. */
+/** A claim of this node that was sent to the shard's home node. */
 struct remote_claim
 {
   struct remote_claim *next;
@@ -201,9 +201,9 @@
 int64_t compaction_next_ms (const struct shard *shard);
 
 /* claim_remote.c: claims whose home is another node */
-void remote_claim_send (struct beryl_claims *claims,
-                        struct pending_claim *pending, const char *home,
-                        int64_t now_ms);
+void remote_claim_start (struct beryl_claims *claims,
+                         struct pending_claim *pending, const char *home,
+                         int64_t now_ms);
 void remote_claims_on_reply (struct beryl_claims *claims,
                              const struct beryl_claim_message *message);
 void remote_claims_clear (struct beryl_claims *claims);
@@ -228,7 +228,8 @@
                       struct pending_claim *pending,
                       enum beryl_claim_result result, uint64_t incarnation);
 bool claims_is_isolated (const struct beryl_claims *claims);
-/** Whether this node is SHARD's home; also true if it is isolated. */
+/** Whether this node is SHARD's home.  Also true if it is isolated: there is
+ * no home to send a claim to, so the claim ends on this node. */
 bool claims_is_home (const struct beryl_claims *claims, uint32_t shard);
 void queue_add (struct pending_queue *queue, struct pending_claim *pending);
 struct pending_claim *queue_take (struct pending_queue *queue);
--- a/libberyl/requests/claims.c
+++ b/libberyl/requests/claims.c
@@ -14,21 +14,23 @@
 #define COMPACT_MIN_SEGMENTS_DEFAULT 16
 #define COMMIT_INTERVAL_DEFAULT_MS 20
 #define COMMITS_PER_S_DEFAULT 120
-/* Commits that an idle node may make in a burst; half of them outside of the
- * tick. */
+/* Commits that an idle node may make in a burst; claims_may_commit keeps half
+ * of them for the tick. */
 #define COMMIT_BURST 8
 #define RETENTION_DEFAULT_MS 3600000
 #define DELETE_AFTER_DEFAULT_MS 600000
 #define REQUEST_TIMEOUT_DEFAULT_MS 500
-/* A tick is due this long after the last event; a much longer gap means that
- * the process was suspended, which must be noticed before other nodes could
- * have replaced this home. */
+/* A tick is due this long after the last event. */
 #define TICK_INTERVAL_MAX_MS 200
+/* A gap of this length between events means that the process was suspended.
+ * It must be shorter than the silence after which other nodes replace this
+ * home. */
 #define SUSPENSION_DETECTED_MS (3 * TICK_INTERVAL_MAX_MS)
 /* How long a process waits after a suspension for the member changes that it
  * missed. */
 #define SUSPENSION_RECOVERY_MS 100
-/* How long a new home does not trust its view of the log to be complete. */
+/* Time for which other nodes may still write to a shard on behalf of its
+ * previous home, so that the new home's view of the log may be incomplete. */
 #define HOME_ESTABLISHED_MS 2000
 
 static void
@@ -175,14 +177,14 @@
     .id = pending->id,
     .key_high = pending->key.high,
     .key_low = pending->key.low,
-    .body_hash = pending->body_hash,
+    .call_hash = pending->call_hash,
     .incarnation = incarnation,
     .result = result,
   };
 
   update_counts (claims, result);
-  if (pending->remote)
-    owner->impl->send (owner, pending->node, &reply);
+  if (pending->received)
+    owner->impl->send (owner, pending->requester, &reply);
   else
     owner->impl->result (owner, pending->id, result, incarnation);
   free (pending);
@@ -287,7 +289,7 @@
 /* Interval between commits, in microseconds, at this node's share of the
  * commit rate; all homes together stay within what the object API sustains. */
 static int64_t
-commit_cost_us (const struct beryl_claims *claims)
+commit_spacing_us (const struct beryl_claims *claims)
 {
   uint64_t homes = claims->home_count > 0 ? claims->home_count : 1;
 
@@ -298,7 +300,7 @@
 int64_t
 claims_next_commit_ms (const struct beryl_claims *claims)
 {
-  int64_t burst_us = COMMIT_BURST * commit_cost_us (claims);
+  int64_t burst_us = COMMIT_BURST * commit_spacing_us (claims);
 
   int64_t rate_ms = (claims->rate_charged_until_us - burst_us + 999) / 1000;
 
@@ -318,7 +320,7 @@
     return false;
   if (claims->serving_shards)
     return now_ms >= claims_next_commit_ms (claims);
-  return spare_us >= -COMMIT_BURST / 2 * commit_cost_us (claims);
+  return spare_us >= -COMMIT_BURST / 2 * commit_spacing_us (claims);
 }
 
 void
@@ -327,7 +329,7 @@
 {
   if (claims->rate_charged_until_us < now_ms * 1000)
     claims->rate_charged_until_us = now_ms * 1000;
-  claims->rate_charged_until_us += commit_cost_us (claims);
+  claims->rate_charged_until_us += commit_spacing_us (claims);
   claims->next_shard = shard->number + 1;
 }
 
@@ -374,7 +376,7 @@
 void
 beryl_claims_claim (struct beryl_claims *claims, uint64_t request,
                     const char *organisation, const char *key,
-                    uint64_t body_hash, int64_t now_ms)
+                    uint64_t call_hash, int64_t now_ms)
 {
   struct pending_claim *pending = calloc (1, sizeof *pending);
   uint32_t number;
@@ -387,7 +389,7 @@
       return;
     }
   pending->key = map_key_from_name (organisation, key);
-  pending->body_hash = body_hash;
+  pending->call_hash = call_hash;
   pending->incarnation = claims->settings.incarnation;
   pending->id = request;
   number = claims_shard_number (claims, pending->key);
@@ -396,8 +398,8 @@
   else if (claims_is_home (claims, number))
     shard_claim (claims_shard (claims, number), pending, now_ms);
   else
-    remote_claim_send (claims, pending, beryl_claims_home (claims, number),
-                       now_ms);
+    remote_claim_start (claims, pending, beryl_claims_home (claims, number),
+                        now_ms);
 }
 
 static void
@@ -409,11 +411,11 @@
   if (pending == NULL)
     return;
   pending->key = (struct map_key){ message->key_high, message->key_low };
-  pending->body_hash = message->body_hash;
+  pending->call_hash = message->call_hash;
   pending->incarnation = message->incarnation;
   pending->id = message->id;
-  pending->remote = true;
-  snprintf (pending->node, sizeof pending->node, "%s", node);
+  pending->received = true;
+  snprintf (pending->requester, sizeof pending->requester, "%s", node);
   shard_claim (
       claims_shard (claims, claims_shard_number (claims, pending->key)),
       pending, now_ms);
--- a/libberyl/requests/plan.c
+++ b/libberyl/requests/plan.c
@@ -50,7 +50,8 @@
   request->ticket = plan->ticket;
   if (request->plain)
     {
-      snprintf (request->decode, sizeof request->decode, "%s", plan->decode);
+      snprintf (request->answer_endpoint, sizeof request->answer_endpoint,
+                "%s", plan->decode);
       attempt_service (requests, request, now_ms);
       return;
     }
@@ -67,7 +68,7 @@
   int64_t retry_after_ms
       = plan->retry_after_ms > 0 ? plan->retry_after_ms : REFUSED_RETRY_MS;
 
-  /* The router's "concurrency_limit" and "rate_limit". */
+  /* Matches the router's reasons "concurrency_limit" and "rate_limit". */
   if (strstr (reason, "limit") != NULL)
     problem = BERYL_PROBLEM_OVER_LIMIT;
   request_fail (requests, request, problem, retry_after_ms, reason, now_ms);
@@ -115,7 +116,7 @@
   request_set_phase (requests, request, PHASE_PLAN);
   if (now_ms < requests->plan_not_before_ms)
     {
-      request->retry_at_ms = requests->plan_not_before_ms;
+      request->plan_at_ms = requests->plan_not_before_ms;
       return;
     }
   beryl_router_plan (requests->router, &job, now_ms, &plan);
@@ -130,7 +131,7 @@
     }
   if (plan.verdict == BERYL_VERDICT_WAIT)
     {
-      request->retry_at_ms = plan.retry_at_ms;
+      request->plan_at_ms = plan.retry_at_ms;
       return;
     }
   plan_emit_decision (requests, request, &plan);
@@ -151,7 +152,7 @@
        request != NULL && planned < limit; request = next)
     {
       next = request->next_waiting;
-      if (!all && now_ms < request->retry_at_ms)
+      if (!all && now_ms < request->plan_at_ms)
         continue;
       request_plan (requests, request, now_ms);
       planned++;
@@ -159,8 +160,9 @@
   return planned;
 }
 
-/* Plans waiting requests again: at the time that the router named, or all of
- * them when an attempt has ended and may have freed capacity. */
+/* Plans waiting requests again, at most PLANS_PER_EVENT: those that are due,
+ * or any if capacity may have been freed or the router's own time is due.
+ * Requests beyond that number are planned when they are due. */
 void
 requests_plan_waiting (struct beryl_requests *requests, int64_t now_ms)
 {
--- a/libberyl/requests/requests.c
+++ b/libberyl/requests/requests.c
@@ -41,7 +41,7 @@
 }
 
 void
-request_unlink (struct beryl_requests *requests, struct request *request)
+request_destroy (struct beryl_requests *requests, struct request *request)
 {
   request_set_phase (requests, request, PHASE_NONE);
   if (request->previous != NULL)
@@ -136,8 +136,8 @@
 }
 
 static void
-requests_handle_request_event (struct beryl_requests *requests,
-                               const struct beryl_event *event, int64_t now_ms)
+requests_dispatch_by_handle (struct beryl_requests *requests,
+                             const struct beryl_event *event, int64_t now_ms)
 {
   struct request *request = request_for_event (requests, event);
 
@@ -154,7 +154,7 @@
     case BERYL_EVENT_CALLER_CAUGHT_UP:
       request_on_caller_caught_up (requests, request);
       return;
-    default:
+    default: /* BERYL_EVENT_CLAIM_RESULT */
       request_on_claim_result (requests, request, event, now_ms);
       return;
     }
@@ -169,14 +169,15 @@
   switch (event->type)
     {
     case BERYL_EVENT_CALL:
-      /* Calls are admitted while draining, so the end is reported again. */
+      /* Calls are admitted while draining, so DRAINED is sent again when
+       * they have ended. */
       requests->drained_reported = false;
       requests_admit (requests, &event->call, now_ms);
       return;
     case BERYL_EVENT_CALLER_GONE:
     case BERYL_EVENT_CALLER_CAUGHT_UP:
     case BERYL_EVENT_CLAIM_RESULT:
-      requests_handle_request_event (requests, event, now_ms);
+      requests_dispatch_by_handle (requests, event, now_ms);
       return;
     case BERYL_EVENT_CANCEL_CONFIRMED:
       hold_confirmed (requests, event->cancel.endpoint, event->cancel.stream,
--- a/libberyl/requests/timers.c
+++ b/libberyl/requests/timers.c
@@ -90,7 +90,7 @@
 }
 
 /* Scans the open requests only when one may be due: a scan on each event would
- * make the cost of a token grow with the number of open requests. */
+ * make the cost of one event grow with the number of open requests. */
 void
 requests_handle_due (struct beryl_requests *requests, int64_t now_ms)
 {
@@ -123,7 +123,7 @@
     for (const struct request *r = requests->waiting[c].first; r != NULL;
          r = r->next_waiting)
       {
-        due_ms = earlier (due_ms, r->retry_at_ms);
+        due_ms = earlier (due_ms, r->plan_at_ms);
         waiting = true;
       }
   if (!waiting)
