--- a/libberyl/config/fields.c
+++ b/libberyl/config/fields.c
@@ -66,7 +66,7 @@
   const char *text = json_string_value (value);
 
   if (text == NULL)
-    beryl_location_report (location, field->key, "%s must be a string",
+    beryl_location_report (location, field->key, "%s must be text",
                            field->key);
   else if (strlen (text) >= field->bytes)
     beryl_location_report (location, field->key, "%s has more than %zu bytes",
@@ -91,7 +91,7 @@
   if (text == NULL
       || (inet_pton (AF_INET, text, number) != 1
           && inet_pton (AF_INET6, text, number) != 1))
-    beryl_location_report (location, field->key, "%s must be an IP address",
+    beryl_location_report (location, field->key, "%s must be an IP number",
                            field->key);
   else
     read_text (location, field, value, target);
--- a/libberyl/config/parse.c
+++ b/libberyl/config/parse.c
@@ -133,7 +133,7 @@
             beryl_kind_name (kind->kind), name);
   check_unique (parser, location, kind, name);
   if (kind->kind == BERYL_KIND_SYSTEM && strcmp (name, SYSTEM_NAME) != 0)
-    beryl_location_report (location, "name", "name must be " SYSTEM_NAME);
+    beryl_location_report (location, "name", "its name must be " SYSTEM_NAME);
   target = list_append (&parser->lists[kind->kind], kind->bytes);
   if (target == NULL)
     {
@@ -304,8 +304,7 @@
   if (!json_is_array (root))
     {
       beryl_findings_add (parser->findings, NULL, 0, 0,
-                          "the configuration must be an array of "
-                          "objects");
+                          "must be an array of objects");
       return;
     }
   json_array_foreach (root, i, object)
--- a/libberyl/spread/acceptor.c
+++ b/libberyl/spread/acceptor.c
@@ -285,9 +285,8 @@
           && strcmp (name, c->name) == 0;
   json_decref (json);
   if (!match)
-    beryl_findings_add (
-        findings, c->name, 0, 0,
-        "kind and name do not match those of the stored object");
+    beryl_findings_add (findings, c->name, 0, 0,
+                        "kind and name differ from the object's own");
   return match;
 }
 
--- a/libberyl/spread/config_log.c
+++ b/libberyl/spread/config_log.c
@@ -228,8 +228,7 @@
 
   if (version == 0 || !changes_valid (changes))
     {
-      beryl_error_set (error, BERYL_ERROR_INVALID,
-                       "malformed configuration log entry");
+      beryl_error_set (error, BERYL_ERROR_INVALID, "malformed entry");
       return BERYL_CONFIG_LOG_INVALID;
     }
   if (version <= log->version)
@@ -256,8 +255,7 @@
 
   if (json == NULL)
     {
-      beryl_error_set (error, BERYL_ERROR_INVALID,
-                       "configuration log entry is not valid JSON");
+      beryl_error_set (error, BERYL_ERROR_INVALID, "entry is not JSON");
       return BERYL_CONFIG_LOG_INVALID;
     }
   result = entry_apply (log, json, entry, entry_bytes, error);
@@ -344,9 +342,7 @@
   if (!changes_valid (changes) || !changes_apply (&items, changes))
     {
       object_table_clear (&items);
-      beryl_error_set (
-          error, BERYL_ERROR_INVALID,
-          "malformed configuration log snapshot, or out of memory");
+      beryl_error_set (error, BERYL_ERROR_INVALID, "malformed snapshot");
       return BERYL_CONFIG_LOG_INVALID;
     }
   retained_clear (log);
@@ -369,8 +365,7 @@
 
   if (json == NULL)
     {
-      beryl_error_set (error, BERYL_ERROR_INVALID,
-                       "configuration log snapshot is not valid JSON");
+      beryl_error_set (error, BERYL_ERROR_INVALID, "snapshot is not JSON");
       return BERYL_CONFIG_LOG_INVALID;
     }
   version = (uint64_t)json_integer_value (json_object_get (json, "version"));
--- a/tests/config/test_config.c
+++ b/tests/config/test_config.c
@@ -185,7 +185,7 @@
   ck_assert_ptr_null (parse (json, findings));
   ck_assert (has_finding (findings, "/0/spec/deadline", "unknown key"));
   ck_assert (has_finding (findings, "/0/spec/class", "urgent, normal"));
-  ck_assert (has_finding (findings, "/1/spec/address", "IP address"));
+  ck_assert (has_finding (findings, "/1/spec/address", "IP number"));
   ck_assert (has_finding (findings, "/1/spec/port", "from 1 to 65535"));
   ck_assert (has_finding (findings, "/2/spec/token_sha256/0", "hex"));
   ck_assert (has_finding (findings, "/3/name", "more than once"));
