--- a/include/beryl/forward.h
+++ b/include/beryl/forward.h
@@ -51,7 +51,7 @@
   uint32_t prompt_tokens;
   uint32_t output_tokens_max;
   uint32_t output_tokens_hint; /**< caller's estimate; 0 if none */
-  uint32_t prompt_key;         /**< equal for equal prompts; 0 if unknown */
+  uint32_t prompt_hash;        /**< equal for equal prompts; 0 if unknown */
   bool resumes;                /**< the caller resumes after LAST_EVENT_ID */
   uint64_t last_event_id;
 };
@@ -101,10 +101,10 @@
 {
   BERYL_REFUSAL_NO_CONFIGURATION,
   BERYL_REFUSAL_NO_ROUTE,
-  BERYL_REFUSAL_NO_ENDPOINT,    /**< no endpoint of the service may be used */
-  BERYL_REFUSAL_NO_ROOM,        /**< no engine had free memory in time */
-  BERYL_REFUSAL_ENDPOINTS_FULL, /**< not run so far, and no untried endpoint or
-                                   no repeat is left */
+  BERYL_REFUSAL_NO_ENDPOINT, /**< no endpoint of the service may be used */
+  BERYL_REFUSAL_NO_ROOM,     /**< no engine had free memory in time */
+  BERYL_REFUSAL_ATTEMPTS_EXHAUSTED, /**< not run so far, and no untried
+                                   endpoint or no repeat is left */
   BERYL_REFUSAL_DEADLINE,
   BERYL_REFUSAL_ENDPOINT_FAILED,
   BERYL_REFUSAL_STOPPING,
--- a/libberyl/forward/backlog.c
+++ b/libberyl/forward/backlog.c
@@ -29,8 +29,8 @@
 run_ends_per_s (struct beryl_forward *f, const struct request *r,
                 int64_t now_ms)
 {
-  const struct length_model *lengths = &r->service->lengths;
-  double run_ms = r->service->output_tokens_mean * lengths->ms_per_token;
+  const struct output_model *outputs = &r->service->output_model;
+  double run_ms = r->service->output_tokens_mean * outputs->ms_per_token;
   uint32_t runs = engine_run_count (f, r, now_ms);
 
   return run_ms > 0 ? 1000 * runs / run_ms : 0;
@@ -101,10 +101,10 @@
   if (latest_ms != BERYL_NEVER_MS)
     after_ms = MAX (after_ms, random_retry_ms (f, latest_ms - now_ms));
   retry_ms = now_ms + after_ms;
-  if (s->next_retry_ms > retry_ms)
-    retry_ms = s->next_retry_ms;
+  if (s->earliest_retry_ms > retry_ms)
+    retry_ms = s->earliest_retry_ms;
   if (retry_ms > latest_ms)
     retry_ms = latest_ms;
-  s->next_retry_ms = retry_ms + (int64_t)(1000 / rate);
+  s->earliest_retry_ms = retry_ms + (int64_t)(1000 / rate);
   return retry_ms - now_ms;
 }
--- a/libberyl/forward/call_times.h
+++ b/libberyl/forward/call_overhead.h
@@ -4,24 +4,24 @@
  * process; what a prefill takes longer was spent in the engine's queue and on
  * the prompt.
  */
-#ifndef FORWARD_CALL_TIMES_H
-#define FORWARD_CALL_TIMES_H
+#ifndef FORWARD_CALL_OVERHEAD_H
+#define FORWARD_CALL_OVERHEAD_H
 
 #include <stdint.h>
 
-#define CALL_TIMES_RECENT 8
+#define CALL_OVERHEAD_RECENT 8
 
 /** The most recent calls; zero-initialise. */
-struct call_times
+struct call_overhead
 {
-  int64_t recent_ms[CALL_TIMES_RECENT];
+  int64_t recent_ms[CALL_OVERHEAD_RECENT];
   uint32_t count;
 };
 
 /** Record a call that took TOOK_MS. */
-void call_times_learn (struct call_times *calls, int64_t took_ms);
+void call_overhead_learn (struct call_overhead *calls, int64_t took_ms);
 
 /** Return the shortest of the recent calls, in milliseconds; 0 before any. */
-int64_t call_times_min_ms (const struct call_times *calls);
+int64_t call_overhead_min_ms (const struct call_overhead *calls);
 
 #endif
--- a/libberyl/forward/endpoint_reports.c
+++ b/libberyl/forward/endpoint_reports.c
@@ -22,10 +22,10 @@
 #define UNREACHABLE_MAX_DIVISOR 3
 
 void
-beryl_endpoint_set_add (struct beryl_endpoint_set *set, uint32_t number)
+beryl_endpoint_set_add (struct beryl_endpoint_set *set, uint32_t hash)
 {
   if (set->count < BERYL_ENDPOINT_SET_MAX)
-    set->hashes[set->count++] = number;
+    set->hashes[set->count++] = hash;
 }
 
 static void
@@ -66,47 +66,47 @@
     {
       const struct beryl_live_endpoint *endpoint
           = beryl_live_set_get (f->endpoints, i);
-      uint32_t number;
+      uint32_t hash;
 
       if (endpoint->replaced_ms == 0 && endpoint->unreachable_ms == 0)
         continue;
-      number = beryl_live_hash (endpoint);
+      hash = beryl_live_hash (endpoint);
       if (endpoint->replaced_ms != 0)
         {
           if (now_ms - endpoint->replaced_ms < REPLACED_REPORT_MS)
-            beryl_endpoint_set_add (&reports->replaced, number);
+            beryl_endpoint_set_add (&reports->replaced, hash);
         }
       else if (now_ms - endpoint->unreachable_ms < UNREACHABLE_REPORT_MS)
-        beryl_endpoint_set_add (&reports->unreachable, number);
+        beryl_endpoint_set_add (&reports->unreachable, hash);
     }
 }
 
 static bool
-set_has (const struct beryl_endpoint_set *set, uint32_t number)
+set_has (const struct beryl_endpoint_set *set, uint32_t hash)
 {
   for (size_t i = 0; i < set->count; i++)
-    if (set->hashes[i] == number)
+    if (set->hashes[i] == hash)
       return true;
   return false;
 }
 
 static void
-apply_report (struct beryl_forward *f, const char *peer, uint32_t peer_number,
+apply_report (struct beryl_forward *f, const char *peer, uint32_t peer_hash,
               const struct beryl_endpoint_updates *reports,
               struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
-  uint32_t number = beryl_live_hash (endpoint);
+  uint32_t hash = beryl_live_hash (endpoint);
 
-  if (set_has (&reports->changing, number))
+  if (set_has (&reports->changing, hash))
     endpoint->stage_change_until_ms = now_ms + CHANGING_AVOID_MS;
-  if (set_has (&reports->replaced, number) && endpoint->replaced_ms == 0)
+  if (set_has (&reports->replaced, hash) && endpoint->replaced_ms == 0)
     {
       beryl_live_mark_replaced (endpoint, now_ms);
       crashes_endpoint_ended (f, endpoint, now_ms);
       log_state (f, endpoint, "replaced", peer);
     }
-  if (set_has (&reports->unreachable, number)
-      && beryl_live_suspect (endpoint, peer_number, now_ms))
+  if (set_has (&reports->unreachable, hash)
+      && beryl_live_suspect (endpoint, peer_hash, now_ms))
     log_state (f, endpoint, "unreachable", peer);
 }
 
@@ -116,7 +116,7 @@
     const struct beryl_endpoint_updates *reports, int64_t now_ms)
 {
   size_t count = beryl_live_set_count (f->endpoints);
-  uint32_t peer_number = beryl_name_hash (peer);
+  uint32_t peer_hash = beryl_name_hash (peer);
   struct beryl_endpoint_updates accepted = *reports;
 
   if (reports->unreachable.count * UNREACHABLE_MAX_DIVISOR > count)
@@ -126,6 +126,6 @@
       == 0)
     return;
   for (size_t i = 0; i < count; i++)
-    apply_report (f, peer, peer_number, &accepted,
+    apply_report (f, peer, peer_hash, &accepted,
                   beryl_live_set_get (f->endpoints, i), now_ms);
 }
--- a/libberyl/forward/engines.c
+++ b/libberyl/forward/engines.c
@@ -39,7 +39,7 @@
     return 0;
   if (r->last_event_ms > 0 && now_ms > r->last_event_ms)
     produced += (uint64_t)fmin ((double)(now_ms - r->last_event_ms)
-                                    / r->service->lengths.ms_per_token,
+                                    / r->service->output_model.ms_per_token,
                                 r->config->engine.event_tokens);
   return produced < r->params.output_tokens_max ? (uint32_t)produced
                                                 : r->params.output_tokens_max;
@@ -59,7 +59,7 @@
     .started = r->phase == PHASE_RUNNING,
     .suspect = crashes_is_suspect (r, now_ms),
   };
-  run->prompt_hash = r->params.prompt_key;
+  run->prompt_hash = r->params.prompt_hash;
   if (endpoint == NULL)
     run->service = beryl_name_hash (r->service->name);
   if (r->local_prefill && r->run_events == 0)
@@ -112,9 +112,9 @@
     if (r->reservation.endpoint != endpoint)
       continue;
     engine_describe_run (r, now_ms, &run);
-    memory_forecast_add (forecast, &s->lengths, &run, 0, true);
+    memory_forecast_add (forecast, &s->output_model, &run, 0, true);
   }
-  run_table_forecast (&f->run_table, forecast, &s->lengths,
+  run_table_forecast (&f->run_table, forecast, &s->output_model,
                       beryl_live_hash (endpoint), now_ms);
   add_unreported (endpoint, now_ms, forecast);
 }
@@ -154,7 +154,7 @@
 
   engine_forecast (f, r->service, endpoint, now_ms, &forecast);
   engine_describe_run (r, now_ms, &run);
-  memory_forecast_add (&forecast, &r->service->lengths, &run, 0, true);
+  memory_forecast_add (&forecast, &r->service->output_model, &run, 0, true);
   return memory_forecast_peak (&forecast, FORECAST_STEPS * FORECAST_STEP_MS,
                                deviations);
 }
@@ -234,8 +234,9 @@
 /* Chooses among the engines that run no suspect (APART), or among all. The
    forecast is an estimate; the engine itself counts exactly and decides. */
 static struct beryl_live_endpoint *
-choose_decode (struct beryl_forward *f, const struct request *r, bool apart,
-               struct engine_capacity *capacity, int64_t now_ms)
+choose_decode (struct beryl_forward *f, const struct request *r,
+               bool without_suspects, struct engine_capacity *capacity,
+               int64_t now_ms)
 {
   struct sample sample;
   struct beryl_live_endpoint *best = NULL, *warm = NULL;
@@ -250,7 +251,7 @@
 
       if (!may_be_asked (r, endpoint, now_ms)
           || !rates_allows (f, r->service, endpoint, now_ms)
-          || (apart && crashes_suspect_at (f, r, endpoint, now_ms)))
+          || (without_suspects && crashes_suspect_at (f, r, endpoint, now_ms)))
         continue;
       if (engine_has_prompt_cached (r, endpoint))
         warm = endpoint;
@@ -334,7 +335,7 @@
   if (other != r && other->reservation.endpoint == r->reservation.endpoint
       && produced_tokens (other, now_ms) < produced)
     return false;
-  return !run_table_has_newer (&f->run_table, &r->service->lengths,
+  return !run_table_has_newer (&f->run_table, &r->service->output_model,
                                beryl_live_hash (r->reservation.endpoint),
                                produced, now_ms);
 }
@@ -353,10 +354,10 @@
 queued_tokens (const struct beryl_forward *f,
                const struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
-  uint32_t number = beryl_live_hash (endpoint);
+  uint32_t hash = beryl_live_hash (endpoint);
 
   return (double)(endpoint->open_prefill_tokens
-                  + run_table_prefill_tokens (&f->run_table, number, now_ms));
+                  + run_table_prefill_tokens (&f->run_table, hash, now_ms));
 }
 
 struct beryl_live_endpoint *
--- a/libberyl/forward/forward.c
+++ b/libberyl/forward/forward.c
@@ -40,13 +40,13 @@
 
 struct beryl_forward *
 beryl_forward_create (const struct beryl_forward_settings *settings,
-                      struct beryl_live_set *lives,
+                      struct beryl_live_set *endpoints,
                       struct beryl_forward_owner *owner)
 {
   struct beryl_forward *f = calloc (1, sizeof *f);
 
   f->settings = *settings;
-  f->endpoints = lives;
+  f->endpoints = endpoints;
   f->owner = owner;
   f->nodes = 1;
   f->random = settings->seed;
@@ -98,9 +98,9 @@
       return f->services[i];
   s = calloc (1, sizeof *s);
   memcpy (s->name, name, strlen (name) + 1);
-  length_model_init (&s->lengths);
+  output_model_init (&s->output_model);
   s->prompt_tokens_mean = PRIOR_PROMPT_TOKENS;
-  s->output_tokens_mean = s->lengths.tokens_mean;
+  s->output_tokens_mean = s->output_model.tokens_mean;
   pace_init (&s->prefill_pace);
   s->prefill_ms_per_token = s->prefill_pace.ms_per_token;
   f->services
@@ -110,10 +110,10 @@
 }
 
 struct service *
-forward_service_by_number (const struct beryl_forward *f, uint32_t number)
+forward_service_by_hash (const struct beryl_forward *f, uint32_t hash)
 {
   for (size_t i = 0; i < f->service_count; i++)
-    if (beryl_name_hash (f->services[i]->name) == number)
+    if (beryl_name_hash (f->services[i]->name) == hash)
       return f->services[i];
   return NULL;
 }
@@ -278,7 +278,7 @@
   if (forward_request_is_generation (r))
     needed_ms = GENERATION_EXTRA_MS
                 + (int64_t)(r->params.output_tokens_max
-                            * r->service->lengths.ms_per_token);
+                            * r->service->output_model.ms_per_token);
   return now_ms + needed_ms <= f->stop_ms;
 }
 
@@ -419,7 +419,7 @@
 
   if (x == NULL)
     return;
-  generation_result (f, x, result, now_ms);
+  generation_exchange_result (f, x, result, now_ms);
 }
 
 void
--- a/libberyl/forward/generation.c
+++ b/libberyl/forward/generation.c
@@ -24,8 +24,9 @@
 static void
 update_means (struct service *s, const struct request *r)
 {
-  double output = length_model_mean (&s->lengths, r->params.output_tokens_hint,
-                                     r->params.output_tokens_max);
+  double output
+      = output_model_mean (&s->output_model, r->params.output_tokens_hint,
+                           r->params.output_tokens_max);
   double weight;
 
   s->arrived++;
@@ -42,13 +43,14 @@
 
   update_means (s, r);
   r->warm_engine = prompt_locations_find (&f->prompt_locations,
-                                          r->params.prompt_key, now_ms);
+                                          r->params.prompt_hash, now_ms);
   /* The prompt ran recently, so this is most likely its caller's retry. Runs
      of the prompt that peers have reported are assumed to have ended. */
   if (r->warm_engine != 0)
-    run_table_drop_prompt (&f->run_table, r->params.prompt_key);
-  r->expected_tokens = length_model_median (
-      &s->lengths, r->params.output_tokens_hint, r->params.output_tokens_max);
+    run_table_drop_prompt (&f->run_table, r->params.prompt_hash);
+  r->expected_tokens
+      = output_model_median (&s->output_model, r->params.output_tokens_hint,
+                             r->params.output_tokens_max);
   placement_start (f, r, now_ms);
 }
 
@@ -231,15 +233,16 @@
 }
 
 void
-generation_result (struct beryl_forward *f, struct exchange *x,
-                   const struct beryl_engine_result *result, int64_t now_ms)
+generation_exchange_result (struct beryl_forward *f, struct exchange *x,
+                            const struct beryl_engine_result *result,
+                            int64_t now_ms)
 {
   struct request *r = x->request;
 
   if (result->misdirected)
     endpoint_report_replaced (f, x->endpoint, now_ms);
   if (x->kind == BERYL_EXCHANGE_RESERVE && r != NULL)
-    call_times_learn (&r->service->reservation_times, now_ms - x->started_ms);
+    call_overhead_learn (&r->service->call_overhead, now_ms - x->started_ms);
   if (x->kind == BERYL_EXCHANGE_PREFILL)
     rates_learn (f, x, &result->limit, result->ok, now_ms);
   if (r == NULL)
@@ -298,7 +301,7 @@
    was gone. A second engine that rejects the same cache shows that it is the
    cache. */
 static void
-back_off_cause (struct request *r, int64_t now_ms)
+back_off_responsible_engine (struct request *r, int64_t now_ms)
 {
   struct beryl_live_endpoint *engine = r->reservation.endpoint;
 
@@ -314,7 +317,7 @@
 {
   if (wrong_stage && r->reservation.endpoint != NULL)
     generation_record_other_stage (r->reservation.endpoint);
-  back_off_cause (r, now_ms);
+  back_off_responsible_engine (r, now_ms);
   reservation_unusable (f, r, now_ms);
 }
 
--- a/libberyl/forward/live.c
+++ b/libberyl/forward/live.c
@@ -54,9 +54,9 @@
 /* Returns how long after an endpoint was known to leave it may get work from
    this node. */
 static int64_t
-leaving_work_ms (const struct beryl_live_set *lives)
+leaving_work_ms (const struct beryl_live_set *set)
 {
-  return (int64_t)(LEAVE_USED_SHARE * (double)lives->leave_ms);
+  return (int64_t)(LEAVE_USED_SHARE * (double)set->leave_ms);
 }
 
 static struct map_key
@@ -79,70 +79,69 @@
 struct beryl_live_set *
 beryl_live_set_create (int64_t leave_ms)
 {
-  struct beryl_live_set *lives = calloc (1, sizeof *lives);
+  struct beryl_live_set *set = calloc (1, sizeof *set);
 
-  lives->leave_ms = leave_ms;
-  return lives;
+  set->leave_ms = leave_ms;
+  return set;
 }
 
 void
-beryl_live_set_destroy (struct beryl_live_set *lives)
+beryl_live_set_destroy (struct beryl_live_set *set)
 {
-  if (lives == NULL)
+  if (set == NULL)
     return;
-  for (size_t i = 0; i < lives->count; i++)
-    free (lives->items[i]);
-  free (lives->items);
-  map_clear (&lives->by_id);
-  free (lives);
+  for (size_t i = 0; i < set->count; i++)
+    free (set->items[i]);
+  free (set->items);
+  map_clear (&set->by_id);
+  free (set);
 }
 
 struct beryl_live_endpoint *
-beryl_live_set_find (const struct beryl_live_set *lives, const char *id)
+beryl_live_set_find (const struct beryl_live_set *set, const char *id)
 {
-  return map_get (&lives->by_id, id_key (id));
+  return map_get (&set->by_id, id_key (id));
 }
 
 static struct beryl_live_endpoint *
-lives_add (struct beryl_live_set *lives, const char *id)
+lives_add (struct beryl_live_set *set, const char *id)
 {
   struct beryl_live_endpoint *endpoint = calloc (1, sizeof *endpoint);
 
-  if (lives->count == lives->capacity)
+  if (set->count == set->capacity)
     {
-      lives->capacity = lives->capacity != 0 ? 2 * lives->capacity : 16;
-      lives->items
-          = realloc (lives->items,
-                     lives->capacity * sizeof (struct beryl_live_endpoint *));
+      set->capacity = set->capacity != 0 ? 2 * set->capacity : 16;
+      set->items = realloc (
+          set->items, set->capacity * sizeof (struct beryl_live_endpoint *));
     }
-  lives->items[lives->count++] = endpoint;
-  map_put (&lives->by_id, id_key (id), endpoint);
+  set->items[set->count++] = endpoint;
+  map_put (&set->by_id, id_key (id), endpoint);
   return endpoint;
 }
 
 static void
-lives_release (struct beryl_live_set *lives,
+lives_release (struct beryl_live_set *set,
                struct beryl_live_endpoint *endpoint)
 {
-  for (size_t i = 0; i < lives->count; i++)
-    if (lives->items[i] == endpoint)
+  for (size_t i = 0; i < set->count; i++)
+    if (set->items[i] == endpoint)
       {
-        lives->items[i] = lives->items[--lives->count];
+        set->items[i] = set->items[--set->count];
         break;
       }
   /* The id may already belong to a later incarnation. */
-  if (beryl_live_set_find (lives, endpoint->info.id) == endpoint)
-    map_remove (&lives->by_id, id_key (endpoint->info.id));
+  if (beryl_live_set_find (set, endpoint->info.id) == endpoint)
+    map_remove (&set->by_id, id_key (endpoint->info.id));
   free (endpoint);
 }
 
 static void
-mark_gone (struct beryl_live_set *lives, struct beryl_live_endpoint *endpoint)
+mark_gone (struct beryl_live_set *set, struct beryl_live_endpoint *endpoint)
 {
   endpoint->gone = true;
   endpoint->grace_end_ms = 0;
   if (endpoint->open_exchanges == 0)
-    lives_release (lives, endpoint);
+    lives_release (set, endpoint);
 }
 
 static bool
@@ -169,10 +168,10 @@
    object invalidates them all. Otherwise requests would be sent with handles
    that the new incarnation may have given to other requests. */
 static struct beryl_live_endpoint *
-replace_incarnation (struct beryl_live_set *lives,
+replace_incarnation (struct beryl_live_set *set,
                      struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
-  struct beryl_live_endpoint *next = lives_add (lives, endpoint->info.id);
+  struct beryl_live_endpoint *next = lives_add (set, endpoint->info.id);
 
   next->previous_starts_ms[0] = endpoint->info.process_start_ms;
   memcpy (&next->previous_starts_ms[1], endpoint->previous_starts_ms,
@@ -180,24 +179,24 @@
               - sizeof endpoint->previous_starts_ms[0]);
   beryl_live_mark_replaced (endpoint, now_ms);
   endpoint->leaving_since_ms = now_ms;
-  mark_gone (lives, endpoint);
+  mark_gone (set, endpoint);
   return next;
 }
 
 struct beryl_live_endpoint *
-beryl_live_set_put (struct beryl_live_set *lives,
+beryl_live_set_put (struct beryl_live_set *set,
                     const struct beryl_live_info *info, int64_t now_ms)
 {
-  struct beryl_live_endpoint *endpoint = beryl_live_set_find (lives, info->id);
+  struct beryl_live_endpoint *endpoint = beryl_live_set_find (set, info->id);
   uint64_t start_ms = info->process_start_ms;
 
   if (endpoint == NULL)
-    endpoint = lives_add (lives, info->id);
+    endpoint = lives_add (set, info->id);
   else if (info->revision < endpoint->info.revision
            || is_former_incarnation (endpoint, info->process_start_ms))
     return endpoint;
   else if (has_restarted (endpoint, info))
-    endpoint = replace_incarnation (lives, endpoint, now_ms);
+    endpoint = replace_incarnation (set, endpoint, now_ms);
   else if (start_ms == 0)
     start_ms = endpoint->info.process_start_ms;
   endpoint->info = *info;
@@ -214,83 +213,83 @@
 /* Updates arrive before the list is confirmed, so the first update after an
    outage must detect its end itself. */
 static void
-detect_list_resumed (struct beryl_live_set *lives, int64_t now_ms)
+detect_list_resumed (struct beryl_live_set *set, int64_t now_ms)
 {
-  if (lives->synced_ms != 0 && now_ms - lives->synced_ms >= LIST_OUTAGE_MS)
-    lives->resumed_ms = now_ms;
+  if (set->synced_ms != 0 && now_ms - set->synced_ms >= LIST_OUTAGE_MS)
+    set->resumed_ms = now_ms;
 }
 
 void
-beryl_live_set_remove (struct beryl_live_set *lives, const char *id,
+beryl_live_set_remove (struct beryl_live_set *set, const char *id,
                        int64_t now_ms)
 {
-  struct beryl_live_endpoint *endpoint = beryl_live_set_find (lives, id);
+  struct beryl_live_endpoint *endpoint = beryl_live_set_find (set, id);
 
   if (endpoint == NULL || endpoint->gone)
     return;
-  detect_list_resumed (lives, now_ms);
+  detect_list_resumed (set, now_ms);
   if (endpoint->leaving_since_ms == 0)
     endpoint->leaving_since_ms = now_ms;
-  if (lives->resumed_ms != 0 && now_ms < lives->resumed_ms + RELIST_MS
+  if (set->resumed_ms != 0 && now_ms < set->resumed_ms + RELIST_MS
       && !endpoint->info.leaving)
-    endpoint->grace_end_ms = now_ms + leaving_work_ms (lives);
+    endpoint->grace_end_ms = now_ms + leaving_work_ms (set);
   else
-    mark_gone (lives, endpoint);
+    mark_gone (set, endpoint);
 }
 
 void
-beryl_live_set_reject (struct beryl_live_set *lives, const char *id,
+beryl_live_set_reject (struct beryl_live_set *set, const char *id,
                        int64_t now_ms)
 {
-  struct beryl_live_endpoint *endpoint = beryl_live_set_find (lives, id);
+  struct beryl_live_endpoint *endpoint = beryl_live_set_find (set, id);
 
   if (endpoint == NULL || endpoint->gone)
     return;
   if (endpoint->leaving_since_ms == 0)
     endpoint->leaving_since_ms = now_ms;
-  mark_gone (lives, endpoint);
+  mark_gone (set, endpoint);
 }
 
 void
-beryl_live_set_synced (struct beryl_live_set *lives, int64_t now_ms)
+beryl_live_set_synced (struct beryl_live_set *set, int64_t now_ms)
 {
-  detect_list_resumed (lives, now_ms);
-  lives->synced_ms = now_ms;
+  detect_list_resumed (set, now_ms);
+  set->synced_ms = now_ms;
 }
 
 int64_t
-beryl_live_set_synced_ms (const struct beryl_live_set *lives)
+beryl_live_set_synced_ms (const struct beryl_live_set *set)
 {
-  return lives->synced_ms;
+  return set->synced_ms;
 }
 
 bool
-beryl_live_set_expire (struct beryl_live_set *lives, int64_t now_ms)
+beryl_live_set_expire (struct beryl_live_set *set, int64_t now_ms)
 {
   bool any = false;
 
-  for (size_t i = lives->count; i > 0; i--)
+  for (size_t i = set->count; i > 0; i--)
     {
-      struct beryl_live_endpoint *endpoint = lives->items[i - 1];
+      struct beryl_live_endpoint *endpoint = set->items[i - 1];
 
       if (endpoint->grace_end_ms == 0 || now_ms < endpoint->grace_end_ms)
         continue;
-      mark_gone (lives, endpoint);
+      mark_gone (set, endpoint);
       any = true;
     }
   return any;
 }
 
 size_t
-beryl_live_set_count (const struct beryl_live_set *lives)
+beryl_live_set_count (const struct beryl_live_set *set)
 {
-  return lives->count;
+  return set->count;
 }
 
 struct beryl_live_endpoint *
-beryl_live_set_get (const struct beryl_live_set *lives, size_t i)
+beryl_live_set_get (const struct beryl_live_set *set, size_t i)
 {
-  return lives->items[i];
+  return set->items[i];
 }
 
 bool
@@ -301,13 +300,13 @@
 }
 
 bool
-beryl_live_set_allows_bound_work (const struct beryl_live_set *lives,
+beryl_live_set_allows_bound_work (const struct beryl_live_set *set,
                                   const struct beryl_live_endpoint *endpoint,
                                   int64_t now_ms)
 {
   return beryl_live_accepts_work (endpoint)
          || (endpoint->leaving_since_ms != 0 && endpoint->replaced_ms == 0
-             && now_ms < endpoint->leaving_since_ms + leaving_work_ms (lives));
+             && now_ms < endpoint->leaving_since_ms + leaving_work_ms (set));
 }
 
 bool
@@ -324,12 +323,12 @@
 }
 
 void
-beryl_live_close (struct beryl_live_set *lives,
+beryl_live_close (struct beryl_live_set *set,
                   struct beryl_live_endpoint *endpoint)
 {
   endpoint->open_exchanges--;
   if (endpoint->gone && endpoint->open_exchanges == 0)
-    lives_release (lives, endpoint);
+    lives_release (set, endpoint);
 }
 
 static int64_t
--- a/libberyl/forward/loans.c
+++ b/libberyl/forward/loans.c
@@ -15,8 +15,8 @@
 #define LOAN_REQUEST_TIMEOUT_MS 150
 
 void
-loans_schedule_if_low (struct beryl_forward *f, struct service *s,
-                       int64_t now_ms)
+loans_report_if_low (struct beryl_forward *f, struct service *s,
+                     int64_t now_ms)
 {
   struct repeat_limits limits = forward_repeat_limits (f);
 
@@ -92,7 +92,7 @@
       const struct beryl_budget_transfer *request, int64_t now_ms)
 {
   struct repeat_limits limits = forward_repeat_limits (f);
-  struct service *s = forward_service_by_number (f, request->service);
+  struct service *s = forward_service_by_hash (f, request->service);
   uint32_t max_count = request->count < LOAN_MAX ? request->count : LOAN_MAX;
   uint32_t count;
 
@@ -114,7 +114,7 @@
 borrow (struct beryl_forward *f, const struct beryl_budget_transfer *lent,
         int64_t now_ms)
 {
-  struct service *s = forward_service_by_number (f, lent->service);
+  struct service *s = forward_service_by_hash (f, lent->service);
 
   if (s == NULL || lent->serial == 0 || lent->serial != s->loan_serial)
     return;
--- a/libberyl/forward/placement.c
+++ b/libberyl/forward/placement.c
@@ -156,8 +156,8 @@
    the others' choices, and would preempt running requests for lack of memory.
    On average only as many ask as would fit. */
 static bool
-leaves_to_others (struct beryl_forward *f, const struct request *r,
-                  double fitting_runs, int64_t now_ms)
+skips_round (struct beryl_forward *f, const struct request *r,
+             double fitting_runs, int64_t now_ms)
 {
   double concurrent_asks = (double)backlog_waiting (f, r, now_ms)
                            * PROPAGATION_MS / ASK_INTERVAL_MS;
@@ -192,8 +192,7 @@
     }
   if (r->failed_asks < ASKS_PER_ROUND)
     endpoint = engine_choose_decode (f, r, &capacity, now_ms);
-  if (endpoint == NULL
-      || leaves_to_others (f, r, capacity.fitting_runs, now_ms))
+  if (endpoint == NULL || skips_round (f, r, capacity.fitting_runs, now_ms))
     {
       log_wait (f, r,
                 r->failed_asks > 0      ? "engines_refuse"
--- a/libberyl/forward/plain.c
+++ b/libberyl/forward/plain.c
@@ -198,7 +198,7 @@
   else if (r->may_have_run)
     forward_request_fail (f, r, BERYL_REFUSAL_ENDPOINT_FAILED, now_ms);
   else
-    forward_request_refuse (f, r, 503, BERYL_REFUSAL_ENDPOINTS_FULL,
+    forward_request_refuse (f, r, 503, BERYL_REFUSAL_ATTEMPTS_EXHAUSTED,
                             FULL_RETRY_AFTER_MS, now_ms);
 }
 
--- a/libberyl/forward/prefill.c
+++ b/libberyl/forward/prefill.c
@@ -37,7 +37,7 @@
 {
   return busy_ms
          + (int64_t)(2 * r->config->engine.event_tokens
-                     * r->service->lengths.ms_per_token);
+                     * r->service->output_model.ms_per_token);
 }
 
 /* Returns whether ENDPOINT, a decode engine, prefills or has just prefilled a
@@ -59,7 +59,7 @@
 prefill_ms (const struct request *r)
 {
   return r->params.prompt_tokens * r->service->prefill_ms_per_token
-         + (double)call_times_min_ms (&r->service->reservation_times);
+         + (double)call_overhead_min_ms (&r->service->call_overhead);
 }
 
 static int64_t
@@ -209,7 +209,7 @@
 static void
 learn_pace (struct service *s, uint32_t tokens, int64_t took_ms)
 {
-  int64_t busy_ms = took_ms - call_times_min_ms (&s->reservation_times);
+  int64_t busy_ms = took_ms - call_overhead_min_ms (&s->call_overhead);
 
   if (busy_ms > 0)
     profile_learn_prefill (s, tokens, busy_ms);
--- a/libberyl/forward/private.h
+++ b/libberyl/forward/private.h
@@ -13,7 +13,7 @@
 #include "beryl/clock.h"
 #include "beryl/forward.h"
 #include "run_table.h"
-#include "call_times.h"
+#include "call_overhead.h"
 #include "events.h"
 #include "pace.h"
 #include "prompt_locations.h"
@@ -43,7 +43,7 @@
   double answer_mean_ms;      /**< smoothed time to the head of an answer; 0 if
                                  unknown */
   double answer_deviation_ms; /**< mean deviation of it */
-  struct length_model lengths; /**< output lengths of its generations */
+  struct output_model output_model; /**< output lengths of its generations */
   double prompt_tokens_mean;   /**< mean prompt length of its generations */
   double output_tokens_mean;   /**< mean expected output of its generations */
   uint32_t arrived;            /**< number of generations that arrived */
@@ -51,11 +51,12 @@
                                   this node's own prefills */
   double prefill_ms_per_token; /**< prefill time used in estimates; may be the
                                   fleet's median */
-  struct call_times reservation_times; /**< durations of reservation calls */
+  struct call_overhead call_overhead; /**< durations of reservation calls */
   struct peer_profiles peer_profiles;
-  uint64_t kv_tokens;    /**< KV memory of one engine; 0 if unknown */
-  uint32_t waiting;      /**< this node's waiting generations */
-  int64_t next_retry_ms; /**< retry time to give to the next refused caller */
+  uint64_t kv_tokens; /**< KV memory of one engine; 0 if unknown */
+  uint32_t waiting;   /**< this node's waiting generations */
+  int64_t
+      earliest_retry_ms; /**< retry time to give to the next refused caller */
 };
 
 struct request;
@@ -207,8 +208,8 @@
 struct service *forward_service (struct beryl_forward *f, const char *name);
 /** Return the service whose name hashes to NUMBER (beryl_name_hash), or
  * NULL. */
-struct service *forward_service_by_number (const struct beryl_forward *f,
-                                           uint32_t number);
+struct service *forward_service_by_hash (const struct beryl_forward *f,
+                                         uint32_t number);
 /** Start an exchange with ENDPOINT for R; R is NULL for clean-up. */
 struct exchange *forward_exchange_start (struct beryl_forward *f,
                                          struct request *r,
@@ -303,8 +304,8 @@
 /* loans.c */
 /** Called when a repeat of S was sent or denied; if few repeats are left,
  * makes a report due, which will request a loan from a peer. */
-void loans_schedule_if_low (struct beryl_forward *f, struct service *s,
-                            int64_t now_ms);
+void loans_report_if_low (struct beryl_forward *f, struct service *s,
+                          int64_t now_ms);
 
 /* request.c */
 /** Create a request from PARAMS, which are copied, and choose one of ROUTE's
@@ -442,9 +443,9 @@
  * is one. */
 void generation_run (struct beryl_forward *f, struct request *r,
                      int64_t now_ms);
-void generation_result (struct beryl_forward *f, struct exchange *x,
-                        const struct beryl_engine_result *result,
-                        int64_t now_ms);
+void generation_exchange_result (struct beryl_forward *f, struct exchange *x,
+                                 const struct beryl_engine_result *result,
+                                 int64_t now_ms);
 /** An exchange of R of KIND failed; SENT as in beryl_forward_exchange_failed.
  */
 void generation_exchange_failed (struct beryl_forward *f, struct request *r,
--- a/libberyl/forward/profile.c
+++ b/libberyl/forward/profile.c
@@ -43,8 +43,9 @@
 static struct beryl_generation_profile
 own_profile (const struct service *s)
 {
-  double decode_ms = s->lengths.pace_samples > 0 ? s->lengths.own_ms_per_token
-                                                 : s->lengths.ms_per_token;
+  double decode_ms = s->output_model.pace_samples > 0
+                         ? s->output_model.own_ms_per_token
+                         : s->output_model.ms_per_token;
 
   return (struct beryl_generation_profile){
     .service = beryl_name_hash (s->name),
@@ -54,7 +55,7 @@
     .prefills = at_most (s->prefill_pace.samples, PREFILLS_WEIGHT_MAX),
     .prefill_ns_per_token
     = (uint32_t)(s->prefill_pace.ms_per_token * NS_PER_MS),
-    .streams = at_most (s->lengths.pace_samples, STREAMS_WEIGHT_MAX),
+    .streams = at_most (s->output_model.pace_samples, STREAMS_WEIGHT_MAX),
     .decode_ns_per_token = (uint32_t)(decode_ms * NS_PER_MS),
   };
 }
@@ -201,7 +202,7 @@
     .prefill_ms_per_token
     = paces_median (&merge.prefills, s->prefill_pace.ms_per_token),
     .decode_ms_per_token
-    = paces_median (&merge.streams, s->lengths.own_ms_per_token),
+    = paces_median (&merge.streams, s->output_model.own_ms_per_token),
     .kv_tokens = s->kv_tokens,
     .measured = merge.prefills.observations >= MEASURED_PREFILLS_MIN
                 && merge.streams.observations >= MEASURED_STREAMS_MIN,
@@ -241,7 +242,7 @@
 update_paces (struct service *s)
 {
   bool prefills_known = s->prefill_pace.samples >= PREFILLS_WEIGHT_MAX;
-  bool streams_known = s->lengths.pace_samples >= STREAMS_WEIGHT_MAX;
+  bool streams_known = s->output_model.pace_samples >= STREAMS_WEIGHT_MAX;
   struct beryl_generation_mix merged;
 
   s->peer_profiles.unmerged = 0;
@@ -252,7 +253,7 @@
   if (!prefills_known)
     s->prefill_ms_per_token = merged.prefill_ms_per_token;
   if (!streams_known)
-    s->lengths.ms_per_token = merged.decode_ms_per_token;
+    s->output_model.ms_per_token = merged.decode_ms_per_token;
 }
 
 void
@@ -265,7 +266,7 @@
 void
 profile_learn_stream (struct service *s, uint32_t tokens, int64_t took_ms)
 {
-  length_model_learn_pace (&s->lengths, tokens, took_ms);
+  output_model_learn_pace (&s->output_model, tokens, took_ms);
   update_paces (s);
 }
 
@@ -276,7 +277,7 @@
   for (size_t i = 0; i < profiles->count; i++)
     {
       struct service *s
-          = forward_service_by_number (f, profiles->items[i].service);
+          = forward_service_by_hash (f, profiles->items[i].service);
 
       if (s == NULL)
         continue;
@@ -290,14 +291,14 @@
 void
 profile_remove_peer (struct beryl_forward *f, const char *peer)
 {
-  uint32_t number = beryl_name_hash (peer);
+  uint32_t hash = beryl_name_hash (peer);
 
   for (size_t i = 0; i < f->service_count; i++)
     {
       struct peer_profiles *peers = &f->services[i]->peer_profiles;
 
       for (size_t k = peers->count; k > 0; k--)
-        if (peers->items[k - 1].peer == number)
+        if (peers->items[k - 1].peer == hash)
           peers->items[k - 1] = peers->items[--peers->count];
     }
 }
--- a/libberyl/forward/prompt_locations.c
+++ b/libberyl/forward/prompt_locations.c
@@ -6,22 +6,22 @@
 #define CACHED_MS 4000
 
 void
-prompt_locations_record (struct prompt_locations *p, uint32_t key,
+prompt_locations_record (struct prompt_locations *p, uint32_t hash,
                          uint32_t engine, int64_t now_ms)
 {
-  if (key == 0)
+  if (hash == 0)
     return;
-  p->slots[key % PROMPT_SLOTS]
-      = (struct prompt_location){ key, engine, now_ms };
+  p->slots[hash % PROMPT_SLOTS]
+      = (struct prompt_location){ hash, engine, now_ms };
 }
 
 uint32_t
-prompt_locations_find (const struct prompt_locations *p, uint32_t key,
+prompt_locations_find (const struct prompt_locations *p, uint32_t hash,
                        int64_t now_ms)
 {
-  const struct prompt_location *location = &p->slots[key % PROMPT_SLOTS];
+  const struct prompt_location *location = &p->slots[hash % PROMPT_SLOTS];
 
-  if (key == 0 || location->key != key
+  if (hash == 0 || location->hash != hash
       || now_ms - location->seen_ms > CACHED_MS)
     return 0;
   return location->engine;
--- a/libberyl/forward/prompt_locations.h
+++ b/libberyl/forward/prompt_locations.h
@@ -14,7 +14,7 @@
 
 struct prompt_location
 {
-  uint32_t key; /**< 0: empty */
+  uint32_t hash; /**< 0: empty */
   uint32_t engine;
   int64_t seen_ms; /**< when it was last known to run there */
 };
@@ -27,11 +27,11 @@
 
 /** Record that the prompt KEY (0 if unknown, which is ignored) runs at
  * ENGINE. */
-void prompt_locations_record (struct prompt_locations *prompts, uint32_t key,
+void prompt_locations_record (struct prompt_locations *prompts, uint32_t hash,
                               uint32_t engine, int64_t now_ms);
 
 /** Return the engine that recently ran KEY; 0 if none. */
 uint32_t prompt_locations_find (const struct prompt_locations *prompts,
-                                uint32_t key, int64_t now_ms);
+                                uint32_t hash, int64_t now_ms);
 
 #endif
--- a/libberyl/forward/rates.c
+++ b/libberyl/forward/rates.c
@@ -40,7 +40,7 @@
 }
 
 static struct beryl_limit_cluster
-limit_terms (struct beryl_forward *f, struct service *s, int64_t now_ms)
+cluster_state (struct beryl_forward *f, struct service *s, int64_t now_ms)
 {
   struct repeat_limits repeats = forward_repeat_limits (f);
   double requests = repeat_budget_requests (&s->budget, &repeats, now_ms);
@@ -96,12 +96,12 @@
 rates_allows (struct beryl_forward *f, struct service *s,
               const struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
-  struct beryl_limit_cluster terms;
+  struct beryl_limit_cluster cluster;
 
   if (!rates_is_limited (f, endpoint))
     return true;
-  terms = limit_terms (f, s, now_ms);
-  return beryl_limits_allow (f->limits, beryl_live_hash (endpoint), &terms,
+  cluster = cluster_state (f, s, now_ms);
+  return beryl_limits_allow (f->limits, beryl_live_hash (endpoint), &cluster,
                              random_unit (&f->random), now_ms);
 }
 
@@ -109,12 +109,12 @@
 rates_count_sent (struct beryl_forward *f, struct service *s,
                   const struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
-  struct beryl_limit_cluster terms;
+  struct beryl_limit_cluster cluster;
 
   if (!rates_is_limited (f, endpoint))
     return;
-  terms = limit_terms (f, s, now_ms);
-  beryl_limits_record_send (f->limits, beryl_live_hash (endpoint), &terms,
+  cluster = cluster_state (f, s, now_ms);
+  beryl_limits_record_send (f->limits, beryl_live_hash (endpoint), &cluster,
                             now_ms);
 }
 
@@ -123,7 +123,7 @@
 rates_retry_after_ms (struct beryl_forward *f, struct service *s,
                       int64_t now_ms)
 {
-  struct beryl_limit_cluster terms = limit_terms (f, s, now_ms);
+  struct beryl_limit_cluster cluster = cluster_state (f, s, now_ms);
   int64_t min_wait_ms = BERYL_NEVER_MS;
 
   for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
@@ -137,7 +137,7 @@
           || !rates_is_limited (f, endpoint))
         continue;
       wait_ms = beryl_limits_wait_ms (f->limits, beryl_live_hash (endpoint),
-                                      &terms, now_ms);
+                                      &cluster, now_ms);
       if (wait_ms < min_wait_ms)
         min_wait_ms = wait_ms;
     }
@@ -155,10 +155,10 @@
 }
 
 static const struct beryl_live_endpoint *
-find_endpoint (const struct beryl_forward *f, uint32_t number)
+find_endpoint (const struct beryl_forward *f, uint32_t hash)
 {
   for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
-    if (beryl_live_hash (beryl_live_set_get (f->endpoints, i)) == number)
+    if (beryl_live_hash (beryl_live_set_get (f->endpoints, i)) == hash)
       return beryl_live_set_get (f->endpoints, i);
   return NULL;
 }
@@ -166,7 +166,7 @@
 static void
 apply_limit (struct beryl_forward *f, uint32_t node,
              const struct beryl_limit_item *item,
-             const struct beryl_limit_cluster *terms, int64_t now_ms)
+             const struct beryl_limit_cluster *cluster, int64_t now_ms)
 {
   struct beryl_limits_update update
       = { .node = node, .items = { *item }, .count = 1 };
@@ -175,7 +175,7 @@
   struct beryl_rate_limit after;
   const struct beryl_live_endpoint *endpoint;
 
-  beryl_limits_apply_update (f->limits, &update, terms, now_ms);
+  beryl_limits_apply_update (f->limits, &update, cluster, now_ms);
   after = beryl_limits_get (f->limits, item->endpoint);
   if (before.advertised == after.advertised)
     return;
@@ -189,9 +189,9 @@
                            const struct beryl_limits_update *update,
                            int64_t now_ms)
 {
-  struct beryl_limit_cluster terms
+  struct beryl_limit_cluster cluster
       = { .reachable_fraction = reachable_share (f, now_ms) };
 
   for (size_t i = 0; i < update->count; i++)
-    apply_limit (f, update->node, &update->items[i], &terms, now_ms);
+    apply_limit (f, update->node, &update->items[i], &cluster, now_ms);
 }
--- a/libberyl/forward/request.c
+++ b/libberyl/forward/request.c
@@ -70,7 +70,7 @@
                      int64_t now_ms)
 {
   if (r->reservation.endpoint != NULL && r->event_count > 0)
-    prompt_locations_record (&f->prompt_locations, r->params.prompt_key,
+    prompt_locations_record (&f->prompt_locations, r->params.prompt_hash,
                              beryl_live_hash (r->reservation.endpoint),
                              now_ms);
   while (r->primary != NULL)
@@ -84,7 +84,7 @@
 /* An open run may have reached its endpoint and may be in progress there,
    whether or not it was answered, so "not run" can no longer be claimed. */
 static bool
-may_have_run (const struct request *r)
+may_have_run_with_open (const struct request *r)
 {
   return r->may_have_run
          || (r->primary != NULL && r->primary->kind == BERYL_EXCHANGE_RUN)
@@ -127,7 +127,7 @@
       request_abort (f, r, reason, now_ms);
       return;
     }
-  if (promises_not_run (status) && may_have_run (r))
+  if (promises_not_run (status) && may_have_run_with_open (r))
     {
       refusal.status = 502;
       refusal.retry_after_ms = 0;
@@ -144,7 +144,7 @@
 forward_request_fail (struct beryl_forward *f, struct request *r,
                       enum beryl_refusal_reason reason, int64_t now_ms)
 {
-  if (!may_have_run (r))
+  if (!may_have_run_with_open (r))
     forward_request_refuse (f, r, 503, reason, RETRY_AFTER_MS, now_ms);
   else
     forward_request_refuse (f, r, reason == BERYL_REFUSAL_DEADLINE ? 504 : 502,
@@ -208,7 +208,7 @@
   for (uint32_t i = 0; i < count; i++)
     repeat_budget_spend (&r->service->budget, &limits, now_ms);
   if (count > 0)
-    loans_schedule_if_low (f, r->service, now_ms);
+    loans_report_if_low (f, r->service, now_ms);
 }
 
 bool
@@ -217,7 +217,7 @@
 {
   if (forward_request_repeats_left (f, r, now_ms) == 0)
     {
-      loans_schedule_if_low (f, r->service, now_ms);
+      loans_report_if_low (f, r->service, now_ms);
       return false;
     }
   forward_request_take_repeats (f, r, 1, now_ms);
@@ -266,14 +266,14 @@
                      const struct beryl_route *route)
 {
   struct request *r = calloc (1, sizeof *r);
-  double point = random_unit (&f->random);
+  double random_value = random_unit (&f->random);
 
   r->params = *params;
   r->params.host = NULL;
   r->params.path = NULL;
   r->routes = beryl_routes_ref (f->routes);
   r->route = route;
-  r->config = beryl_routes_choose (f->routes, route, point);
+  r->config = beryl_routes_choose (f->routes, route, random_value);
   r->service = forward_service (f, r->config->name);
   r->deadline_ms = params->deadline_ms;
   if (route->timeout_ms > 0
--- a/libberyl/forward/run_index.c
+++ b/libberyl/forward/run_index.c
@@ -5,15 +5,15 @@
 #define CAPACITY_FIRST 8
 
 const struct run_list *
-run_index_find (const struct run_index *index, uint32_t number)
+run_index_find (const struct run_index *index, uint32_t hash)
 {
-  return map_get (&index->lists, map_key_from_number (number));
+  return map_get (&index->lists, map_key_from_number (hash));
 }
 
 static struct run_list *
-list_of (struct run_index *index, uint32_t number)
+list_of (struct run_index *index, uint32_t hash)
 {
-  struct map_key key = map_key_from_number (number);
+  struct map_key key = map_key_from_number (hash);
   struct run_list *list = map_get (&index->lists, key);
 
   if (list != NULL)
@@ -24,10 +24,10 @@
 }
 
 void
-run_index_add (struct run_index *index, uint32_t number,
+run_index_add (struct run_index *index, uint32_t hash,
                const struct peer_runs *peer, uint32_t at)
 {
-  struct run_list *list = list_of (index, number);
+  struct run_list *list = list_of (index, hash);
 
   if (list->count == list->capacity)
     {
@@ -41,19 +41,18 @@
 
 /* Frees an empty list, since engines come and go. */
 static void
-list_release (struct run_index *index, uint32_t number, struct run_list *list)
+list_release (struct run_index *index, uint32_t hash, struct run_list *list)
 {
-  map_remove (&index->lists, map_key_from_number (number));
+  map_remove (&index->lists, map_key_from_number (hash));
   free (list->items);
   free (list);
 }
 
 void
-run_index_remove (struct run_index *index, uint32_t number,
+run_index_remove (struct run_index *index, uint32_t hash,
                   const struct peer_runs *peer, uint32_t at)
 {
-  struct run_list *list
-      = map_get (&index->lists, map_key_from_number (number));
+  struct run_list *list = map_get (&index->lists, map_key_from_number (hash));
 
   if (list == NULL)
     return;
@@ -64,7 +63,7 @@
         break;
       }
   if (list->count == 0)
-    list_release (index, number, list);
+    list_release (index, hash, list);
 }
 
 void
--- a/libberyl/forward/run_index.h
+++ b/libberyl/forward/run_index.h
@@ -35,16 +35,16 @@
 };
 
 /** Add the run of PEER at index AT under NUMBER. */
-void run_index_add (struct run_index *index, uint32_t number,
+void run_index_add (struct run_index *index, uint32_t hash,
                     const struct peer_runs *peer, uint32_t at);
 
 /** Remove the run of PEER at index AT from NUMBER. */
-void run_index_remove (struct run_index *index, uint32_t number,
+void run_index_remove (struct run_index *index, uint32_t hash,
                        const struct peer_runs *peer, uint32_t at);
 
 /** Return the runs under NUMBER; NULL if there are none. */
 const struct run_list *run_index_find (const struct run_index *index,
-                                       uint32_t number);
+                                       uint32_t hash);
 
 /** Free everything. */
 void run_index_clear (struct run_index *index);
--- a/libberyl/forward/run_table.c
+++ b/libberyl/forward/run_table.c
@@ -32,7 +32,7 @@
    unreachable. */
 #define SILENT_INTERVALS 2
 /* Default report interval of peers. */
-#define DEFAULT_INTERVAL_MS 500
+#define INTERVAL_MIN_MS 500
 /* A peer's report is used for at most this long. */
 #define REPORT_MAX_AGE_MS 5000
 
@@ -49,9 +49,9 @@
 }
 
 void
-length_model_init (struct length_model *model)
+output_model_init (struct output_model *model)
 {
-  *model = (struct length_model){
+  *model = (struct output_model){
     .log_variance = PRIOR_LOG_VARIANCE,
     .effective_runs = PRIOR_WEIGHT,
     .tokens_mean = PRIOR_TOKENS,
@@ -61,7 +61,7 @@
 }
 
 void
-length_model_learn_pace (struct length_model *model, uint32_t tokens,
+output_model_learn_pace (struct output_model *model, uint32_t tokens,
                          int64_t took_ms)
 {
   double sample, weight;
@@ -78,9 +78,10 @@
 }
 
 void
-length_model_learn (struct length_model *model, uint32_t hint, uint32_t tokens)
+output_model_learn_length (struct output_model *model, uint32_t hint,
+                           uint32_t tokens)
 {
-  double sample_weight, off;
+  double sample_weight, deviation;
 
   if (tokens == 0)
     return;
@@ -90,13 +91,14 @@
   model->tokens_mean += sample_weight * ((double)tokens - model->tokens_mean);
   if (hint == 0)
     return;
-  off = log ((double)tokens / (double)hint) - model->log_mean;
-  model->log_mean += sample_weight * off;
-  model->log_variance += sample_weight * (off * off - model->log_variance);
+  deviation = log ((double)tokens / (double)hint) - model->log_mean;
+  model->log_mean += sample_weight * deviation;
+  model->log_variance
+      += sample_weight * (deviation * deviation - model->log_variance);
 }
 
 uint32_t
-length_model_median (const struct length_model *model, uint32_t hint,
+output_model_median (const struct output_model *model, uint32_t hint,
                      uint32_t most)
 {
   double median = hint > 0 ? hint * exp (model->log_mean) : model->tokens_mean;
@@ -106,7 +108,7 @@
 
 /* The mean of a log-normal distribution exceeds its median. */
 double
-length_model_mean (const struct length_model *model, uint32_t hint,
+output_model_mean (const struct output_model *model, uint32_t hint,
                    uint32_t most)
 {
   double mean = hint > 0
@@ -118,7 +120,7 @@
 
 /* Returns the probability that an output is longer than TOKENS. */
 static double
-survival (const struct length_model *model, double median, double tokens)
+survival (const struct output_model *model, double median, double tokens)
 {
   double chance;
 
@@ -130,7 +132,7 @@
 
 void
 memory_forecast_add (struct memory_forecast *forecast,
-                     const struct length_model *model,
+                     const struct output_model *model,
                      const struct beryl_engine_run *run, int64_t age_ms,
                      bool reachable)
 {
@@ -180,9 +182,9 @@
 run_table_peer_timeout_ms (const struct run_table *table)
 {
   return SILENT_INTERVALS
-         * (table->report_interval_ms > DEFAULT_INTERVAL_MS
+         * (table->report_interval_ms > INTERVAL_MIN_MS
                 ? table->report_interval_ms
-                : DEFAULT_INTERVAL_MS);
+                : INTERVAL_MIN_MS);
 }
 
 void
@@ -247,7 +249,7 @@
    or run_index_remove. */
 static void
 index_runs (struct run_table *table, const struct peer_runs *peer,
-            void (*apply) (struct run_index *index, uint32_t number,
+            void (*apply) (struct run_index *index, uint32_t hash,
                            const struct peer_runs *peer, uint32_t at))
 {
   for (uint32_t k = 0; k < peer->count; k++)
@@ -287,28 +289,28 @@
 
 static void
 peer_drop_prompt (struct run_table *table, struct peer_runs *peer,
-                  uint32_t prompt_key)
+                  uint32_t prompt_hash)
 {
   size_t left = 0;
 
   for (size_t k = 0; k < peer->count; k++)
-    left += peer->runs[k].prompt_hash != prompt_key;
+    left += peer->runs[k].prompt_hash != prompt_hash;
   if (left == peer->count)
     return;
   index_runs (table, peer, run_index_remove);
   left = 0;
   for (size_t k = 0; k < peer->count; k++)
-    if (peer->runs[k].prompt_hash != prompt_key)
+    if (peer->runs[k].prompt_hash != prompt_hash)
       peer->runs[left++] = peer->runs[k];
   peer->count = left;
   index_runs (table, peer, run_index_add);
 }
 
 void
-run_table_drop_prompt (struct run_table *table, uint32_t prompt_key)
+run_table_drop_prompt (struct run_table *table, uint32_t prompt_hash)
 {
   for (size_t i = 0; i < table->count; i++)
-    peer_drop_prompt (table, table->peers[i], prompt_key);
+    peer_drop_prompt (table, table->peers[i], prompt_hash);
 }
 
 void
@@ -344,7 +346,7 @@
 {
   const struct run_table *table;
   struct memory_forecast *forecast;
-  const struct length_model *model;
+  const struct output_model *model;
   uint32_t count;
 };
 
@@ -362,7 +364,7 @@
 uint32_t
 run_table_forecast (const struct run_table *table,
                     struct memory_forecast *forecast,
-                    const struct length_model *model, uint32_t engine,
+                    const struct output_model *model, uint32_t engine,
                     int64_t now_ms)
 {
   struct forecast_visit forecast_visit
@@ -391,7 +393,7 @@
 
 bool
 run_table_has_newer (const struct run_table *table,
-                     const struct length_model *model, uint32_t engine,
+                     const struct output_model *model, uint32_t engine,
                      uint32_t produced, int64_t now_ms)
 {
   struct newest newest
--- a/libberyl/forward/run_table.h
+++ b/libberyl/forward/run_table.h
@@ -34,7 +34,7 @@
 
 /** How output lengths relate to callers' estimates, and how fast outputs are
  * produced. */
-struct length_model
+struct output_model
 {
   double log_mean; /**< mean of log (output / estimate) */
   double log_variance;
@@ -50,30 +50,30 @@
 uint32_t reservation_tokens (uint32_t prompt_tokens, uint32_t expected_tokens);
 
 /** Initialise MODEL with the values assumed before any run has ended. */
-void length_model_init (struct length_model *model);
+void output_model_init (struct output_model *model);
 
 /** Learn from a run that was estimated at HINT tokens (0 if it had no
  * estimate) and ended after TOKENS. */
-void length_model_learn (struct length_model *model, uint32_t hint,
-                         uint32_t tokens);
+void output_model_learn_length (struct output_model *model, uint32_t hint,
+                                uint32_t tokens);
 
 /** Learn from a stream that produced TOKENS in TOOK_MS. */
-void length_model_learn_pace (struct length_model *model, uint32_t tokens,
+void output_model_learn_pace (struct output_model *model, uint32_t tokens,
                               int64_t took_ms);
 
 /** Return the mean output of runs estimated at HINT, at most MOST. */
-double length_model_mean (const struct length_model *model, uint32_t hint,
+double output_model_mean (const struct output_model *model, uint32_t hint,
                           uint32_t most);
 
 /** Return the median output of a run estimated at HINT, at most MOST. */
-uint32_t length_model_median (const struct length_model *model, uint32_t hint,
+uint32_t output_model_median (const struct output_model *model, uint32_t hint,
                               uint32_t most);
 
 /** Add the expected memory of RUN, reported AGE_MS ago, to FORECAST. Without
  * recent reports of its node (REACHABLE is false) the run is only known to
  * have existed at that time. */
 void memory_forecast_add (struct memory_forecast *forecast,
-                          const struct length_model *model,
+                          const struct output_model *model,
                           const struct beryl_engine_run *run, int64_t age_ms,
                           bool reachable);
 
@@ -119,7 +119,7 @@
 
 /** Drop the runs with PROMPT_KEY, which have ended although their peers did
  * not report it. */
-void run_table_drop_prompt (struct run_table *table, uint32_t prompt_key);
+void run_table_drop_prompt (struct run_table *table, uint32_t prompt_hash);
 
 /** Drop the runs of PEER, which has left the fleet. It counts as reachable
  * until its last report is too old. */
@@ -128,13 +128,13 @@
 /** Add the runs of all peers at ENGINE to FORECAST; returns their number. */
 uint32_t run_table_forecast (const struct run_table *table,
                              struct memory_forecast *forecast,
-                             const struct length_model *model, uint32_t engine,
+                             const struct output_model *model, uint32_t engine,
                              int64_t now_ms);
 
 /** Return whether a peer has a run at ENGINE that has produced fewer than
  * PRODUCED tokens. */
 bool run_table_has_newer (const struct run_table *table,
-                          const struct length_model *model, uint32_t engine,
+                          const struct output_model *model, uint32_t engine,
                           uint32_t produced, int64_t now_ms);
 
 /** Return the prompt tokens that peers have queued at prefill engine
--- a/libberyl/forward/stream.c
+++ b/libberyl/forward/stream.c
@@ -28,7 +28,7 @@
 stall_after_ms (const struct request *r)
 {
   double event_ms
-      = r->config->engine.event_tokens * r->service->lengths.ms_per_token;
+      = r->config->engine.event_tokens * r->service->output_model.ms_per_token;
 
   if (r->run_events == 0)
     return FIRST_EVENT_STALL_MS;
@@ -145,7 +145,7 @@
 void
 stream_learn_length (struct beryl_forward *f, const struct request *r)
 {
-  length_model_learn (&r->service->lengths, r->params.output_tokens_hint,
-                      (uint32_t)r->event_count
-                          * r->config->engine.event_tokens);
+  output_model_learn_length (
+      &r->service->output_model, r->params.output_tokens_hint,
+      (uint32_t)r->event_count * r->config->engine.event_tokens);
 }
--- a/tests/forward/fixture.c
+++ b/tests/forward/fixture.c
@@ -238,9 +238,9 @@
   fx->now_ms = 100000;
   fx->exchanges = g_ptr_array_new_with_free_func (g_free);
   fx->log = g_string_new (NULL);
-  fx->lives = beryl_live_set_create (5000);
-  beryl_live_set_synced (fx->lives, fx->now_ms);
-  fx->forward = beryl_forward_create (&settings, fx->lives, &fx->owner);
+  fx->endpoints = beryl_live_set_create (5000);
+  beryl_live_set_synced (fx->endpoints, fx->now_ms);
+  fx->forward = beryl_forward_create (&settings, fx->endpoints, &fx->owner);
   service.engine = terms->engine;
   service.health_path = "";
   target.service = beryl_routes_add_service (routes, &service);
@@ -256,7 +256,7 @@
 fx_close (struct fx *fx)
 {
   beryl_forward_destroy (fx->forward);
-  beryl_live_set_destroy (fx->lives);
+  beryl_live_set_destroy (fx->endpoints);
   g_ptr_array_free (fx->exchanges, TRUE);
   g_string_free (fx->log, TRUE);
   for (size_t i = 0; i < FX_REQUESTS_MAX; i++)
@@ -268,7 +268,7 @@
 show (struct fx *fx, const char *id, enum beryl_stage stage, bool leaving)
 {
   const struct beryl_live_endpoint *known
-      = beryl_live_set_find (fx->lives, id);
+      = beryl_live_set_find (fx->endpoints, id);
   struct beryl_live_info info = {
     .address = "127.0.0.1",
     .port = 1,
@@ -280,7 +280,7 @@
   };
 
   g_strlcpy (info.id, id, sizeof info.id);
-  beryl_live_set_put (fx->lives, &info, fx->now_ms);
+  beryl_live_set_put (fx->endpoints, &info, fx->now_ms);
   beryl_forward_endpoints_changed (fx->forward, fx->now_ms);
 }
 
@@ -299,7 +299,7 @@
 void
 fx_remove (struct fx *fx, const char *id)
 {
-  beryl_live_set_remove (fx->lives, id, fx->now_ms);
+  beryl_live_set_remove (fx->endpoints, id, fx->now_ms);
   beryl_forward_endpoints_changed (fx->forward, fx->now_ms);
 }
 
@@ -537,7 +537,8 @@
 const struct beryl_live_endpoint *
 fx_find_endpoint (const struct fx *fx, const char *id)
 {
-  const struct beryl_live_endpoint *live = beryl_live_set_find (fx->lives, id);
+  const struct beryl_live_endpoint *live
+      = beryl_live_set_find (fx->endpoints, id);
 
   ck_assert_ptr_nonnull (live);
   return live;
--- a/tests/forward/fixture.h
+++ b/tests/forward/fixture.h
@@ -49,7 +49,7 @@
 struct fx
 {
   struct beryl_forward_owner owner;
-  struct beryl_live_set *lives;
+  struct beryl_live_set *endpoints;
   struct beryl_forward *forward;
   int64_t now_ms;
   GPtrArray *exchanges; /**< struct fx_exchange, in order */
--- a/tests/forward/test_book.c
+++ b/tests/forward/test_book.c
@@ -11,20 +11,20 @@
    forecast uses it. */
 START_TEST (test_lengths_are_learned)
 {
-  struct length_model model;
+  struct output_model model;
 
-  length_model_init (&model);
-  ck_assert_uint_eq (length_model_median (&model, 500, 4000), 500);
+  output_model_init (&model);
+  ck_assert_uint_eq (output_model_median (&model, 500, 4000), 500);
   for (int i = 0; i < 200; i++)
     {
-      length_model_learn (&model, 500, 1000);
-      length_model_learn_pace (&model, 1000, 2000);
+      output_model_learn_length (&model, 500, 1000);
+      output_model_learn_pace (&model, 1000, 2000);
     }
-  ck_assert_uint_ge (length_model_median (&model, 500, 4000), 900);
-  ck_assert_uint_le (length_model_median (&model, 500, 4000), 1010);
-  ck_assert_uint_eq (length_model_median (&model, 500, 800), 800);
+  ck_assert_uint_ge (output_model_median (&model, 500, 4000), 900);
+  ck_assert_uint_le (output_model_median (&model, 500, 4000), 1010);
+  ck_assert_uint_eq (output_model_median (&model, 500, 800), 800);
   ck_assert (fabs (model.ms_per_token - 2) < 0.01);
-  ck_assert_uint_ge (length_model_median (&model, 0, 4000), 900);
+  ck_assert_uint_ge (output_model_median (&model, 0, 4000), 900);
 }
 END_TEST
 
@@ -36,14 +36,14 @@
    if none ended. */
 START_TEST (test_peak_is_bounded)
 {
-  struct length_model model;
+  struct output_model model;
   struct memory_forecast forecast = { 0 };
   struct beryl_engine_run run = {
     .engine = 1, .prompt_tokens = 3200, .expected_tokens = 800, .started = true
   };
   double all = 0, spread_out = 0;
 
-  length_model_init (&model);
+  output_model_init (&model);
   model.ms_per_token = 4.8;
   for (int i = 0; i < 6; i++)
     {
@@ -75,14 +75,14 @@
 
 START_TEST (test_forecast_grows_and_ends)
 {
-  struct length_model model;
+  struct output_model model;
   struct memory_forecast forecast = { 0 };
   struct beryl_engine_run run = { .engine = 1,
                                   .prompt_tokens = 1000,
                                   .expected_tokens = 1000,
                                   .started = true };
 
-  length_model_init (&model);
+  output_model_init (&model);
   memory_forecast_add (&forecast, &model, &run, 0, true);
   ck_assert (fabs (forecast.tokens[0] - 1000) < 1);
   ck_assert (forecast.tokens[1] > 1200 && forecast.tokens[1] < 1301);
@@ -97,13 +97,13 @@
 START_TEST (test_silent_peer_fades)
 {
   struct run_table table = { 0 };
-  struct length_model model;
+  struct output_model model;
   struct memory_forecast forecast = { 0 };
   struct beryl_engine_run run = {
     .engine = 1, .prompt_tokens = 1000, .expected_tokens = 500, .started = true
   };
 
-  length_model_init (&model);
+  output_model_init (&model);
   run_table_update (&table, "peer", &run, 1, 1000);
   run_table_forecast (&table, &forecast, &model, 1, 1000);
   ck_assert (forecast.tokens[0] >= 1000);
@@ -126,14 +126,14 @@
 START_TEST (test_long_report_interval)
 {
   struct run_table table = { .report_interval_ms = 2000 };
-  struct length_model model;
+  struct output_model model;
   struct memory_forecast forecast = { 0 };
   struct beryl_engine_run run = { .engine = 1,
                                   .prompt_tokens = 1000,
                                   .expected_tokens = 2000,
                                   .started = true };
 
-  length_model_init (&model);
+  output_model_init (&model);
   run_table_update (&table, "peer", &run, 1, 1000);
   run_table_forecast (&table, &forecast, &model, 1, 3500);
   ck_assert (forecast.tokens[0] >= 3400);
@@ -155,12 +155,12 @@
 check_sums (const struct run_table *table, const struct reported *reported,
             uint32_t number)
 {
-  struct length_model model;
+  struct output_model model;
   struct memory_forecast forecast = { 0 };
   uint32_t at_engine = 0, waiting = 0;
   uint64_t prefilling = 0;
 
-  length_model_init (&model);
+  output_model_init (&model);
   for (int peer = 0; peer < 4; peer++)
     for (size_t i = 0; i < reported->counts[peer]; i++)
       {
--- a/tests/forward/test_history.c
+++ b/tests/forward/test_history.c
@@ -320,7 +320,7 @@
   if (chance (h, 0.4))
     fx_endpoint (&h->fx, id,
                  chance (h, 0.4) ? BERYL_STAGE_PREFILL : BERYL_STAGE_DECODE);
-  else if (beryl_live_set_find (h->fx.lives, id) != NULL)
+  else if (beryl_live_set_find (h->fx.endpoints, id) != NULL)
     {
       if (chance (h, 0.5))
         fx_leaving (&h->fx, id);
@@ -475,10 +475,10 @@
   ck_assert_uint_eq (beryl_forward_open_count (h->fx.forward), 0);
   ck_assert_uint_eq (beryl_forward_waiting_count (h->fx.forward), 0);
   check_none_open (h);
-  for (size_t i = 0; i < beryl_live_set_count (h->fx.lives); i++)
+  for (size_t i = 0; i < beryl_live_set_count (h->fx.endpoints); i++)
     {
       const struct beryl_live_endpoint *live
-          = beryl_live_set_get (h->fx.lives, i);
+          = beryl_live_set_get (h->fx.endpoints, i);
 
       ck_assert_uint_eq (live->open_exchanges, 0);
       ck_assert_uint_eq (live->open_prefills, 0);
--- a/tests/forward/test_news.c
+++ b/tests/forward/test_news.c
@@ -177,7 +177,7 @@
 
   fail_to_connect (0, "d3");
   fail_to_connect (1, "d3");
-  live = beryl_live_set_find (nodes[2]->lives, "d3");
+  live = beryl_live_set_find (nodes[2]->endpoints, "d3");
   beryl_live_record_outcome (live, BERYL_LIVE_ANSWERED, 10, nodes[2]->now_ms);
   tell (0, 2);
   tell (1, 2);
--- a/tests/forward/test_profile.c
+++ b/tests/forward/test_profile.c
@@ -327,7 +327,7 @@
       report_profile (peer, 8, ENGINE_PACE);
     }
   stream (1, 5000);
-  d0 = beryl_live_set_find (fx.lives, "d0");
+  d0 = beryl_live_set_find (fx.endpoints, "d0");
   report_runs ("d0", 1);
   used = beryl_forward_engine_used_tokens (fx.forward, FX_SERVICE, d0,
                                            fx.now_ms);
--- a/tests/forward/test_prompts.c
+++ b/tests/forward/test_prompts.c
@@ -275,7 +275,7 @@
 {
   struct beryl_forward_request facts = fx_request_params (&fx, request);
 
-  facts.prompt_key = prompt_key;
+  facts.prompt_hash = prompt_key;
   beryl_forward_submit (fx.forward, &facts, fx.now_ms);
   return open_of (request, BERYL_EXCHANGE_RESERVE);
 }
@@ -327,7 +327,7 @@
   for (uint64_t i = 1; i <= 2; i++)
     {
       facts = fx_request_params (&fx, i);
-      facts.prompt_key = (uint32_t)(76 + i);
+      facts.prompt_hash = (uint32_t)(76 + i);
       facts.resumes = true;
       facts.last_event_id = 5;
       beryl_forward_submit (fx.forward, &facts, fx.now_ms);
--- a/tests/forward/test_restart.c
+++ b/tests/forward/test_restart.c
@@ -21,7 +21,7 @@
   g_strlcpy (info.address, "10.0.0.1", sizeof info.address);
   info.port = 80;
   info.revision = ++revision;
-  live = beryl_live_set_put (fx.lives, &info, fx.now_ms);
+  live = beryl_live_set_put (fx.endpoints, &info, fx.now_ms);
   beryl_forward_endpoints_changed (fx.forward, fx.now_ms);
   return live;
 }
@@ -76,7 +76,8 @@
    it. */
 START_TEST (test_peers_runs_are_void)
 {
-  const struct beryl_live_endpoint *live = beryl_live_set_find (fx.lives, "d");
+  const struct beryl_live_endpoint *live
+      = beryl_live_set_find (fx.endpoints, "d");
   struct beryl_engine_run runs[10];
 
   for (size_t i = 0; i < G_N_ELEMENTS (runs); i++)
@@ -104,11 +105,11 @@
 START_TEST (test_prompts_are_void)
 {
   beryl_forward_prompt_cached (
-      fx.forward, 77, beryl_live_hash (beryl_live_set_find (fx.lives, "d")),
-      fx.now_ms);
+      fx.forward, 77,
+      beryl_live_hash (beryl_live_set_find (fx.endpoints, "d")), fx.now_ms);
   start ("d", BERYL_STAGE_DECODE, 200);
   struct beryl_forward_request facts = fx_request_params (&fx, 1);
-  facts.prompt_key = 77;
+  facts.prompt_hash = 77;
   beryl_forward_submit (fx.forward, &facts, fx.now_ms);
   fx_ok (&fx, open_of (1, BERYL_EXCHANGE_RESERVE), "place");
   open_of (1, BERYL_EXCHANGE_PREFILL);
@@ -119,7 +120,7 @@
    one. */
 START_TEST (test_history_is_void)
 {
-  struct beryl_live_endpoint *live = beryl_live_set_find (fx.lives, "d");
+  struct beryl_live_endpoint *live = beryl_live_set_find (fx.endpoints, "d");
 
   beryl_live_record_outcome (live, BERYL_LIVE_TIMED_OUT, 0, fx.now_ms);
   beryl_live_mark_replaced (live, fx.now_ms);
@@ -167,7 +168,8 @@
 START_TEST (test_late_report_of_former_incarnation)
 {
   struct beryl_endpoint_updates news = { 0 };
-  const struct beryl_live_endpoint *live = beryl_live_set_find (fx.lives, "d");
+  const struct beryl_live_endpoint *live
+      = beryl_live_set_find (fx.endpoints, "d");
 
   beryl_endpoint_set_add (&news.replaced, beryl_live_hash (live));
   live = start ("d", BERYL_STAGE_DECODE, 200);
@@ -180,8 +182,8 @@
    describes it; the endpoint's next heartbeat restores it. */
 START_TEST (test_rejected_entry)
 {
-  beryl_live_set_reject (fx.lives, "d", fx.now_ms);
-  beryl_live_set_reject (fx.lives, "unknown", fx.now_ms);
+  beryl_live_set_reject (fx.endpoints, "d", fx.now_ms);
+  beryl_live_set_reject (fx.endpoints, "unknown", fx.now_ms);
   fx_arrive (&fx, 1);
   ck_assert_uint_eq (fx_count (&fx, BERYL_EXCHANGE_RESERVE), 0);
   start ("d", BERYL_STAGE_DECODE, 100);
--- a/tests/platform_wire/test_wire.c
+++ b/tests/platform_wire/test_wire.c
@@ -578,10 +578,10 @@
   GArray *keys = g_array_new (FALSE, FALSE, sizeof (uint32_t));
 
   wire->impl->read_request (wire, &asked, 0, &request);
-  ck_assert_uint_ne (request.prompt_key, 0);
+  ck_assert_uint_ne (request.prompt_hash, 0);
   wire->impl->read_prompts (wire, &head, body, strlen (body), keys);
   ck_assert_uint_eq (keys->len, 2);
-  ck_assert_uint_eq (g_array_index (keys, uint32_t, 1), request.prompt_key);
+  ck_assert_uint_eq (g_array_index (keys, uint32_t, 1), request.prompt_hash);
   g_array_free (keys, TRUE);
 }
 END_TEST
