--- a/include/beryl/forward.h
+++ b/include/beryl/forward.h
@@ -51,8 +51,8 @@
   uint32_t prompt_tokens;
   uint32_t output_tokens_max;
   uint32_t output_tokens_hint; /**< caller's estimate; 0 if none */
-  uint32_t prompt_hash;        /**< equal for equal prompts; 0 if unknown */
-  bool resumes;                /**< the caller resumes after LAST_EVENT_ID */
+  uint32_t prompt_hash;        /**< hash of the prompt; 0 if unknown */
+  bool resumes; /**< the caller resumes a stream after LAST_EVENT_ID */
   uint64_t last_event_id;
 };
 
@@ -83,13 +83,16 @@
   int64_t connect_timeout_ms;
   int64_t remaining_ms; /**< RUN, PREFILL: time until the request's deadline; 0
                            if it has none */
-  uint32_t tokens;      /**< RESERVE */
-  int64_t lease_ms;     /**< RESERVE */
+  uint32_t tokens; /**< RESERVE: memory to reserve; PREFILL: prompt tokens, for
+                      accounting */
+  int64_t lease_ms;        /**< RESERVE */
   const char *reservation; /**< RUN: reservation to use, or NULL; UNRESERVE */
   const char *kv_handle;   /**< RUN: KV cache to fetch, or NULL; DROP_KV */
   const char *kv_address;  /**< RUN: address of the engine that holds it */
   uint16_t kv_port;
-  bool resumes; /**< RUN, PREFILL: resume after LAST_EVENT_ID */
+  bool resumes; /**< RUN, PREFILL: resume after the events forwarded from
+                   earlier runs, up to LAST_EVENT_ID; not set for a resumption
+                   that only the caller requested */
   uint64_t last_event_id;
   const char *run_id; /**< MOVE: the request's id */
   const struct beryl_live_endpoint
@@ -102,9 +105,10 @@
   BERYL_REFUSAL_NO_CONFIGURATION,
   BERYL_REFUSAL_NO_ROUTE,
   BERYL_REFUSAL_NO_ENDPOINT, /**< no endpoint of the service may be used */
-  BERYL_REFUSAL_NO_ROOM,     /**< no engine had free memory in time */
-  BERYL_REFUSAL_ATTEMPTS_EXHAUSTED, /**< not run so far, and no untried
-                                   endpoint or no repeat is left */
+  BERYL_REFUSAL_NO_ROOM, /**< no engine had free memory, or no prefill engine
+                            could take the prompt, in time */
+  BERYL_REFUSAL_ATTEMPTS_EXHAUSTED, /**< it has not run; every endpoint was
+                                       tried or no repeat is left */
   BERYL_REFUSAL_DEADLINE,
   BERYL_REFUSAL_ENDPOINT_FAILED,
   BERYL_REFUSAL_STOPPING,
@@ -177,11 +181,12 @@
                               enum beryl_quarantine_cause cause);
   /** Log a step. May be NULL. */
   void (*log_step) (struct beryl_forward_owner *owner,
-                    const struct beryl_request_step *decision);
+                    const struct beryl_request_step *step);
   /** Log a change of ENDPOINT's state that the endpoint list does not show
    * yet. WHAT is the new state, for example "replaced" or "limited
-   * milli_per_s=5"; FROM is the name of the peer that reported it, "peer" for
-   * a rate limit, or "own call". May be NULL. */
+   * milli_per_s=5"; FROM is the PEER argument of
+   * beryl_forward_peer_endpoint_reports for a reported state, "peer" for a
+   * rate limit that a peer reported, or "own call". May be NULL. */
   void (*log_endpoint_state) (struct beryl_forward_owner *owner,
                               const struct beryl_live_endpoint *endpoint,
                               const char *what, const char *from);
@@ -205,10 +210,10 @@
   int64_t repeat_window_ms;
 };
 
-/** Create an instance. LIVES and OWNER must outlive it. */
+/** Create an instance. ENDPOINTS and OWNER must outlive it. */
 struct beryl_forward *
 beryl_forward_create (const struct beryl_forward_settings *settings,
-                      struct beryl_live_set *lives,
+                      struct beryl_live_set *endpoints,
                       struct beryl_forward_owner *owner);
 
 /** Free FORWARD without calling any action; NULL is allowed. */
@@ -334,7 +339,7 @@
 /** Apply a peer's report of rate limits and of the requests it sends to the
  * limited endpoints. */
 void beryl_forward_peer_limits (struct beryl_forward *forward,
-                                const struct beryl_limits_update *reports,
+                                const struct beryl_limits_update *update,
                                 int64_t now_ms);
 
 /** The set of endpoints has changed: requests that wait for an engine try
@@ -354,8 +359,8 @@
                                      struct beryl_endpoint_updates *reports,
                                      int64_t now_ms);
 
-/** Apply the endpoint states that PEER, or another component of this node,
- * reports. */
+/** Apply the endpoint states that PEER reports: the name of another node, or
+ * of a component of this one. It is logged as the source of the states. */
 void beryl_forward_peer_endpoint_reports (
     struct beryl_forward *forward, const char *peer,
     const struct beryl_endpoint_updates *reports, int64_t now_ms);
@@ -400,11 +405,13 @@
                            struct beryl_engine_run *runs, size_t most,
                            int64_t now_ms);
 
-/** ENGINE (a beryl_live_hash) has the prompt with KEY cached. */
-void beryl_forward_prompt_cached (struct beryl_forward *forward, uint32_t key,
-                                  uint32_t engine, int64_t now_ms);
+/** ENGINE (a beryl_live_hash) has the prompt with PROMPT_HASH cached. */
+void beryl_forward_prompt_cached (struct beryl_forward *forward,
+                                  uint32_t prompt_hash, uint32_t engine,
+                                  int64_t now_ms);
 
-/** Return the profile of SERVICE's generations, merged over all nodes. */
+/** Return the mean lengths and the speeds of SERVICE's generations, merged
+ * from the profiles of all nodes. */
 struct beryl_generation_mix
 beryl_forward_merged_profile (struct beryl_forward *forward,
                               const char *service);
--- a/libberyl/forward/answer.c
+++ b/libberyl/forward/answer.c
@@ -3,8 +3,7 @@
 #include <string.h>
 
 /* Answers up to this size are buffered until they are complete, so that one
-   that breaks off can be requested again without the caller seeing it. Plain
-   answers have about a kilobyte, so nearly all are buffered. */
+   that breaks off can be requested again without the caller seeing it. */
 #define BUFFER_MAX_BYTES 65536
 
 /* The endpoint states that it did not run the request. */
--- a/libberyl/forward/backlog.c
+++ b/libberyl/forward/backlog.c
@@ -6,17 +6,16 @@
 /* Estimates how long generations wait for engine memory, and the Retry-After
    of those that are refused. */
 
-/* Used when no run, and so no rate of completion, is known. */
+/* Minimum Retry-After while no run, and so no rate of completion, is known. */
 #define NO_RUNS_RETRY_MS 2000
 /* Minimum Retry-After; a shorter wait is not worth a new connection. */
 #define RETRY_MIN_MS 300
 /* Retry-After is at most the time left to the deadline divided by this, which
    leaves a retrying caller two thirds of that time for its second attempt. */
 #define RETRY_MAX_DIVISOR 3
-/* Callers with a deadline retry at a random time in this last part of the time
-   until the largest permitted Retry-After. A peak lasts for seconds, the
-   answer is late in any case, and there is no time for a third attempt, so a
-   late retry has the best chance. */
+/* Retry-After of a caller with a deadline is random between (1 - this) times
+   the maximum and the maximum. There is time for only one more attempt, which
+   is most likely to succeed late, since a load peak lasts for seconds. */
 #define RETRY_RANDOM_PART 0.5
 /* Share of the ending runs whose memory goes to callers that retry; the rest
    is for new requests. */
@@ -75,10 +74,11 @@
   return (int64_t)(part * (double)max_ms);
 }
 
-/* Spreads the retries of refused callers: each gets a random time, and
-   consecutive ones are at least as far apart as runs end that make room for
-   them. With one common time they would all retry together, meet the same peak
-   again and be refused for good. */
+/* Spreads the retries of refused callers: callers with a deadline get a random
+   time, and consecutive retries are spaced by the interval at which runs end
+   and free memory for them, up to the maximum Retry-After. With one common
+   time they would all retry together and be refused again, with no time for a
+   third attempt. */
 int64_t
 backlog_retry_after_ms (struct beryl_forward *f, const struct request *r,
                         int64_t now_ms)
--- a/libberyl/forward/balance.c
+++ b/libberyl/forward/balance.c
@@ -1,7 +1,7 @@
 #include "private.h"
 
-/* Interval of the checks, short enough that the runs of an engine grow by only
-   a few hundredths of its memory during two checks and a move. */
+/* Interval of the checks. During two checks and a move the runs of an engine
+   grow by a few hundredths of its memory. */
 #define BALANCE_MS 100
 /* How far ahead an engine must have free memory. */
 #define LOOKAHEAD_MS FORECAST_STEP_MS
--- a/libberyl/forward/call_overhead.h
+++ b/libberyl/forward/call_overhead.h
@@ -1,8 +1,8 @@
 /** @file
- * Durations of reservation calls, which cause no work at the engine. They
- * consist of the time in the network, in the engine's HTTP server and in this
- * process; what a prefill takes longer was spent in the engine's queue and on
- * the prompt.
+ * Overhead of calls to engines, measured by reservation calls, which cause no
+ * work there: the time in the network, in the engine's HTTP server and in this
+ * process. It is subtracted from the duration of a prefill call to get the
+ * time spent in the engine's queue and on the prompt.
  */
 #ifndef FORWARD_CALL_OVERHEAD_H
 #define FORWARD_CALL_OVERHEAD_H
--- a/libberyl/forward/crashes.c
+++ b/libberyl/forward/crashes.c
@@ -81,8 +81,8 @@
 }
 
 /* A broken connection does not prove that the endpoint has crashed, so the
-   endpoint is dialled: one that does not accept a connection, be it that the
-   attempt times out, is taken to have ended. The endpoint list shows an end
+   endpoint is dialled: if it does not accept a connection, also because the
+   attempt times out, it is assumed to have ended. The endpoint list shows that
    only seconds later. */
 void
 crashes_run_interrupted (struct beryl_forward *f, struct request *r,
--- a/libberyl/forward/endpoint_reports.c
+++ b/libberyl/forward/endpoint_reports.c
@@ -8,16 +8,16 @@
    would wait for a connection timeout, or use one of its few repeats, at each
    dead endpoint. */
 
-/* How long a replaced endpoint is reported: until a report has arrived
-   although datagrams may be lost, and the endpoint's list entry has lapsed. */
+/* How long a replaced endpoint is reported; long enough for a report to arrive
+   although datagrams are lost, and for the endpoint's list entry to expire. */
 #define REPLACED_REPORT_MS 3000
 /* How long an unreachable endpoint is reported; it may be back after that. */
 #define UNREACHABLE_REPORT_MS 1000
 /* How long an engine that was reported to change its stage is avoided; the
    report is repeated while the change lasts. */
 #define CHANGING_AVOID_MS 2000
-/* A peer that reports more than the number of endpoints divided by this as
-   unreachable is cut off itself, and its reports of unreachable endpoints are
+/* A peer that reports more than one in this many endpoints as unreachable is
+   assumed to be cut off itself, and its reports of unreachable endpoints are
    ignored. */
 #define UNREACHABLE_MAX_DIVISOR 3
 
--- a/libberyl/forward/engines.c
+++ b/libberyl/forward/engines.c
@@ -5,16 +5,17 @@
 #include "sample.h"
 
 /* Part of an engine's memory that the forecast may fill, its spread included:
-   an engine that exceeds its memory stalls all its runs. */
+   an engine that runs out of memory preempts its newest run. */
 #define FILL_PART 0.97
 /* Standard deviations added to the forecast of a new run's engine, and of the
    target engine of a move. */
 #define FILL_DEVIATIONS 2.0
 #define TARGET_DEVIATIONS 0.5
-/* An engine in another data centre is chosen only if the best local one would
-   fill this additional part of its memory, or would prefill the prompt this
-   much later: KV caches take longer to transfer there, and traffic between
-   data centres is charged. */
+/* Cost of an engine in another data centre: it is chosen only if its memory
+   would be less full than that of the best local engine by this part of the
+   usable memory (decode), or if its queue is shorter by this time (prefill).
+   KV caches take longer to transfer there, and traffic between data centres is
+   charged. */
 #define REMOTE_COST_PART 0.15
 #define REMOTE_WAIT_MS 50
 /* Time constant by which the estimate of memory used by unreported runs
@@ -219,7 +220,7 @@
 
       if (least == 0 || cost < least)
         least = cost;
-      /* An engine of unknown memory size counts as room for one. */
+      /* An engine of unknown memory size counts as having room for one run. */
       if (cost <= usable_tokens || usable_tokens <= 0)
         capacity->fitting_runs
             += 1 + fmax (usable_tokens - cost, 0) / fmax (need, 1);
@@ -231,8 +232,9 @@
       = usable_tokens > 0 ? FILL_PART * least / usable_tokens : 0;
 }
 
-/* Chooses among the engines that run no suspect (APART), or among all. The
-   forecast is an estimate; the engine itself counts exactly and decides. */
+/* Chooses among the engines that run no suspect if WITHOUT_SUSPECTS, and
+   otherwise among all. The forecast is an estimate; the engine itself counts
+   exactly and decides. */
 static struct beryl_live_endpoint *
 choose_decode (struct beryl_forward *f, const struct request *r,
                bool without_suspects, struct engine_capacity *capacity,
@@ -453,10 +455,10 @@
 }
 
 void
-beryl_forward_prompt_cached (struct beryl_forward *f, uint32_t key,
+beryl_forward_prompt_cached (struct beryl_forward *f, uint32_t prompt_hash,
                              uint32_t engine, int64_t now_ms)
 {
-  prompt_locations_record (&f->prompt_locations, key, engine, now_ms);
+  prompt_locations_record (&f->prompt_locations, prompt_hash, engine, now_ms);
 }
 
 void
--- a/libberyl/forward/events.c
+++ b/libberyl/forward/events.c
@@ -29,8 +29,8 @@
       if (before > 0 && bytes[before - 1] == '\n')
         return i + 1;
     }
-  /* The last two bytes, which may belong to the end of an event, are searched
-     again. */
+  /* The search goes on at the last two bytes; the bytes before them end no
+     event. */
   s->scanned = count > 2 ? count - 2 : 0;
   return 0;
 }
--- a/libberyl/forward/forward.c
+++ b/libberyl/forward/forward.c
@@ -4,8 +4,8 @@
 #include <string.h>
 
 /* A connection attempt that takes longer is aborted and another endpoint
-   tried; no byte was sent, so nothing can have run. Round trips within a
-   region take a few milliseconds, a busy endpoint's accept some tens. */
+   tried; no byte was sent, so nothing can have run. A round trip within a
+   region takes a few milliseconds, an accept by a busy endpoint some tens. */
 #define CONNECT_TIMEOUT_MS 150
 /* Assumed prompt length before any prompt was seen. */
 #define PRIOR_PROMPT_TOKENS 4000.0
@@ -438,6 +438,7 @@
       endpoint_report_unreachable (f, x->endpoint, now_ms);
       crashes_endpoint_ended (f, x->endpoint, now_ms);
     }
+  /* A failed connection counts as a time-out, even if it was refused. */
   beryl_live_record_outcome (
       x->endpoint,
       how == BERYL_FAILURE_CONNECT ? BERYL_LIVE_TIMED_OUT : BERYL_LIVE_BROKEN,
--- a/libberyl/forward/generation.c
+++ b/libberyl/forward/generation.c
@@ -8,8 +8,8 @@
 #define REJECTED_BACKOFF_MS 1000
 /* A KV cache that expires sooner is not used. */
 #define KV_MIN_LEFT_MS 50
-/* How often one KV cache may be handed to an engine: a second time after the
-   first engine has rejected the run, since the cache may have been the
+/* How many runs may fetch one KV cache. After the first engine has rejected
+   the run a second one is tried; if it rejects the run too, the cache is the
    reason. */
 #define KV_USES_MAX 2
 /* Minimum weight of the newest request in the means, which are plain means
@@ -17,10 +17,9 @@
 #define MEAN_WEIGHT_MIN 0.05
 
 /* Updates the means, by which the planner divides the engines between the
-   stages, when a request arrives. Means over ended runs would be biased to
-   short ones in the first seconds and after a shift to longer ones, and too
-   few engines would be assigned to decode; with an assumed length, too few to
-   prefill. */
+   stages, when a request arrives. Means over completed runs would be biased
+   towards short ones at first and after a shift to longer ones, and too few
+   engines would be assigned to decode. */
 static void
 update_means (struct service *s, const struct request *r)
 {
--- a/libberyl/forward/live.c
+++ b/libberyl/forward/live.c
@@ -10,13 +10,11 @@
 #define TIME_WEIGHT 0.1
 #define FAIL_WEIGHT 0.15
 /* An endpoint is avoided after this many consecutive failures, or from this
-   failure rate on. One in five is more than overload or a caller's own bad
-   requests cause, and a broken endpoint reaches it within half a dozen
-   calls. */
+   failure rate on. Overload and callers' bad requests cause lower rates. */
 #define AVOID_FAILURES 2
 #define AVOID_FAIL_RATE 0.2
-/* How long it is avoided; doubled at most three times, to eight times as long,
-   while probes fail. */
+/* How long an endpoint is avoided at first, and how many times that is doubled
+   at most while probes fail. */
 #define AVOID_MS 500
 #define AVOID_DOUBLINGS_MAX 3
 /* Interval of probes while an endpoint is avoided or its last call failed.
@@ -46,8 +44,9 @@
   size_t count;
   size_t capacity;
   struct map by_id;
-  int64_t leave_ms;   /* how long a leaving endpoint may get work */
-  int64_t synced_ms;  /* 0: never */
+  int64_t leave_ms;  /* how long a leaving endpoint may get work */
+  int64_t synced_ms; /* when the list was last read completely or confirmed; 0:
+                        never */
   int64_t resumed_ms; /* when updates resumed after the last outage; 0: none */
 };
 
@@ -164,7 +163,7 @@
 
 /* An endpoint that has restarted under its id has lost all earlier state:
    reservations, KV caches, runs, and its history of speed and failures. Each
-   of these refers to the object of its incarnation, or to its number, so a new
+   of these refers to the object of its incarnation, or to its hash, so a new
    object invalidates them all. Otherwise requests would be sent with handles
    that the new incarnation may have given to other requests. */
 static struct beryl_live_endpoint *
@@ -210,8 +209,9 @@
   return endpoint;
 }
 
-/* Updates arrive before the list is confirmed, so the first update after an
-   outage must detect its end itself. */
+/* Updates arrive before the list is confirmed, so the first removal after an
+   outage must detect the outage's end itself: the removed entry may be one
+   that lapsed during the outage. */
 static void
 detect_list_resumed (struct beryl_live_set *set, int64_t now_ms)
 {
@@ -391,8 +391,8 @@
 /* With many nodes each calls an endpoint rarely, and would notice that it is
    dead long after the first nodes did. A single node may be cut off from an
    endpoint that others reach, so reports of two peers are needed, and this
-   node's own recent answers override them. Returns whether the endpoint is
-   avoided only now. */
+   node's own recent answers override them. Returns whether this report has
+   caused the endpoint to be avoided. */
 bool
 beryl_live_suspect (struct beryl_live_endpoint *endpoint, uint32_t by,
                     int64_t now_ms)
@@ -416,8 +416,8 @@
 
 /* Lapsed entries are kept because an outage of the list makes those of healthy
    endpoints lapse too. An endpoint that has also failed is taken for dead:
-   with all other engines full, requests would spend much of their time to get
-   memory on asking it again (with two dead engines, half of it). */
+   while all other engines are full, requests that wait for memory would ask it
+   again and again; two dead engines would take half of their time. */
 static bool
 lapsed_and_failed (const struct beryl_live_endpoint *endpoint)
 {
--- a/libberyl/forward/move.c
+++ b/libberyl/forward/move.c
@@ -4,6 +4,8 @@
 
 /* How long a stopped run's memory is kept if the service does not state it. */
 #define DEFAULT_KV_HANDLE_MS 500
+/* How long a target engine that had no memory for a moved run is not asked. */
+#define TARGET_BACKOFF_MS 500
 
 void
 move_clear (struct beryl_forward *f, struct request *r)
@@ -103,9 +105,8 @@
   if (stopped && !result->ok)
     {
       /* The target engine had no memory: the run continues at the source, and
-         the target is not asked for as long as a stopped run's memory is kept
-         by default. */
-      r->move_target->full_until_ms = now_ms + DEFAULT_KV_HANDLE_MS;
+         the target is not asked for a while. */
+      r->move_target->full_until_ms = now_ms + TARGET_BACKOFF_MS;
       beryl_live_close (f->endpoints, r->move_target);
       r->move_target = source;
       beryl_live_open (source);
--- a/libberyl/forward/pace.c
+++ b/libberyl/forward/pace.c
@@ -8,9 +8,9 @@
 /* The quantile that is tracked. */
 #define QUANTILE 0.05
 /* Step by which a sample moves the estimate, relative to it. The first samples
-   move it further: with this step alone, it takes 160 prefills to learn that
-   engines are half as fast as assumed, and meanwhile too few are assigned to
-   prefill. */
+   move it further, by one over their number: with this step alone, learning
+   that engines are half as fast as assumed takes well over a hundred prefills,
+   and meanwhile too few engines are assigned to prefill. */
 #define STEP 0.1
 
 void
@@ -40,8 +40,8 @@
 
 /* Tracks the quantile by steps that are larger downwards than upwards, so that
    it settles where the given share of samples is below it. The recent samples
-   also limit it from above: after a few seconds of slow prefills, steps alone
-   would lower it late, since few prefills are sent while it is high. */
+   also limit it from above: a high estimate causes requests to be refused, so
+   few samples arrive, and steps alone would lower it only slowly. */
 void
 pace_learn (struct pace *pace, uint32_t tokens, int64_t took_ms)
 {
--- a/libberyl/forward/placement.c
+++ b/libberyl/forward/placement.c
@@ -8,7 +8,8 @@
 /* Engines that are asked for a reservation in one round. */
 #define ASKS_PER_ROUND 4
 /* An engine that refused a reservation is not asked again by this node for
-   this long; a run ends there every few hundred milliseconds. */
+   this long. Runs end there only every few hundred milliseconds, so it is most
+   likely still full until then. */
 #define FULL_BACKOFF_MS 60
 /* Minimum time from a reservation to the first event; a request with less time
    left until it should have had its first event is already late. */
@@ -99,9 +100,9 @@
 }
 
 /* Returns whether R, which has just begun to wait, will most likely not get
-   memory before it is given up: its caller is then told at once, and when to
-   retry. Waiting requests are not served in order, so the chance is the time
-   left divided by the time that the backlog takes. */
+   memory before it is given up; it is then refused at once, with a
+   Retry-After. Waiting requests are not served in order, so the chance is the
+   time left divided by the time that the backlog takes. */
 static bool
 is_unlikely_in_time (struct beryl_forward *f, const struct request *r,
                      int64_t now_ms)
@@ -154,7 +155,8 @@
 /* Requests that wait at many nodes see free memory at the same moment. If all
    asked for it, an engine would grant it several times before any node knew of
    the others' choices, and would preempt running requests for lack of memory.
-   On average only as many ask as would fit. */
+   Returns at random whether R skips this round, such that on average only as
+   many ask as would fit. */
 static bool
 skips_round (struct beryl_forward *f, const struct request *r,
              double fitting_runs, int64_t now_ms)
@@ -209,7 +211,9 @@
 
 /* The prefill engines' queue is expected to be no shorter when R asks again,
    so a request that could have been in time is refused at once, with a
-   Retry-After. One that is late anyway waits until the queue is shorter. */
+   Retry-After. One that is late anyway waits until the queue is shorter. If
+   all prefill engines are at their rate limits, the log says "prefill_behind"
+   too. */
 void
 placement_refuse_or_defer (struct beryl_forward *f, struct request *r,
                            int64_t now_ms)
--- a/libberyl/forward/plain.c
+++ b/libberyl/forward/plain.c
@@ -3,9 +3,15 @@
 #include <math.h>
 #include <string.h>
 
-/* Cost of an endpoint in another data centre, in open requests; the network
-   adds about a millisecond to an answer time of some tens. */
+/* Cost of an endpoint in another data centre, in open requests. */
 #define REMOTE_COST 0.5
+/* Response time that doubles the cost of an open request. */
+#define DOUBLE_COST_MS 100
+/* Costs of a failure rate of 1, of an avoided endpoint and of a request that
+   has stalled at the endpoint, in open requests. */
+#define FAILURE_COST 20
+#define AVOIDED_COST 1000
+#define STALLED_COST 100
 /* Weights of the newest time to an answer; the same as in TCP's retransmission
    timer, which estimates the same quantity. */
 #define TIME_WEIGHT 0.125
@@ -49,7 +55,7 @@
 }
 
 /* Returns how many requests of this node wait at ENDPOINT for longer than
-   usual. An endpoint that has stopped responding is first seen by these. */
+   usual. They are the first sign that an endpoint has stopped responding. */
 static uint32_t
 stalled_at (const struct beryl_forward *f,
             const struct beryl_live_endpoint *endpoint, int64_t late_ms,
@@ -67,9 +73,8 @@
 }
 
 /* Returns the cost of sending R to ENDPOINT, in open requests weighted by the
-   endpoint's response time, where 100 ms double the weight. Stalled requests
-   and a history of failures add the cost of many open requests, but never
-   exclude an endpoint. */
+   endpoint's response time, and with surcharges that never exclude an
+   endpoint. */
 static double
 endpoint_cost (struct beryl_forward *f, const struct request *r,
                struct beryl_live_endpoint *endpoint, int64_t now_ms)
@@ -78,13 +83,13 @@
 
   if (strcmp (endpoint->info.data_centre, f->settings.data_centre) != 0)
     cost += REMOTE_COST;
-  cost *= 1 + endpoint->response_time_ms / 100;
-  cost += 20 * endpoint->failure_rate;
+  cost *= 1 + endpoint->response_time_ms / DOUBLE_COST_MS;
+  cost += FAILURE_COST * endpoint->failure_rate;
   if (beryl_live_avoided (endpoint, now_ms))
-    cost += 1000;
+    cost += AVOIDED_COST;
   if (crashes_suspect_at (f, r, endpoint, now_ms))
     cost += SUSPECT_COST;
-  cost += 100
+  cost += STALLED_COST
           * stalled_at (f, endpoint, service_hedge_delay_ms (r->service) * 2,
                         now_ms);
   return cost;
--- a/libberyl/forward/prefill.c
+++ b/libberyl/forward/prefill.c
@@ -112,11 +112,11 @@
   return true;
 }
 
-/* Returns whether a prefill queue of WAIT_MS makes R late although it could
-   still be in time. A queue that is no longer than R's own prefill is always
-   accepted, so that requests that are late anyway still use the engines.
-   Without this limit the queue of an overloaded pool would grow until every
-   answer is late, while memory stays reserved. */
+/* Returns whether a prefill queue of WAIT_MS is too long for R: R would be
+   late, and the queue is longer than R's own prefill. A shorter queue is
+   always accepted, so that requests that are late anyway still use the
+   engines. Without this limit the queue of an overloaded pool would grow until
+   every answer is late, while memory stays reserved. */
 static bool
 makes_late (const struct request *r, int64_t wait_ms, int64_t now_ms)
 {
@@ -145,8 +145,9 @@
   return makes_late (r, wait_ms, now_ms);
 }
 
-/* Releases R's reservation, since its prompt would be prefilled too late. R
-   keeps the time since which it waits (waiting_since_ms). */
+/* Releases R's reservation, since its prompt would be prefilled too late or
+   all prefill engines are at their rate limits. R keeps the time since which
+   it waits (waiting_since_ms). */
 static void
 give_up_reservation (struct beryl_forward *f, struct request *r,
                      int64_t now_ms)
@@ -155,7 +156,8 @@
   placement_refuse_or_defer (f, r, now_ms);
 }
 
-/* The first accepted prefill does not count as a repeat, later ones do. */
+/* The first accepted prefill does not count as a repeat, later ones do; a
+   prefill sent after a refused one does, too (prefill_refused). */
 static void
 send_prefill (struct beryl_forward *f, struct request *r,
               struct beryl_live_endpoint *endpoint, int64_t now_ms)
--- a/libberyl/forward/private.h
+++ b/libberyl/forward/private.h
@@ -43,7 +43,8 @@
   double answer_mean_ms;      /**< smoothed time to the head of an answer; 0 if
                                  unknown */
   double answer_deviation_ms; /**< mean deviation of it */
-  struct output_model output_model; /**< output lengths of its generations */
+  struct output_model
+      output_model; /**< output lengths and decode speed of its generations */
   double prompt_tokens_mean;   /**< mean prompt length of its generations */
   double output_tokens_mean;   /**< mean expected output of its generations */
   uint32_t arrived;            /**< number of generations that arrived */
@@ -51,12 +52,13 @@
                                   this node's own prefills */
   double prefill_ms_per_token; /**< prefill time used in estimates; may be the
                                   fleet's median */
-  struct call_overhead call_overhead; /**< durations of reservation calls */
+  struct call_overhead call_overhead; /**< durations of reservation calls, as
+                                         the overhead of a call */
   struct peer_profiles peer_profiles;
-  uint64_t kv_tokens; /**< KV memory of one engine; 0 if unknown */
-  uint32_t waiting;   /**< this node's waiting generations */
-  int64_t
-      earliest_retry_ms; /**< retry time to give to the next refused caller */
+  uint64_t kv_tokens;        /**< KV memory of one engine; 0 if unknown */
+  uint32_t waiting;          /**< this node's waiting generations */
+  int64_t earliest_retry_ms; /**< earliest retry time for the next refused
+                                caller */
 };
 
 struct request;
@@ -91,12 +93,15 @@
 {
   struct beryl_live_endpoint
       *endpoint; /**< NULL if none; a reference is held */
-  char handle[BERYL_ENGINE_HANDLE_BYTES];
+  char handle[BERYL_ENGINE_HANDLE_BYTES]; /**< empty if used up by the run, or
+                                             if the memory is that of a moved
+                                             run */
   uint32_t tokens;
   int64_t expires_ms;
 };
 
-/** The KV cache of a prompt that was prefilled. */
+/** A KV cache that an engine keeps for a request until a run fetches it: of a
+ * prefilled prompt, or the memory of a run that a move has stopped. */
 struct kv_cache
 {
   struct beryl_live_endpoint
@@ -148,20 +153,22 @@
   bool move_stopped;     /**< the engine has stopped the run for the move */
   uint32_t engine_sends; /**< number of times the request itself was sent to
                             engines */
-  bool prefilled;        /**< a prefill engine has accepted its prompt */
+  bool
+      prefilled; /**< a prefill engine has, or may have, accepted its prompt */
   bool run_repeat_taken; /**< the next run's repeat was already taken from the
                             budget */
   bool local_prefill;    /**< its decode engine prefills the prompt itself */
-  uint32_t warm_engine; /**< number of the engine that has its prompt cached; 0
-                           if none */
-  bool continues_run;   /**< the next run continues a moved one */
-  bool stalled;         /**< its stream has produced no event for too long */
+  uint32_t warm_engine;  /**< beryl_live_hash of the engine that has its prompt
+                            cached; 0 if none */
+  bool continues_run;    /**< the next run continues a moved one */
+  bool stalled;          /**< its stream has produced no event for too long */
   bool relocating; /**< looks for another engine while its run is still open */
   bool stream_ended;    /**< the stream of a move's source engine has ended */
   uint32_t failed_asks; /**< engines that refused or did not answer in the
                            current round */
-  bool suspect;         /**< an endpoint may have crashed while running it */
-  int64_t run_ms;       /**< when its current run was sent */
+  bool suspect;   /**< it may have crashed an endpoint, or a request with its
+                     fingerprint has */
+  int64_t run_ms; /**< when its current run was sent */
   int64_t waiting_since_ms;
   const char *wait_reason; /**< last logged reason to wait; NULL if none */
 };
@@ -195,7 +202,8 @@
   bool report_due; /**< a report to the peers is due, see
                       beryl_forward_report_due */
   struct beryl_limits *limits;
-  uint32_t reachable_nodes;     /**< reachable, including this one */
+  uint32_t reachable_nodes; /**< nodes whose reports have arrived recently, and
+                               this one */
   int64_t reachable_counted_ms; /**< when they were last counted */
   struct beryl_quarantine_owner quarantine_owner;
   struct beryl_quarantine *quarantine;
@@ -206,10 +214,9 @@
 
 /* forward.c */
 struct service *forward_service (struct beryl_forward *f, const char *name);
-/** Return the service whose name hashes to NUMBER (beryl_name_hash), or
- * NULL. */
+/** Return the service whose name has HASH (beryl_name_hash), or NULL. */
 struct service *forward_service_by_hash (const struct beryl_forward *f,
-                                         uint32_t number);
+                                         uint32_t hash);
 /** Start an exchange with ENDPOINT for R; R is NULL for clean-up. */
 struct exchange *forward_exchange_start (struct beryl_forward *f,
                                          struct request *r,
@@ -255,7 +262,8 @@
 /** If R is quarantined, refuse it and return true. */
 bool crashes_refuse (struct beryl_forward *f, struct request *r,
                      int64_t now_ms);
-/** Mark R as a suspect: it may crash, or has crashed, an endpoint. */
+/** Mark R as a suspect: it, or a request with its fingerprint, may have
+ * crashed an endpoint. */
 void crashes_mark_suspect (struct beryl_forward *f, struct request *r,
                            int64_t now_ms);
 /** Return whether this node or a peer may have an open suspect. */
@@ -329,7 +337,8 @@
                           const char *step,
                           const struct beryl_live_endpoint *endpoint,
                           const char *outcome, int64_t number, int64_t now_ms);
-/** End R: abort its open exchanges, free its memory at engines, free it. */
+/** End R: detach its open exchanges (forward_exchange_detach), release its
+ * memory at engines and free it. */
 void forward_request_end (struct beryl_forward *f, struct request *r,
                           int64_t now_ms);
 /** Answer R with a refusal by this node and end it. */
@@ -443,6 +452,7 @@
  * is one. */
 void generation_run (struct beryl_forward *f, struct request *r,
                      int64_t now_ms);
+/** Handle the answer to X, an exchange of any kind but RUN. */
 void generation_exchange_result (struct beryl_forward *f, struct exchange *x,
                                  const struct beryl_engine_result *result,
                                  int64_t now_ms);
@@ -482,8 +492,9 @@
 bool prefill_would_be_late (struct beryl_forward *f, const struct request *r,
                             int64_t now_ms);
 /** Return whether R can run at once because its decode engine has the prompt
- * cached. If the engine still has to prefill the part of the answer that the
- * caller already has, this records that it does. */
+ * cached. If the engine first has to prefill the part of the answer that the
+ * caller already has, mark R as prefilled locally and record the time at the
+ * engine. */
 bool prefill_use_cached (struct beryl_forward *f, struct request *r,
                          int64_t now_ms);
 /** Have the prompt of R, which has a reservation, prefilled. */
@@ -558,18 +569,19 @@
 bool move_stream_ended (struct beryl_forward *f, struct request *r,
                         int64_t now_ms);
 /** The target engine of R's move rejected the run: continue at the source
- * engine. Return false if that was tried already. */
+ * engine. Return false if the source has rejected it too, or if its copy of
+ * the run's memory is unknown or has expired. */
 bool move_back (struct beryl_forward *f, struct request *r, int64_t now_ms);
 /** Clear the state of R's move. */
 void move_clear (struct beryl_forward *f, struct request *r);
 
 /* backlog.c */
-/** Interval at which a waiting request asks for memory again. A much shorter
- * one would keep engines busy with refusals, a much longer one would leave
- * freed memory unused. */
+/** Interval at which a waiting request asks for memory again. Shorter
+ * intervals burden full engines with refusals, longer ones leave freed memory
+ * unused. */
 #define ASK_INTERVAL_MS 120
-/** Time until other nodes know of a choice: reports are sent after 30 ms and
- * then cross the network. */
+/** Time until other nodes know of a choice. It covers the 30 ms for which
+ * reports are batched, and the network. */
 #define PROPAGATION_MS 50
 /** Return how many requests of R's service choose engines within
  * PROPAGATION_MS, so that they cannot know of each other's choices. */
@@ -616,8 +628,8 @@
 /** Estimated free capacity of a service's decode engines. */
 struct engine_capacity
 {
-  /** Fraction of the emptiest engine's memory in use if R ran there too; 0 if
-   * there is no engine to ask. */
+  /** Fraction of the emptiest sampled engine's memory in use if R ran there
+   * too; 0 if there is no engine to ask or the memory size is unknown. */
   double min_fill;
   double fitting_runs; /**< how many requests of R's prompt and expected output
                           fit into the free memory */
--- a/libberyl/forward/profile.c
+++ b/libberyl/forward/profile.c
@@ -8,7 +8,8 @@
    (it holds the planner's lease) needs several to know the engines' speed. */
 
 /* Maximum weight of a node's profile in the merged one; below it, the weight
-   is the node's number of observations. It lets changes show soon. */
+   is the node's number of observations. The maximum lets changes show soon:
+   older observations of a node add no weight. */
 #define ARRIVED_WEIGHT_MAX 20
 #define PREFILLS_WEIGHT_MAX 8
 #define STREAMS_WEIGHT_MAX 8
--- a/libberyl/forward/prompt_locations.h
+++ b/libberyl/forward/prompt_locations.h
@@ -25,12 +25,13 @@
   struct prompt_location slots[PROMPT_SLOTS];
 };
 
-/** Record that the prompt KEY (0 if unknown, which is ignored) runs at
+/** Record that the prompt with HASH (0 if unknown, which is ignored) runs at
  * ENGINE. */
 void prompt_locations_record (struct prompt_locations *prompts, uint32_t hash,
                               uint32_t engine, int64_t now_ms);
 
-/** Return the engine that recently ran KEY; 0 if none. */
+/** Return the hash of the engine that recently ran the prompt with HASH; 0 if
+ * none. */
 uint32_t prompt_locations_find (const struct prompt_locations *prompts,
                                 uint32_t hash, int64_t now_ms);
 
--- a/libberyl/forward/rates.c
+++ b/libberyl/forward/rates.c
@@ -6,8 +6,8 @@
 /* Keeps to the rate limits of endpoints, which apply to the requests of all
    nodes together. */
 
-/* Time until peers know of a send: reports are batched and cross the
-   network. */
+/* Time until peers know of a send, likewise PROPAGATION_MS: reports are
+   batched and cross the network. */
 #define REPORT_DELAY_MS 50
 /* Interval at which the reachable peers are counted. */
 #define COUNT_INTERVAL_MS 200
@@ -39,6 +39,8 @@
                                        : 1;
 }
 
+/* Returns the share of reachable nodes, and how many requests of S all nodes
+   are expected to send before they learn of each other's sends. */
 static struct beryl_limit_cluster
 cluster_state (struct beryl_forward *f, struct service *s, int64_t now_ms)
 {
@@ -71,7 +73,8 @@
 }
 
 /* Only an answer to a served request shows that there is no limit any more.
-   The kind of answer that beryl_limits_observe expects must not be 0. */
+   The kind of exchange is passed to beryl_limits_observe plus 1, since 0 is
+   not a valid kind there. */
 void
 rates_learn (struct beryl_forward *f, const struct exchange *x,
              const struct beryl_rate_limit *limit, bool served, int64_t now_ms)
--- a/libberyl/forward/relocate.c
+++ b/libberyl/forward/relocate.c
@@ -101,10 +101,11 @@
   ask (f, r, now_ms);
 }
 
-/* R may not be sent again any more: most often other streams have used up the
-   repeats since R asked, which is what the log says, but R may also have been
-   quarantined. If R gave up its run now, it could continue neither at the
-   other engine nor at its own, so it stays. */
+/* R may no longer be sent again (stream_may_relocate): most often other
+   streams have used up the repeats since R asked. The log always says
+   "no_repeats", also if R has been quarantined or has run at as many endpoints
+   as its route allows. If R gave up its run now, it could continue neither at
+   the other engine nor at its own, so it stays. */
 static void
 decline (struct beryl_forward *f, struct exchange *x,
          const struct beryl_engine_result *result, int64_t now_ms)
--- a/libberyl/forward/repeat_budget.h
+++ b/libberyl/forward/repeat_budget.h
@@ -13,8 +13,9 @@
  * A node that has used up its share may borrow from another. The borrower may
  * use a loan for REPEAT_LOAN_MS from its own request on. The lender counts it
  * as spent for that time and a window more, counted from the grant, so that no
- * window in which the borrower may have used it is missed. A loan whose
- * message is lost is lost: the limit holds whatever arrives.
+ * window in which the borrower may have used it is missed. If the message of a
+ * loan is lost, the lender counts it as spent although nobody uses it, so the
+ * limit is never exceeded.
  */
 #ifndef FORWARD_REPEAT_BUDGET_H
 #define FORWARD_REPEAT_BUDGET_H
@@ -28,16 +29,16 @@
 
 /** Loans that a node may have outstanding. */
 #define REPEAT_LOANS_MAX 16
-/** How long a loan may be used, counted from the borrower's request. It allows
- * for some round trips between nodes, and for failures of a service, which
- * come in bursts of seconds. */
+/** How long a loan may be used, counted from the borrower's request. It covers
+ * some round trips between nodes, and a burst of failures of a service, which
+ * lasts for seconds. */
 #define REPEAT_LOAN_MS 2000
 
 /** Repeats that were lent or borrowed. */
 struct repeat_loan
 {
   uint32_t count;
-  int64_t expires_ms; /**< end of its validity */
+  int64_t expires_ms;
 };
 
 /** Counters of the last window; zero-initialise. */
--- a/libberyl/forward/run_index.h
+++ b/libberyl/forward/run_index.h
@@ -1,6 +1,6 @@
 /** @file
  * Index of the peers' runs by engine, prefill engine or service. It avoids a
- * scan of all runs: 400 nodes have some twenty thousand.
+ * scan of all runs, of which a fleet of 400 nodes has some twenty thousand.
  */
 #ifndef FORWARD_RUN_INDEX_H
 #define FORWARD_RUN_INDEX_H
@@ -19,8 +19,7 @@
   uint32_t index; /**< index among the peer's runs */
 };
 
-/** Runs under the same number: the hash of their engine, prefill engine or
- * service. */
+/** Runs whose engine, prefill engine or service has the same hash. */
 struct run_list
 {
   struct run_ref *items;
@@ -28,21 +27,21 @@
   size_t capacity;
 };
 
-/** Map from numbers to lists of runs; zero-initialise. */
+/** Map from hashes to lists of runs; zero-initialise. */
 struct run_index
 {
   struct map lists;
 };
 
-/** Add the run of PEER at index AT under NUMBER. */
+/** Add the run of PEER at index AT under HASH. */
 void run_index_add (struct run_index *index, uint32_t hash,
                     const struct peer_runs *peer, uint32_t at);
 
-/** Remove the run of PEER at index AT from NUMBER. */
+/** Remove the run of PEER at index AT from HASH. */
 void run_index_remove (struct run_index *index, uint32_t hash,
                        const struct peer_runs *peer, uint32_t at);
 
-/** Return the runs under NUMBER; NULL if there are none. */
+/** Return the runs under HASH; NULL if there are none. */
 const struct run_list *run_index_find (const struct run_index *index,
                                        uint32_t hash);
 
--- a/libberyl/forward/run_table.c
+++ b/libberyl/forward/run_table.c
@@ -31,7 +31,7 @@
 /* A peer without a report for this many of its intervals may be
    unreachable. */
 #define SILENT_INTERVALS 2
-/* Default report interval of peers. */
+/* Report interval that is assumed if none, or a shorter one, is set. */
 #define INTERVAL_MIN_MS 500
 /* A peer's report is used for at most this long. */
 #define REPORT_MAX_AGE_MS 5000
@@ -139,11 +139,11 @@
   double median
       = run->expected_tokens > 0 ? run->expected_tokens : model->tokens_mean;
   double reported = run->generated_tokens;
-  double now = reported + (double)age_ms / model->ms_per_token;
+  double produced_now = reported + (double)age_ms / model->ms_per_token;
   /* Ends are reported at once, so a run of a reachable peer is still alive; a
      run of a silent peer is known only to have been alive when it was
      reported. */
-  double alive = survival (model, median, reachable ? now : reported);
+  double alive = survival (model, median, reachable ? produced_now : reported);
   /* A run that has started uses its own memory instead of the reservation. */
   double reserved = run->started ? 0
                                  : reservation_tokens (run->prompt_tokens,
@@ -151,8 +151,8 @@
 
   for (int i = 0; i < FORECAST_STEPS; i++)
     {
-      double produced
-          = now + (double)(i * FORECAST_STEP_MS) / model->ms_per_token;
+      double produced = produced_now
+                        + (double)(i * FORECAST_STEP_MS) / model->ms_per_token;
       double chance = fmin (survival (model, median, produced) / alive, 1);
       double tokens = fmax (run->prompt_tokens + produced, reserved);
 
--- a/libberyl/forward/run_table.h
+++ b/libberyl/forward/run_table.h
@@ -18,8 +18,8 @@
 #include "beryl/ids.h"
 #include "run_index.h"
 
-/** Points in time of a forecast: now, and as many steps ahead as the longest
- * runs last. */
+/** Points in time of a forecast: now, and steps ahead that cover the longest
+ * runs to be expected. */
 #define FORECAST_STEPS 14
 #define FORECAST_STEP_MS 300
 
@@ -103,8 +103,8 @@
       waiting_by_service; /**< requests that wait for memory, by service */
   int64_t suspect_reported_ms; /**< when a suspect run was last reported; 0 if
                                   never */
-  int64_t report_interval_ms;  /**< interval of live peers' reports; 0 for the
-                                  default */
+  int64_t report_interval_ms;  /**< interval of live peers' reports; 0 if not
+                                  set; values under 500 ms count as 500 ms */
 };
 
 /** Return after how long without a report a peer counts as unreachable. */
@@ -117,8 +117,8 @@
                        const struct beryl_engine_run *runs, size_t count,
                        int64_t now_ms);
 
-/** Drop the runs with PROMPT_KEY, which have ended although their peers did
- * not report it. */
+/** Drop the runs with PROMPT_HASH, which are assumed to have ended although
+ * their peers did not report it. */
 void run_table_drop_prompt (struct run_table *table, uint32_t prompt_hash);
 
 /** Drop the runs of PEER, which has left the fleet. It counts as reachable
--- a/libberyl/forward/sample.c
+++ b/libberyl/forward/sample.c
@@ -8,8 +8,8 @@
 /* Minimum number of engines drawn: the better of two is far better than a
    single random one. */
 #define DRAWN_MIN 2
-/* The number of engines drawn is such that a concurrent choice is the same
-   engine with a probability of about one in this many. */
+/* Limits the number of engines drawn: the probability that any concurrent
+   choice falls on the same engine is about one in this many. */
 #define COLLISION_DIVISOR 4
 
 void
--- a/libberyl/forward/sample.h
+++ b/libberyl/forward/sample.h
@@ -2,12 +2,10 @@
  * Chooses one of many engines by cost.
  *
  * Only some engines, drawn at random, are compared. All nodes make nearly the
- * same forecast and learn of each other's choices some ten milliseconds late:
- * if each took the best of all engines, nodes that choose at the same moment
- * would all ask the same engine, be refused there, and leave others empty.
- * With 70 nodes every second reservation was refused for that reason.
- *
- * No I/O, and independent of requests.
+ * same forecast and learn of each other's choices only after some tens of
+ * milliseconds: if each took the best of all engines, nodes that choose at the
+ * same moment would all ask the same engine, be refused there, and leave
+ * others empty. At 70 nodes this makes about half of the reservations fail.
  */
 #ifndef FORWARD_SAMPLE_H
 #define FORWARD_SAMPLE_H
@@ -17,9 +15,9 @@
 
 #include "beryl/live.h"
 
-/** Most engines that are compared. The forecast of one takes some ten
- * microseconds, and the best of this many is nearly as good as the best of
- * all. */
+/** Most engines that are compared. It bounds the time of a choice, since each
+ * forecast takes some ten microseconds; the best of this many is nearly as
+ * good as the best of all. */
 #define SAMPLE_MAX 64
 
 /** An engine and the cost of choosing it. */
--- a/libberyl/forward/stream.c
+++ b/libberyl/forward/stream.c
@@ -11,9 +11,9 @@
    includes a KV cache transfer and a queue. */
 #define FIRST_EVENT_STALL_MS 400
 /* A stream without events for this long is continued at another engine, since
-   its own is taken for dead: one that has preempted the run needs a few
-   hundred milliseconds to prefill its prompt again. Before the first event the
-   limit is longer, since links may be slow. */
+   its own is assumed dead: a live engine that has preempted the run needs a
+   few hundred milliseconds to prefill it again, and would have resumed by
+   then. The limit is longer before the first event, as links may be slow. */
 #define DEAD_AFTER_MS 1000
 #define FIRST_DEAD_AFTER_MS 2500
 /* An engine that is this full may have preempted a run for lack of memory. */
@@ -53,8 +53,8 @@
   return due_ms < r->deadline_ms ? due_ms : r->deadline_ms;
 }
 
-/* Returns the endpoints that may have run R, including one that has not
-   answered yet. */
+/* Returns the number of endpoints that may have run R, including one that has
+   not answered yet. */
 static uint32_t
 endpoints_run_with_open (const struct request *r)
 {
@@ -85,8 +85,8 @@
 
 /* If the engine is short of memory, asking it to move the run shows the run's
    state: a live run moves, and a preempted one is not found. Both end the
-   stall sooner than waiting. An engine that is not short of memory pauses for
-   a prefill, or is dead, which only time shows. */
+   stall sooner than waiting. Otherwise the engine is prefilling a prompt or
+   dead, and only waiting shows which. */
 static void
 handle_stall (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
