--- a/libberyl/forward/pace.c
+++ b/libberyl/forward/pace.c
@@ -9,8 +9,8 @@
 #define QUANTILE 0.05
 /* Step by which a sample moves the estimate, relative to it. The first samples
    move it further, by one over their number: with this step alone, learning
-   that engines are half as fast as assumed takes well over a hundred prefills,
-   and meanwhile too few engines are assigned to prefill. */
+   that engines are half as fast as assumed takes 160 prefills, and meanwhile
+   too few engines are assigned to prefill. */
 #define STEP 0.1
 
 void
--- a/tests/forward/test_near.c
+++ b/tests/forward/test_near.c
@@ -11,14 +11,14 @@
 #define ENGINES 30
 #define REMOTE_COST 15.0
 
-static struct beryl_live_endpoint lives[ENGINES];
+static struct beryl_live_endpoint endpoints[ENGINES];
 
 static void
 setup (void)
 {
-  memset (lives, 0, sizeof lives);
+  memset (endpoints, 0, sizeof endpoints);
   for (int i = 0; i < ENGINES; i++)
-    strcpy (lives[i].info.data_centre, i % 3 == 0 ? "home" : "away");
+    strcpy (endpoints[i].info.data_centre, i % 3 == 0 ? "home" : "away");
 }
 
 /* Chooses among engines of which local ones cost LOCAL and the others REMOTE.
@@ -35,7 +35,7 @@
   const struct beryl_live_endpoint *live;
 
   for (int i = 0; i < ENGINES; i++)
-    sample_add (&sample, &lives[i], &seed);
+    sample_add (&sample, &endpoints[i], &seed);
   for (size_t i = 0; i < sample_count (&sample); i++)
     sample.items[i].cost
         = strcmp (sample.items[i].endpoint->info.data_centre, "home") == 0
@@ -76,10 +76,10 @@
 START_TEST (test_no_preferred_data_centre)
 {
   for (int i = 0; i < ENGINES; i++)
-    strcpy (lives[i].info.data_centre, "away");
+    strcpy (endpoints[i].info.data_centre, "away");
   ck_assert_ptr_nonnull (chosen (50, 50, 1));
   for (int i = 0; i < ENGINES; i++)
-    strcpy (lives[i].info.data_centre, "");
+    strcpy (endpoints[i].info.data_centre, "");
   ck_assert_ptr_nonnull (chosen (50, 50, 1));
 }
 END_TEST
@@ -90,7 +90,7 @@
   bool seen[ENGINES] = { false };
 
   for (uint64_t seed = 0; seed < 300; seed++)
-    seen[chosen (50, 50, seed * 7919) - lives] = true;
+    seen[chosen (50, 50, seed * 7919) - endpoints] = true;
   for (int i = 0; i < ENGINES; i += 3)
     ck_assert_msg (seen[i], "engine %d is never chosen", i);
 }
--- a/tests/forward/test_prompts.c
+++ b/tests/forward/test_prompts.c
@@ -261,21 +261,21 @@
 END_TEST
 
 static struct beryl_engine_run
-told_run (const char *engine, uint32_t prompt_key)
+told_run (const char *engine, uint32_t prompt_hash)
 {
   return (struct beryl_engine_run){ .engine = beryl_name_hash (engine),
                                     .prompt_tokens = 1000,
                                     .expected_tokens = 500,
                                     .started = true,
-                                    .prompt_hash = prompt_key };
+                                    .prompt_hash = prompt_hash };
 }
 
 static struct fx_exchange *
-arrive_with_prompt (uint64_t request, uint32_t prompt_key)
+arrive_with_prompt (uint64_t request, uint32_t prompt_hash)
 {
   struct beryl_forward_request facts = fx_request_params (&fx, request);
 
-  facts.prompt_hash = prompt_key;
+  facts.prompt_hash = prompt_hash;
   beryl_forward_submit (fx.forward, &facts, fx.now_ms);
   return open_of (request, BERYL_EXCHANGE_RESERVE);
 }
