--- a/libberyl/forward/generation.c
+++ b/libberyl/forward/generation.c
@@ -8,8 +8,8 @@
 #define REJECTED_BACKOFF_MS 1000
 /* A KV cache that expires sooner is not used. */
 #define KV_MIN_LEFT_MS 50
-/* How often one KV cache may be handed to an engine: a second time after the
-   first engine has rejected the run, since the cache may have been the
+/* How many runs may fetch one KV cache. After the first engine has rejected
+   the run a second one is tried; if it rejects the run too, the cache is the
    reason. */
 #define KV_USES_MAX 2
 /* Minimum weight of the newest request in the means, which are plain means
@@ -17,15 +17,15 @@
 #define MEAN_WEIGHT_MIN 0.05
 
 /* Updates the means, by which the planner divides the engines between the
-   stages, when a request arrives. Means over ended runs would be biased to
-   short ones in the first seconds and after a shift to longer ones, and too
-   few engines would be assigned to decode; with an assumed length, too few to
-   prefill. */
+   stages, when a request arrives. Means over completed runs would be biased
+   towards short ones at first and after a shift to longer ones, and too few
+   engines would be assigned to decode. */
 static void
 update_means (struct service *s, const struct request *r)
 {
-  double output = length_model_mean (&s->lengths, r->params.output_tokens_hint,
-                                     r->params.output_tokens_max);
+  double output
+      = output_model_mean (&s->output_model, r->params.output_tokens_hint,
+                           r->params.output_tokens_max);
   double weight;
 
   s->arrived++;
@@ -42,13 +42,14 @@
 
   update_means (s, r);
   r->warm_engine = prompt_locations_find (&f->prompt_locations,
-                                          r->params.prompt_key, now_ms);
+                                          r->params.prompt_hash, now_ms);
   /* The prompt ran recently, so this is most likely its caller's retry. Runs
      of the prompt that peers have reported are assumed to have ended. */
   if (r->warm_engine != 0)
-    run_table_drop_prompt (&f->run_table, r->params.prompt_key);
-  r->expected_tokens = length_model_median (
-      &s->lengths, r->params.output_tokens_hint, r->params.output_tokens_max);
+    run_table_drop_prompt (&f->run_table, r->params.prompt_hash);
+  r->expected_tokens
+      = output_model_median (&s->output_model, r->params.output_tokens_hint,
+                             r->params.output_tokens_max);
   placement_start (f, r, now_ms);
 }
 
@@ -231,15 +232,16 @@
 }
 
 void
-generation_result (struct beryl_forward *f, struct exchange *x,
-                   const struct beryl_engine_result *result, int64_t now_ms)
+generation_exchange_result (struct beryl_forward *f, struct exchange *x,
+                            const struct beryl_engine_result *result,
+                            int64_t now_ms)
 {
   struct request *r = x->request;
 
   if (result->misdirected)
     endpoint_report_replaced (f, x->endpoint, now_ms);
   if (x->kind == BERYL_EXCHANGE_RESERVE && r != NULL)
-    call_times_learn (&r->service->reservation_times, now_ms - x->started_ms);
+    call_overhead_learn (&r->service->call_overhead, now_ms - x->started_ms);
   if (x->kind == BERYL_EXCHANGE_PREFILL)
     rates_learn (f, x, &result->limit, result->ok, now_ms);
   if (r == NULL)
@@ -298,7 +300,7 @@
    was gone. A second engine that rejects the same cache shows that it is the
    cache. */
 static void
-back_off_cause (struct request *r, int64_t now_ms)
+back_off_responsible_engine (struct request *r, int64_t now_ms)
 {
   struct beryl_live_endpoint *engine = r->reservation.endpoint;
 
@@ -314,7 +316,7 @@
 {
   if (wrong_stage && r->reservation.endpoint != NULL)
     generation_record_other_stage (r->reservation.endpoint);
-  back_off_cause (r, now_ms);
+  back_off_responsible_engine (r, now_ms);
   reservation_unusable (f, r, now_ms);
 }
 
--- a/libberyl/forward/rates.c
+++ b/libberyl/forward/rates.c
@@ -6,8 +6,8 @@
 /* Keeps to the rate limits of endpoints, which apply to the requests of all
    nodes together. */
 
-/* Time until peers know of a send: reports are batched and cross the
-   network. */
+/* Time until peers know of a send, likewise PROPAGATION_MS: reports are
+   batched and cross the network. */
 #define REPORT_DELAY_MS 50
 /* Interval at which the reachable peers are counted. */
 #define COUNT_INTERVAL_MS 200
@@ -39,8 +39,10 @@
                                        : 1;
 }
 
+/* Returns the share of reachable nodes, and how many requests of S all nodes
+   are expected to send before they learn of each other's sends. */
 static struct beryl_limit_cluster
-limit_terms (struct beryl_forward *f, struct service *s, int64_t now_ms)
+cluster_state (struct beryl_forward *f, struct service *s, int64_t now_ms)
 {
   struct repeat_limits repeats = forward_repeat_limits (f);
   double requests = repeat_budget_requests (&s->budget, &repeats, now_ms);
@@ -71,7 +73,8 @@
 }
 
 /* Only an answer to a served request shows that there is no limit any more.
-   The kind of answer that beryl_limits_observe expects must not be 0. */
+   The kind of exchange is passed to beryl_limits_observe plus 1, since 0 is
+   not a valid kind there. */
 void
 rates_learn (struct beryl_forward *f, const struct exchange *x,
              const struct beryl_rate_limit *limit, bool served, int64_t now_ms)
@@ -96,12 +99,12 @@
 rates_allows (struct beryl_forward *f, struct service *s,
               const struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
-  struct beryl_limit_cluster terms;
+  struct beryl_limit_cluster cluster;
 
   if (!rates_is_limited (f, endpoint))
     return true;
-  terms = limit_terms (f, s, now_ms);
-  return beryl_limits_allow (f->limits, beryl_live_hash (endpoint), &terms,
+  cluster = cluster_state (f, s, now_ms);
+  return beryl_limits_allow (f->limits, beryl_live_hash (endpoint), &cluster,
                              random_unit (&f->random), now_ms);
 }
 
@@ -109,12 +112,12 @@
 rates_count_sent (struct beryl_forward *f, struct service *s,
                   const struct beryl_live_endpoint *endpoint, int64_t now_ms)
 {
-  struct beryl_limit_cluster terms;
+  struct beryl_limit_cluster cluster;
 
   if (!rates_is_limited (f, endpoint))
     return;
-  terms = limit_terms (f, s, now_ms);
-  beryl_limits_record_send (f->limits, beryl_live_hash (endpoint), &terms,
+  cluster = cluster_state (f, s, now_ms);
+  beryl_limits_record_send (f->limits, beryl_live_hash (endpoint), &cluster,
                             now_ms);
 }
 
@@ -123,7 +126,7 @@
 rates_retry_after_ms (struct beryl_forward *f, struct service *s,
                       int64_t now_ms)
 {
-  struct beryl_limit_cluster terms = limit_terms (f, s, now_ms);
+  struct beryl_limit_cluster cluster = cluster_state (f, s, now_ms);
   int64_t min_wait_ms = BERYL_NEVER_MS;
 
   for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
@@ -137,7 +140,7 @@
           || !rates_is_limited (f, endpoint))
         continue;
       wait_ms = beryl_limits_wait_ms (f->limits, beryl_live_hash (endpoint),
-                                      &terms, now_ms);
+                                      &cluster, now_ms);
       if (wait_ms < min_wait_ms)
         min_wait_ms = wait_ms;
     }
@@ -155,10 +158,10 @@
 }
 
 static const struct beryl_live_endpoint *
-find_endpoint (const struct beryl_forward *f, uint32_t number)
+find_endpoint (const struct beryl_forward *f, uint32_t hash)
 {
   for (size_t i = 0; i < beryl_live_set_count (f->endpoints); i++)
-    if (beryl_live_hash (beryl_live_set_get (f->endpoints, i)) == number)
+    if (beryl_live_hash (beryl_live_set_get (f->endpoints, i)) == hash)
       return beryl_live_set_get (f->endpoints, i);
   return NULL;
 }
@@ -166,7 +169,7 @@
 static void
 apply_limit (struct beryl_forward *f, uint32_t node,
              const struct beryl_limit_item *item,
-             const struct beryl_limit_cluster *terms, int64_t now_ms)
+             const struct beryl_limit_cluster *cluster, int64_t now_ms)
 {
   struct beryl_limits_update update
       = { .node = node, .items = { *item }, .count = 1 };
@@ -175,7 +178,7 @@
   struct beryl_rate_limit after;
   const struct beryl_live_endpoint *endpoint;
 
-  beryl_limits_apply_update (f->limits, &update, terms, now_ms);
+  beryl_limits_apply_update (f->limits, &update, cluster, now_ms);
   after = beryl_limits_get (f->limits, item->endpoint);
   if (before.advertised == after.advertised)
     return;
@@ -189,9 +192,9 @@
                            const struct beryl_limits_update *update,
                            int64_t now_ms)
 {
-  struct beryl_limit_cluster terms
+  struct beryl_limit_cluster cluster
       = { .reachable_fraction = reachable_share (f, now_ms) };
 
   for (size_t i = 0; i < update->count; i++)
-    apply_limit (f, update->node, &update->items[i], &terms, now_ms);
+    apply_limit (f, update->node, &update->items[i], &cluster, now_ms);
 }
--- a/libberyl/forward/stream.c
+++ b/libberyl/forward/stream.c
@@ -11,9 +11,9 @@
    includes a KV cache transfer and a queue. */
 #define FIRST_EVENT_STALL_MS 400
 /* A stream without events for this long is continued at another engine, since
-   its own is taken for dead: one that has preempted the run needs a few
-   hundred milliseconds to prefill its prompt again. Before the first event the
-   limit is longer, since links may be slow. */
+   its own is assumed dead: a live engine that has preempted the run needs a
+   few hundred milliseconds to prefill it again, and would have resumed by
+   then. The limit is longer before the first event, as links may be slow. */
 #define DEAD_AFTER_MS 1000
 #define FIRST_DEAD_AFTER_MS 2500
 /* An engine that is this full may have preempted a run for lack of memory. */
@@ -28,7 +28,7 @@
 stall_after_ms (const struct request *r)
 {
   double event_ms
-      = r->config->engine.event_tokens * r->service->lengths.ms_per_token;
+      = r->config->engine.event_tokens * r->service->output_model.ms_per_token;
 
   if (r->run_events == 0)
     return FIRST_EVENT_STALL_MS;
@@ -53,8 +53,8 @@
   return due_ms < r->deadline_ms ? due_ms : r->deadline_ms;
 }
 
-/* Returns the endpoints that may have run R, including one that has not
-   answered yet. */
+/* Returns the number of endpoints that may have run R, including one that has
+   not answered yet. */
 static uint32_t
 endpoints_run_with_open (const struct request *r)
 {
@@ -85,8 +85,8 @@
 
 /* If the engine is short of memory, asking it to move the run shows the run's
    state: a live run moves, and a preempted one is not found. Both end the
-   stall sooner than waiting. An engine that is not short of memory pauses for
-   a prefill, or is dead, which only time shows. */
+   stall sooner than waiting. Otherwise the engine is prefilling a prompt or
+   dead, and only waiting shows which. */
 static void
 handle_stall (struct beryl_forward *f, struct request *r, int64_t now_ms)
 {
@@ -145,7 +145,7 @@
 void
 stream_learn_length (struct beryl_forward *f, const struct request *r)
 {
-  length_model_learn (&r->service->lengths, r->params.output_tokens_hint,
-                      (uint32_t)r->event_count
-                          * r->config->engine.event_tokens);
+  output_model_learn_length (
+      &r->service->output_model, r->params.output_tokens_hint,
+      (uint32_t)r->event_count * r->config->engine.event_tokens);
 }
