--- a/berylctl/command_describe.c
+++ b/berylctl/command_describe.c
@@ -24,7 +24,7 @@
   if (status != NULL)
     json_object_set (whole, "status", json_object_get (status, "value"));
   else
-    json_object_set_new (whole, "status", json_string ("not validated yet"));
+    json_object_set_new (whole, "status", json_string ("not judged yet"));
   if (ctl->format == CTL_FORMAT_JSON)
     ctl_print_json (whole);
   else
