--- a/gatewayd/config_sync.c
+++ b/gatewayd/config_sync.c
@@ -28,7 +28,7 @@
   struct loop *loop;
   struct link_listener *listener;
   struct frame_writer *writer;
-  GPtrArray *transfers; /* struct reassignment, served and pulled ones */
+  GPtrArray *transfers; /* struct transfer, served and pulled ones */
   bool pulling;
   uint64_t revision; /* of this node's configuration */
   GString *value;
@@ -52,7 +52,7 @@
 }
 
 /* A connection over which a configuration is pulled. */
-struct reassignment
+struct transfer
 {
   struct link_handler base;
   struct config_sync *sync;
@@ -67,7 +67,7 @@
 static void
 transfer_free (void *pointer)
 {
-  struct reassignment *transfer = pointer;
+  struct transfer *transfer = pointer;
 
   if (transfer->is_client)
     transfer->sync->pulling = false;
@@ -78,7 +78,7 @@
  * "whole" for any complete response and "none" for one without a
  * configuration. */
 static void
-log_outcome (const struct reassignment *transfer, const char *outcome)
+log_outcome (const struct transfer *transfer, const char *outcome)
 {
   if (transfer->is_client)
     g_info ("configuration pull peer=%s outcome=%s bytes=%" G_GUINT64_FORMAT
@@ -88,7 +88,7 @@
 }
 
 static void
-transfer_end (struct reassignment *transfer, const char *outcome)
+transfer_end (struct transfer *transfer, const char *outcome)
 {
   struct link *link = transfer->link;
 
@@ -100,7 +100,7 @@
 static void
 transfer_opened (struct link_handler *handler, struct link *link)
 {
-  struct reassignment *transfer = (struct reassignment *)handler;
+  struct transfer *transfer = (struct transfer *)handler;
 
   gossip_put_number (transfer->sync->writer, GOSSIP_PULL,
                      transfer->sync->revision);
@@ -108,7 +108,7 @@
 }
 
 static void
-send_response (struct reassignment *transfer, uint64_t after)
+send_response (struct transfer *transfer, uint64_t after)
 {
   struct config_sync *sync = transfer->sync;
   unsigned char mac[MAC_BYTES];
@@ -129,7 +129,7 @@
 }
 
 static void
-receive_response (struct reassignment *transfer, struct frame *frame)
+receive_response (struct transfer *transfer, struct frame *frame)
 {
   struct config_sync *sync = transfer->sync;
   struct frame_map map = frame_root (frame);
@@ -158,7 +158,7 @@
 transfer_frame (struct link_handler *handler, struct link *link,
                 struct frame *frame)
 {
-  struct reassignment *transfer = (struct reassignment *)handler;
+  struct transfer *transfer = (struct transfer *)handler;
   uint64_t after = 0;
 
   if (transfer->is_client)
@@ -174,7 +174,7 @@
 transfer_closed (struct link_handler *handler, struct link *link,
                  const char *reason)
 {
-  struct reassignment *transfer = (struct reassignment *)handler;
+  struct transfer *transfer = (struct transfer *)handler;
 
   log_outcome (transfer, "closed");
   g_ptr_array_remove_fast (transfer->sync->transfers, transfer);
@@ -184,10 +184,10 @@
   .opened = transfer_opened, .frame = transfer_frame, .closed = transfer_closed
 };
 
-static struct reassignment *
+static struct transfer *
 transfer_create (struct config_sync *sync, bool is_client)
 {
-  struct reassignment *transfer = g_new0 (struct reassignment, 1);
+  struct transfer *transfer = g_new0 (struct transfer, 1);
 
   transfer->base.impl = &transfer_impl;
   transfer->sync = sync;
@@ -200,7 +200,7 @@
 void
 config_sync_pull (struct config_sync *sync, const char *address, uint16_t port)
 {
-  struct reassignment *transfer;
+  struct transfer *transfer;
 
   if (sync->pulling)
     return;
@@ -221,7 +221,7 @@
 accept_transfer (void *user, struct link *link)
 {
   struct config_sync *sync = user;
-  struct reassignment *transfer = transfer_create (sync, false);
+  struct transfer *transfer = transfer_create (sync, false);
 
   transfer->link = link;
   g_ptr_array_add (sync->transfers, transfer);
@@ -232,7 +232,7 @@
  * do not count: a peer that sends its request byte by byte could hold the
  * connection for as long as it likes. */
 static void
-update_progress (struct reassignment *transfer, int64_t now_ms)
+update_progress (struct transfer *transfer, int64_t now_ms)
 {
   uint64_t progress = transfer->is_client
                           ? link_received_bytes (transfer->link)
@@ -251,8 +251,7 @@
 
   for (guint i = sync->transfers->len; i > 0; i--)
     {
-      struct reassignment *transfer
-          = g_ptr_array_index (sync->transfers, i - 1);
+      struct transfer *transfer = g_ptr_array_index (sync->transfers, i - 1);
 
       update_progress (transfer, now_ms);
       if (now_ms - transfer->progress_ms > IDLE_TIMEOUT_MS)
